--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -26,9 +26,9 @@
 // Cloud is what the leader needs of the cloud.
 type Cloud interface {
 	Types() ([]wire.MachineType, error)
-	Rent(h wire.RentRequest) ([]string, error)
+	Rent(h wire.ScaleOutRequest) ([]string, error)
 	Return(hosts []string) error
-	List() ([]wire.Host, error)
+	List() ([]wire.Machine, error)
 }
 
 // CloudClient is the HTTP client of the cloud.
@@ -75,7 +75,7 @@
 		return fmt.Errorf("%w: %v", ErrCloud, err)
 	}
 	if status != 200 {
-		var f wire.Failure
+		var f wire.ErrorResponse
 		if wire.Unmarshal(answer, &f) == nil && f.Error == "no capacity" {
 			return ErrNoCapacity
 		}
@@ -98,37 +98,37 @@
 }
 
 // Rent rents machines.
-func (c *CloudClient) Rent(h wire.RentRequest) ([]string, error) {
-	var out wire.HostNames
+func (c *CloudClient) Rent(h wire.ScaleOutRequest) ([]string, error) {
+	var out wire.MachineNames
 	err := c.call("POST", "/hosts", h, &out)
-	return out.Hosts, err
+	return out.Machines, err
 }
 
 // Return gives machines back; when it succeeds they are gone.
 func (c *CloudClient) Return(hosts []string) error {
-	return c.call("POST", "/hosts/return", wire.HostNames{Hosts: hosts}, nil)
+	return c.call("POST", "/hosts/return", wire.MachineNames{Machines: hosts}, nil)
 }
 
 // ListPage is the number of machines on a page of the list, the most allowed.
 const ListPage = 500
 
 // List reads the whole machine list.
-func (c *CloudClient) List() ([]wire.Host, error) {
-	var all []wire.Host
+func (c *CloudClient) List() ([]wire.Machine, error) {
+	var all []wire.Machine
 	after := ""
 	for {
 		path := "/hosts?page=" + strconv.Itoa(ListPage)
 		if after != "" {
 			path += "&after=" + url.QueryEscape(after)
 		}
-		var page wire.HostPage
+		var page wire.MachinePage
 		if err := c.call("GET", path, nil, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Hosts...)
-		if !page.Truncated || len(page.Hosts) == 0 {
+		all = append(all, page.Machines...)
+		if !page.Truncated || len(page.Machines) == 0 {
 			return all, nil
 		}
-		after = page.Hosts[len(page.Hosts)-1].Name
+		after = page.Machines[len(page.Machines)-1].Name
 	}
 }
--- a/internal/fleet/worker.go
+++ b/internal/fleet/worker.go
@@ -82,7 +82,7 @@
 	Sequence    uint64 // of the newest message
 	Reported    uint64 // of the newest report; answers to direct calls come between
 	ShownToken  uint64 // highest that the worker has shown
-	Tasks       map[jobs.TaskID]wire.TaskReport
+	Tasks       map[jobs.TaskID]wire.TaskStatus
 	Began       map[jobs.TaskID]time.Time // arrival of the first message that showed the task running
 	Heard       time.Time                 // arrival of the last message
 	First       time.Time                 // arrival of the first message
@@ -133,14 +133,14 @@
 // Copy reports whether a report is a late copy of one that this node has seen,
 // or older: the network may deliver such copies minutes late. It guards against
 // a dead machine that looks alive and a lease that seems renewed.
-func (w *Worker) Copy(r *wire.Report) bool {
-	return r.Session < w.Session || r.Session == w.Session && r.Sequence <= w.Reported
+func (w *Worker) Copy(r *wire.Heartbeat) bool {
+	return r.Incarnation < w.Session || r.Incarnation == w.Session && r.Sequence <= w.Reported
 }
 
 // Answer notes that a report was answered with 200 and these commands. A
 // command that is due again and again is not heard: the machine's reports get
 // through to us and our answers not to it.
-func (w *Worker) Answer(r *wire.Report, commands []wire.Command, now time.Time) {
+func (w *Worker) Answer(r *wire.Heartbeat, commands []wire.Command, now time.Time) {
 	w.Answered, w.Reported = now, r.Sequence
 	w.nothingToProve = false // a start that this report shows the end of may be forgotten
 	for a, sequence := range w.started {
@@ -179,7 +179,7 @@
 
 // NewWorker returns the view of a machine that has not been heard.
 func NewWorker(host string) *Worker {
-	return &Worker{Host: host, State: Unproven, Tasks: map[jobs.TaskID]wire.TaskReport{}, Began: map[jobs.TaskID]time.Time{}, Stopping: map[jobs.TaskID]bool{},
+	return &Worker{Host: host, State: Unproven, Tasks: map[jobs.TaskID]wire.TaskStatus{}, Began: map[jobs.TaskID]time.Time{}, Stopping: map[jobs.TaskID]bool{},
 		unanswered: map[sentStart]int{}, started: map[Attempt]uint64{}, Errors: map[string]bool{}, Sent: map[CommandKey]time.Time{}}
 }
 
@@ -203,14 +203,14 @@
 // Observe enters a report that arrived now, if it is newer than what is known.
 // token is the one of our membership; a worker that has shown it or one that
 // stands above it for this worker alone (InvalidateStarts) has heard us.
-func (w *Worker) Observe(r *wire.Report, token uint64, now time.Time) bool {
+func (w *Worker) Observe(r *wire.Heartbeat, token uint64, now time.Time) bool {
 	if w.First.IsZero() {
 		w.First = now
 	}
-	if r.Session < w.Session || r.Session == w.Session && r.Sequence <= w.Sequence {
+	if r.Incarnation < w.Session || r.Incarnation == w.Session && r.Sequence <= w.Sequence {
 		return false
 	}
-	if r.Session > w.Session {
+	if r.Incarnation > w.Session {
 		// Guards against taking an old session's proof for the new one's, and
 		// against waiting for starts that the worker now refuses.
 		w.State = w.State.Next(NewSession)
@@ -221,12 +221,12 @@
 		clear(w.unconfirmed)
 		w.Reported = 0
 	}
-	w.Host, w.Address, w.MachineType, w.Zone, w.Spot = r.Host, r.Address, r.MachineType, r.Zone, r.Spot
-	w.Session, w.Sequence, w.Heard = r.Session, r.Sequence, now
+	w.Host, w.Address, w.MachineType, w.Zone, w.Spot = r.Machine, r.Address, r.MachineType, r.Zone, r.Spot
+	w.Session, w.Sequence, w.Heard = r.Incarnation, r.Sequence, now
 	w.Changed()
-	w.ShownToken = max(w.ShownToken, r.Token)
+	w.ShownToken = max(w.ShownToken, r.FencingToken)
 	w.Token = max(w.Token, token)
-	if token > 0 && r.Token >= token {
+	if token > 0 && r.FencingToken >= token {
 		if w.State == Unproven {
 			w.State = w.State.Next(TokenShown)
 			w.ProvenAt = now
@@ -236,14 +236,14 @@
 	// and this message shows what came of them. Those under the same are not:
 	// one sent before the proof may still be held somewhere.
 	for k := range w.unanswered {
-		if k.token < r.Token {
+		if k.token < r.FencingToken {
 			delete(w.unanswered, k)
 		}
 	}
-	if r.NoticeS == nil {
+	if r.TerminationNoticeS == nil {
 		w.TakenAt = time.Time{}
 	} else {
-		w.TakenAt = now.Add(time.Duration(*r.NoticeS * float64(time.Second)))
+		w.TakenAt = now.Add(time.Duration(*r.TerminationNoticeS * float64(time.Second)))
 	}
 	clear(w.Tasks)
 	for _, s := range r.Tasks {
@@ -447,14 +447,14 @@
 }
 
 // listedOf is a task of a report as package recovery takes it.
-func listedOf(s wire.TaskReport, on bool) recovery.Listed {
+func listedOf(s wire.TaskStatus, on bool) recovery.Listed {
 	l := recovery.Listed{Attempt: s.Attempt}
 	switch {
 	case !on:
 		return recovery.Listed{}
 	case s.State == wire.TaskExited:
 		l.State = recovery.Exited
-	case s.State == wire.TaskFlushing:
+	case s.State == wire.TaskCheckpointing:
 		l.State = recovery.Saving
 	default:
 		l.State = recovery.Alive
@@ -567,7 +567,7 @@
 		case recovery.KillSaving:
 			grace := 0.0
 			if spec := j.Record.Spec; spec != nil {
-				grace = spec.SaveS
+				grace = spec.CheckpointWriteS
 			}
 			out = append(out, wire.Command{Verb: wire.VerbKill, Task: s.Task, Attempt: s.Attempt, GracePeriodS: &grace})
 		case recovery.Reap:
--- a/internal/fleet/worker_test.go
+++ b/internal/fleet/worker_test.go
@@ -29,8 +29,8 @@
 	return tab.Hosts["h"]
 }
 
-func report(session, sequence, token uint64, tasks ...wire.TaskReport) *wire.Report {
-	return &wire.Report{Host: "h", Address: "x:1", Session: session, Sequence: sequence, Token: token, Tasks: tasks}
+func report(session, sequence, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "h", Address: "x:1", Incarnation: session, Sequence: sequence, FencingToken: token, Tasks: tasks}
 }
 
 func verbs(commands []wire.Command) string {
@@ -44,7 +44,7 @@
 func TestNothingIsReleasedBeforeTheWorkerShowsOurBaton(t *testing.T) {
 	claims := claimed(t, 1, 1, jobs.Open)
 	w := NewWorker("h")
-	exited := wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}
+	exited := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}
 	w.Observe(report(1, 1, 4, exited), 5, t0)
 	if p := w.Proofs(claims, t0, lease); len(p) != 0 {
 		t.Fatalf("released at an old token: %v", p)
@@ -105,7 +105,7 @@
 func TestReapWaitsForTheStoredReleaseAndUnansweredStarts(t *testing.T) {
 	claims := claimed(t, 1, 1, jobs.Open)
 	w := NewWorker("h")
-	exited := wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseError}
+	exited := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseError}
 	w.Observe(report(1, 1, 5, exited), 5, t0)
 	if o := verbs(answerTo(w, claims, true)); o != "" {
 		t.Fatalf("with the claim stored: %s", o)
@@ -127,7 +127,7 @@
 // arrive later: the proof must not make it forgotten.
 func TestAStartUnderOurBatonOutlivesTheProof(t *testing.T) {
 	w := NewWorker("h")
-	exited := wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseStopped}
+	exited := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseStopped}
 	a := []Attempt{{jobs.TaskID{Job: "wk-1", Task: 0}, 1}}
 	w.Observe(report(1, 1, 5, exited), 6, t0)
 	w.StartSent(a, 6)
@@ -142,11 +142,11 @@
 }
 
 func TestOrdersFollowTheStoredClaims(t *testing.T) {
-	run := wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}
+	run := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}
 	for _, c := range []struct {
 		name   string
 		claims map[jobs.TaskID]*jobs.Job
-		shards []wire.TaskReport
+		shards []wire.TaskStatus
 		start  bool
 		want   string
 	}{
@@ -154,10 +154,10 @@
 		{"nothing starts without the state service", claimed(t, 1, 1, jobs.Open), nil, false, ""},
 		{"a claim of another session is not started", claimed(t, 2, 1, jobs.Open), nil, true, ""},
 		{"a cancelled job is not started", claimed(t, 1, 1, jobs.Cancelled), nil, true, ""},
-		{"a cancelled job is killed", claimed(t, 1, 1, jobs.Cancelled), []wire.TaskReport{run}, true, "kill "},
-		{"a running claim is left alone", claimed(t, 1, 1, jobs.Open), []wire.TaskReport{run}, true, ""},
-		{"what no claim covers is killed", nil, []wire.TaskReport{run}, true, "kill "},
-		{"an older attempt is killed first", claimed(t, 1, 2, jobs.Open), []wire.TaskReport{run}, true, "kill start "},
+		{"a cancelled job is killed", claimed(t, 1, 1, jobs.Cancelled), []wire.TaskStatus{run}, true, "kill "},
+		{"a running claim is left alone", claimed(t, 1, 1, jobs.Open), []wire.TaskStatus{run}, true, ""},
+		{"what no claim covers is killed", nil, []wire.TaskStatus{run}, true, "kill "},
+		{"an older attempt is killed first", claimed(t, 1, 2, jobs.Open), []wire.TaskStatus{run}, true, "kill start "},
 	} {
 		w := NewWorker("h")
 		w.Observe(report(1, 1, 5, c.shards...), 5, t0)
@@ -174,7 +174,7 @@
 	id := jobs.TaskID{Job: "wk-1", Task: 0}
 	w := NewWorker("h")
 	w.Stopping[id] = true
-	w.Observe(report(1, 1, 5, wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseStopped}), 5, t0)
+	w.Observe(report(1, 1, 5, wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseStopped}), 5, t0)
 	w.KeepStopping(claims)
 	if !w.Leaves(id) {
 		t.Fatal("the task no longer leaves")
@@ -187,7 +187,7 @@
 
 func TestOldReportsChangeNothing(t *testing.T) {
 	w := NewWorker("h")
-	w.Observe(report(2, 9, 5, wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}), 5, t0)
+	w.Observe(report(2, 9, 5, wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}), 5, t0)
 	if w.Observe(report(2, 8, 5), 5, t0) || w.Observe(report(1, 99, 5), 5, t0) || len(w.Tasks) != 1 {
 		t.Fatal("an older report was taken")
 	}
@@ -197,7 +197,7 @@
 // machine that was gone seemed renewed for as long as copies came.
 func TestALateCopyIsNoNewReport(t *testing.T) {
 	w := NewWorker("h1")
-	first := &wire.Report{Host: "h1", Session: 2, Sequence: 5, Token: 7}
+	first := &wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: 5, FencingToken: 7}
 	if w.Copy(first) {
 		t.Fatal("the first report is no copy")
 	}
@@ -207,14 +207,14 @@
 		session, sequence uint64
 		want              bool
 	}{{2, 5, true}, {2, 4, true}, {1, 99, true}, {2, 6, false}, {3, 1, false}} {
-		if got := w.Copy(&wire.Report{Host: "h1", Session: c.session, Sequence: c.sequence}); got != c.want {
+		if got := w.Copy(&wire.Heartbeat{Machine: "h1", Incarnation: c.session, Sequence: c.sequence}); got != c.want {
 			t.Errorf("session %d sequence %d: copy %v", c.session, c.sequence, got)
 		}
 	}
 	// The answer to a direct call overtook a report that is still under way:
 	// that report is answered, and its answer renews the lease.
-	w.Observe(&wire.Report{Host: "h1", Session: 2, Sequence: 9, Token: 7}, 7, t0)
-	if w.Copy(&wire.Report{Host: "h1", Session: 2, Sequence: 8}) {
+	w.Observe(&wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: 9, FencingToken: 7}, 7, t0)
+	if w.Copy(&wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: 8}) {
 		t.Fatal("an overtaken report is taken for a copy")
 	}
 }
@@ -224,7 +224,7 @@
 	sequence, now := uint64(0), t0
 	report := func(commands ...wire.Command) {
 		sequence++
-		r := &wire.Report{Host: "h1", Session: 1, Sequence: sequence, Token: 7}
+		r := &wire.Heartbeat{Machine: "h1", Incarnation: 1, Sequence: sequence, FencingToken: 7}
 		w.Observe(r, 7, now)
 		w.Answer(r, commands, now)
 	}
@@ -252,8 +252,8 @@
 	}
 	report(start)
 	now = now.Add(2 * tuning.ConfirmAfter)
-	w.Observe(&wire.Report{Host: "h1", Session: 2, Sequence: sequence + 1, Token: 7}, 7, now)
-	r := &wire.Report{Host: "h1", Session: 2, Sequence: sequence + 2, Token: 7}
+	w.Observe(&wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: sequence + 1, FencingToken: 7}, 7, now)
+	r := &wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: sequence + 2, FencingToken: 7}
 	w.Observe(r, 7, now)
 	if w.Answer(r, []wire.Command{start}, now); w.Unresponsive {
 		t.Fatal("orders of an earlier session count against the new one")
@@ -286,7 +286,7 @@
 func TestACancelledClaimIsReleasedOnceNoStartCanCome(t *testing.T) {
 	a := Attempt{jobs.TaskID{Job: "wk-1", Task: 0}, 2}
 	start := []wire.Command{{Verb: wire.VerbStart, Task: "wk-1/0", Attempt: 2}}
-	older := wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseStopped}
+	older := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseStopped}
 	for _, c := range []struct {
 		name  string
 		phase jobs.Phase
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -16,7 +16,7 @@
 		ID: "wk-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: wire.PriorityUrgent,
 		Tasks: 16, CPUs: 8.5, GPUs: 1.5, RAMGB: 64.5, Image: "img-07", ImageGB: 6.25,
 		MachineTypes: []string{"g8", "g4"}, Zone: &zone, SameZone: true, SpreadZones: true, Spot: true,
-		EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: &deadline, DependsOn: []string{"wk-000398", "wk-000405"},
+		EstimateS: 240, CheckpointIntervalS: 30, CheckpointWriteS: 4, DeadlineS: &deadline, DependsOn: []string{"wk-000398", "wk-000405"},
 	}
 }
 
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -125,8 +125,8 @@
 func (j *Job) AllDone() bool { return j.Counts[Completed] == j.Record.Tasks }
 
 // Status is what users are told.
-func (j *Job) Status() wire.Status {
-	s := wire.Status{ID: j.ID, Done: j.Counts[Completed], Running: j.Counts[Claimed]}
+func (j *Job) Status() wire.JobStatus {
+	s := wire.JobStatus{ID: j.ID, Done: j.Counts[Completed], Running: j.Counts[Claimed]}
 	switch {
 	case j.Phase == Done:
 		s.State, s.Done, s.Running = wire.StateDone, j.Record.Tasks, 0
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -459,7 +459,7 @@
 			j := job(fmt.Sprintf("wk-%d", 10+i), wire.KindArray, wire.PriorityNormal, 1, nil)
 			j.Ready = int64(1000 * (i + 1))
 			if i == 1 {
-				j.Record.Spec.CheckpointS, j.Record.Spec.SaveS = 30, 4
+				j.Record.Spec.CheckpointIntervalS, j.Record.Spec.CheckpointWriteS = 30, 4
 			}
 			r := Resident{ID: jobs.TaskID{Job: j.ID}, Job: j}
 			if ran > 0 {
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -151,8 +151,8 @@
 		return 0
 	}
 	ran := in.Now.Sub(r.Began)
-	if spec := r.Job.Record.Spec; spec != nil && spec.CheckpointS > 0 {
-		ran = min(ran, time.Duration(spec.SaveS*float64(time.Second)))
+	if spec := r.Job.Record.Spec; spec != nil && spec.CheckpointIntervalS > 0 {
+		ran = min(ran, time.Duration(spec.CheckpointWriteS*float64(time.Second)))
 	}
 	return ran
 }
--- a/internal/server/budget_test.go
+++ b/internal/server/budget_test.go
@@ -29,11 +29,11 @@
 	}
 	// Every task of these jobs was stopped: each job has ends to be stored, and
 	// waits for new starts.
-	tasks := map[string][]wire.TaskReport{}
+	tasks := map[string][]wire.TaskStatus{}
 	for i := range jobsEach {
 		id := fmt.Sprintf("wk-1%d", i)
 		for k, task := range n.table.Jobs[id].Live {
-			tasks[task.Host] = append(tasks[task.Host], wire.TaskReport{Task: fmt.Sprintf("%s/%d", id, k), Attempt: task.Attempt,
+			tasks[task.Host] = append(tasks[task.Host], wire.TaskStatus{Task: fmt.Sprintf("%s/%d", id, k), Attempt: task.Attempt,
 				State: wire.TaskExited, ExitCause: wire.ExitCauseStopped})
 		}
 	}
--- a/internal/server/fakes_test.go
+++ b/internal/server/fakes_test.go
@@ -42,7 +42,7 @@
 // unanswered is a worker side that never answers direct calls.
 type unanswered struct{}
 
-func (unanswered) commands(string, wire.CommandRequest) (int, *wire.Report, error) {
+func (unanswered) commands(string, wire.CommandRequest) (int, *wire.Heartbeat, error) {
 	return 0, nil, store.ErrLost
 }
 
@@ -70,14 +70,14 @@
 	return a.refuse
 }
 
-func (a *access) List(ctx context.Context, prefix, after string) (wire.Pairs, error) {
+func (a *access) List(ctx context.Context, prefix, after string) (wire.ListResponse, error) {
 	if a.refuses() {
-		return wire.Pairs{}, store.ErrRefused
+		return wire.ListResponse{}, store.ErrRefused
 	}
 	return a.Store.List(ctx, prefix, after)
 }
 
-func (a *access) Multi(ctx context.Context, c store.Class, guards []wire.Guard, then []wire.Change) (uint64, error) {
+func (a *access) Multi(ctx context.Context, c store.Class, guards []wire.Compare, then []wire.Operation) (uint64, error) {
 	a.mu.Lock()
 	if a.refuse {
 		a.mu.Unlock()
@@ -94,9 +94,9 @@
 	return a.Store.Multi(ctx, c, guards, then)
 }
 
-func (a *access) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.Events, error) {
+func (a *access) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.WatchResponse, error) {
 	if a.refuses() {
-		return wire.Events{}, store.ErrRefused
+		return wire.WatchResponse{}, store.ErrRefused
 	}
 	ev, err := a.Store.Watch(ctx, prefix, after, hold)
 	a.mu.Lock()
@@ -263,7 +263,7 @@
 func (w *world) addHost(host string, role string) {
 	w.t.Helper()
 	l := w.leader()
-	w.cl.Listed = append(w.cl.Listed, wire.Host{Name: host, Address: "10.9.9.9:1", MachineType: "g", Zone: "z", State: wire.HostRunning, AgeS: 100})
+	w.cl.Listed = append(w.cl.Listed, wire.Machine{Name: host, Address: "10.9.9.9:1", MachineType: "g", Zone: "z", State: wire.MachineRunning, AgeS: 100})
 	l.mu.Lock()
 	l.leadMemory().rented[host] = rental{role: placeRole(role)}
 	l.mu.Unlock()
@@ -285,12 +285,12 @@
 	return w.nodes[label], other
 }
 
-func (w *world) report(host string, session, token uint64, tasks ...wire.TaskReport) *wire.Report {
+func (w *world) report(host string, session, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	w.sequence++
-	return &wire.Report{Host: host, Address: "10.9.9.9:1", MachineType: "g", Zone: "z", Session: session, Sequence: w.sequence, Token: token, Tasks: tasks}
+	return &wire.Heartbeat{Machine: host, Address: "10.9.9.9:1", MachineType: "g", Zone: "z", Incarnation: session, Sequence: w.sequence, FencingToken: token, Tasks: tasks}
 }
 
-func (n *Node) take(r *wire.Report) (int, any) {
+func (n *Node) take(r *wire.Heartbeat) (int, any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.report(r)
@@ -316,7 +316,7 @@
 }
 
 // ask sends a user's request to a node's handler.
-func ask(n *Node, method, path string, body any) (int, wire.Status, *fasthttp.RequestCtx) {
+func ask(n *Node, method, path string, body any) (int, wire.JobStatus, *fasthttp.RequestCtx) {
 	var c fasthttp.RequestCtx
 	c.Request.Header.SetMethod(method)
 	c.Request.SetRequestURI("http://x" + path)
@@ -328,7 +328,7 @@
 		c.Request.SetBody(wire.MustMarshal(b))
 	}
 	n.serveUser(&c)
-	var st wire.Status
+	var st wire.JobStatus
 	_ = wire.Unmarshal(c.Response.Body(), &st)
 	return c.Response.StatusCode(), st, &c
 }
@@ -384,7 +384,7 @@
 
 func commandsOf(t testing.TB, code int, body any) []wire.Command {
 	t.Helper()
-	o, ok := body.(wire.ReportResponse)
+	o, ok := body.(wire.HeartbeatResponse)
 	if code != 200 || !ok {
 		t.Fatalf("a report was answered %d %v", code, body)
 	}
--- a/internal/server/fleetview_test.go
+++ b/internal/server/fleetview_test.go
@@ -161,7 +161,7 @@
 	n.mu.Unlock()
 	notice := 10.0
 	r := w.report("h1", 1, n.membershipToken())
-	r.NoticeS = &notice
+	r.TerminationNoticeS = &notice
 	n.take(r)
 	w.exchange(n, other)
 	if h := other.siblings[n.self.Label].hosts["h1"]; h.Notice < 0 {
--- a/internal/server/intake.go
+++ b/internal/server/intake.go
@@ -52,7 +52,7 @@
 	switch {
 	case err == nil:
 		n.log.Debug("job accepted", "job", w.ID, "class", w.Class, "tasks", w.Tasks, "image", w.Image, "image_gb", w.ImageGB, "reckon_s", w.EstimateS, "due_s", due(w), "awaits", len(w.DependsOn), "took", n.now().Sub(begun))
-		reply(c, 201, wire.Status{ID: w.ID, State: wire.StateQueued})
+		reply(c, 201, wire.JobStatus{ID: w.ID, State: wire.StateQueued})
 	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrLost):
 		// A lost answer is settled by reading again.
 		n.resubmitted(c, w.ID)
@@ -120,7 +120,7 @@
 // storeOne stores a job's own record.
 func (n *Node) storeOne(ctx context.Context, s *submission) error {
 	key := jobs.JobKey(s.work.ID)
-	return n.storeNew(ctx, []wire.Guard{{Key: key}}, wire.Change{Set: key, Value: wire.MustMarshal(s.rec)})
+	return n.storeNew(ctx, []wire.Compare{{Key: key}}, wire.Operation{Put: key, Value: wire.MustMarshal(s.rec)})
 }
 
 // storeGroup stores several jobs in one intake record, guarded by the absence
@@ -130,11 +130,11 @@
 	incarnation := n.self.Incarnation
 	n.mu.Unlock()
 	key := fmt.Sprintf("%s%s.%d.%d", jobs.IntakePrefix, n.self.Label, incarnation, n.intakeNo.Add(1))
-	guards := []wire.Guard{{Key: key}}
+	guards := []wire.Compare{{Key: key}}
 	v := jobs.IntakeRecord{Jobs: map[string]jobs.Record{}}
 	last := group[0].before
 	for _, s := range group {
-		guards = append(guards, wire.Guard{Key: jobs.JobKey(s.work.ID)})
+		guards = append(guards, wire.Compare{Key: jobs.JobKey(s.work.ID)})
 		v.Jobs[s.work.ID] = s.rec
 		if s.before.After(last) {
 			last = s.before
@@ -142,7 +142,7 @@
 	}
 	gctx, stop := context.WithDeadline(ctx, last)
 	defer stop()
-	err := n.storeNew(gctx, guards, wire.Change{Set: key, Value: wire.MustMarshal(v)})
+	err := n.storeNew(gctx, guards, wire.Operation{Put: key, Value: wire.MustMarshal(v)})
 	if errors.Is(err, store.ErrConflict) {
 		// One of them is known; which, each finds out by itself.
 		err = errAlone
@@ -152,8 +152,8 @@
 	}
 }
 
-func (n *Node) storeNew(ctx context.Context, guards []wire.Guard, change wire.Change) error {
-	changes := []wire.Change{change}
+func (n *Node) storeNew(ctx context.Context, guards []wire.Compare, change wire.Operation) error {
+	changes := []wire.Operation{change}
 	revision, err := n.svc.Multi(ctx, store.ClassIntake, guards, changes)
 	if err != nil {
 		return err
--- a/internal/server/intake_test.go
+++ b/internal/server/intake_test.go
@@ -82,9 +82,9 @@
 		w.tell()
 		w.passAll()
 		for _, h := range []string{"h1", "h2", "h3"} {
-			var done []wire.TaskReport
+			var done []wire.TaskStatus
 			for id, j := range a.table.Hosts[h] {
-				done = append(done, wire.TaskReport{Task: id.String(), Attempt: j.Live[id.Task].Attempt, State: wire.TaskExited, ExitCause: wire.ExitCauseDone})
+				done = append(done, wire.TaskStatus{Task: id.String(), Attempt: j.Live[id.Task].Attempt, State: wire.TaskExited, ExitCause: wire.ExitCauseDone})
 			}
 			w.prove(h, 1, done...)
 		}
@@ -122,7 +122,7 @@
 			before: time.Now().Add(time.Minute), done: make(chan error, 1)})
 	}
 	key := jobs.JobKey("wk-1")
-	if _, err := w.st.Multi(context.Background(), 0, nil, []wire.Change{{Set: key, Value: wire.MustMarshal(group[1].rec)}}); err != nil {
+	if _, err := w.st.Multi(context.Background(), 0, nil, []wire.Operation{{Put: key, Value: wire.MustMarshal(group[1].rec)}}); err != nil {
 		t.Fatal(err)
 	}
 	a.storeGroup(context.Background(), group)
--- a/internal/server/lead.go
+++ b/internal/server/lead.go
@@ -15,7 +15,7 @@
 )
 
 // write runs a guarded write of the leader and enters it.
-func (n *Node) write(ctx context.Context, guards []wire.Guard, changes []wire.Change) error {
+func (n *Node) write(ctx context.Context, guards []wire.Compare, changes []wire.Operation) error {
 	cctx, stop := context.WithTimeout(ctx, tuning.DecisionWait)
 	defer stop()
 	revision, err := n.svc.Multi(cctx, store.ClassRecords, guards, changes)
@@ -30,7 +30,7 @@
 }
 
 // answered enters a write of this node.
-func (n *Node) answered(changes []wire.Change, revision uint64) {
+func (n *Node) answered(changes []wire.Operation, revision uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cache.Own(changes, revision)
--- a/internal/server/leading.go
+++ b/internal/server/leading.go
@@ -16,7 +16,7 @@
 	token        uint64
 	nextToken    uint64 // the token of the membership after it
 	counter      int
-	listed       map[string]wire.Host
+	listed       map[string]wire.Machine
 	listAt       time.Time
 	absent       map[string]int // lists in a row that omitted a machine listed before
 	rented       map[string]rental
@@ -66,7 +66,7 @@
 	return leading{
 		token:        token,
 		nextToken:    nextToken,
-		listed:       map[string]wire.Host{},
+		listed:       map[string]wire.Machine{},
 		absent:       map[string]int{},
 		rented:       map[string]rental{},
 		refused:      map[fleet.Kind]time.Time{},
--- a/internal/server/machines.go
+++ b/internal/server/machines.go
@@ -68,12 +68,12 @@
 		a.SpotPrice = b.SpotPrice // moves all the time
 		same = fmt.Sprint(a) == fmt.Sprint(b)
 	}
-	guards := []wire.Guard{n.cache.Guard(member.Key), n.cache.Guard(typesKey)}
+	guards := []wire.Compare{n.cache.Guard(member.Key), n.cache.Guard(typesKey)}
 	n.mu.Unlock()
 	if same {
 		return nil
 	}
-	return n.write(ctx, guards, []wire.Change{{Set: typesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: list})}})
+	return n.write(ctx, guards, []wire.Operation{{Put: typesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: list})}})
 }
 
 // writeHosts stores changes of machine records, each guarded by the version of
@@ -103,9 +103,9 @@
 	// that has lost the lead and got it back, or not, and stores over what
 	// another leader has changed meanwhile.
 	seen := n.cache.Guard(member.Key)
-	guards := make([][]wire.Guard, len(writes))
+	guards := make([][]wire.Compare, len(writes))
 	for i, w := range writes {
-		guards[i] = []wire.Guard{seen, n.cache.Guard(w.Key)}
+		guards[i] = []wire.Compare{seen, n.cache.Guard(w.Key)}
 		for key := range w.Cut {
 			guards[i] = append(guards[i], n.cache.Guard(key))
 		}
@@ -133,12 +133,12 @@
 			n.mu.Unlock()
 			continue // one of them has got work while this waited
 		}
-		then := []wire.Change{{Drop: w.Key}}
+		then := []wire.Operation{{Delete: w.Key}}
 		if w.V != nil {
-			then = []wire.Change{{Set: w.Key, Value: wire.MustMarshal(w.V)}}
+			then = []wire.Operation{{Put: w.Key, Value: wire.MustMarshal(w.V)}}
 		}
 		for key, part := range w.Cut {
-			then = append(then, wire.Change{Set: key, Value: wire.MustMarshal(part)})
+			then = append(then, wire.Operation{Put: key, Value: wire.MustMarshal(part)})
 		}
 		n.mu.Unlock()
 		if err := n.write(ctx, guards[i], then); err != nil {
@@ -158,7 +158,7 @@
 func (n *Node) groupLimit() int { return int(n.limits.ValueKB * 1024 * tuning.GroupShare) }
 
 // applyList compares the cloud's list with the stored machines.
-func (n *Node) applyList(ctx context.Context, list []wire.Host) {
+func (n *Node) applyList(ctx context.Context, list []wire.Machine) {
 	n.mu.Lock()
 	if !n.leads() {
 		n.mu.Unlock()
@@ -186,7 +186,7 @@
 		delete(l.absent, h.Name)
 		rec, known := n.reg.Hosts[h.Name]
 		switch {
-		case h.State == wire.HostFailed:
+		case h.State == wire.MachineFailed:
 			was := &rec
 			if !known {
 				// Its record is dropped already; the entry stays until deleted.
@@ -203,7 +203,7 @@
 			changes = append(changes, fleet.Change{Host: h.Name, Now: &rec})
 			n.log.Info("machine joins", "host", h.Name, "type", h.MachineType, "zone", h.Zone, "spot", h.Spot, "role", string(rec.Role))
 		}
-		if n.ownerOf(h.Name) == n.self.Label && h.State == wire.HostRunning {
+		if n.ownerOf(h.Name) == n.self.Label && h.State == wire.MachineRunning {
 			if w := n.worker(h.Name); w.Address == "" {
 				w.Address = h.Address
 			}
@@ -239,7 +239,7 @@
 
 // firstRole is the role of a machine that is new to the store: what it was
 // rented for; else the role floors, then what waits, then services.
-func (n *Node) firstRole(l *leading, h wire.Host, joining []fleet.Change) place.Role {
+func (n *Node) firstRole(l *leading, h wire.Machine, joining []fleet.Change) place.Role {
 	if h.Spot {
 		return place.Batch
 	}
@@ -327,7 +327,7 @@
 			}
 			if l.absent[host] >= tuning.GoneLists {
 				over[n.reg.Key(host)] = append(over[n.reg.Key(host)], fleet.Change{Host: host, Was: &rec})
-			} else if l.listed[host].State == wire.HostFailed && l.absent[host] == 0 {
+			} else if l.listed[host].State == wire.MachineFailed && l.absent[host] == 0 {
 				returns = append(returns, host) // stays listed until deleted
 			}
 		}
@@ -421,7 +421,7 @@
 	name := fmt.Sprintf("%s-%d-%d", n.self.Label, l.token, l.counter)
 	n.mu.Unlock()
 	count := min(h.Count, tuning.RentMax)
-	names, err := n.cloud.Rent(wire.RentRequest{Name: name, MachineType: h.Kind.MachineType, Zone: h.Kind.Zone, Spot: h.Kind.Spot, Count: count})
+	names, err := n.cloud.Rent(wire.ScaleOutRequest{Name: name, MachineType: h.Kind.MachineType, Zone: h.Kind.Zone, Spot: h.Kind.Spot, Count: count})
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l = n.leadMemory()
--- a/internal/server/meetings_test.go
+++ b/internal/server/meetings_test.go
@@ -542,7 +542,7 @@
 			}
 		}},
 		{"a report is held back until a new leader has acted", func(x *trial) {
-			var held []wire.Report
+			var held []wire.Heartbeat
 			x.each(func(m *machine) { held = append(held, m.last) })
 			x.each(func(m *machine) { m.outboundCut, m.holding = true, true })
 			x.away(x.leader())
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -207,8 +207,8 @@
 
 // memberWrite is a guarded write of one of the keys that make up the membership.
 type memberWrite struct {
-	guards       []wire.Guard
-	change       wire.Change
+	guards       []wire.Compare
+	change       wire.Operation
 	reachability bool // it is about whether this node reaches its workers
 }
 
@@ -220,23 +220,23 @@
 	if write == nil {
 		return nil
 	}
-	changes := []wire.Change{write.change}
+	changes := []wire.Operation{write.change}
 	revision, err := n.svc.Multi(ctx, store.ClassLease, write.guards, changes)
 	if err != nil {
 		return err
 	}
 	if write.reachability {
 		// Not before: a node that is cut off tries again and again.
-		n.log.Info("reachability of workers changes", "unreachable", write.change.Set != "")
+		n.log.Info("reachability of workers changes", "unreachable", write.change.Put != "")
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if write.change.Set != member.Key {
+	if write.change.Put != member.Key {
 		// The membership comes by watch only: everything stored before it must
 		// be in the cache before it counts.
 		n.cache.Own(changes, revision)
 	}
-	if write.change.Set == member.NodeKey(n.self.Label) && self == n.self {
+	if write.change.Put == member.NodeKey(n.self.Label) && self == n.self {
 		n.session = n.session.Next(member.Stored)
 	}
 	wake(n.memberWake)
@@ -292,8 +292,8 @@
 	key := member.NodeKey(n.self.Label)
 	session := member.Session{Node: n.self, Form: member.Form, Version: tuning.Version}
 	return &memberWrite{
-		guards: []wire.Guard{n.cache.Guard(key)},
-		change: wire.Change{Set: key, Value: wire.MustMarshal(session), LeaseID: n.self.Incarnation},
+		guards: []wire.Compare{n.cache.Guard(key)},
+		change: wire.Operation{Put: key, Value: wire.MustMarshal(session), LeaseID: n.self.Incarnation},
 	}
 }
 
@@ -301,13 +301,13 @@
 // those to ask when it does not; mu is held.
 func (n *Node) reachabilityWrite(unreachable bool, now time.Time) *memberWrite {
 	key := member.UnreachableKey(n.self.Label)
-	change := wire.Change{Drop: key}
+	change := wire.Operation{Delete: key}
 	if unreachable {
-		change = wire.Change{Set: key, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation}
+		change = wire.Operation{Put: key, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation}
 		n.chooseProbes(now)
 	}
 	return &memberWrite{
-		guards:       []wire.Guard{n.cache.Guard(member.NodeKey(n.self.Label))},
+		guards:       []wire.Compare{n.cache.Guard(member.NodeKey(n.self.Label))},
 		change:       change,
 		reachability: true,
 	}
@@ -316,16 +316,16 @@
 // leadWrite takes the lead; mu is held.
 func (n *Node) leadWrite() *memberWrite {
 	return &memberWrite{
-		guards: []wire.Guard{n.cache.Guard(member.LeadKey), n.cache.Guard(member.NodeKey(n.self.Label))},
-		change: wire.Change{Set: member.LeadKey, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation},
+		guards: []wire.Compare{n.cache.Guard(member.LeadKey), n.cache.Guard(member.NodeKey(n.self.Label))},
+		change: wire.Operation{Put: member.LeadKey, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation},
 	}
 }
 
 // membershipWrite stores the next membership; mu is held.
 func (n *Node) membershipWrite(next *member.Record) *memberWrite {
 	return &memberWrite{
-		guards: []wire.Guard{n.cache.Guard(member.LeadKey), n.cache.Guard(member.Key)},
-		change: wire.Change{Set: member.Key, Value: wire.MustMarshal(next)},
+		guards: []wire.Compare{n.cache.Guard(member.LeadKey), n.cache.Guard(member.Key)},
+		change: wire.Operation{Put: member.Key, Value: wire.MustMarshal(next)},
 	}
 }
 
--- a/internal/server/pipeline_test.go
+++ b/internal/server/pipeline_test.go
@@ -28,9 +28,9 @@
 // "done", and stores their ends.
 func (w *world) finish(host string, tasks ...string) {
 	w.t.Helper()
-	var list []wire.TaskReport
+	var list []wire.TaskStatus
 	for _, s := range tasks {
-		list = append(list, wire.TaskReport{Task: s, Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone})
+		list = append(list, wire.TaskStatus{Task: s, Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone})
 	}
 	w.prove(host, 1, list...)
 	w.clk.add(2 * time.Second)
@@ -212,7 +212,7 @@
 		s = member.Session{Node: n.self, Form: member.Form, Version: "x"}
 	}
 	key := member.NodeKey(label)
-	if _, err := w.st.Multi(context.Background(), store.ClassLease, nil, []wire.Change{{Set: key, Value: wire.MustMarshal(s), LeaseID: n.self.Incarnation}}); err != nil {
+	if _, err := w.st.Multi(context.Background(), store.ClassLease, nil, []wire.Operation{{Put: key, Value: wire.MustMarshal(s), LeaseID: n.self.Incarnation}}); err != nil {
 		w.t.Fatal(err)
 	}
 	w.sync()
@@ -477,7 +477,7 @@
 	w.prove("h1", 1)
 	w.submit(w.nodes["a"], service("wk-1", 2))
 	w.passAll()
-	running := []wire.TaskReport{{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}, {Task: "wk-1/1", Attempt: 1, State: wire.TaskRunning}}
+	running := []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}, {Task: "wk-1/1", Attempt: 1, State: wire.TaskRunning}}
 	restart := func(label string, old bool) {
 		w.st.Expire(w.nodes[label].self.Incarnation)
 		w.start(label, labels)
@@ -517,7 +517,7 @@
 	}
 	taken(true)
 	code, body := w.nodes["a"].take(w.report("h1", 1, w.nodes["a"].membershipToken(), running...))
-	if o, ok := body.(wire.ReportResponse); code == 200 && (!ok || len(o.Commands) != 0) {
+	if o, ok := body.(wire.HeartbeatResponse); code == 200 && (!ok || len(o.Commands) != 0) {
 		t.Fatalf("healthy tasks are told %v", body)
 	}
 	w.submit(w.nodes["b"], work("wk-2", 1))
--- a/internal/server/planinput.go
+++ b/internal/server/planinput.go
@@ -112,7 +112,7 @@
 		return
 	}
 	listed, isListed := b.leader.listed[m.Name]
-	running := len(m.Tasks) > 0 || isListed && listed.State == wire.HostRunning
+	running := len(m.Tasks) > 0 || isListed && listed.State == wire.MachineRunning
 	if _, ok := b.leader.heard[m.Name]; !ok && running {
 		// Up, but not heard under this leader yet: its time begins now.
 		b.leader.hear(m.Name, b.now)
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -71,7 +71,7 @@
 		frozen, written := 0, 0
 		for _, e := range w.st.Events {
 			var rec quota.Record
-			if e.Version <= begun || e.Set != jobs.TeamKey("x") || wire.Unmarshal(e.Value, &rec) != nil {
+			if e.Version <= begun || e.Put != jobs.TeamKey("x") || wire.Unmarshal(e.Value, &rec) != nil {
 				continue
 			}
 			written++
@@ -216,9 +216,9 @@
 		t.Fatal("the room of a claim in doubt was given to another job")
 	}
 	// It arrives late; the limit stands.
-	var guards []wire.Guard
+	var guards []wire.Compare
 	for k, s := range late.guards {
-		guards = append(guards, wire.Guard{Key: k, Version: s})
+		guards = append(guards, wire.Compare{Key: k, Version: s})
 	}
 	_, _ = w.st.Multi(context.Background(), late.class, guards, late.changes)
 	for range 6 {
--- a/internal/server/scale_test.go
+++ b/internal/server/scale_test.go
@@ -31,7 +31,7 @@
 	l := w.leader()
 	for i := range machines {
 		host := fmt.Sprintf("host-%06d", i)
-		w.cl.Listed = append(w.cl.Listed, wire.Host{Name: host, Address: "10.9.9.9:1", MachineType: "g", Zone: "z", State: wire.HostRunning, AgeS: 100})
+		w.cl.Listed = append(w.cl.Listed, wire.Machine{Name: host, Address: "10.9.9.9:1", MachineType: "g", Zone: "z", State: wire.MachineRunning, AgeS: 100})
 		role := place.Batch
 		if i%2 == 0 {
 			role = place.Service
@@ -102,9 +102,9 @@
 func BenchmarkReport(b *testing.B) {
 	w := bigWorld(b, "a")
 	n := w.leader()
-	var tasks []wire.TaskReport
+	var tasks []wire.TaskStatus
 	for i := range 8 {
-		tasks = append(tasks, wire.TaskReport{Task: jobs.TaskName("wk-1", i), Attempt: 1, State: wire.TaskRunning})
+		tasks = append(tasks, wire.TaskStatus{Task: jobs.TaskName("wk-1", i), Attempt: 1, State: wire.TaskRunning})
 	}
 	token := n.membershipToken()
 	b.ReportAllocs()
@@ -177,10 +177,10 @@
 	}
 	// All tasks of the arrays end, most on machines of other owners: each
 	// owner stores its part of a chunk at once, or gathers it.
-	tasks := map[string][]wire.TaskReport{}
+	tasks := map[string][]wire.TaskStatus{}
 	for _, j := range l.table.Open {
 		for i, task := range j.Live {
-			s := wire.TaskReport{Task: jobs.TaskName(j.ID, i), Attempt: task.Attempt, State: wire.TaskRunning}
+			s := wire.TaskStatus{Task: jobs.TaskName(j.ID, i), Attempt: task.Attempt, State: wire.TaskRunning}
 			if !j.Service() {
 				s.State, s.ExitCause = wire.TaskExited, wire.ExitCauseDone
 			}
@@ -269,7 +269,7 @@
 	}
 	written := 0
 	for _, e := range w.st.Events {
-		if e.Version > revision && e.Set == member.Key {
+		if e.Version > revision && e.Put == member.Key {
 			written++
 		}
 	}
@@ -308,9 +308,9 @@
 	w := newWorld(t, "a")
 	n := w.nodes["a"]
 	ctx := context.Background()
-	var list []wire.Host
+	var list []wire.Machine
 	for i := range 100 {
-		list = append(list, wire.Host{Name: fmt.Sprintf("host-%06d", i), Address: "10.9.9.9:1", MachineType: "g", Zone: "z", State: wire.HostRunning})
+		list = append(list, wire.Machine{Name: fmt.Sprintf("host-%06d", i), Address: "10.9.9.9:1", MachineType: "g", Zone: "z", State: wire.MachineRunning})
 	}
 	known := func() int {
 		w.sync()
@@ -330,7 +330,7 @@
 	}
 	// Somebody else's write of the group comes first.
 	key := n.reg.Key("host-000000")
-	if _, err := w.st.Multi(ctx, 0, nil, []wire.Change{{Set: key, Value: w.st.Keys[key].Value}}); err != nil {
+	if _, err := w.st.Multi(ctx, 0, nil, []wire.Operation{{Put: key, Value: w.st.Keys[key].Value}}); err != nil {
 		t.Fatal(err)
 	}
 	n.applyList(ctx, list[:12])
@@ -348,7 +348,7 @@
 	if len(writes) < 3 {
 		t.Fatalf("%d writes", len(writes))
 	}
-	if _, err := w.st.Multi(ctx, 0, nil, []wire.Change{{Set: writes[0].Key, Value: wire.MustMarshal(writes[0].V)}}); err != nil {
+	if _, err := w.st.Multi(ctx, 0, nil, []wire.Operation{{Put: writes[0].Key, Value: wire.MustMarshal(writes[0].V)}}); err != nil {
 		t.Fatal(err)
 	}
 	if k := known(); k <= 12 || k >= 100 {
@@ -360,7 +360,7 @@
 	}
 }
 
-func joins(list []wire.Host) []fleet.Change {
+func joins(list []wire.Machine) []fleet.Change {
 	var out []fleet.Change
 	for _, h := range list {
 		out = append(out, fleet.Change{Host: h.Name, Now: &fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Role: place.Batch, Phase: fleet.In}})
--- a/internal/server/scripted_test.go
+++ b/internal/server/scripted_test.go
@@ -29,7 +29,7 @@
 	cut         map[string]bool       // nodes that it does not reach
 	holding     bool                  // direct calls to it are held in the network
 	calls       []wire.CommandRequest // those
-	last        wire.Report           // its last report
+	last        wire.Heartbeat        // its last report
 	sessions    []session             // that have ended
 }
 
@@ -111,15 +111,15 @@
 	for _, o := range x.machines {
 		for _, u := range o.Tasks {
 			// A machine that hangs beyond its lease ends its tasks before it goes on.
-			if u.TaskReport.Task == t.TaskReport.Task && u.State == wire.TaskRunning && now.Sub(o.Renewed) <= lease {
-				x.t.Errorf("%s starts on %s while it is on %s", t.TaskReport.Task, w.Host, o.Host)
+			if u.TaskStatus.Task == t.TaskStatus.Task && u.State == wire.TaskRunning && now.Sub(o.Renewed) <= lease {
+				x.t.Errorf("%s starts on %s while it is on %s", t.TaskStatus.Task, w.Host, o.Host)
 			}
 		}
 	}
 	if at, ok := x.confirmed[t.JobID]; ok && now.Sub(at) > x.patience {
-		x.t.Errorf("%s starts %v after its cancellation was confirmed", t.TaskReport.Task, now.Sub(at))
+		x.t.Errorf("%s starts %v after its cancellation was confirmed", t.TaskStatus.Task, now.Sub(at))
 	}
-	x.starts[t.TaskReport.Task]++
+	x.starts[t.TaskStatus.Task]++
 	return x.runs[t.JobID]
 }
 
@@ -162,7 +162,7 @@
 		code, body := n.take(&r)
 		m.node = next
 		if code == 200 {
-			o := body.(wire.ReportResponse)
+			o := body.(wire.HeartbeatResponse)
 			if !m.inboundCut && m.Answered(now, o) {
 				m.CarryOut(now, o.Commands)
 			}
@@ -179,7 +179,7 @@
 // direct carries direct calls to the scripted workers.
 type direct struct{ x *trial }
 
-func (d *direct) commands(address string, c wire.CommandRequest) (int, *wire.Report, error) {
+func (d *direct) commands(address string, c wire.CommandRequest) (int, *wire.Heartbeat, error) {
 	x := d.x
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -253,7 +253,7 @@
 			}
 			used++
 			if at, ok := x.confirmed[t.JobID]; ok && !m.hung && x.clk.now().Sub(at) > cancel {
-				x.t.Errorf("%s is on %s %v after its cancellation was confirmed", t.TaskReport.Task, m.Host, x.clk.now().Sub(at))
+				x.t.Errorf("%s is on %s %v after its cancellation was confirmed", t.TaskStatus.Task, m.Host, x.clk.now().Sub(at))
 			}
 		}
 	}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -138,7 +138,7 @@
 	if o := commandsOf(t, 200, body); len(o) != 1 || o[0].Verb != wire.VerbStart || o[0].Attempt != 1 {
 		t.Fatalf("orders for a stored claim: %v", o)
 	}
-	exited := wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}
+	exited := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}
 	_, body = n.take(w.report("h1", 1, b, exited))
 	if o := commandsOf(t, 200, body); len(o) != 0 {
 		t.Fatalf("orders before the release is stored: %v", o)
@@ -391,7 +391,7 @@
 	n := w.nodes["a"]
 	old := member.Node{Label: "a", Incarnation: 777}
 	w.st.Leases[777] = true
-	_, err := w.st.Multi(context.Background(), 0, nil, []wire.Change{{Set: member.NodeKey("a"), Value: wire.MustMarshal(old), LeaseID: 777}})
+	_, err := w.st.Multi(context.Background(), 0, nil, []wire.Operation{{Put: member.NodeKey("a"), Value: wire.MustMarshal(old), LeaseID: 777}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/session_test.go
+++ b/internal/server/session_test.go
@@ -20,7 +20,7 @@
 	release chan struct{}
 }
 
-func (s *stuck) Multi(ctx context.Context, class store.Class, guards []wire.Guard, changes []wire.Change) (uint64, error) {
+func (s *stuck) Multi(ctx context.Context, class store.Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
 	s.writes.Add(1)
 	select {
 	case <-s.release:
--- a/internal/server/storm_test.go
+++ b/internal/server/storm_test.go
@@ -21,7 +21,7 @@
 	over     map[string]func() // how troubles end
 	until    map[string]time.Time
 	ways     []*access // also of former processes
-	copies   []wire.Report
+	copies   []wire.Heartbeat
 	accepted map[string]time.Time
 	final    map[string]string // phases that users were told
 	asked    map[string]bool   // jobs whose users asked to cancel them
@@ -145,7 +145,7 @@
 }
 
 // told holds an answer about a job against what users were told before.
-func (s *storm) told(what, jobID, label string, code int, st wire.Status) {
+func (s *storm) told(what, jobID, label string, code int, st wire.JobStatus) {
 	s.t.Helper()
 	if code == 404 || code == 400 || code == 422 {
 		if _, ok := s.accepted[jobID]; ok {
--- a/internal/server/trouble_test.go
+++ b/internal/server/trouble_test.go
@@ -17,7 +17,7 @@
 )
 
 // prove lets a machine show the present token twice over, as a live one does.
-func (w *world) prove(host string, session uint64, tasks ...wire.TaskReport) *Node {
+func (w *world) prove(host string, session uint64, tasks ...wire.TaskStatus) *Node {
 	w.t.Helper()
 	n, _ := w.owner(host)
 	if code, _ := n.take(w.report(host, session, n.membershipToken(), tasks...)); code != 200 {
@@ -34,7 +34,7 @@
 	w.prove("h1", 1)
 	w.submit(n, service("wk-1", 2))
 	w.passAll()
-	running := []wire.TaskReport{{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}, {Task: "wk-1/1", Attempt: 1, State: wire.TaskRunning}}
+	running := []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}, {Task: "wk-1/1", Attempt: 1, State: wire.TaskRunning}}
 	w.prove("h1", 1, running...)
 	// From here on nothing reaches it. It is told to start a third task.
 	w.submit(n, service("wk-2", 1))
@@ -111,9 +111,9 @@
 	w.submit(n, work("wk-1", 1))
 	w.passAll()
 	w.passAll()
-	done := wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseError}
+	done := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseError}
 	before := w.report("h1", 1, n.membershipToken())
-	w.prove("h1", 1, wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning})
+	w.prove("h1", 1, wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning})
 	late := *before
 	if code, body := n.take(&late); code == 200 {
 		t.Fatalf("a copy was answered as a report: %v", body)
@@ -188,7 +188,7 @@
 	w.submit(n, work("wk-2", 1))
 	w.passAll()
 	w.passAll()
-	running := wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}
+	running := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}
 	w.prove("h1", 1, running)
 	w.st.Down = true
 	w.clk.add(tuning.StateStale + time.Second)
@@ -277,8 +277,8 @@
 		t.Fatalf("members %+v", lead.member.Nodes)
 	}
 	// The old process's write arrives late and changes nothing.
-	if _, err := w.st.Multi(context.Background(), 0, []wire.Guard{{Key: member.Key, Version: held}},
-		[]wire.Change{{Set: member.Key, Value: wire.MustMarshal(stale)}}); err == nil {
+	if _, err := w.st.Multi(context.Background(), 0, []wire.Compare{{Key: member.Key, Version: held}},
+		[]wire.Operation{{Put: member.Key, Value: wire.MustMarshal(stale)}}); err == nil {
 		t.Fatal("a membership of the old process was stored")
 	}
 	// A membership write whose answer is lost is not written twice.
@@ -312,7 +312,7 @@
 	const known = 600
 	for i := range known {
 		v := wire.MustMarshal(jobs.Record{Phase: jobs.Open, Tasks: 1, Chunk: 70, Spec: ptr(work(fmt.Sprintf("wk-%d", i), 1))})
-		if _, err := w.st.Multi(context.Background(), 0, nil, []wire.Change{{Set: jobs.JobKey(fmt.Sprintf("wk-%d", i)), Value: v}}); err != nil {
+		if _, err := w.st.Multi(context.Background(), 0, nil, []wire.Operation{{Put: jobs.JobKey(fmt.Sprintf("wk-%d", i)), Value: v}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -358,18 +358,18 @@
 	w.prove("h1", 3)
 	w.submit(n, work("wk-1", 1))
 	w.passAll()
-	w.prove("h1", 3, wire.TaskReport{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning})
+	w.prove("h1", 3, wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning})
 	revision := w.st.Revision
-	for name, r := range map[string]*wire.Report{
-		"session goes back":    {Host: "h1", MachineType: "g", Session: 2, Sequence: 999, Token: n.membershipToken()},
-		"sequence goes back":   {Host: "h1", MachineType: "g", Session: 3, Sequence: 1, Token: n.membershipToken()},
-		"token from nowhere":   {Host: "h1", MachineType: "g", Session: 4, Sequence: 1, Token: n.membershipToken() + 7},
-		"session zero":         {Host: "h1", MachineType: "g", Sequence: 1},
-		"no name":              {Session: 1, Sequence: 1},
-		"shards from nowhere":  {Host: "h9", MachineType: "x", Session: 1, Sequence: 1, Tasks: []wire.TaskReport{{Task: "nonsense", Attempt: 1, State: wire.TaskRunning}}},
-		"unknown machine":      {Host: "h9", MachineType: "x", Session: 1, Sequence: 2, Token: n.membershipToken()},
-		"exit of another's":    {Host: "h9", MachineType: "x", Session: 1, Sequence: 3, Token: n.membershipToken(), Tasks: []wire.TaskReport{{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}}},
-		"exit without a claim": {Host: "h9", MachineType: "x", Session: 1, Sequence: 4, Token: n.membershipToken(), Tasks: []wire.TaskReport{{Task: "wk-77/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}}},
+	for name, r := range map[string]*wire.Heartbeat{
+		"session goes back":    {Machine: "h1", MachineType: "g", Incarnation: 2, Sequence: 999, FencingToken: n.membershipToken()},
+		"sequence goes back":   {Machine: "h1", MachineType: "g", Incarnation: 3, Sequence: 1, FencingToken: n.membershipToken()},
+		"token from nowhere":   {Machine: "h1", MachineType: "g", Incarnation: 4, Sequence: 1, FencingToken: n.membershipToken() + 7},
+		"session zero":         {Machine: "h1", MachineType: "g", Sequence: 1},
+		"no name":              {Incarnation: 1, Sequence: 1},
+		"shards from nowhere":  {Machine: "h9", MachineType: "x", Incarnation: 1, Sequence: 1, Tasks: []wire.TaskStatus{{Task: "nonsense", Attempt: 1, State: wire.TaskRunning}}},
+		"unknown machine":      {Machine: "h9", MachineType: "x", Incarnation: 1, Sequence: 2, FencingToken: n.membershipToken()},
+		"exit of another's":    {Machine: "h9", MachineType: "x", Incarnation: 1, Sequence: 3, FencingToken: n.membershipToken(), Tasks: []wire.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}}},
+		"exit without a claim": {Machine: "h9", MachineType: "x", Incarnation: 1, Sequence: 4, FencingToken: n.membershipToken(), Tasks: []wire.TaskStatus{{Task: "wk-77/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}}},
 	} {
 		if code, _, _ := ask(n, "POST", "/checkin", r); code != 200 && code != 400 && code != 421 && code != 503 {
 			t.Errorf("%s: %d", name, code)
@@ -428,7 +428,7 @@
 	n.mu.Lock()
 	n.leadMemory().since = map[string]time.Time{} // as after a change of leader
 	n.mu.Unlock()
-	n.applyList(context.Background(), []wire.Host{w.cl.Listed[0], w.cl.Listed[2]})
+	n.applyList(context.Background(), []wire.Machine{w.cl.Listed[0], w.cl.Listed[2]})
 	if l := n.leadMemory(); l.absent["h2"] != 1 {
 		t.Fatalf("absences %v beside a later machine", l.absent)
 	}
--- a/internal/server/txn.go
+++ b/internal/server/txn.go
@@ -18,7 +18,7 @@
 type txn struct {
 	class   store.Class
 	guards  map[string]uint64
-	changes []wire.Change
+	changes []wire.Operation
 	bytes   int
 	jobs    []string
 	what    string
@@ -43,12 +43,12 @@
 
 func (t *txn) set(key string, v any) {
 	raw := wire.MustMarshal(v)
-	t.changes = append(t.changes, wire.Change{Set: key, Value: raw})
+	t.changes = append(t.changes, wire.Operation{Put: key, Value: raw})
 	t.bytes += 2*len(raw) + len(key) // JSON is at most about twice the CBOR
 }
 
 func (t *txn) drop(key string) {
-	t.changes = append(t.changes, wire.Change{Drop: key})
+	t.changes = append(t.changes, wire.Operation{Delete: key})
 	t.bytes += len(key) + 16
 }
 
@@ -62,9 +62,9 @@
 
 // commit runs one transaction and enters its outcome.
 func (n *Node) commit(ctx context.Context, t *txn) {
-	guards := make([]wire.Guard, 0, len(t.guards))
+	guards := make([]wire.Compare, 0, len(t.guards))
 	for k, s := range t.guards {
-		guards = append(guards, wire.Guard{Key: k, Version: s})
+		guards = append(guards, wire.Compare{Key: k, Version: s})
 	}
 	sort.Slice(guards, func(a, b int) bool { return guards[a].Key < guards[b].Key })
 	cctx, stop := context.WithTimeout(ctx, tuning.DecisionWait)
--- a/internal/server/users.go
+++ b/internal/server/users.go
@@ -27,7 +27,7 @@
 }
 
 func refuse(c *fasthttp.RequestCtx, status int, why string) {
-	reply(c, status, wire.Failure{Error: why})
+	reply(c, status, wire.ErrorResponse{Error: why})
 }
 
 // later refuses at once what can't be taken now and says when to come back.
@@ -204,7 +204,7 @@
 
 // known returns a job's status if it is known; final tells that it can't
 // change any more and needs no barrier.
-func (n *Node) known(jobID string) (st wire.Status, known, final bool) {
+func (n *Node) known(jobID string) (st wire.JobStatus, known, final bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	j := n.table.Jobs[jobID]
@@ -215,7 +215,7 @@
 }
 
 // fresh returns a job's status as of now or later, behind a read barrier.
-func (n *Node) fresh(jobID string) (st wire.Status, known bool, err error) {
+func (n *Node) fresh(jobID string) (st wire.JobStatus, known bool, err error) {
 	if st, known, final := n.known(jobID); final {
 		return st, known, nil
 	}
@@ -405,12 +405,12 @@
 		n.mu.Lock()
 		j := n.table.Jobs[jobID]
 		rec, err := j.Record.Cancelled(n.now())
-		guards := []wire.Guard{n.cache.Guard(member.Key), n.cache.Guard(jobs.JobKey(jobID))}
+		guards := []wire.Compare{n.cache.Guard(member.Key), n.cache.Guard(jobs.JobKey(jobID))}
 		n.mu.Unlock()
 		if err != nil {
 			continue
 		}
-		then := []wire.Change{{Set: jobs.JobKey(jobID), Value: wire.MustMarshal(rec)}}
+		then := []wire.Operation{{Put: jobs.JobKey(jobID), Value: wire.MustMarshal(rec)}}
 		revision, err := n.svc.Multi(ctx, store.ClassCancel, guards, then)
 		if err == nil {
 			n.answered(then, revision)
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -16,8 +16,8 @@
 
 // handleReport answers a worker's report.
 func (n *Node) handleReport(c *fasthttp.RequestCtx) {
-	var r wire.Report
-	if err := wire.Unmarshal(c.PostBody(), &r); err != nil || r.Host == "" || r.Session == 0 {
+	var r wire.Heartbeat
+	if err := wire.Unmarshal(c.PostBody(), &r); err != nil || r.Machine == "" || r.Incarnation == 0 {
 		refuse(c, 400, "malformed report")
 		return
 	}
@@ -33,16 +33,16 @@
 }
 
 // report decides the answer to a report; mu is held.
-func (n *Node) report(r *wire.Report) (int, any) {
+func (n *Node) report(r *wire.Heartbeat) (int, any) {
 	now := n.now()
 	if !n.entitled() {
-		return 503, wire.Failure{Error: "not a member"}
+		return 503, wire.ErrorResponse{Error: "not a member"}
 	}
-	if r.Token > n.token(r.Host) {
+	if r.FencingToken > n.token(r.Machine) {
 		// Somebody newer is entitled; a 200 of ours would hold the worker here
 		// while its lease runs out.
 		wake(n.memberWake)
-		return 503, wire.Failure{Error: "superseded"}
+		return 503, wire.ErrorResponse{Error: "superseded"}
 	}
 	stale := now.Sub(n.sync.Fresh())
 	if now.Sub(n.knownUntil()) > n.set.AnswerBound() || stale > tuning.StateStale && n.superseded() {
@@ -50,20 +50,20 @@
 		// can't read is due.
 		return 421, wire.Redirect{}
 	}
-	if owner := n.ownerOf(r.Host); owner != n.self.Label {
+	if owner := n.ownerOf(r.Machine); owner != n.self.Label {
 		return 421, wire.Redirect{Node: owner}
 	}
-	w := n.worker(r.Host)
+	w := n.worker(r.Machine)
 	if w.Copy(r) {
-		return 503, wire.Failure{Error: "a newer report has been seen"}
+		return 503, wire.ErrorResponse{Error: "a newer report has been seen"}
 	}
-	if w.State == fleet.Expired && r.Session <= w.Session {
-		return 503, wire.Failure{Error: "session has ended"}
+	if w.State == fleet.Expired && r.Incarnation <= w.Session {
+		return 503, wire.ErrorResponse{Error: "session has ended"}
 	}
 	n.observe(w, r, now)
-	commands, _ := w.Commands(n.table.Hosts[r.Host], fleet.CommandOptions{
+	commands, _ := w.Commands(n.table.Hosts[r.Machine], fleet.CommandOptions{
 		Channel:   fleet.InAnswer,
-		MayStart:  stale < tuning.StateStale && n.startable(r.Host),
+		MayStart:  stale < tuning.StateStale && n.startable(r.Machine),
 		Now:       now,
 		AwaitCall: !n.recovery.Over(),
 		Admit:     n.admitStart,
@@ -76,7 +76,7 @@
 	if w.Unresponsive != before {
 		n.log.Info("machine's responsiveness changes", "host", w.Host, "unresponsive", w.Unresponsive)
 	}
-	return 200, wire.ReportResponse{Token: w.Token, Commands: commands}
+	return 200, wire.HeartbeatResponse{FencingToken: w.Token, Commands: commands}
 }
 
 // token is the highest token that this node has used for a machine; mu is held.
@@ -106,7 +106,7 @@
 }
 
 // observe enters a report and what follows from it; mu is held.
-func (n *Node) observe(w *fleet.Worker, r *wire.Report, now time.Time) {
+func (n *Node) observe(w *fleet.Worker, r *wire.Heartbeat, now time.Time) {
 	before := make(map[jobs.TaskID]string, len(w.Tasks))
 	for id, s := range w.Tasks {
 		before[id] = s.State
@@ -168,7 +168,7 @@
 
 // caller sends direct commands to workers.
 type caller interface {
-	commands(address string, cmd wire.CommandRequest) (int, *wire.Report, error)
+	commands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error)
 	show(address string) error
 }
 
@@ -176,7 +176,7 @@
 
 func newWorkerCaller() *workerCaller { return &workerCaller{httpc.Many(tuning.WorkerConns)} }
 
-func (w *workerCaller) commands(address string, cmd wire.CommandRequest) (int, *wire.Report, error) {
+func (w *workerCaller) commands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error) {
 	status, body, err := httpc.Do(w.hc, "POST", address, "/commands", wire.MustMarshal(cmd), tuning.WorkerCallTimeout)
 	if err != nil {
 		return 0, nil, err
@@ -184,7 +184,7 @@
 	if status != 200 && status != 409 {
 		return status, nil, fmt.Errorf("worker answered %d", status)
 	}
-	var r wire.Report
+	var r wire.Heartbeat
 	if err := wire.Unmarshal(body, &r); err != nil {
 		return 0, nil, err
 	}
@@ -275,7 +275,7 @@
 	if commands == nil {
 		commands = []wire.Command{}
 	}
-	go n.callWorker(w, w.Address, wire.CommandRequest{Token: w.Token, Session: max(w.Session, 1), Commands: commands}, starts)
+	go n.callWorker(w, w.Address, wire.CommandRequest{FencingToken: w.Token, Incarnation: max(w.Session, 1), Commands: commands}, starts)
 }
 
 func (n *Node) callWorker(w *fleet.Worker, address string, cmd wire.CommandRequest, starts []fleet.Attempt) {
@@ -289,9 +289,9 @@
 		n.log.Debug("direct call failed", "host", w.Host, "err", err)
 		return
 	}
-	w.StartAnswered(starts, cmd.Token, r.Session, r.Sequence)
+	w.StartAnswered(starts, cmd.FencingToken, r.Incarnation, r.Sequence)
 	w.Reached()
-	if n.workers[w.Host] == w && r.Host == w.Host && n.entitled() && r.Token <= n.token(w.Host) {
+	if n.workers[w.Host] == w && r.Machine == w.Host && n.entitled() && r.FencingToken <= n.token(w.Host) {
 		n.observe(w, r, n.now())
 	}
 	wake(n.passWake)
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -12,9 +12,9 @@
 type Cloud struct {
 	Mu        sync.Mutex // guards all below
 	Machines  []wire.MachineType
-	Listed    []wire.Host
+	Listed    []wire.Machine
 	Returned  []string
-	Rentals   []wire.RentRequest
+	Rentals   []wire.ScaleOutRequest
 	OnReturn  func(hosts []string) // called with Mu held; nil: by nobody
 	keepsList bool
 }
@@ -29,7 +29,7 @@
 func (c *Cloud) Types() ([]wire.MachineType, error) { return c.Machines, nil }
 
 // Rent notes the request and refuses it.
-func (c *Cloud) Rent(r wire.RentRequest) ([]string, error) {
+func (c *Cloud) Rent(r wire.ScaleOutRequest) ([]string, error) {
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
 	c.Rentals = append(c.Rentals, r)
@@ -51,7 +51,7 @@
 	for _, host := range hosts {
 		gone[host] = true
 	}
-	var left []wire.Host
+	var left []wire.Machine
 	for _, h := range c.Listed {
 		if !gone[h.Name] {
 			left = append(left, h)
@@ -62,7 +62,7 @@
 }
 
 // List lists the machines.
-func (c *Cloud) List() ([]wire.Host, error) {
+func (c *Cloud) List() ([]wire.Machine, error) {
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
 	return c.Listed, nil
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -117,7 +117,7 @@
 
 // Start starts everything. dir is for settings files; checker hears what the
 // state service applies.
-func Start(dir string, o Options, applied func([]wire.Change)) (*Cluster, error) {
+func Start(dir string, o Options, applied func([]wire.Operation)) (*Cluster, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	c := &Cluster{Store: standin.NewStore(), Cloud: standin.NewCloud(o.Types, false), options: o, dir: dir, stop: stop, group: &errgroup.Group{}}
 	c.Store.Applied = applied
@@ -247,8 +247,8 @@
 	}
 	w := &standin.Worker{Host: fmt.Sprintf("host-%06d", i), Address: l.Addr().String(), Type: c.options.Types[0].Label, Zone: "z", Spot: true,
 		Begins: c.options.Begins, Ended: c.options.Ended, Orders: c.options.Orders}
-	c.Cloud.Listed = append(c.Cloud.Listed, wire.Host{Name: w.Host, Address: w.Address, MachineType: w.Type, Zone: w.Zone, Spot: true,
-		State: wire.HostRunning, AgeS: 100})
+	c.Cloud.Listed = append(c.Cloud.Listed, wire.Machine{Name: w.Host, Address: w.Address, MachineType: w.Type, Zone: w.Zone, Spot: true,
+		State: wire.MachineRunning, AgeS: 100})
 	m := standin.NewMachine(w, &c.workers, c.nodes(), c.options.Seed+uint64(1000*(i+1)), reportEvery, c.options.Lease)
 	c.Machines = append(c.Machines, m)
 	c.group.Go(func() error { return m.Serve(l) })
--- a/internal/standin/cluster/coldstart_test.go
+++ b/internal/standin/cluster/coldstart_test.go
@@ -32,13 +32,13 @@
 		Begins: func(_ *standin.Worker, task *standin.Task) time.Duration {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.running[task.TaskReport.Task] = true
+			c.running[task.TaskStatus.Task] = true
 			return 0
 		},
 		Ended: func(_ *standin.Worker, task *standin.Task) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			delete(c.running, task.TaskReport.Task)
+			delete(c.running, task.TaskStatus.Task)
 			c.ended++
 		},
 	}, nil)
--- a/internal/standin/cluster/quota_race_test.go
+++ b/internal/standin/cluster/quota_race_test.go
@@ -67,7 +67,7 @@
 	cluster, err := Start(t.TempDir(), Options{Controllers: 5, Machines: 8, Teams: teams, Properties: properties, Seed: seed, Lease: 6 * time.Second,
 		Types:  []wire.MachineType{{Label: "g", CPUs: 64, GPUs: 8, RAMGB: 64, FetchGBPerS: 10, Price: 1, SpotPrice: 1, StartupS: 30, Zones: []string{"z"}}},
 		Begins: r.begins,
-		Ended:  func(_ *standin.Worker, t *standin.Task) { r.checker.Ends(t.TaskReport.Task, t.JobID) },
+		Ended:  func(_ *standin.Worker, t *standin.Task) { r.checker.Ends(t.TaskStatus.Task, t.JobID) },
 	}, r.checker.Applied)
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 
 // begins takes the start of a task and says how long it runs.
 func (r *race) begins(w *standin.Worker, t *standin.Task) time.Duration {
-	r.checker.Starts(w.Host, t.TaskReport.Task, t.JobID)
+	r.checker.Starts(w.Host, t.TaskStatus.Task, t.JobID)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.begun[t.JobID] {
@@ -94,9 +94,9 @@
 }
 
 // ask sends a user's request to a controller; 0 if there is no answer.
-func (r *race) ask(controller int, method, path string, body any) (int, wire.Status) {
+func (r *race) ask(controller int, method, path string, body any) (int, wire.JobStatus) {
 	code, answer := r.Ask(controller, method, path, body)
-	var status wire.Status
+	var status wire.JobStatus
 	_ = wire.Unmarshal(answer, &status)
 	return code, status
 }
@@ -332,12 +332,12 @@
 // The checker must see what it is there for.
 func TestTheUsageCheckerSeesPlantedViolations(t *testing.T) {
 	spec := wire.JobSpec{ID: "wk-1", Team: "x", GPUs: 2}
-	chunk := func(claimed int) []wire.Change {
+	chunk := func(claimed int) []wire.Operation {
 		tasks := make([][5]any, claimed)
 		for i := range tasks {
 			tasks[i] = [5]any{1, 1, "host", 1, 0}
 		}
-		return []wire.Change{{Set: "w/task/wk-1/0", Value: wire.MustMarshal(map[string]any{"t": tasks})}}
+		return []wire.Operation{{Put: "w/task/wk-1/0", Value: wire.MustMarshal(map[string]any{"t": tasks})}}
 	}
 	for name, plant := range map[string]func(*standin.UsageChecker){
 		"claims beyond the limit": func(u *standin.UsageChecker) { u.Applied(chunk(4)) },
@@ -351,7 +351,7 @@
 			}
 		},
 		"a job that nobody submitted": func(u *standin.UsageChecker) {
-			u.Applied([]wire.Change{{Set: "w/task/wk-2/0", Value: wire.MustMarshal(map[string]any{"t": []any{}})}})
+			u.Applied([]wire.Operation{{Put: "w/task/wk-2/0", Value: wire.MustMarshal(map[string]any{"t": []any{}})}})
 		},
 	} {
 		checker := standin.NewUsageChecker(map[string]float64{"x": 7})
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -72,7 +72,7 @@
 		answer(c, nil, store.ErrBad)
 		return
 	}
-	revision, err := s.store.Multi(c, 0, t.Guards, t.Changes)
+	revision, err := s.store.Multi(c, 0, t.Compares, t.Operations)
 	answer(c, wire.TransactionResult{Revision: revision}, err)
 }
 
@@ -87,7 +87,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.timers[id] = &leaseTimer{time.AfterFunc(ttl, func() { s.store.Expire(id) }), ttl}
-	answer(c, wire.Lease{ID: id}, err)
+	answer(c, wire.LeaseResponse{ID: id}, err)
 }
 
 func (s *StoreServer) touch(c *fasthttp.RequestCtx, number string) {
@@ -132,18 +132,18 @@
 			types, err := cloud.Types()
 			answer(c, wire.MachineTypes{Types: types}, err)
 		case path == "/hosts/return":
-			var hosts wire.HostNames
+			var hosts wire.MachineNames
 			_ = wire.Unmarshal(c.PostBody(), &hosts)
-			answer(c, struct{}{}, cloud.Return(hosts.Hosts))
+			answer(c, struct{}{}, cloud.Return(hosts.Machines))
 		case c.IsPost():
-			var r wire.RentRequest
+			var r wire.ScaleOutRequest
 			_ = wire.Unmarshal(c.PostBody(), &r)
 			_, _ = cloud.Rent(r)
 			c.SetStatusCode(503)
-			c.SetBody(wire.MustMarshal(wire.Failure{Error: "no capacity"}))
+			c.SetBody(wire.MustMarshal(wire.ErrorResponse{Error: "no capacity"}))
 		default:
 			hosts, err := cloud.List()
-			answer(c, wire.HostPage{Hosts: hosts}, err)
+			answer(c, wire.MachinePage{Machines: hosts}, err)
 		}
 	})
 }
@@ -192,7 +192,7 @@
 	case errors.Is(err, store.ErrCompacted):
 		status = 410
 	case errors.Is(err, store.ErrBad):
-		status, result = 400, wire.Failure{Error: "malformed"}
+		status, result = 400, wire.ErrorResponse{Error: "malformed"}
 	default:
 		status = 503
 	}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -57,7 +57,7 @@
 	return serve(l, NewLink(0), func(c *fasthttp.RequestCtx) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		status, report := 200, wire.Report{}
+		status, report := 200, wire.Heartbeat{}
 		if c.IsPost() {
 			var r wire.CommandRequest
 			if err := wire.Unmarshal(c.PostBody(), &r); err != nil {
@@ -103,7 +103,7 @@
 	status, body := m.post(node, wire.MustMarshal(report))
 	switch status {
 	case 200:
-		var r wire.ReportResponse
+		var r wire.HeartbeatResponse
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		if wire.Unmarshal(body, &r) == nil && m.worker.Session == session && m.worker.Answered(sent, r) {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -29,7 +29,7 @@
 	Mu       sync.Mutex // guards all below
 	Revision uint64
 	Keys     map[string]Entry
-	Events   []wire.Event // in the order of their versions
+	Events   []wire.WatchEvent // in the order of their versions
 	Leases   map[uint64]bool
 	Reads    int // watches asked for
 	Down     bool
@@ -41,7 +41,7 @@
 
 	// Applied is called with Mu held after every transaction that was applied;
 	// nil: by nobody.
-	Applied func(changes []wire.Change)
+	Applied func(changes []wire.Operation)
 
 	lastLease uint64
 	changed   chan struct{} // closed with the next change
@@ -54,24 +54,24 @@
 }
 
 // List returns the keys with a prefix, after a key.
-func (s *Store) List(_ context.Context, prefix, after string) (wire.Pairs, error) {
+func (s *Store) List(_ context.Context, prefix, after string) (wire.ListResponse, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	out := wire.Pairs{Revision: s.Revision}
+	out := wire.ListResponse{Revision: s.Revision}
 	if s.Down {
 		return out, store.ErrRefused
 	}
 	for key, e := range s.Keys {
 		if strings.HasPrefix(key, prefix) && key > after {
-			out.Pairs = append(out.Pairs, wire.Pair{Key: key, Value: e.Value, Version: e.Version})
+			out.KeyValues = append(out.KeyValues, wire.KeyValue{Key: key, Value: e.Value, Version: e.Version})
 		}
 	}
-	slices.SortFunc(out.Pairs, func(a, b wire.Pair) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(out.KeyValues, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return out, nil
 }
 
 // Multi applies a transaction if its guards hold.
-func (s *Store) Multi(_ context.Context, _ store.Class, guards []wire.Guard, changes []wire.Change) (uint64, error) {
+func (s *Store) Multi(_ context.Context, _ store.Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	if s.Down {
@@ -106,13 +106,13 @@
 }
 
 // change makes one change at the present revision; Mu is held.
-func (s *Store) change(c wire.Change) {
-	if c.Drop != "" {
-		delete(s.Keys, c.Drop)
-		s.Events = append(s.Events, wire.Event{Drop: c.Drop, Version: s.Revision})
+func (s *Store) change(c wire.Operation) {
+	if c.Delete != "" {
+		delete(s.Keys, c.Delete)
+		s.Events = append(s.Events, wire.WatchEvent{Delete: c.Delete, Version: s.Revision})
 	} else {
-		s.Keys[c.Set] = Entry{c.Value, s.Revision, c.LeaseID}
-		s.Events = append(s.Events, wire.Event{Set: c.Set, Value: c.Value, Version: s.Revision})
+		s.Keys[c.Put] = Entry{c.Value, s.Revision, c.LeaseID}
+		s.Events = append(s.Events, wire.WatchEvent{Put: c.Put, Value: c.Value, Version: s.Revision})
 	}
 	if s.KeepEvents > 0 && len(s.Events) > 2*s.KeepEvents {
 		gone := len(s.Events) - s.KeepEvents
@@ -125,12 +125,12 @@
 
 // beyond reports whether a transaction is larger than the service takes; Mu is
 // held.
-func (s *Store) beyond(guards []wire.Guard, changes []wire.Change) bool {
+func (s *Store) beyond(guards []wire.Compare, changes []wire.Operation) bool {
 	if s.OpsLimit > 0 && (len(changes) > s.OpsLimit || len(guards) > 4*s.OpsLimit) {
 		return true
 	}
 	for _, c := range changes {
-		if s.ValueLimit > 0 && c.Set != "" && JSONSize(c.Value) > s.ValueLimit {
+		if s.ValueLimit > 0 && c.Put != "" && JSONSize(c.Value) > s.ValueLimit {
 			return true
 		}
 	}
@@ -172,7 +172,7 @@
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	s.Revision++
-	s.change(wire.Change{Set: key, Value: value})
+	s.change(wire.Operation{Put: key, Value: value})
 }
 
 // Lease opens a lease; it ends with Expire alone.
@@ -211,33 +211,33 @@
 	for key, e := range s.Keys {
 		if e.LeaseID == id {
 			s.Revision++
-			s.change(wire.Change{Drop: key})
+			s.change(wire.Operation{Delete: key})
 		}
 	}
 }
 
 // Watch returns at once what has changed after a revision.
-func (s *Store) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (wire.Events, error) {
+func (s *Store) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	s.Reads++
 	if s.Down {
-		return wire.Events{Revision: s.Revision}, store.ErrRefused
+		return wire.WatchResponse{Revision: s.Revision}, store.ErrRefused
 	}
 	return s.since(prefix, after)
 }
 
 // since is what has changed below a prefix after a revision; Mu is held.
-func (s *Store) since(prefix string, after uint64) (wire.Events, error) {
+func (s *Store) since(prefix string, after uint64) (wire.WatchResponse, error) {
 	if after < s.forgotten {
-		return wire.Events{}, store.ErrCompacted
+		return wire.WatchResponse{}, store.ErrCompacted
 	}
-	out := wire.Events{Revision: s.Revision}
-	first, _ := slices.BinarySearchFunc(s.Events, after+1, func(e wire.Event, version uint64) int {
+	out := wire.WatchResponse{Revision: s.Revision}
+	first, _ := slices.BinarySearchFunc(s.Events, after+1, func(e wire.WatchEvent, version uint64) int {
 		return int(int64(e.Version) - int64(version))
 	})
 	for _, e := range s.Events[first:] {
-		if strings.HasPrefix(e.Set+e.Drop, prefix) {
+		if strings.HasPrefix(e.Put+e.Delete, prefix) {
 			out.Events = append(out.Events, e)
 		}
 	}
--- a/internal/standin/usage.go
+++ b/internal/standin/usage.go
@@ -75,18 +75,18 @@
 }
 
 // Applied takes the changes of a transaction of the state service.
-func (u *UsageChecker) Applied(changes []wire.Change) {
+func (u *UsageChecker) Applied(changes []wire.Operation) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range changes {
-		key := c.Set + c.Drop
+		key := c.Put + c.Delete
 		if !strings.HasPrefix(key, jobs.ChunkPrefix) {
 			continue
 		}
 		jobID, _, _ := jobs.ParseChunkKey(key)
 		spec, known := u.jobs[jobID]
 		var chunk jobs.ChunkRecord
-		if !known || c.Set != "" && wire.Unmarshal(c.Value, &chunk) != nil {
+		if !known || c.Put != "" && wire.Unmarshal(c.Value, &chunk) != nil {
 			u.fault("%s holds nothing that a user asked for", key)
 			continue
 		}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -34,18 +34,18 @@
 
 // Task is an attempt on a worker.
 type Task struct {
-	wire.TaskReport
+	wire.TaskStatus
 	JobID string
 	Ready time.Time // its image is there
 	Ends  time.Time // zero: never
 }
 
 // Report is the worker's next report.
-func (w *Worker) Report() wire.Report {
+func (w *Worker) Report() wire.Heartbeat {
 	w.Sequence++
-	r := wire.Report{Host: w.Host, Address: w.Address, MachineType: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Sequence: w.Sequence, Token: w.Token}
+	r := wire.Heartbeat{Machine: w.Host, Address: w.Address, MachineType: w.Type, Zone: w.Zone, Spot: w.Spot, Incarnation: w.Session, Sequence: w.Sequence, FencingToken: w.Token}
 	for _, key := range slices.Sorted(maps.Keys(w.Tasks)) {
-		r.Tasks = append(r.Tasks, w.Tasks[key].TaskReport)
+		r.Tasks = append(r.Tasks, w.Tasks[key].TaskStatus)
 	}
 	return r
 }
@@ -62,8 +62,8 @@
 		case wire.VerbStart:
 			if t == nil {
 				jobID, _, _ := jobs.ParseTaskName(c.Task)
-				started := wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskPulling}
-				w.Tasks[key] = &Task{TaskReport: started, JobID: jobID, Ready: now.Add(w.ImageTime)}
+				started := wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskPulling}
+				w.Tasks[key] = &Task{TaskStatus: started, JobID: jobID, Ready: now.Add(w.ImageTime)}
 				w.Advance(now)
 			}
 		case wire.VerbKill:
@@ -120,20 +120,20 @@
 
 // Answered takes the answer to a report that was sent at a time, unless its token
 // is too low.
-func (w *Worker) Answered(sent time.Time, r wire.ReportResponse) bool {
-	if r.Token < w.Token {
+func (w *Worker) Answered(sent time.Time, r wire.HeartbeatResponse) bool {
+	if r.FencingToken < w.Token {
 		return false
 	}
-	w.Token, w.Renewed = r.Token, sent
+	w.Token, w.Renewed = r.FencingToken, sent
 	return true
 }
 
 // Take carries out a direct call, and returns the status and the report of after.
-func (w *Worker) Take(now time.Time, c wire.CommandRequest) (int, wire.Report) {
+func (w *Worker) Take(now time.Time, c wire.CommandRequest) (int, wire.Heartbeat) {
 	status := 409
-	if c.Token >= w.Token && c.Session == w.Session {
+	if c.FencingToken >= w.Token && c.Incarnation == w.Session {
 		status = 200
-		w.Token = c.Token
+		w.Token = c.FencingToken
 		w.CarryOut(now, c.Commands)
 	}
 	return status, w.Report()
--- a/internal/store/cache.go
+++ b/internal/store/cache.go
@@ -49,8 +49,8 @@
 func (c *Cache) Version(key string) uint64 { return c.versions[key] }
 
 // Guard returns a guard on the key at the cache's version.
-func (c *Cache) Guard(key string) wire.Guard {
-	return wire.Guard{Key: key, Version: c.versions[key]}
+func (c *Cache) Guard(key string) wire.Compare {
+	return wire.Compare{Key: key, Version: c.versions[key]}
 }
 
 func (c *Cache) set(key string, v wire.Raw, version uint64) {
@@ -76,7 +76,7 @@
 }
 
 // Apply enters a watch response; false if it held nothing new.
-func (c *Cache) Apply(ev wire.Events) bool {
+func (c *Cache) Apply(ev wire.WatchResponse) bool {
 	if !c.ready || ev.Revision <= c.revision {
 		return false
 	}
@@ -86,10 +86,10 @@
 			continue
 		}
 		changed = true
-		if e.Drop != "" {
-			c.drop(e.Drop, e.Version)
+		if e.Delete != "" {
+			c.drop(e.Delete, e.Version)
 		} else {
-			c.set(e.Set, e.Value, e.Version)
+			c.set(e.Put, e.Value, e.Version)
 		}
 	}
 	c.revision = ev.Revision
@@ -105,16 +105,16 @@
 // answer that the watch has overtaken brings nothing new. Guards against a key
 // that another node has dropped since: it came back, with claims that nothing
 // ever released, and every write about it failed.
-func (c *Cache) Own(changes []wire.Change, revision uint64) {
+func (c *Cache) Own(changes []wire.Operation, revision uint64) {
 	if revision <= c.revision {
 		return
 	}
 	c.newest = max(c.newest, revision)
 	for _, ch := range changes {
-		if ch.Drop != "" {
-			c.drop(ch.Drop, revision)
+		if ch.Delete != "" {
+			c.drop(ch.Delete, revision)
 		} else {
-			c.set(ch.Set, ch.Value, revision)
+			c.set(ch.Put, ch.Value, revision)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 // Load replaces the contents by a full read whose first page showed base and
 // whose last page showed last. Pages read later may hold changes after base;
 // the cache is settled once the watch has reached last.
-func (c *Cache) Load(pairs []wire.Pair, base, last uint64) {
+func (c *Cache) Load(pairs []wire.KeyValue, base, last uint64) {
 	listed := make(map[string]bool, len(pairs))
 	for _, p := range pairs {
 		listed[p.Key] = true
@@ -281,7 +281,7 @@
 
 // Load reads all keys and enters them.
 func (s *Syncer) Load(ctx context.Context) error {
-	var all []wire.Pair
+	var all []wire.KeyValue
 	var base, last uint64
 	after := ""
 	for {
@@ -293,11 +293,11 @@
 			base = page.Revision
 		}
 		last = page.Revision
-		all = append(all, page.Pairs...)
-		if !page.Truncated || len(page.Pairs) == 0 {
+		all = append(all, page.KeyValues...)
+		if !page.Truncated || len(page.KeyValues) == 0 {
 			break
 		}
-		after = page.Pairs[len(page.Pairs)-1].Key
+		after = page.KeyValues[len(page.KeyValues)-1].Key
 	}
 	s.mu.Lock()
 	s.cache.Load(all, base, last)
--- a/internal/store/cache_test.go
+++ b/internal/store/cache_test.go
@@ -25,18 +25,18 @@
 func TestCacheTakesEachChangeOnceAndInOrder(t *testing.T) {
 	got := seen{}
 	c := NewCache(got.sink)
-	c.Load([]wire.Pair{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
+	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
 	if !c.Settled() || c.Version("a") != 5 {
 		t.Fatal("the load is not settled")
 	}
 	// Our own write is ahead of the watch.
-	c.Own([]wire.Change{{Set: "a", Value: val("3")}}, 13)
-	c.Apply(wire.Events{Revision: 12, Events: []wire.Event{{Set: "a", Value: val("2"), Version: 12}, {Set: "b", Value: val("x"), Version: 11}}})
+	c.Own([]wire.Operation{{Put: "a", Value: val("3")}}, 13)
+	c.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 12}, {Put: "b", Value: val("x"), Version: 11}}})
 	if got["a"] != "3" || got["b"] != "x" || c.Revision() != 12 {
 		t.Fatalf("an older event has overwritten our own write: %v revision %d", got, c.Revision())
 	}
 	// A response of an older watch changes nothing.
-	c.Apply(wire.Events{Revision: 11, Events: []wire.Event{{Set: "b", Value: val("old"), Version: 11}}})
+	c.Apply(wire.WatchResponse{Revision: 11, Events: []wire.WatchEvent{{Put: "b", Value: val("old"), Version: 11}}})
 	if got["b"] != "x" || c.Revision() != 12 {
 		t.Fatalf("a late response was applied: %v", got)
 	}
@@ -46,13 +46,13 @@
 func TestCacheOwnDropHoldsAgainstOlderEvents(t *testing.T) {
 	got := seen{}
 	c := NewCache(got.sink)
-	c.Load([]wire.Pair{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
-	c.Own([]wire.Change{{Drop: "a"}}, 14)
-	c.Apply(wire.Events{Revision: 13, Events: []wire.Event{{Set: "a", Value: val("2"), Version: 12}}})
+	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
+	c.Own([]wire.Operation{{Delete: "a"}}, 14)
+	c.Apply(wire.WatchResponse{Revision: 13, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 12}}})
 	if _, ok := got["a"]; ok || c.Version("a") != 0 {
 		t.Fatal("a dropped key came back")
 	}
-	c.Apply(wire.Events{Revision: 15, Events: []wire.Event{{Drop: "a", Version: 14}, {Set: "a", Value: val("4"), Version: 15}}})
+	c.Apply(wire.WatchResponse{Revision: 15, Events: []wire.WatchEvent{{Delete: "a", Version: 14}, {Put: "a", Value: val("4"), Version: 15}}})
 	if got["a"] != "4" {
 		t.Fatal("a key set anew is missing")
 	}
@@ -63,9 +63,9 @@
 func TestALateAnswerDoesNotBringADroppedKeyBack(t *testing.T) {
 	got := seen{}
 	c := NewCache(got.sink)
-	c.Load([]wire.Pair{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
-	c.Apply(wire.Events{Revision: 12, Events: []wire.Event{{Set: "a", Value: val("2"), Version: 11}, {Drop: "a", Version: 12}}})
-	c.Own([]wire.Change{{Set: "a", Value: val("2")}}, 11)
+	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
+	c.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 11}, {Delete: "a", Version: 12}}})
+	c.Own([]wire.Operation{{Put: "a", Value: val("2")}}, 11)
 	if _, ok := got["a"]; ok || c.Version("a") != 0 {
 		t.Fatal("a dropped key came back by a late answer")
 	}
@@ -77,11 +77,11 @@
 func TestCacheIsUnsettledUntilTheLastPagesEpoch(t *testing.T) {
 	got := seen{}
 	c := NewCache(got.sink)
-	c.Load([]wire.Pair{{Key: "a", Value: val("1"), Version: 5}, {Key: "z", Value: val("1"), Version: 12}}, 10, 12)
+	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}, {Key: "z", Value: val("1"), Version: 12}}, 10, 12)
 	if c.Settled() {
 		t.Fatal("settled between two revisions")
 	}
-	c.Apply(wire.Events{Revision: 12, Events: []wire.Event{{Set: "a", Value: val("2"), Version: 12}, {Set: "z", Value: val("1"), Version: 12}}})
+	c.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 12}, {Put: "z", Value: val("1"), Version: 12}}})
 	if !c.Settled() || got["a"] != "2" {
 		t.Fatal("not settled after the watch has caught up")
 	}
@@ -90,8 +90,8 @@
 func TestCacheReloadForgetsWhatIsGone(t *testing.T) {
 	got := seen{}
 	c := NewCache(got.sink)
-	c.Load([]wire.Pair{{Key: "a", Value: val("1"), Version: 5}, {Key: "b", Value: val("1"), Version: 6}}, 10, 10)
-	c.Load([]wire.Pair{{Key: "b", Value: val("1"), Version: 6}}, 20, 20)
+	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}, {Key: "b", Value: val("1"), Version: 6}}, 10, 10)
+	c.Load([]wire.KeyValue{{Key: "b", Value: val("1"), Version: 6}}, 20, 20)
 	if _, ok := got["a"]; ok {
 		t.Fatal("a key that is gone stayed")
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -35,12 +35,12 @@
 
 // Service is what the rest of the program needs of the state service.
 type Service interface {
-	List(ctx context.Context, prefix, after string) (wire.Pairs, error)
-	Multi(ctx context.Context, c Class, guards []wire.Guard, changes []wire.Change) (uint64, error)
+	List(ctx context.Context, prefix, after string) (wire.ListResponse, error)
+	Multi(ctx context.Context, c Class, guards []wire.Compare, changes []wire.Operation) (uint64, error)
 	Lease(ctx context.Context, ttl time.Duration) (uint64, error)
 	Touch(ctx context.Context, leaseID uint64) error
 	End(ctx context.Context, leaseID uint64) error
-	Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.Events, error)
+	Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.WatchResponse, error)
 }
 
 // Client is the HTTP client of the state service.
@@ -86,8 +86,8 @@
 }
 
 // List reads one page of keys.
-func (c *Client) List(ctx context.Context, prefix, after string) (wire.Pairs, error) {
-	var out wire.Pairs
+func (c *Client) List(ctx context.Context, prefix, after string) (wire.ListResponse, error) {
+	var out wire.ListResponse
 	if err := c.lim.Acquire(ctx, ClassRead, 0); err != nil {
 		return out, err
 	}
@@ -103,25 +103,25 @@
 }
 
 // Multi runs a transaction and returns the revision of its changes.
-func (c *Client) Multi(ctx context.Context, cl Class, guards []wire.Guard, changes []wire.Change) (uint64, error) {
+func (c *Client) Multi(ctx context.Context, cl Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
 	if err := c.lim.Acquire(ctx, cl, len(changes)); err != nil {
 		return 0, err
 	}
 	if guards == nil {
-		guards = []wire.Guard{}
+		guards = []wire.Compare{}
 	}
 	if changes == nil {
-		changes = []wire.Change{}
+		changes = []wire.Operation{}
 	}
 	var out wire.TransactionResult
-	status, err := c.call("POST", "/multi", wire.Transaction{Guards: guards, Changes: changes}, &out, tuning.StateCallTimeout)
+	status, err := c.call("POST", "/multi", wire.Transaction{Compares: guards, Operations: changes}, &out, tuning.StateCallTimeout)
 	switch {
 	case err != nil:
 		return 0, err
 	case status == 200:
 		return out.Revision, nil
 	case status == 409:
-		return out.Revision, fmt.Errorf("%w: %v", ErrConflict, out.Failed)
+		return out.Revision, fmt.Errorf("%w: %v", ErrConflict, out.FailedCompares)
 	case status == 400 && out.Error == "no such lease":
 		return 0, ErrNoLease
 	}
@@ -133,7 +133,7 @@
 	if err := c.lim.Acquire(ctx, ClassLease, 0); err != nil {
 		return 0, err
 	}
-	var out wire.Lease
+	var out wire.LeaseResponse
 	status, err := c.call("POST", "/leases", wire.LeaseRequest{TTLMs: uint64(ttl.Milliseconds())}, &out, tuning.StateCallTimeout)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("%w: lease: status %d", ErrBad, status)
@@ -169,8 +169,8 @@
 }
 
 // Watch waits for changes after the given revision.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.Events, error) {
-	var out wire.Events
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.WatchResponse, error) {
+	var out wire.WatchResponse
 	if err := c.lim.Acquire(ctx, ClassRead, 0); err != nil {
 		return out, err
 	}
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -90,10 +90,10 @@
 
 // States of tasks in reports.
 const (
-	TaskPulling  = "pulling"
-	TaskRunning  = "running"
-	TaskFlushing = "flushing"
-	TaskExited   = "exited"
+	TaskPulling       = "pulling"
+	TaskRunning       = "running"
+	TaskCheckpointing = "flushing"
+	TaskExited        = "exited"
 )
 
 // Causes of the exit of a task.
@@ -115,34 +115,34 @@
 
 // States of machines in the cloud's list.
 const (
-	HostStarting = "starting"
-	HostRunning  = "running"
-	HostFailed   = "failed"
+	MachineStarting = "starting"
+	MachineRunning  = "running"
+	MachineFailed   = "failed"
 )
 
 // JobSpec describes a job: the body of POST /work. Its JSON form is what the
 // state service counts.
 type JobSpec struct {
-	ID           string   `cbor:"ref" json:"ref"`
-	Class        string   `cbor:"cohort" json:"cohort"`
-	Team         string   `cbor:"crew" json:"crew"`
-	Kind         string   `cbor:"shape" json:"shape"`
-	Priority     string   `cbor:"rank" json:"rank"`
-	Tasks        int      `cbor:"shards" json:"shards"`
-	CPUs         float64  `cbor:"cpus" json:"cpus"`
-	GPUs         float64  `cbor:"cards" json:"cards"`
-	RAMGB        float64  `cbor:"ram_gb" json:"ram_gb"`
-	Image        string   `cbor:"bundle" json:"bundle"`
-	ImageGB      float64  `cbor:"image_gb" json:"image_gb"`
-	MachineTypes []string `cbor:"rigs" json:"rigs"`
-	Zone         *string  `cbor:"plot" json:"plot"`
-	SameZone     bool     `cbor:"together" json:"together"`
-	SpreadZones  bool     `cbor:"apart" json:"apart"`
-	Spot         bool     `cbor:"windfall" json:"windfall"`
-	EstimateS    float64  `cbor:"reckon_s" json:"reckon_s"`
-	CheckpointS  float64  `cbor:"stake_s" json:"stake_s"`
-	SaveS        float64  `cbor:"stash_s" json:"stash_s"`
-	DeadlineS    *float64 `cbor:"due_s" json:"due_s"`
+	ID                  string   `cbor:"ref" json:"ref"`
+	Class               string   `cbor:"cohort" json:"cohort"`
+	Team                string   `cbor:"crew" json:"crew"`
+	Kind                string   `cbor:"shape" json:"shape"`
+	Priority            string   `cbor:"rank" json:"rank"`
+	Tasks               int      `cbor:"shards" json:"shards"`
+	CPUs                float64  `cbor:"cpus" json:"cpus"`
+	GPUs                float64  `cbor:"cards" json:"cards"`
+	RAMGB               float64  `cbor:"ram_gb" json:"ram_gb"`
+	Image               string   `cbor:"bundle" json:"bundle"`
+	ImageGB             float64  `cbor:"image_gb" json:"image_gb"`
+	MachineTypes        []string `cbor:"rigs" json:"rigs"`
+	Zone                *string  `cbor:"plot" json:"plot"`
+	SameZone            bool     `cbor:"together" json:"together"`
+	SpreadZones         bool     `cbor:"apart" json:"apart"`
+	Spot                bool     `cbor:"windfall" json:"windfall"`
+	EstimateS           float64  `cbor:"reckon_s" json:"reckon_s"`
+	CheckpointIntervalS float64  `cbor:"stake_s" json:"stake_s"`
+	CheckpointWriteS    float64  `cbor:"stash_s" json:"stash_s"`
+	DeadlineS           *float64 `cbor:"due_s" json:"due_s"`
 	// DependsOn names the jobs that have to be done before any task starts;
 	// absent or null: none.
 	DependsOn []string `cbor:"awaits,omitempty" json:"awaits"`
@@ -224,7 +224,7 @@
 		name string
 		v    float64
 	}{{"cpus", w.CPUs}, {"cards", w.GPUs}, {"ram_gb", w.RAMGB}, {"image_gb", w.ImageGB},
-		{"reckon_s", w.EstimateS}, {"stake_s", w.CheckpointS}, {"stash_s", w.SaveS}} {
+		{"reckon_s", w.EstimateS}, {"stake_s", w.CheckpointIntervalS}, {"stash_s", w.CheckpointWriteS}} {
 		if !(a.v >= 0) || math.IsInf(a.v, 0) || a.v > 1e9 {
 			return malformed("%s is out of range", a.name)
 		}
@@ -235,42 +235,42 @@
 	return nil
 }
 
-// Status answers a submission, a poll or a cancellation.
-type Status struct {
+// JobStatus answers a submission, a poll or a cancellation.
+type JobStatus struct {
 	ID      string `cbor:"ref"`
 	State   string `cbor:"phase"`
 	Done    int    `cbor:"done"`
 	Running int    `cbor:"running"`
 }
 
-// Failure is the body of every refusal.
-type Failure struct {
+// ErrorResponse is the body of every refusal.
+type ErrorResponse struct {
 	Error string `cbor:"error"`
 }
 
-// TaskReport is one attempt of a task in a worker's report.
-type TaskReport struct {
-	Task      string `cbor:"shard"`
-	Attempt   uint64 `cbor:"try"`
-	State     string `cbor:"phase"`
-	ExitCause string `cbor:"cause,omitempty"`
-	Saved     bool   `cbor:"saved,omitempty"`
+// TaskStatus is one attempt of a task in a worker's report.
+type TaskStatus struct {
+	Task         string `cbor:"shard"`
+	Attempt      uint64 `cbor:"try"`
+	State        string `cbor:"phase"`
+	ExitCause    string `cbor:"cause,omitempty"`
+	Checkpointed bool   `cbor:"saved,omitempty"`
 }
 
-// Report is the body of POST /checkin: what a worker runs. Session numbers the
+// Heartbeat is the body of POST /checkin: what a worker runs. Session numbers the
 // worker's sessions, Sequence the reports of a session, and Token is the highest
 // that the worker has seen.
-type Report struct {
-	Host        string       `cbor:"host"`
-	Address     string       `cbor:"address"`
-	MachineType string       `cbor:"rig"`
-	Zone        string       `cbor:"plot"`
-	Spot        bool         `cbor:"windfall"`
-	Session     uint64       `cbor:"stint"`
-	Sequence    uint64       `cbor:"tally"`
-	Token       uint64       `cbor:"baton"`
-	NoticeS     *float64     `cbor:"warning_s"`
-	Tasks       []TaskReport `cbor:"shards"`
+type Heartbeat struct {
+	Machine            string       `cbor:"host"`
+	Address            string       `cbor:"address"`
+	MachineType        string       `cbor:"rig"`
+	Zone               string       `cbor:"plot"`
+	Spot               bool         `cbor:"windfall"`
+	Incarnation        uint64       `cbor:"stint"`
+	Sequence           uint64       `cbor:"tally"`
+	FencingToken       uint64       `cbor:"baton"`
+	TerminationNoticeS *float64     `cbor:"warning_s"`
+	Tasks              []TaskStatus `cbor:"shards"`
 }
 
 // Command is one command about one attempt of a task.
@@ -281,17 +281,17 @@
 	GracePeriodS *float64 `cbor:"leeway_s,omitempty"`
 }
 
-// ReportResponse answers a report; it renews the worker's lease.
-type ReportResponse struct {
-	Token    uint64    `cbor:"baton"`
-	Commands []Command `cbor:"orders"`
+// HeartbeatResponse answers a report; it renews the worker's lease.
+type HeartbeatResponse struct {
+	FencingToken uint64    `cbor:"baton"`
+	Commands     []Command `cbor:"orders"`
 }
 
 // CommandRequest is the body of POST /commands at a worker.
 type CommandRequest struct {
-	Token    uint64    `cbor:"baton"`
-	Session  uint64    `cbor:"stint"`
-	Commands []Command `cbor:"orders"`
+	FencingToken uint64    `cbor:"baton"`
+	Incarnation  uint64    `cbor:"stint"`
+	Commands     []Command `cbor:"orders"`
 }
 
 // Redirect answers a report that another node should handle; it names that
@@ -319,8 +319,8 @@
 	Types []MachineType `cbor:"rigs"`
 }
 
-// RentRequest is the body of POST /hosts. A name is used once.
-type RentRequest struct {
+// ScaleOutRequest is the body of POST /hosts. A name is used once.
+type ScaleOutRequest struct {
 	Name        string `cbor:"hire"`
 	MachineType string `cbor:"rig"`
 	Zone        string `cbor:"plot"`
@@ -328,13 +328,13 @@
 	Count       int    `cbor:"number"`
 }
 
-// HostNames is a list of machines by name.
-type HostNames struct {
-	Hosts []string `cbor:"hosts"`
+// MachineNames is a list of machines by name.
+type MachineNames struct {
+	Machines []string `cbor:"hosts"`
 }
 
-// Host is one machine in the cloud's list.
-type Host struct {
+// Machine is one machine in the cloud's list.
+type Machine struct {
 	Name        string  `cbor:"ref"`
 	Address     string  `cbor:"address"`
 	MachineType string  `cbor:"rig"`
@@ -344,52 +344,52 @@
 	AgeS        float64 `cbor:"held_s"`
 }
 
-// HostPage answers GET /hosts.
-type HostPage struct {
-	Hosts     []Host `cbor:"hosts"`
-	Truncated bool   `cbor:"truncated"`
+// MachinePage answers GET /hosts.
+type MachinePage struct {
+	Machines  []Machine `cbor:"hosts"`
+	Truncated bool      `cbor:"truncated"`
 }
 
-// Pair is one key of the state service, with its value and its version.
-type Pair struct {
+// KeyValue is one key of the state service, with its value and its version.
+type KeyValue struct {
 	Key     string `cbor:"key"`
 	Value   Raw    `cbor:"v"`
 	Version uint64 `cbor:"stamp"`
 }
 
-// Pairs answers GET /keys.
-type Pairs struct {
-	Pairs     []Pair `cbor:"pairs"`
-	Truncated bool   `cbor:"truncated"`
-	Revision  uint64 `cbor:"epoch"`
+// ListResponse answers GET /keys.
+type ListResponse struct {
+	KeyValues []KeyValue `cbor:"pairs"`
+	Truncated bool       `cbor:"truncated"`
+	Revision  uint64     `cbor:"epoch"`
 }
 
-// Guard is one condition of a transaction: the key has this version.
-type Guard struct {
+// Compare is one condition of a transaction: the key has this version.
+type Compare struct {
 	Key     string `cbor:"key"`
 	Version uint64 `cbor:"stamp"`
 }
 
-// Change is one change of a transaction: a set or a drop.
-type Change struct {
-	Set     string `cbor:"set,omitempty"`
+// Operation is one change of a transaction: a set or a drop.
+type Operation struct {
+	Put     string `cbor:"set,omitempty"`
 	Value   Raw    `cbor:"v,omitempty"`
 	LeaseID uint64 `cbor:"tenure,omitempty"`
-	Drop    string `cbor:"drop,omitempty"`
+	Delete  string `cbor:"drop,omitempty"`
 }
 
 // Transaction is the body of POST /multi: changes that are made if all guards
 // hold.
 type Transaction struct {
-	Guards  []Guard  `cbor:"guards"`
-	Changes []Change `cbor:"then"`
+	Compares   []Compare   `cbor:"guards"`
+	Operations []Operation `cbor:"then"`
 }
 
 // TransactionResult answers a transaction.
 type TransactionResult struct {
-	Revision uint64   `cbor:"epoch"`
-	Failed   []string `cbor:"failed"`
-	Error    string   `cbor:"error"`
+	Revision       uint64   `cbor:"epoch"`
+	FailedCompares []string `cbor:"failed"`
+	Error          string   `cbor:"error"`
 }
 
 // LeaseRequest asks for a lease.
@@ -397,21 +397,21 @@
 	TTLMs uint64 `cbor:"ttl_ms"`
 }
 
-// Lease answers a request for a lease.
-type Lease struct {
+// LeaseResponse answers a request for a lease.
+type LeaseResponse struct {
 	ID uint64 `cbor:"tenure"`
 }
 
-// Event is one change in a watch response.
-type Event struct {
-	Set     string `cbor:"set"`
+// WatchEvent is one change in a watch response.
+type WatchEvent struct {
+	Put     string `cbor:"set"`
 	Value   Raw    `cbor:"v"`
-	Drop    string `cbor:"drop"`
+	Delete  string `cbor:"drop"`
 	Version uint64 `cbor:"stamp"`
 }
 
-// Events answers GET /watch.
-type Events struct {
-	Revision uint64  `cbor:"epoch"`
-	Events   []Event `cbor:"events"`
+// WatchResponse answers GET /watch.
+type WatchResponse struct {
+	Revision uint64       `cbor:"epoch"`
+	Events   []WatchEvent `cbor:"events"`
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -93,9 +93,9 @@
 }
 
 func FuzzReport(f *testing.F) {
-	f.Add(MustMarshal(Report{Host: "host-1", Session: 1, Tasks: []TaskReport{{Task: "wk-1/0", Attempt: 1, State: TaskRunning}}}))
+	f.Add(MustMarshal(Heartbeat{Machine: "host-1", Incarnation: 1, Tasks: []TaskStatus{{Task: "wk-1/0", Attempt: 1, State: TaskRunning}}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var c Report
+		var c Heartbeat
 		if Unmarshal(b, &c) == nil {
 			MustMarshal(c)
 		}
@@ -120,8 +120,8 @@
 }
 
 func ExampleUnmarshal() {
-	body := MustMarshal(Status{ID: "wk-000412", State: StateRunning, Done: 3, Running: 13})
-	var st Status
+	body := MustMarshal(JobStatus{ID: "wk-000412", State: StateRunning, Done: 3, Running: 13})
+	var st JobStatus
 	if err := Unmarshal(body, &st); err != nil {
 		fmt.Println(err)
 	}
