--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -68,8 +68,8 @@
 	Version(key string) uint64
 	// Revision is the revision up to which every change has been read.
 	Revision() uint64
-	// Newest is the latest revision of which anything is known.
-	Newest() uint64
+	// NewestRevision is the latest revision of which anything is known.
+	NewestRevision() uint64
 }
 
 // Outcome is what became of a write.
@@ -147,7 +147,7 @@
 	kept := l.inDoubt[:0]
 	for _, d := range l.inDoubt {
 		if d.closed == 0 && d.guardChanged(c) {
-			d.closed = c.Newest()
+			d.closed = c.NewestRevision()
 		}
 		if d.closed == 0 || c.Revision() < d.closed {
 			kept = append(kept, d)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -223,7 +223,7 @@
 // Version, Revision and Newest are those of the node's cache.
 func (n *modelNode) Version(key string) uint64 { return n.versions[key] }
 func (n *modelNode) Revision() uint64          { return n.revision }
-func (n *modelNode) Newest() uint64            { return max(n.revision, n.newest) }
+func (n *modelNode) NewestRevision() uint64    { return max(n.revision, n.newest) }
 
 func (n *modelNode) view(team string) View {
 	return View{Self: n.label, Leader: n.members.leader, Nodes: n.members.nodes, Token: n.members.token,
--- a/internal/server/fakes_test.go
+++ b/internal/server/fakes_test.go
@@ -43,10 +43,10 @@
 type unanswered struct{}
 
 func (unanswered) commands(string, wire.CommandRequest) (int, *wire.Heartbeat, error) {
-	return 0, nil, store.ErrLost
+	return 0, nil, store.ErrOutcomeUnknown
 }
 
-func (unanswered) show(string) error { return store.ErrLost }
+func (unanswered) show(string) error { return store.ErrOutcomeUnknown }
 
 const (
 	lease  = 30 * time.Second
@@ -72,7 +72,7 @@
 
 func (a *access) List(ctx context.Context, prefix, after string) (wire.ListResponse, error) {
 	if a.refuses() {
-		return wire.ListResponse{}, store.ErrRefused
+		return wire.ListResponse{}, store.ErrRejected
 	}
 	return a.Store.List(ctx, prefix, after)
 }
@@ -81,22 +81,22 @@
 	a.mu.Lock()
 	if a.refuse {
 		a.mu.Unlock()
-		return 0, store.ErrRefused
+		return 0, store.ErrRejected
 	}
 	if a.late > 0 {
 		a.late--
 		a.refuse = a.cut && a.late == 0
-		a.held = append(a.held, func() { _, _ = a.Store.Multi(ctx, c, guards, then) })
+		a.held = append(a.held, func() { _, _ = a.Store.CompareAndSwap(ctx, c, guards, then) })
 		a.mu.Unlock()
-		return 0, store.ErrLost
+		return 0, store.ErrOutcomeUnknown
 	}
 	a.mu.Unlock()
-	return a.Store.Multi(ctx, c, guards, then)
+	return a.Store.CompareAndSwap(ctx, c, guards, then)
 }
 
 func (a *access) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.WatchResponse, error) {
 	if a.refuses() {
-		return wire.WatchResponse{}, store.ErrRefused
+		return wire.WatchResponse{}, store.ErrRejected
 	}
 	ev, err := a.Store.Watch(ctx, prefix, after, hold)
 	a.mu.Lock()
@@ -216,10 +216,10 @@
 	n := newNode(set, log, w.clk.now, w.way[label], lim, w.cl, w.call)
 	ctx, stop := context.WithCancel(context.Background())
 	w.t.Cleanup(stop)
-	go func() { _ = n.sync.Barriers(ctx) }()
+	go func() { _ = n.sync.ServeBarriers(ctx) }()
 	go func() { _ = n.runIntake(ctx) }()
 	w.nodes[label] = n
-	n.self.Incarnation, _ = w.st.Lease(ctx, time.Second)
+	n.self.Incarnation, _ = w.st.GrantLease(ctx, time.Second)
 	n.session = n.session.Next(member.GotLease)
 	if err := n.sync.Load(ctx); err != nil {
 		w.t.Fatal(err)
--- a/internal/server/intake.go
+++ b/internal/server/intake.go
@@ -53,7 +53,7 @@
 	case err == nil:
 		n.log.Debug("job accepted", "job", w.ID, "class", w.Class, "tasks", w.Tasks, "image", w.Image, "image_gb", w.ImageGB, "reckon_s", w.EstimateS, "due_s", due(w), "awaits", len(w.DependsOn), "took", n.now().Sub(begun))
 		reply(c, 201, wire.JobStatus{ID: w.ID, State: wire.StateQueued})
-	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrLost):
+	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrOutcomeUnknown):
 		// A lost answer is settled by reading again.
 		n.resubmitted(c, w.ID)
 	default:
@@ -154,7 +154,7 @@
 
 func (n *Node) storeNew(ctx context.Context, guards []wire.Compare, change wire.Operation) error {
 	changes := []wire.Operation{change}
-	revision, err := n.svc.Multi(ctx, store.ClassIntake, guards, changes)
+	revision, err := n.svc.CompareAndSwap(ctx, store.ClassIntake, guards, changes)
 	if err != nil {
 		return err
 	}
--- a/internal/server/intake_test.go
+++ b/internal/server/intake_test.go
@@ -122,7 +122,7 @@
 			before: time.Now().Add(time.Minute), done: make(chan error, 1)})
 	}
 	key := jobs.JobKey("wk-1")
-	if _, err := w.st.Multi(context.Background(), 0, nil, []wire.Operation{{Put: key, Value: wire.MustMarshal(group[1].rec)}}); err != nil {
+	if _, err := w.st.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: key, Value: wire.MustMarshal(group[1].rec)}}); err != nil {
 		t.Fatal(err)
 	}
 	a.storeGroup(context.Background(), group)
--- a/internal/server/lead.go
+++ b/internal/server/lead.go
@@ -18,10 +18,10 @@
 func (n *Node) write(ctx context.Context, guards []wire.Compare, changes []wire.Operation) error {
 	cctx, stop := context.WithTimeout(ctx, tuning.DecisionWait)
 	defer stop()
-	revision, err := n.svc.Multi(cctx, store.ClassRecords, guards, changes)
+	revision, err := n.svc.CompareAndSwap(cctx, store.ClassRecords, guards, changes)
 	if err != nil {
-		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrLost) {
-			_ = n.sync.Barrier(tuning.BarrierWait)
+		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
+			_ = n.sync.ReadBarrier(tuning.BarrierWait)
 		}
 		return err
 	}
@@ -33,7 +33,7 @@
 func (n *Node) answered(changes []wire.Operation, revision uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cache.Own(changes, revision)
+	n.cache.ApplyOwnWrite(changes, revision)
 	wake(n.passWake)
 }
 
@@ -78,7 +78,7 @@
 		returns, drops := n.toReturn(l, now)
 		returns = slices.Concat(dead, l.lost, returns)
 		var cut []string
-		if n.lim.Writes(tuning.WriteReserve) >= 2 {
+		if n.lim.AvailableWrites(tuning.WriteReserve) >= 2 {
 			cut = n.reg.Oversize(n.groupLimit(), tuning.CutsPerPlan)
 		}
 		n.mu.Unlock()
--- a/internal/server/machines.go
+++ b/internal/server/machines.go
@@ -68,7 +68,7 @@
 		a.SpotPrice = b.SpotPrice // moves all the time
 		same = fmt.Sprint(a) == fmt.Sprint(b)
 	}
-	guards := []wire.Compare{n.cache.Guard(member.Key), n.cache.Guard(typesKey)}
+	guards := []wire.Compare{n.cache.Compare(member.Key), n.cache.Compare(typesKey)}
 	n.mu.Unlock()
 	if same {
 		return nil
@@ -102,12 +102,12 @@
 	// The versions of what the writes were computed from. Guards against a node
 	// that has lost the lead and got it back, or not, and stores over what
 	// another leader has changed meanwhile.
-	seen := n.cache.Guard(member.Key)
+	seen := n.cache.Compare(member.Key)
 	guards := make([][]wire.Compare, len(writes))
 	for i, w := range writes {
-		guards[i] = []wire.Compare{seen, n.cache.Guard(w.Key)}
+		guards[i] = []wire.Compare{seen, n.cache.Compare(w.Key)}
 		for key := range w.Cut {
-			guards[i] = append(guards[i], n.cache.Guard(key))
+			guards[i] = append(guards[i], n.cache.Compare(key))
 		}
 	}
 	n.mu.Unlock()
@@ -351,7 +351,7 @@
 // groupsNow is how many groups of machine records the leader may change now for
 // what can wait.
 func (n *Node) groupsNow() int {
-	return min(int(n.lim.Writes(tuning.WriteReserve)), tuning.DrainGroupsMost)
+	return min(int(n.lim.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMost)
 }
 
 // forget drops what the leader remembers of a machine.
--- a/internal/server/meetings_test.go
+++ b/internal/server/meetings_test.go
@@ -146,7 +146,7 @@
 					if over := m.sessions[0].at.Sub(x.confirmed["wk-1"]); over > bound+2*time.Second {
 						t.Errorf("the lease of %s ended %v after the confirmation, its bound is %v", m.Host, over, bound)
 					}
-					if over := m.sessions[0].at.Sub(owner.sync.Fresh()); !v.loose && over < bound-5*time.Second {
+					if over := m.sessions[0].at.Sub(owner.sync.LastReadAt()); !v.loose && over < bound-5*time.Second {
 						t.Errorf("the lease of %s ended %v after its node's last read, its bound is %v", m.Host, over, bound)
 					}
 				}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -72,7 +72,7 @@
 // entitled reports whether this node is a member of the newest membership it
 // knows; mu is held.
 func (n *Node) entitled() bool {
-	return n.member != nil && n.session == member.Registered && n.member.Has(n.self) && n.cache.Settled()
+	return n.member != nil && n.session == member.Registered && n.member.Has(n.self) && n.cache.Consistent()
 }
 
 // leads reports whether this node is the leader; mu is held.
@@ -132,7 +132,7 @@
 		}
 		sleep(ctx, max(due.Sub(n.now()), time.Millisecond))
 		due = n.now().Add(tuning.SessionTouch)
-		if err := n.svc.Touch(ctx, leaseID); errors.Is(err, store.ErrNoLease) {
+		if err := n.svc.RenewLease(ctx, leaseID); errors.Is(err, store.ErrLeaseExpired) {
 			n.endSession(leaseID)
 		} else if err != nil {
 			n.log.Debug("session not renewed", "err", err)
@@ -144,7 +144,7 @@
 
 // openSession asks for a lease, once.
 func (n *Node) openSession(ctx context.Context) {
-	id, err := n.svc.Lease(ctx, tuning.SessionTTL)
+	id, err := n.svc.GrantLease(ctx, tuning.SessionTTL)
 	if err != nil {
 		n.log.Info("no lease yet", "err", err)
 		sleep(ctx, tuning.RetryPause)
@@ -175,7 +175,7 @@
 		n.beat(memberLoop)
 		n.mu.Lock()
 		leaseID := n.self.Incarnation
-		ready := n.session != member.NoLease && n.cache.Settled()
+		ready := n.session != member.NoLease && n.cache.Consistent()
 		n.mu.Unlock()
 		if ready {
 			n.tryMemberStep(ctx, leaseID)
@@ -198,11 +198,11 @@
 		return
 	}
 	n.log.Debug("membership step failed", "err", err)
-	if errors.Is(err, store.ErrNoLease) {
+	if errors.Is(err, store.ErrLeaseExpired) {
 		n.endSession(leaseID)
 		return
 	}
-	_ = n.sync.Barrier(tuning.BarrierWait)
+	_ = n.sync.ReadBarrier(tuning.BarrierWait)
 }
 
 // memberWrite is a guarded write of one of the keys that make up the membership.
@@ -221,7 +221,7 @@
 		return nil
 	}
 	changes := []wire.Operation{write.change}
-	revision, err := n.svc.Multi(ctx, store.ClassLease, write.guards, changes)
+	revision, err := n.svc.CompareAndSwap(ctx, store.ClassLease, write.guards, changes)
 	if err != nil {
 		return err
 	}
@@ -234,7 +234,7 @@
 	if write.change.Put != member.Key {
 		// The membership comes by watch only: everything stored before it must
 		// be in the cache before it counts.
-		n.cache.Own(changes, revision)
+		n.cache.ApplyOwnWrite(changes, revision)
 	}
 	if write.change.Put == member.NodeKey(n.self.Label) && self == n.self {
 		n.session = n.session.Next(member.Stored)
@@ -292,7 +292,7 @@
 	key := member.NodeKey(n.self.Label)
 	session := member.Session{Node: n.self, Form: member.Form, Version: tuning.Version}
 	return &memberWrite{
-		guards: []wire.Compare{n.cache.Guard(key)},
+		guards: []wire.Compare{n.cache.Compare(key)},
 		change: wire.Operation{Put: key, Value: wire.MustMarshal(session), LeaseID: n.self.Incarnation},
 	}
 }
@@ -307,7 +307,7 @@
 		n.chooseProbes(now)
 	}
 	return &memberWrite{
-		guards:       []wire.Compare{n.cache.Guard(member.NodeKey(n.self.Label))},
+		guards:       []wire.Compare{n.cache.Compare(member.NodeKey(n.self.Label))},
 		change:       change,
 		reachability: true,
 	}
@@ -316,7 +316,7 @@
 // leadWrite takes the lead; mu is held.
 func (n *Node) leadWrite() *memberWrite {
 	return &memberWrite{
-		guards: []wire.Compare{n.cache.Guard(member.LeadKey), n.cache.Guard(member.NodeKey(n.self.Label))},
+		guards: []wire.Compare{n.cache.Compare(member.LeadKey), n.cache.Compare(member.NodeKey(n.self.Label))},
 		change: wire.Operation{Put: member.LeadKey, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation},
 	}
 }
@@ -324,7 +324,7 @@
 // membershipWrite stores the next membership; mu is held.
 func (n *Node) membershipWrite(next *member.Record) *memberWrite {
 	return &memberWrite{
-		guards: []wire.Compare{n.cache.Guard(member.LeadKey), n.cache.Guard(member.Key)},
+		guards: []wire.Compare{n.cache.Compare(member.LeadKey), n.cache.Compare(member.Key)},
 		change: wire.Operation{Put: member.Key, Value: wire.MustMarshal(next)},
 	}
 }
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -144,7 +144,7 @@
 	switch {
 	case errors.Is(err, store.ErrConflict):
 		outcome = "conflict"
-	case errors.Is(err, store.ErrRefused), errors.Is(err, store.ErrBusy):
+	case errors.Is(err, store.ErrRejected), errors.Is(err, store.ErrQueueFull):
 		outcome = "refused"
 	case err != nil:
 		outcome = "lost"
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -34,7 +34,7 @@
 	limits config.Limits // of the state service, that everything keeps to
 	log    *slog.Logger
 	now    func() time.Time
-	svc    store.Service
+	svc    store.KeyValueStore
 	lim    *store.Limiter
 	cloud  fleet.Cloud
 	call   caller
@@ -114,7 +114,7 @@
 	return newNode(set, log, now, store.NewClient(set.Endpoints.State, lim), lim, cloud, newWorkerCaller())
 }
 
-func newNode(set *config.Settings, log *slog.Logger, now func() time.Time, svc store.Service, lim *store.Limiter, cloud fleet.Cloud, call caller) *Node {
+func newNode(set *config.Settings, log *slog.Logger, now func() time.Time, svc store.KeyValueStore, lim *store.Limiter, cloud fleet.Cloud, call caller) *Node {
 	n := &Node{
 		set:          set,
 		limits:       set.StateLimits(),
@@ -198,7 +198,7 @@
 		return errors.Join(ul.Close(), pl.Close())
 	})
 	g.Go(func() error { return n.sync.Run(ctx) })
-	g.Go(func() error { return n.sync.Barriers(ctx) })
+	g.Go(func() error { return n.sync.ServeBarriers(ctx) })
 	g.Go(func() error { return n.runSession(ctx) })
 	g.Go(func() error { return n.runMember(ctx) })
 	g.Go(func() error { return n.runProbes(ctx) })
@@ -254,7 +254,7 @@
 }
 
 // hasState reports whether the state service was read lately.
-func (n *Node) hasState() bool { return n.now().Sub(n.sync.Fresh()) < tuning.StateStale }
+func (n *Node) hasState() bool { return n.now().Sub(n.sync.LastReadAt()) < tuning.StateStale }
 
 // healthy decides GET /up: a node without the state service passes users on
 // while a sibling has it; if none has, there is nobody better. A node that
@@ -268,7 +268,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.hasState() {
-		return n.cache.Settled()
+		return n.cache.Consistent()
 	}
 	alone := len(n.siblings) > 0
 	for _, s := range n.siblings {
@@ -279,7 +279,7 @@
 			alone = false
 		}
 	}
-	return !alone && n.cache.Settled()
+	return !alone && n.cache.Consistent()
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/server/pass.go
+++ b/internal/server/pass.go
@@ -48,7 +48,7 @@
 	n.forgetOver(workers, now)
 	// What can't be written now is not decided now: it would wait in the
 	// budget's queue until its guards are old, and fail.
-	most := n.lim.Writes(tuning.WriteReserve)
+	most := n.lim.AvailableWrites(tuning.WriteReserve)
 	txns := n.shareOut(now, &most)
 	due := n.releases(workers, now)
 	fleet := n.machines(now)
@@ -149,7 +149,7 @@
 // noteQueue enters how many writes were due and had no room in the budget in the
 // mean of what waits for it; mu is held.
 func (n *Node) noteQueue(left int) {
-	waits := n.lim.Waiting() + float64(n.storing+max(0, left))
+	waits := n.lim.QueuedWrites() + float64(n.storing+max(0, left))
 	n.queuedChanges += (waits - n.queuedChanges) / 2
 }
 
--- a/internal/server/pipeline_test.go
+++ b/internal/server/pipeline_test.go
@@ -212,7 +212,7 @@
 		s = member.Session{Node: n.self, Form: member.Form, Version: "x"}
 	}
 	key := member.NodeKey(label)
-	if _, err := w.st.Multi(context.Background(), store.ClassLease, nil, []wire.Operation{{Put: key, Value: wire.MustMarshal(s), LeaseID: n.self.Incarnation}}); err != nil {
+	if _, err := w.st.CompareAndSwap(context.Background(), store.ClassLease, nil, []wire.Operation{{Put: key, Value: wire.MustMarshal(s), LeaseID: n.self.Incarnation}}); err != nil {
 		w.t.Fatal(err)
 	}
 	w.sync()
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -154,7 +154,7 @@
 	switch {
 	case err == nil:
 		return quota.Stored
-	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrRefused), errors.Is(err, store.ErrBad):
+	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrRejected), errors.Is(err, store.ErrMalformed):
 		return quota.Failed
 	}
 	return quota.Unknown
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -106,7 +106,7 @@
 			w.st.Expire(n.self.Incarnation)
 			w.sync()
 			n.endSession(n.self.Incarnation)
-			n.self.Incarnation, _ = w.st.Lease(context.Background(), time.Second)
+			n.self.Incarnation, _ = w.st.GrantLease(context.Background(), time.Second)
 			n.session = n.session.Next("got lease")
 			break
 		}
@@ -220,7 +220,7 @@
 	for k, s := range late.guards {
 		guards = append(guards, wire.Compare{Key: k, Version: s})
 	}
-	_, _ = w.st.Multi(context.Background(), late.class, guards, late.changes)
+	_, _ = w.st.CompareAndSwap(context.Background(), late.class, guards, late.changes)
 	for range 6 {
 		w.clk.add(tuning.ShareOutPause)
 		w.keepAlive()
--- a/internal/server/scale_test.go
+++ b/internal/server/scale_test.go
@@ -330,7 +330,7 @@
 	}
 	// Somebody else's write of the group comes first.
 	key := n.reg.Key("host-000000")
-	if _, err := w.st.Multi(ctx, 0, nil, []wire.Operation{{Put: key, Value: w.st.Keys[key].Value}}); err != nil {
+	if _, err := w.st.CompareAndSwap(ctx, 0, nil, []wire.Operation{{Put: key, Value: w.st.Keys[key].Value}}); err != nil {
 		t.Fatal(err)
 	}
 	n.applyList(ctx, list[:12])
@@ -348,7 +348,7 @@
 	if len(writes) < 3 {
 		t.Fatalf("%d writes", len(writes))
 	}
-	if _, err := w.st.Multi(ctx, 0, nil, []wire.Operation{{Put: writes[0].Key, Value: wire.MustMarshal(writes[0].V)}}); err != nil {
+	if _, err := w.st.CompareAndSwap(ctx, 0, nil, []wire.Operation{{Put: writes[0].Key, Value: wire.MustMarshal(writes[0].V)}}); err != nil {
 		t.Fatal(err)
 	}
 	if k := known(); k <= 12 || k >= 100 {
--- a/internal/server/scripted_test.go
+++ b/internal/server/scripted_test.go
@@ -195,10 +195,10 @@
 			return code, &r, nil
 		}
 	}
-	return 0, nil, store.ErrLost
+	return 0, nil, store.ErrOutcomeUnknown
 }
 
-func (d *direct) show(string) error { return store.ErrLost }
+func (d *direct) show(string) error { return store.ErrOutcomeUnknown }
 
 // step is a second in the life of the world.
 func (x *trial) step() {
@@ -213,7 +213,7 @@
 	for _, label := range slices.Sorted(maps.Keys(x.nodes)) {
 		n := x.nodes[label]
 		if n.sync.Refresh(ctx) == nil {
-			if errors.Is(n.memberStep(ctx), store.ErrNoLease) {
+			if errors.Is(n.memberStep(ctx), store.ErrLeaseExpired) {
 				x.register(n)
 			}
 			_ = n.sync.Refresh(ctx)
@@ -308,7 +308,7 @@
 	n.endSession(n.self.Incarnation)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.self.Incarnation, _ = x.st.Lease(context.Background(), time.Second)
+	n.self.Incarnation, _ = x.st.GrantLease(context.Background(), time.Second)
 	n.session = n.session.Next(member.GotLease)
 }
 
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -262,7 +262,7 @@
 		t.Fatal("healthy though cut off from the state service and the siblings")
 	}
 	w.st.Down = false
-	if err := b.sync.Barrier(time.Second); err != nil {
+	if err := b.sync.ReadBarrier(time.Second); err != nil {
 		t.Fatal(err)
 	}
 	w.exchange(b, a)
@@ -391,7 +391,7 @@
 	n := w.nodes["a"]
 	old := member.Node{Label: "a", Incarnation: 777}
 	w.st.Leases[777] = true
-	_, err := w.st.Multi(context.Background(), 0, nil, []wire.Operation{{Put: member.NodeKey("a"), Value: wire.MustMarshal(old), LeaseID: 777}})
+	_, err := w.st.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: member.NodeKey("a"), Value: wire.MustMarshal(old), LeaseID: 777}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -418,7 +418,7 @@
 	t.Cleanup(func() { _ = ln.Close() })
 	a.siblings["b"].client = peer.NewClient(ln.Addr().String())
 	w.clk.add(tuning.StateStale + time.Second)
-	if err := b.sync.Barrier(time.Second); err != nil {
+	if err := b.sync.ReadBarrier(time.Second); err != nil {
 		t.Fatal(err)
 	}
 	w.exchange(b, a)
--- a/internal/server/session_test.go
+++ b/internal/server/session_test.go
@@ -31,7 +31,7 @@
 
 func (s *stuck) Touch(ctx context.Context, id uint64) error {
 	s.renewed.Add(1)
-	return s.access.Touch(ctx, id)
+	return s.access.RenewLease(ctx, id)
 }
 
 // A write of the membership that gets no answer does not hold up the renewal of
--- a/internal/server/siblings.go
+++ b/internal/server/siblings.go
@@ -114,7 +114,7 @@
 	for _, o := range n.siblings {
 		all = append(all, o.attestation)
 	}
-	if at := member.KnownUntil(n.sync.Fresh(), n.cache.Revision(), all); at.After(n.certain) {
+	if at := member.KnownUntil(n.sync.LastReadAt(), n.cache.Revision(), all); at.After(n.certain) {
 		n.certain = at
 	}
 }
@@ -122,7 +122,7 @@
 // knownUntil is the time up to which every cancellation that a user was told of
 // is in the cache; mu is held.
 func (n *Node) knownUntil() time.Time {
-	if fresh := n.sync.Fresh(); fresh.After(n.certain) {
+	if fresh := n.sync.LastReadAt(); fresh.After(n.certain) {
 		return fresh
 	}
 	return n.certain
@@ -132,7 +132,7 @@
 // the view that a sibling has; mu is held.
 func (n *Node) ownStatus(seen peer.Seen) peer.Status {
 	now := n.now()
-	st := peer.Status{Label: n.self.Label, Incarnation: n.self.Incarnation, Revision: n.cache.Revision(), HasState: n.hasState() && n.cache.Settled()}
+	st := peer.Status{Label: n.self.Label, Incarnation: n.self.Incarnation, Revision: n.cache.Revision(), HasState: n.hasState() && n.cache.Consistent()}
 	if n.member != nil {
 		st.Token = n.member.Token
 	}
@@ -141,7 +141,7 @@
 		n.refreshPublished(now)
 	}
 	st.Recovering = n.recovery.Blind()
-	st.Counts, st.Cancelled = n.cache.Settled(), n.cancelled
+	st.Counts, st.Cancelled = n.cache.Consistent(), n.cancelled
 	st.QueuedChanges = uint32(math.Ceil(n.queuedChanges))
 	st.View = n.publishedView
 	st.Whole = seen.Token != st.Token || seen.Incarnation != st.Incarnation || seen.View > n.publishedView
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -82,7 +82,7 @@
 	if session != member.NoLease {
 		end, stop := context.WithTimeout(context.Background(), tuning.StateCallTimeout)
 		defer stop()
-		if err := n.svc.End(end, leaseID); err != nil && !errors.Is(err, store.ErrNoLease) {
+		if err := n.svc.RevokeLease(end, leaseID); err != nil && !errors.Is(err, store.ErrLeaseExpired) {
 			return fmt.Errorf("session not ended, it runs out by itself: %w", err)
 		}
 	}
--- a/internal/server/trouble_test.go
+++ b/internal/server/trouble_test.go
@@ -234,7 +234,7 @@
 		n.mu.Lock()
 		n.session, n.self.Incarnation = n.session.Next(member.GotLease), 0
 		n.mu.Unlock()
-		n.self.Incarnation, _ = w.st.Lease(context.Background(), time.Second)
+		n.self.Incarnation, _ = w.st.GrantLease(context.Background(), time.Second)
 		break
 	}
 	for range 4 {
@@ -277,7 +277,7 @@
 		t.Fatalf("members %+v", lead.member.Nodes)
 	}
 	// The old process's write arrives late and changes nothing.
-	if _, err := w.st.Multi(context.Background(), 0, []wire.Compare{{Key: member.Key, Version: held}},
+	if _, err := w.st.CompareAndSwap(context.Background(), 0, []wire.Compare{{Key: member.Key, Version: held}},
 		[]wire.Operation{{Put: member.Key, Value: wire.MustMarshal(stale)}}); err == nil {
 		t.Fatal("a membership of the old process was stored")
 	}
@@ -298,7 +298,7 @@
 		t.Fatalf("tokens %v", seen)
 	}
 	// The old process, if it still ran, is entitled to nothing.
-	old.sync.Barrier(time.Second)
+	old.sync.ReadBarrier(time.Second)
 	if code, _ := old.take(w.report("h1", 1, token)); code == 200 {
 		t.Fatal("the old process answers workers")
 	}
@@ -312,7 +312,7 @@
 	const known = 600
 	for i := range known {
 		v := wire.MustMarshal(jobs.Record{Phase: jobs.Open, Tasks: 1, Chunk: 70, Spec: ptr(work(fmt.Sprintf("wk-%d", i), 1))})
-		if _, err := w.st.Multi(context.Background(), 0, nil, []wire.Operation{{Put: jobs.JobKey(fmt.Sprintf("wk-%d", i)), Value: v}}); err != nil {
+		if _, err := w.st.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: jobs.JobKey(fmt.Sprintf("wk-%d", i)), Value: v}}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/server/txn.go
+++ b/internal/server/txn.go
@@ -68,20 +68,20 @@
 	}
 	sort.Slice(guards, func(a, b int) bool { return guards[a].Key < guards[b].Key })
 	cctx, stop := context.WithTimeout(ctx, tuning.DecisionWait)
-	revision, err := n.svc.Multi(cctx, t.class, guards, t.changes)
+	revision, err := n.svc.CompareAndSwap(cctx, t.class, guards, t.changes)
 	stop()
 	if err != nil {
 		n.log.Debug("write failed", "what", t.what, "jobs", t.jobs, "err", err)
-		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrLost) {
+		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
 			// What is stored now decides; read it before the next try.
-			_ = n.sync.Barrier(tuning.BarrierWait)
+			_ = n.sync.ReadBarrier(tuning.BarrierWait)
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.metrics.wrote(t.what, err)
 	if err == nil {
-		n.cache.Own(t.changes, revision)
+		n.cache.ApplyOwnWrite(t.changes, revision)
 		for _, l := range t.notes {
 			n.log.Debug(l[0].(string), l[1:]...)
 		}
@@ -89,7 +89,7 @@
 	n.settleQuota(t, err)
 	for _, jobID := range t.jobs {
 		delete(n.busyJob, jobID)
-		if errors.Is(err, store.ErrBad) {
+		if errors.Is(err, store.ErrMalformed) {
 			// It would be refused again: guards against a write every pass.
 			n.notUntil[jobID] = n.now().Add(tuning.RetryCap)
 			n.log.Error("write refused as malformed", "what", t.what, "job", jobID, "err", err)
--- a/internal/server/users.go
+++ b/internal/server/users.go
@@ -132,7 +132,7 @@
 
 // lastRefused reports whether this node seems to have lost the state service.
 func (n *Node) lastRefused() bool {
-	return n.now().Sub(n.sync.Fresh()) > 2*tuning.WatchHold
+	return n.now().Sub(n.sync.LastReadAt()) > 2*tuning.WatchHold
 }
 
 // forward passes a user's request on to a sibling that has the state service;
@@ -220,16 +220,16 @@
 		return st, known, nil
 	}
 	if !n.hasState() {
-		return st, false, store.ErrRefused // answered at once: a read would not come back
+		return st, false, store.ErrRejected // answered at once: a read would not come back
 	}
-	if err := n.sync.Barrier(tuning.BarrierWait); err != nil {
+	if err := n.sync.ReadBarrier(tuning.BarrierWait); err != nil {
 		return st, false, err
 	}
 	n.mu.Lock()
-	settled := n.cache.Settled()
+	settled := n.cache.Consistent()
 	n.mu.Unlock()
 	if !settled {
-		return st, false, store.ErrRefused
+		return st, false, store.ErrRejected
 	}
 	st, known, _ = n.known(jobID)
 	return st, known, nil
@@ -405,19 +405,19 @@
 		n.mu.Lock()
 		j := n.table.Jobs[jobID]
 		rec, err := j.Record.Cancelled(n.now())
-		guards := []wire.Compare{n.cache.Guard(member.Key), n.cache.Guard(jobs.JobKey(jobID))}
+		guards := []wire.Compare{n.cache.Compare(member.Key), n.cache.Compare(jobs.JobKey(jobID))}
 		n.mu.Unlock()
 		if err != nil {
 			continue
 		}
 		then := []wire.Operation{{Put: jobs.JobKey(jobID), Value: wire.MustMarshal(rec)}}
-		revision, err := n.svc.Multi(ctx, store.ClassCancel, guards, then)
+		revision, err := n.svc.CompareAndSwap(ctx, store.ClassCancel, guards, then)
 		if err == nil {
 			n.answered(then, revision)
 			n.log.Debug("job cancelled", "job", jobID)
 			continue
 		}
-		if !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrLost) {
+		if !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrOutcomeUnknown) {
 			break
 		}
 	}
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -44,7 +44,7 @@
 		wake(n.memberWake)
 		return 503, wire.ErrorResponse{Error: "superseded"}
 	}
-	stale := now.Sub(n.sync.Fresh())
+	stale := now.Sub(n.sync.LastReadAt())
 	if now.Sub(n.knownUntil()) > n.set.AnswerBound() || stale > tuning.StateStale && n.superseded() {
 		// Leases that this node renews must end before a cancellation that it
 		// can't read is due.
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -56,7 +56,7 @@
 		s.openLease(c)
 	case c.IsDelete():
 		id, _ := strconv.ParseUint(strings.TrimPrefix(path, "/leases/"), 10, 64)
-		answer(c, struct{}{}, s.store.End(c, id))
+		answer(c, struct{}{}, s.store.RevokeLease(c, id))
 	case strings.HasSuffix(path, "/touch"):
 		s.touch(c, strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch"))
 	case path == "/watch":
@@ -69,21 +69,21 @@
 func (s *StoreServer) transaction(c *fasthttp.RequestCtx) {
 	var t wire.Transaction
 	if err := wire.Unmarshal(c.PostBody(), &t); err != nil {
-		answer(c, nil, store.ErrBad)
+		answer(c, nil, store.ErrMalformed)
 		return
 	}
-	revision, err := s.store.Multi(c, 0, t.Compares, t.Operations)
+	revision, err := s.store.CompareAndSwap(c, 0, t.Compares, t.Operations)
 	answer(c, wire.TransactionResult{Revision: revision}, err)
 }
 
 func (s *StoreServer) openLease(c *fasthttp.RequestCtx) {
 	var r wire.LeaseRequest
 	if err := wire.Unmarshal(c.PostBody(), &r); err != nil {
-		answer(c, nil, store.ErrBad)
+		answer(c, nil, store.ErrMalformed)
 		return
 	}
 	ttl := time.Duration(r.TTLMs) * time.Millisecond
-	id, err := s.store.Lease(c, ttl)
+	id, err := s.store.GrantLease(c, ttl)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.timers[id] = &leaseTimer{time.AfterFunc(ttl, func() { s.store.Expire(id) }), ttl}
@@ -92,7 +92,7 @@
 
 func (s *StoreServer) touch(c *fasthttp.RequestCtx, number string) {
 	id, _ := strconv.ParseUint(number, 10, 64)
-	err := s.store.Touch(c, id)
+	err := s.store.RenewLease(c, id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if lease := s.timers[id]; err == nil && lease != nil {
@@ -185,13 +185,13 @@
 	case err == nil:
 	case errors.Is(err, store.ErrConflict):
 		status = 409
-	case errors.Is(err, store.ErrNoLease) && c.IsPost() && string(c.Path()) == "/multi":
+	case errors.Is(err, store.ErrLeaseExpired) && c.IsPost() && string(c.Path()) == "/multi":
 		status, result = 400, wire.TransactionResult{Error: "no such lease"}
-	case errors.Is(err, store.ErrNoLease):
+	case errors.Is(err, store.ErrLeaseExpired):
 		status = 404
 	case errors.Is(err, store.ErrCompacted):
 		status = 410
-	case errors.Is(err, store.ErrBad):
+	case errors.Is(err, store.ErrMalformed):
 		status, result = 400, wire.ErrorResponse{Error: "malformed"}
 	default:
 		status = 503
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -59,7 +59,7 @@
 	defer s.Mu.Unlock()
 	out := wire.ListResponse{Revision: s.Revision}
 	if s.Down {
-		return out, store.ErrRefused
+		return out, store.ErrRejected
 	}
 	for key, e := range s.Keys {
 		if strings.HasPrefix(key, prefix) && key > after {
@@ -70,21 +70,21 @@
 	return out, nil
 }
 
-// Multi applies a transaction if its guards hold.
-func (s *Store) Multi(_ context.Context, _ store.Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
+// CompareAndSwap applies a transaction if its guards hold.
+func (s *Store) CompareAndSwap(_ context.Context, _ store.Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	if s.Down {
-		return 0, store.ErrRefused
+		return 0, store.ErrRejected
 	}
 	for _, c := range changes {
 		if c.LeaseID != 0 && !s.Leases[c.LeaseID] {
-			return 0, store.ErrNoLease
+			return 0, store.ErrLeaseExpired
 		}
 	}
 	if s.beyond(guards, changes) {
 		s.Refused++
-		return 0, store.ErrBad
+		return 0, store.ErrMalformed
 	}
 	for _, g := range guards {
 		if s.Keys[g.Key].Version != g.Version {
@@ -100,7 +100,7 @@
 	}
 	if s.Lose > 0 {
 		s.Lose--
-		return 0, store.ErrLost
+		return 0, store.ErrOutcomeUnknown
 	}
 	return s.Revision, nil
 }
@@ -175,8 +175,8 @@
 	s.change(wire.Operation{Put: key, Value: value})
 }
 
-// Lease opens a lease; it ends with Expire alone.
-func (s *Store) Lease(context.Context, time.Duration) (uint64, error) {
+// GrantLease opens a lease; it ends with Expire alone.
+func (s *Store) GrantLease(context.Context, time.Duration) (uint64, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	s.lastLease++
@@ -184,19 +184,19 @@
 	return s.lastLease, nil
 }
 
-// Touch renews a lease.
-func (s *Store) Touch(_ context.Context, id uint64) error {
+// RenewLease renews a lease.
+func (s *Store) RenewLease(_ context.Context, id uint64) error {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	if !s.Leases[id] {
-		return store.ErrNoLease
+		return store.ErrLeaseExpired
 	}
 	return nil
 }
 
-// End ends a lease at its holder's wish.
-func (s *Store) End(ctx context.Context, id uint64) error {
-	if err := s.Touch(ctx, id); err != nil {
+// RevokeLease ends a lease at its holder's wish.
+func (s *Store) RevokeLease(ctx context.Context, id uint64) error {
+	if err := s.RenewLease(ctx, id); err != nil {
 		return err
 	}
 	s.Expire(id)
@@ -222,7 +222,7 @@
 	defer s.Mu.Unlock()
 	s.Reads++
 	if s.Down {
-		return wire.WatchResponse{Revision: s.Revision}, store.ErrRefused
+		return wire.WatchResponse{Revision: s.Revision}, store.ErrRejected
 	}
 	return s.since(prefix, after)
 }
--- a/internal/store/cache.go
+++ b/internal/store/cache.go
@@ -18,66 +18,66 @@
 // as they are answered. A guard on a key at the cache's version then still
 // implies that the cache holds every earlier change that wrote that key.
 type Cache struct {
-	revision uint64 // every change up to it is in the cache
-	newest   uint64 // of the node's own transactions
-	settle   uint64 // decisions wait until revision has reached it
-	ready    bool
-	versions map[string]uint64
-	drops    map[string]uint64 // keys dropped ahead of revision
-	sink     Sink
+	revision       uint64 // every change up to it is in the cache
+	newestOwn      uint64 // of the node's own transactions
+	consistentFrom uint64 // decisions wait until revision has reached it
+	loaded         bool
+	versions       map[string]uint64
+	deletedAhead   map[string]uint64 // keys dropped ahead of revision
+	onUpdate       UpdateFunc
 }
 
-// Sink takes changed values; v is nil when the key is gone.
-type Sink func(key string, v wire.Raw, version uint64)
+// UpdateFunc takes changed values; v is nil when the key is gone.
+type UpdateFunc func(key string, v wire.Raw, version uint64)
 
 // NewCache returns an empty cache.
-func NewCache(sink Sink) *Cache {
-	return &Cache{versions: map[string]uint64{}, drops: map[string]uint64{}, sink: sink}
+func NewCache(sink UpdateFunc) *Cache {
+	return &Cache{versions: map[string]uint64{}, deletedAhead: map[string]uint64{}, onUpdate: sink}
 }
 
 // Revision is the revision up to which the cache is complete.
 func (c *Cache) Revision() uint64 { return c.revision }
 
-// Newest is the latest revision of which the cache holds anything: the revision
+// NewestRevision is the latest revision of which the cache holds anything: the revision
 // up to which it is complete, or that of a later transaction of the node's own.
-func (c *Cache) Newest() uint64 { return max(c.revision, c.newest) }
+func (c *Cache) NewestRevision() uint64 { return max(c.revision, c.newestOwn) }
 
-// Settled reports whether the cache is a consistent picture of some revision.
-func (c *Cache) Settled() bool { return c.ready && c.revision >= c.settle }
+// Consistent reports whether the cache is a consistent picture of some revision.
+func (c *Cache) Consistent() bool { return c.loaded && c.revision >= c.consistentFrom }
 
 // Version returns the version of a key, 0 if it does not exist.
 func (c *Cache) Version(key string) uint64 { return c.versions[key] }
 
-// Guard returns a guard on the key at the cache's version.
-func (c *Cache) Guard(key string) wire.Compare {
+// Compare returns a guard on the key at the cache's version.
+func (c *Cache) Compare(key string) wire.Compare {
 	return wire.Compare{Key: key, Version: c.versions[key]}
 }
 
-func (c *Cache) set(key string, v wire.Raw, version uint64) {
-	if version <= c.versions[key] || version <= c.drops[key] {
+func (c *Cache) put(key string, v wire.Raw, version uint64) {
+	if version <= c.versions[key] || version <= c.deletedAhead[key] {
 		return
 	}
-	delete(c.drops, key)
+	delete(c.deletedAhead, key)
 	c.versions[key] = version
-	c.sink(key, v, version)
+	c.onUpdate(key, v, version)
 }
 
-func (c *Cache) drop(key string, version uint64) {
-	if version <= c.versions[key] || version <= c.drops[key] {
+func (c *Cache) delete(key string, version uint64) {
+	if version <= c.versions[key] || version <= c.deletedAhead[key] {
 		return
 	}
 	if version > c.revision {
-		c.drops[key] = version
+		c.deletedAhead[key] = version
 	}
 	if _, ok := c.versions[key]; ok {
 		delete(c.versions, key)
-		c.sink(key, nil, version)
+		c.onUpdate(key, nil, version)
 	}
 }
 
 // Apply enters a watch response; false if it held nothing new.
 func (c *Cache) Apply(ev wire.WatchResponse) bool {
-	if !c.ready || ev.Revision <= c.revision {
+	if !c.loaded || ev.Revision <= c.revision {
 		return false
 	}
 	changed := false
@@ -87,34 +87,34 @@
 		}
 		changed = true
 		if e.Delete != "" {
-			c.drop(e.Delete, e.Version)
+			c.delete(e.Delete, e.Version)
 		} else {
-			c.set(e.Put, e.Value, e.Version)
+			c.put(e.Put, e.Value, e.Version)
 		}
 	}
 	c.revision = ev.Revision
-	for k, s := range c.drops {
+	for k, s := range c.deletedAhead {
 		if s <= c.revision {
-			delete(c.drops, k)
+			delete(c.deletedAhead, k)
 		}
 	}
 	return changed
 }
 
-// Own enters the node's own transaction, answered with the given revision. An
+// ApplyOwnWrite enters the node's own transaction, answered with the given revision. An
 // answer that the watch has overtaken brings nothing new. Guards against a key
 // that another node has dropped since: it came back, with claims that nothing
 // ever released, and every write about it failed.
-func (c *Cache) Own(changes []wire.Operation, revision uint64) {
+func (c *Cache) ApplyOwnWrite(changes []wire.Operation, revision uint64) {
 	if revision <= c.revision {
 		return
 	}
-	c.newest = max(c.newest, revision)
+	c.newestOwn = max(c.newestOwn, revision)
 	for _, ch := range changes {
 		if ch.Delete != "" {
-			c.drop(ch.Delete, revision)
+			c.delete(ch.Delete, revision)
 		} else {
-			c.set(ch.Put, ch.Value, revision)
+			c.put(ch.Put, ch.Value, revision)
 		}
 	}
 }
@@ -126,57 +126,57 @@
 	listed := make(map[string]bool, len(pairs))
 	for _, p := range pairs {
 		listed[p.Key] = true
-		c.set(p.Key, p.Value, p.Version)
+		c.put(p.Key, p.Value, p.Version)
 	}
 	for k, s := range c.versions {
 		if !listed[k] && s <= base {
 			delete(c.versions, k)
-			c.sink(k, nil, base)
+			c.onUpdate(k, nil, base)
 		}
 	}
 	c.revision = max(c.revision, base)
-	c.settle = max(c.settle, last)
-	c.ready = true
+	c.consistentFrom = max(c.consistentFrom, last)
+	c.loaded = true
 }
 
 // Syncer keeps a cache current and serves read barriers.
 type Syncer struct {
-	svc    Service
-	prefix string
-	mu     sync.Locker // guards the cache
-	cache  *Cache
-	after  func() // called with mu held after changes
-	now    func() time.Time
-	log    *slog.Logger
+	store     KeyValueStore
+	prefix    string
+	cacheLock sync.Locker // guards the cache
+	cache     *Cache
+	onChange  func() // called with mu held after changes
+	now       func() time.Time
+	log       *slog.Logger
 
-	bmu     sync.Mutex
-	waiters []chan error
-	wake    chan struct{}
-	room    int
+	barrierMu      sync.Mutex
+	barrierWaiters []chan error
+	barrierWake    chan struct{}
+	barrierLimit   int
 
-	fmu   sync.Mutex
-	fresh time.Time
+	readMu     sync.Mutex
+	lastReadAt time.Time
 }
 
 // NewSyncer returns a syncer; mu guards the cache and after is called with it
 // held whenever the cache has changed.
-func NewSyncer(svc Service, prefix string, mu sync.Locker, c *Cache, after func(), room int, now func() time.Time, log *slog.Logger) *Syncer {
-	return &Syncer{svc: svc, prefix: prefix, mu: mu, cache: c, after: after, now: now, log: log,
-		wake: make(chan struct{}, 1), room: room}
+func NewSyncer(svc KeyValueStore, prefix string, mu sync.Locker, c *Cache, after func(), room int, now func() time.Time, log *slog.Logger) *Syncer {
+	return &Syncer{store: svc, prefix: prefix, cacheLock: mu, cache: c, onChange: after, now: now, log: log,
+		barrierWake: make(chan struct{}, 1), barrierLimit: room}
 }
 
-// Fresh is the send time of the last answered read.
-func (s *Syncer) Fresh() time.Time {
-	s.fmu.Lock()
-	defer s.fmu.Unlock()
-	return s.fresh
+// LastReadAt is the send time of the last answered read.
+func (s *Syncer) LastReadAt() time.Time {
+	s.readMu.Lock()
+	defer s.readMu.Unlock()
+	return s.lastReadAt
 }
 
-func (s *Syncer) freshened(sent time.Time) {
-	s.fmu.Lock()
-	defer s.fmu.Unlock()
-	if sent.After(s.fresh) {
-		s.fresh = sent
+func (s *Syncer) recordRead(sent time.Time) {
+	s.readMu.Lock()
+	defer s.readMu.Unlock()
+	if sent.After(s.lastReadAt) {
+		s.lastReadAt = sent
 	}
 }
 
@@ -205,25 +205,25 @@
 	return nil
 }
 
-// Barriers serves read barriers until ctx ends.
-func (s *Syncer) Barriers(ctx context.Context) error {
+// ServeBarriers serves read barriers until ctx ends.
+func (s *Syncer) ServeBarriers(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.wake:
+		case <-s.barrierWake:
 		}
-		s.bmu.Lock()
-		ws := s.waiters
-		s.waiters = nil
-		s.bmu.Unlock()
+		s.barrierMu.Lock()
+		ws := s.barrierWaiters
+		s.barrierWaiters = nil
+		s.barrierMu.Unlock()
 		if len(ws) == 0 {
 			continue
 		}
-		s.mu.Lock()
-		ready := s.cache.ready
-		s.mu.Unlock()
-		err := error(ErrRefused)
+		s.cacheLock.Lock()
+		ready := s.cache.loaded
+		s.cacheLock.Unlock()
+		err := error(ErrRejected)
 		if ready {
 			err = s.Refresh(ctx)
 		}
@@ -234,19 +234,19 @@
 	}
 }
 
-// Barrier returns nil once the cache holds everything that was stored before
+// ReadBarrier returns nil once the cache holds everything that was stored before
 // the call. All callers that wait at the same time share one request.
-func (s *Syncer) Barrier(timeout time.Duration) error {
+func (s *Syncer) ReadBarrier(timeout time.Duration) error {
 	w := make(chan error, 1)
-	s.bmu.Lock()
-	if len(s.waiters) >= s.room {
-		s.bmu.Unlock()
-		return ErrBusy
+	s.barrierMu.Lock()
+	if len(s.barrierWaiters) >= s.barrierLimit {
+		s.barrierMu.Unlock()
+		return ErrQueueFull
 	}
-	s.waiters = append(s.waiters, w)
-	s.bmu.Unlock()
+	s.barrierWaiters = append(s.barrierWaiters, w)
+	s.barrierMu.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case s.barrierWake <- struct{}{}:
 	default:
 	}
 	t := time.NewTimer(timeout)
@@ -255,7 +255,7 @@
 	case err := <-w:
 		return err
 	case <-t.C:
-		return ErrLost
+		return ErrOutcomeUnknown
 	}
 }
 
@@ -263,19 +263,19 @@
 func (s *Syncer) Refresh(ctx context.Context) error { return s.watch(ctx, 0) }
 
 func (s *Syncer) watch(ctx context.Context, hold time.Duration) error {
-	s.mu.Lock()
+	s.cacheLock.Lock()
 	revision := s.cache.Revision()
-	s.mu.Unlock()
+	s.cacheLock.Unlock()
 	sent := s.now()
-	ev, err := s.svc.Watch(ctx, s.prefix, revision, hold)
+	ev, err := s.store.Watch(ctx, s.prefix, revision, hold)
 	if err != nil {
 		return err
 	}
-	s.mu.Lock()
+	s.cacheLock.Lock()
 	s.cache.Apply(ev)
-	s.after()
-	s.mu.Unlock()
-	s.freshened(sent)
+	s.onChange()
+	s.cacheLock.Unlock()
+	s.recordRead(sent)
 	return nil
 }
 
@@ -285,7 +285,7 @@
 	var base, last uint64
 	after := ""
 	for {
-		page, err := s.svc.List(ctx, s.prefix, after)
+		page, err := s.store.List(ctx, s.prefix, after)
 		if err != nil {
 			return err
 		}
@@ -299,10 +299,10 @@
 		}
 		after = page.KeyValues[len(page.KeyValues)-1].Key
 	}
-	s.mu.Lock()
+	s.cacheLock.Lock()
 	s.cache.Load(all, base, last)
-	s.after()
-	s.mu.Unlock()
+	s.onChange()
+	s.cacheLock.Unlock()
 	return nil
 }
 
--- a/internal/store/cache_test.go
+++ b/internal/store/cache_test.go
@@ -26,11 +26,11 @@
 	got := seen{}
 	c := NewCache(got.sink)
 	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
-	if !c.Settled() || c.Version("a") != 5 {
+	if !c.Consistent() || c.Version("a") != 5 {
 		t.Fatal("the load is not settled")
 	}
 	// Our own write is ahead of the watch.
-	c.Own([]wire.Operation{{Put: "a", Value: val("3")}}, 13)
+	c.ApplyOwnWrite([]wire.Operation{{Put: "a", Value: val("3")}}, 13)
 	c.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 12}, {Put: "b", Value: val("x"), Version: 11}}})
 	if got["a"] != "3" || got["b"] != "x" || c.Revision() != 12 {
 		t.Fatalf("an older event has overwritten our own write: %v revision %d", got, c.Revision())
@@ -47,7 +47,7 @@
 	got := seen{}
 	c := NewCache(got.sink)
 	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
-	c.Own([]wire.Operation{{Delete: "a"}}, 14)
+	c.ApplyOwnWrite([]wire.Operation{{Delete: "a"}}, 14)
 	c.Apply(wire.WatchResponse{Revision: 13, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 12}}})
 	if _, ok := got["a"]; ok || c.Version("a") != 0 {
 		t.Fatal("a dropped key came back")
@@ -65,7 +65,7 @@
 	c := NewCache(got.sink)
 	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
 	c.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 11}, {Delete: "a", Version: 12}}})
-	c.Own([]wire.Operation{{Put: "a", Value: val("2")}}, 11)
+	c.ApplyOwnWrite([]wire.Operation{{Put: "a", Value: val("2")}}, 11)
 	if _, ok := got["a"]; ok || c.Version("a") != 0 {
 		t.Fatal("a dropped key came back by a late answer")
 	}
@@ -78,11 +78,11 @@
 	got := seen{}
 	c := NewCache(got.sink)
 	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}, {Key: "z", Value: val("1"), Version: 12}}, 10, 12)
-	if c.Settled() {
+	if c.Consistent() {
 		t.Fatal("settled between two revisions")
 	}
 	c.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 12}, {Put: "z", Value: val("1"), Version: 12}}})
-	if !c.Settled() || got["a"] != "2" {
+	if !c.Consistent() || got["a"] != "2" {
 		t.Fatal("not settled after the watch has caught up")
 	}
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -19,40 +19,40 @@
 
 // Outcomes of a call that did not succeed.
 var (
-	// ErrRefused: the service did not execute the request (429, 503).
-	ErrRefused = errors.New("state service refused")
-	// ErrLost: no answer; the request may have been, or may yet be, executed.
-	ErrLost = errors.New("state service did not answer")
+	// ErrRejected: the service did not execute the request (429, 503).
+	ErrRejected = errors.New("state service refused")
+	// ErrOutcomeUnknown: no answer; the request may have been, or may yet be, executed.
+	ErrOutcomeUnknown = errors.New("state service did not answer")
 	// ErrConflict: a guard failed.
 	ErrConflict = errors.New("guard failed")
-	// ErrNoLease: the lease has ended.
-	ErrNoLease = errors.New("lease has ended")
+	// ErrLeaseExpired: the lease has ended.
+	ErrLeaseExpired = errors.New("lease has ended")
 	// ErrCompacted: the watch position is too old.
 	ErrCompacted = errors.New("watch position is too old")
-	// ErrBad: the service holds the request malformed.
-	ErrBad = errors.New("state service holds the request malformed")
+	// ErrMalformed: the service holds the request malformed.
+	ErrMalformed = errors.New("state service holds the request malformed")
 )
 
-// Service is what the rest of the program needs of the state service.
-type Service interface {
+// KeyValueStore is what the rest of the program needs of the state service.
+type KeyValueStore interface {
 	List(ctx context.Context, prefix, after string) (wire.ListResponse, error)
-	Multi(ctx context.Context, c Class, guards []wire.Compare, changes []wire.Operation) (uint64, error)
-	Lease(ctx context.Context, ttl time.Duration) (uint64, error)
-	Touch(ctx context.Context, leaseID uint64) error
-	End(ctx context.Context, leaseID uint64) error
+	CompareAndSwap(ctx context.Context, c Class, guards []wire.Compare, changes []wire.Operation) (uint64, error)
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, leaseID uint64) error
+	RevokeLease(ctx context.Context, leaseID uint64) error
 	Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.WatchResponse, error)
 }
 
 // Client is the HTTP client of the state service.
 type Client struct {
-	addr string
-	hc   *fasthttp.HostClient
-	lim  *Limiter
+	addr    string
+	http    *fasthttp.HostClient
+	limiter *Limiter
 }
 
 // NewClient returns a client of the service at addr.
 func NewClient(addr string, lim *Limiter) *Client {
-	return &Client{addr: addr, lim: lim, hc: httpc.Host(addr, tuning.StateConns)}
+	return &Client{addr: addr, limiter: lim, http: httpc.Host(addr, tuning.StateConns)}
 }
 
 // call sends one request; out may be nil.
@@ -61,25 +61,25 @@
 	if in != nil {
 		var err error
 		if body, err = wire.Marshal(in); err != nil {
-			return 0, fmt.Errorf("%w: %v", ErrBad, err)
+			return 0, fmt.Errorf("%w: %v", ErrMalformed, err)
 		}
 	}
-	status, answer, err := httpc.Do(c.hc, method, c.addr, path, body, timeout)
+	status, answer, err := httpc.Do(c.http, method, c.addr, path, body, timeout)
 	if errors.Is(err, fasthttp.ErrNoFreeConns) {
-		return 0, ErrRefused
+		return 0, ErrRejected
 	} else if err != nil {
-		return 0, fmt.Errorf("%w: %v", ErrLost, err)
+		return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 	}
 	switch status {
 	case 429:
-		c.lim.Penalise()
-		return status, ErrRefused
+		c.limiter.EmptyBucket()
+		return status, ErrRejected
 	case 503:
-		return status, ErrRefused
+		return status, ErrRejected
 	}
 	if out != nil && (status == 200 || status == 409 || status == 400) {
 		if err := wire.Unmarshal(answer, out); err != nil && status != 400 {
-			return status, fmt.Errorf("%w: %v", ErrLost, err)
+			return status, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 		}
 	}
 	return status, nil
@@ -88,7 +88,7 @@
 // List reads one page of keys.
 func (c *Client) List(ctx context.Context, prefix, after string) (wire.ListResponse, error) {
 	var out wire.ListResponse
-	if err := c.lim.Acquire(ctx, ClassRead, 0); err != nil {
+	if err := c.limiter.Acquire(ctx, ClassRead, 0); err != nil {
 		return out, err
 	}
 	path := "/keys?starts=" + url.QueryEscape(prefix) + "&page=" + strconv.Itoa(tuning.ListPage)
@@ -97,14 +97,14 @@
 	}
 	status, err := c.call("GET", path, nil, &out, 2*tuning.StateCallTimeout)
 	if err == nil && status != 200 {
-		err = fmt.Errorf("%w: list: status %d", ErrBad, status)
+		err = fmt.Errorf("%w: list: status %d", ErrMalformed, status)
 	}
 	return out, err
 }
 
-// Multi runs a transaction and returns the revision of its changes.
-func (c *Client) Multi(ctx context.Context, cl Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
-	if err := c.lim.Acquire(ctx, cl, len(changes)); err != nil {
+// CompareAndSwap runs a transaction and returns the revision of its changes.
+func (c *Client) CompareAndSwap(ctx context.Context, cl Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
+	if err := c.limiter.Acquire(ctx, cl, len(changes)); err != nil {
 		return 0, err
 	}
 	if guards == nil {
@@ -123,37 +123,37 @@
 	case status == 409:
 		return out.Revision, fmt.Errorf("%w: %v", ErrConflict, out.FailedCompares)
 	case status == 400 && out.Error == "no such lease":
-		return 0, ErrNoLease
+		return 0, ErrLeaseExpired
 	}
-	return 0, fmt.Errorf("%w: transaction: status %d %s", ErrBad, status, out.Error)
+	return 0, fmt.Errorf("%w: transaction: status %d %s", ErrMalformed, status, out.Error)
 }
 
-// Lease asks for a lease.
-func (c *Client) Lease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	if err := c.lim.Acquire(ctx, ClassLease, 0); err != nil {
+// GrantLease asks for a lease.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	if err := c.limiter.Acquire(ctx, ClassLease, 0); err != nil {
 		return 0, err
 	}
 	var out wire.LeaseResponse
 	status, err := c.call("POST", "/leases", wire.LeaseRequest{TTLMs: uint64(ttl.Milliseconds())}, &out, tuning.StateCallTimeout)
 	if err == nil && status != 200 {
-		err = fmt.Errorf("%w: lease: status %d", ErrBad, status)
+		err = fmt.Errorf("%w: lease: status %d", ErrMalformed, status)
 	}
 	return out.ID, err
 }
 
-// Touch renews a lease.
-func (c *Client) Touch(ctx context.Context, leaseID uint64) error {
-	return c.ofLease(ctx, "POST", fmt.Sprintf("/leases/%d/touch", leaseID))
+// RenewLease renews a lease.
+func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
+	return c.leaseRequest(ctx, "POST", fmt.Sprintf("/leases/%d/touch", leaseID))
 }
 
-// End ends a lease at once.
-func (c *Client) End(ctx context.Context, leaseID uint64) error {
-	return c.ofLease(ctx, "DELETE", fmt.Sprintf("/leases/%d", leaseID))
+// RevokeLease ends a lease at once.
+func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
+	return c.leaseRequest(ctx, "DELETE", fmt.Sprintf("/leases/%d", leaseID))
 }
 
-// ofLease sends a request about a lease that has no answer but its status.
-func (c *Client) ofLease(ctx context.Context, method, path string) error {
-	if err := c.lim.Acquire(ctx, ClassLease, 0); err != nil {
+// leaseRequest sends a request about a lease that has no answer but its status.
+func (c *Client) leaseRequest(ctx context.Context, method, path string) error {
+	if err := c.limiter.Acquire(ctx, ClassLease, 0); err != nil {
 		return err
 	}
 	status, err := c.call(method, path, nil, nil, tuning.StateCallTimeout)
@@ -161,9 +161,9 @@
 	case err != nil:
 		return err
 	case status == 404:
-		return ErrNoLease
+		return ErrLeaseExpired
 	case status != 200:
-		return fmt.Errorf("%w: %s %s: status %d", ErrBad, method, path, status)
+		return fmt.Errorf("%w: %s %s: status %d", ErrMalformed, method, path, status)
 	}
 	return nil
 }
@@ -171,7 +171,7 @@
 // Watch waits for changes after the given revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.WatchResponse, error) {
 	var out wire.WatchResponse
-	if err := c.lim.Acquire(ctx, ClassRead, 0); err != nil {
+	if err := c.limiter.Acquire(ctx, ClassRead, 0); err != nil {
 		return out, err
 	}
 	path := fmt.Sprintf("/watch?starts=%s&after=%d&hold_ms=%d", url.QueryEscape(prefix), after, hold.Milliseconds())
@@ -181,7 +181,7 @@
 	case status == 410:
 		err = ErrCompacted
 	case status != 200:
-		err = fmt.Errorf("%w: watch: status %d", ErrBad, status)
+		err = fmt.Errorf("%w: watch: status %d", ErrMalformed, status)
 	}
 	return out, err
 }
--- a/internal/store/limiter.go
+++ b/internal/store/limiter.go
@@ -22,32 +22,32 @@
 	classes
 )
 
-// ErrBusy says that a limiter's buffer for the class is full.
-var ErrBusy = errors.New("budget buffer is full")
+// ErrQueueFull says that a limiter's buffer for the class is full.
+var ErrQueueFull = errors.New("budget buffer is full")
 
 // Limiter shares a budget of requests and writes per second between classes.
 // Each class has a small buffer; what does not fit is refused at once.
 type Limiter struct {
-	mu      sync.Mutex
-	now     func() time.Time
-	rate    [2]float64 // requests, writes per second
-	tokens  [2]float64
-	claims  float64 // changes kept for claims while submissions wait
-	last    time.Time
-	queues  [classes][]*waiter
-	room    int
-	pumping bool
+	mu           sync.Mutex
+	now          func() time.Time
+	rate         [2]float64 // requests, writes per second
+	tokens       [2]float64
+	claimReserve float64 // changes kept for claims while submissions wait
+	refilledAt   time.Time
+	queues       [classes][]*waiter
+	queueLimit   int
+	pumping      bool
 }
 
 type waiter struct {
-	cost  [2]float64
-	ready chan struct{}
-	gone  bool
+	cost      [2]float64
+	ready     chan struct{}
+	abandoned bool
 }
 
 // NewLimiter returns a limiter with a burst of one second's worth.
 func NewLimiter(rps, wps float64, room int, now func() time.Time) *Limiter {
-	l := &Limiter{now: now, room: room, last: now()}
+	l := &Limiter{now: now, queueLimit: room, refilledAt: now()}
 	l.rate = [2]float64{rps, wps}
 	l.tokens = l.rate
 	return l
@@ -61,8 +61,8 @@
 	l.rate = [2]float64{rps, wps}
 }
 
-// Penalise empties the bucket after the service has refused for rate.
-func (l *Limiter) Penalise() {
+// EmptyBucket empties the bucket after the service has refused for rate.
+func (l *Limiter) EmptyBucket() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refill()
@@ -73,12 +73,12 @@
 
 func (l *Limiter) refill() {
 	now := l.now()
-	dt := now.Sub(l.last).Seconds()
-	l.last = now
+	dt := now.Sub(l.refilledAt).Seconds()
+	l.refilledAt = now
 	for i := range l.tokens {
 		l.tokens[i] = min(l.tokens[i]+dt*l.rate[i], max(l.rate[i], 1))
 	}
-	l.claims = min(l.claims+dt*l.rate[1]/2, max(l.rate[1]/2, 1))
+	l.claimReserve = min(l.claimReserve+dt*l.rate[1]/2, max(l.rate[1]/2, 1))
 }
 
 func (l *Limiter) affordable(cost [2]float64) bool {
@@ -101,35 +101,35 @@
 // leave them the reserve.
 const intakeBurst = 3
 
-// Writes is the number of changes that claims and releases may make now with
+// AvailableWrites is the number of changes that claims and releases may make now with
 // little wait: what decides on the stored state asks before it decides, so
 // that the decision is not old when it goes. A reserve is left to submissions,
 // which then never wait behind claims; but while several submissions wait all
 // the same, half of the budget is there for claims, or what is accepted would
 // not run. So it is while machine records wait: hundreds in a row, after a
 // wave of lost machines, kept the leader from storing a job's end for 15 s.
-func (l *Limiter) Writes(reserve float64) float64 {
+func (l *Limiter) AvailableWrites(reserve float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refill()
-	if l.ahead(ClassClaim) > 0 {
+	if l.queuedUpTo(ClassClaim) > 0 {
 		return 0
 	}
 	free := max(l.tokens[1]-reserve, 0)
 	if len(l.queues[ClassIntake]) >= intakeBurst || len(l.queues[ClassRecords]) > 0 {
-		free = max(free, math.Floor(l.claims))
+		free = max(free, math.Floor(l.claimReserve))
 	}
 	return free
 }
 
-// Waiting is the number of changes that wait for the budget.
-func (l *Limiter) Waiting() float64 {
+// QueuedWrites is the number of changes that wait for the budget.
+func (l *Limiter) QueuedWrites() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0.0
 	for _, q := range l.queues {
 		for _, w := range q {
-			if !w.gone {
+			if !w.abandoned {
 				n += w.cost[1]
 			}
 		}
@@ -143,7 +143,7 @@
 	l.mu.Lock()
 	l.refill()
 	if c == ClassClaim {
-		l.claims = max(l.claims-cost[1], 0)
+		l.claimReserve = max(l.claimReserve-cost[1], 0)
 	}
 	if c == ClassLease {
 		// A session that waits is a session that ends: leases run into debt.
@@ -151,7 +151,7 @@
 		l.mu.Unlock()
 		return nil
 	}
-	free := l.ahead(c) == 0
+	free := l.queuedUpTo(c) == 0
 	if writes == 0 {
 		free = len(l.queues[c]) == 0 // see grant
 	}
@@ -160,9 +160,9 @@
 		l.mu.Unlock()
 		return nil
 	}
-	if len(l.queues[c]) >= l.room {
+	if len(l.queues[c]) >= l.queueLimit {
 		l.mu.Unlock()
-		return ErrBusy
+		return ErrQueueFull
 	}
 	w := &waiter{cost: cost, ready: make(chan struct{})}
 	l.queues[c] = append(l.queues[c], w)
@@ -176,13 +176,13 @@
 		return nil
 	case <-ctx.Done():
 		l.mu.Lock()
-		w.gone = true
+		w.abandoned = true
 		l.mu.Unlock()
 		return ctx.Err()
 	}
 }
 
-func (l *Limiter) ahead(c Class) int {
+func (l *Limiter) queuedUpTo(c Class) int {
 	n := 0
 	for i := Class(0); i <= c; i++ {
 		n += len(l.queues[i])
@@ -196,7 +196,7 @@
 		l.mu.Lock()
 		l.refill()
 		l.grant()
-		if l.ahead(classes-1) == 0 {
+		if l.queuedUpTo(classes-1) == 0 {
 			l.pumping = false
 			l.mu.Unlock()
 			return
@@ -214,7 +214,7 @@
 	for c := range l.queues {
 		for len(l.queues[c]) > 0 {
 			w := l.queues[c][0]
-			if !w.gone {
+			if !w.abandoned {
 				if full && w.cost[1] > 0 {
 					break
 				}
--- a/internal/store/limiter_test.go
+++ b/internal/store/limiter_test.go
@@ -66,7 +66,7 @@
 	t.Helper()
 	for range 200 {
 		l.mu.Lock()
-		k := l.ahead(classes - 1)
+		k := l.queuedUpTo(classes - 1)
 		l.mu.Unlock()
 		if k == n {
 			return
@@ -88,7 +88,7 @@
 	}
 	go func() { _ = l.Acquire(ctx, ClassIntake, 1) }()
 	waitQueued(t, l, 1)
-	if err := l.Acquire(ctx, ClassIntake, 1); !errors.Is(err, ErrBusy) {
+	if err := l.Acquire(ctx, ClassIntake, 1); !errors.Is(err, ErrQueueFull) {
 		t.Fatalf("a full buffer answered %v", err)
 	}
 }
@@ -118,11 +118,11 @@
 		}
 		end()
 	}
-	if l.Writes(1) != 0 {
-		t.Fatalf("%v changes are free though submissions wait", l.Writes(1))
+	if l.AvailableWrites(1) != 0 {
+		t.Fatalf("%v changes are free though submissions wait", l.AvailableWrites(1))
 	}
 	now = now.Add(10 * time.Second)
-	if l.Writes(1) < 1 {
+	if l.AvailableWrites(1) < 1 {
 		t.Fatal("claims have no part of the changes while submissions wait")
 	}
 }
@@ -133,7 +133,7 @@
 	now := time.Unix(1000, 0)
 	l := NewLimiter(100, 4, 8, func() time.Time { return now })
 	l.take([2]float64{0, 4})
-	l.claims = 0
+	l.claimReserve = 0
 	wait := func(c Class) {
 		l.queues[c] = append(l.queues[c], &waiter{cost: [2]float64{1, 1}, ready: make(chan struct{})})
 	}
@@ -144,12 +144,12 @@
 			records++
 		}
 		now = now.Add(250 * time.Millisecond)
-		if free := l.Writes(1); free >= 1 {
+		if free := l.AvailableWrites(1); free >= 1 {
 			claims += free
 			for range int(free) {
 				wait(ClassClaim)
 			}
-			l.claims = max(l.claims-free, 0)
+			l.claimReserve = max(l.claimReserve-free, 0)
 		}
 		l.refill()
 		l.grant()
