--- a/internal/member/golden_test.go
+++ b/internal/member/golden_test.go
@@ -15,16 +15,16 @@
 	node := Node{Label: "node-1", Incarnation: 81}
 	golden.Check(t, []golden.Sample{
 		golden.CBOR("node", node),
-		golden.CBOR("session", Session{Node: node, Form: 82, Version: "0.2.0"}),
-		golden.CBOR("membership", Record{Token: 83, Leader: node, Nodes: []Node{{Label: "node-2", Incarnation: 84}},
-			Unreachable: []string{"node-3"}, Span: 85}),
+		golden.CBOR("session", Session{Node: node, Format: 82, ProgramVersion: "0.2.0"}),
+		golden.CBOR("membership", Record{FencingToken: 83, Leader: node, Nodes: []Node{{Label: "node-2", Incarnation: 84}},
+			Unreachable: []string{"node-3"}, TokenRange: 85}),
 	}, *update)
 }
 
 // The key of each record.
 func TestStoredKeys(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
-		{Key, "w/member"}, {LeadKey, "w/lead"}, {NodeKey("node-1"), "w/node/node-1"}, {UnreachableKey("node-1"), "w/deaf/node-1"},
+		{Key, "w/member"}, {LeaderKey, "w/lead"}, {SessionKey("node-1"), "w/node/node-1"}, {UnreachableKey("node-1"), "w/deaf/node-1"},
 	} {
 		if c.got != c.want {
 			t.Errorf("key %q, want %q", c.got, c.want)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -15,13 +15,13 @@
 // Keys of the state service.
 const (
 	Key               = jobs.Root + "member"
-	LeadKey           = jobs.Root + "lead"
-	NodePrefix        = jobs.Root + "node/"
+	LeaderKey         = jobs.Root + "lead"
+	SessionPrefix     = jobs.Root + "node/"
 	UnreachablePrefix = jobs.Root + "deaf/"
 )
 
-// NodeKey is the key of a node's session, attached to its lease.
-func NodeKey(label string) string { return NodePrefix + label }
+// SessionKey is the key of a node's session, attached to its lease.
+func SessionKey(label string) string { return SessionPrefix + label }
 
 // UnreachableKey is the key by which a node tells that it hears no worker, attached
 // to its lease.
@@ -33,44 +33,44 @@
 	Incarnation uint64 `cbor:"i"`
 }
 
-// Form is the number of the stored forms that this program reads and writes.
+// CurrentFormat is the number of the stored forms that this program reads and writes.
 // 1: pipelines (jobs that are stored waiting). 2: memberships that span several
 // tokens. It stands beside the node in its
 // session's key alone, so that versions which know no forms, and say none,
 // compare nodes as ever.
-const Form = 2
+const CurrentFormat = 2
 
 // Forms that a node has to know for a thing to be done.
 const (
-	FormPipelines = 1
-	FormSpans     = 2
+	FormatDependencies = 1
+	FormatTokenRanges  = 2
 )
 
 // Session is the stored form of a node's session.
 type Session struct {
 	Node
-	Form    uint64 `cbor:"v,omitempty"`
-	Version string `cbor:"s,omitempty"` // of the program, for operators
+	Format         uint64 `cbor:"v,omitempty"`
+	ProgramVersion string `cbor:"s,omitempty"` // of the program, for operators
 }
 
 // Record is the membership: who is entitled to act, and with which token.
 type Record struct {
-	Token  uint64 `cbor:"b"`
-	Leader Node   `cbor:"d"`
-	Nodes  []Node `cbor:"n"`
+	FencingToken uint64 `cbor:"b"`
+	Leader       Node   `cbor:"d"`
+	Nodes        []Node `cbor:"n"`
 	// Unreachable members hear no worker and own no machines.
 	Unreachable []string `cbor:"f,omitempty"`
-	// Span is how many tokens from Baton on are this membership's, if all its
+	// TokenRange is how many tokens from Baton on are this membership's, if all its
 	// members know of it: an owner raises the token of one of its machines within
 	// it, to make void what may still be on its way there. Absent: one.
-	Span uint64 `cbor:"t,omitempty"`
+	TokenRange uint64 `cbor:"t,omitempty"`
 }
 
-// Last is the highest token of the membership.
-func (r *Record) Last() uint64 { return r.Token + max(r.Span, 1) - 1 }
+// LastToken is the highest token of the membership.
+func (r *Record) LastToken() uint64 { return r.FencingToken + max(r.TokenRange, 1) - 1 }
 
 // Follows reports whether the membership is the one right after another.
-func (r *Record) Follows(last *Record) bool { return r.Token == last.Last()+1 }
+func (r *Record) Follows(last *Record) bool { return r.FencingToken == last.LastToken()+1 }
 
 func (r *Record) isUnreachable(label string) bool {
 	for _, l := range r.Unreachable {
@@ -81,8 +81,8 @@
 	return false
 }
 
-// Has reports whether a node is a member.
-func (r *Record) Has(n Node) bool {
+// Contains reports whether a node is a member.
+func (r *Record) Contains(n Node) bool {
 	for _, m := range r.Nodes {
 		if m == n {
 			return true
@@ -115,8 +115,8 @@
 	return best
 }
 
-// Order returns the members in the order in which they take a job's tasks.
-func (r *Record) Order(jobID string) []string {
+// RankNodes returns the members in the order in which they take a job's tasks.
+func (r *Record) RankNodes(jobID string) []string {
 	nodes := append([]Node(nil), r.Nodes...)
 	sort.Slice(nodes, func(a, b int) bool {
 		wa, wb := weight(jobID, nodes[a].Label), weight(jobID, nodes[b].Label)
@@ -161,19 +161,19 @@
 
 // Events of a session.
 const (
-	GotLease   SessionEvent = "got lease"
-	Stored     SessionEvent = "stored"
-	LeaseEnded SessionEvent = "lease ended"
+	LeaseGranted  SessionEvent = "got lease"
+	SessionStored SessionEvent = "stored"
+	LeaseExpired  SessionEvent = "lease ended"
 )
 
 // Next is the one function that changes a session's state.
 func (s SessionState) Next(e SessionEvent) SessionState {
 	switch {
-	case e == LeaseEnded:
+	case e == LeaseExpired:
 		return NoLease
-	case s == NoLease && e == GotLease:
+	case s == NoLease && e == LeaseGranted:
 		return Leased
-	case s == Leased && e == Stored:
+	case s == Leased && e == SessionStored:
 		return Registered
 	}
 	return s
@@ -181,18 +181,18 @@
 
 // View is what the decisions are made from.
 type View struct {
-	Self        Node
-	Sessions    map[string]Node // stored sessions by label
-	Unreachable map[string]bool // nodes that hear no worker
-	Lead        *Node           // holder of the lead key, nil if none
-	Member      *Record         // nil before the first
-	Spans       bool            // every node with a session knows of spans of tokens
+	Self                 Node
+	Sessions             map[string]Node // stored sessions by label
+	Unreachable          map[string]bool // nodes that hear no worker
+	Leader               *Node           // holder of the lead key, nil if none
+	Membership           *Record         // nil before the first
+	TokenRangesSupported bool            // every node with a session knows of spans of tokens
 }
 
 // Action is what a node should do about membership.
 type Action struct {
-	TakeLead bool
-	Write    *Record
+	BecomeLeader    bool
+	WriteMembership *Record
 }
 
 // Decide returns the next step for a registered node.
@@ -200,14 +200,14 @@
 	if v.Sessions[v.Self.Label] != v.Self {
 		return Action{}
 	}
-	if v.Lead == nil || v.Lead.Label == v.Self.Label && v.Lead.Incarnation != v.Self.Incarnation {
+	if v.Leader == nil || v.Leader.Label == v.Self.Label && v.Leader.Incarnation != v.Self.Incarnation {
 		// No leader, or it was this node's former process, which is gone.
-		return Action{TakeLead: true}
+		return Action{BecomeLeader: true}
 	}
-	if *v.Lead != v.Self {
+	if *v.Leader != v.Self {
 		return Action{}
 	}
-	want := Record{Token: 1, Leader: v.Self}
+	want := Record{FencingToken: 1, Leader: v.Self}
 	for _, n := range v.Sessions {
 		want.Nodes = append(want.Nodes, n)
 	}
@@ -220,19 +220,19 @@
 	if len(want.Unreachable) == len(want.Nodes) {
 		want.Unreachable = nil // somebody must own the machines
 	}
-	if v.Member != nil {
-		if same(*v.Member, want) {
+	if v.Membership != nil {
+		if sameMembership(*v.Membership, want) {
 			return Action{}
 		}
-		want.Token = v.Member.Last() + 1
+		want.FencingToken = v.Membership.LastToken() + 1
 	}
-	if v.Spans {
-		want.Span = tuning.TokenSpan
+	if v.TokenRangesSupported {
+		want.TokenRange = tuning.TokenSpan
 	}
-	return Action{Write: &want}
+	return Action{WriteMembership: &want}
 }
 
-func same(a, b Record) bool {
+func sameMembership(a, b Record) bool {
 	if a.Leader != b.Leader || len(a.Nodes) != len(b.Nodes) || len(a.Unreachable) != len(b.Unreachable) {
 		return false
 	}
@@ -258,9 +258,9 @@
 	Answered          bool // while unreachable: a worker answers a probe, or there is none to ask
 }
 
-// Next decides whether the node is unreachable. One silent machine may be its own
+// NextUnreachable decides whether the node is unreachable. One silent machine may be its own
 // trouble; all of several, while a sibling hears its own, are the node's.
-func (e Reachability) Next() bool {
+func (e Reachability) NextUnreachable() bool {
 	if e.Unreachable {
 		return !e.Answered
 	}
@@ -285,11 +285,11 @@
 	return &s, nil
 }
 
-// Knows reports whether every member has told, in the session of its present
+// AllSupport reports whether every member has told, in the session of its present
 // incarnation, that it reads a form.
-func (r *Record) Knows(form uint64, sessions map[string]Session) bool {
+func (r *Record) AllSupport(form uint64, sessions map[string]Session) bool {
 	for _, m := range r.Nodes {
-		if s, ok := sessions[m.Label]; !ok || s.Node != m || s.Form < form {
+		if s, ok := sessions[m.Label]; !ok || s.Node != m || s.Format < form {
 			return false
 		}
 	}
@@ -298,10 +298,10 @@
 
 // Attestation is what a node has heard of a sibling about cancellations.
 type Attestation struct {
-	Incarnation uint64    // of the sibling; 0: nothing that counts
-	Since       time.Time // when this incarnation was first heard
-	Asked       time.Time // when the last asking that was answered was sent
-	Cancelled   uint64    // version of the last cancellation that the sibling knew then
+	Incarnation      uint64    // of the sibling; 0: nothing that counts
+	Since            time.Time // when this incarnation was first heard
+	AskedAt          time.Time // when the last asking that was answered was sent
+	LastCancellation uint64    // version of the last cancellation that the sibling knew then
 }
 
 // Update is the attestation after an answer that came now to an asking sent before.
@@ -309,30 +309,30 @@
 	if w.Incarnation != incarnation {
 		w = Attestation{Incarnation: incarnation, Since: now}
 	}
-	if asked.After(w.Asked) {
-		w.Asked = asked
+	if asked.After(w.AskedAt) {
+		w.AskedAt = asked
 	}
-	w.Cancelled = max(w.Cancelled, cancelled)
+	w.LastCancellation = max(w.LastCancellation, cancelled)
 	return w
 }
 
-// KnownUntil is the time up to which a node knows every cancellation that any
+// CancellationsKnownUntil is the time up to which a node knows every cancellation that any
 // user was told of: the sending of its last answered read, or the least of the
 // times at which it asked its siblings, if each of them attests. revision is the
 // revision to which its cache is complete. The argument is in
 // docs/protocol-notes.md; a sibling that is new since the read may follow on a
 // process that confirmed what nobody here has read.
-func KnownUntil(read time.Time, revision uint64, siblings []Attestation) time.Time {
+func CancellationsKnownUntil(read time.Time, revision uint64, siblings []Attestation) time.Time {
 	if len(siblings) == 0 {
 		return read
 	}
-	until := siblings[0].Asked
+	until := siblings[0].AskedAt
 	for _, w := range siblings {
-		if w.Incarnation == 0 || !w.Since.Before(read) || w.Cancelled > revision {
+		if w.Incarnation == 0 || !w.Since.Before(read) || w.LastCancellation > revision {
 			return read
 		}
-		if w.Asked.Before(until) {
-			until = w.Asked
+		if w.AskedAt.Before(until) {
+			until = w.AskedAt
 		}
 	}
 	if until.Before(read) {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -11,44 +11,44 @@
 func TestEveryChangeOfTheNodesRaisesTheBaton(t *testing.T) {
 	a, b := n("a", 1), n("b", 2)
 	v := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}}
-	if !Decide(v).TakeLead {
+	if !Decide(v).BecomeLeader {
 		t.Fatal("nobody leads and the lead is not taken")
 	}
-	v.Lead = &a
-	rec := Decide(v).Write
-	if rec == nil || rec.Token != 1 || !rec.Has(a) || !rec.Has(b) {
+	v.Leader = &a
+	rec := Decide(v).WriteMembership
+	if rec == nil || rec.FencingToken != 1 || !rec.Contains(a) || !rec.Contains(b) {
 		t.Fatalf("first membership: %+v", rec)
 	}
-	v.Member = rec
-	if act := Decide(v); act.TakeLead || act.Write != nil {
+	v.Membership = rec
+	if act := Decide(v); act.BecomeLeader || act.WriteMembership != nil {
 		t.Fatalf("nothing changed but %+v", act)
 	}
 	// A restarted node is another incarnation: its former process may have
 	// commands under way.
 	v.Sessions["b"] = n("b", 3)
-	rec = Decide(v).Write
-	if rec == nil || rec.Token != 2 || !rec.Has(n("b", 3)) || rec.Has(b) {
+	rec = Decide(v).WriteMembership
+	if rec == nil || rec.FencingToken != 2 || !rec.Contains(n("b", 3)) || rec.Contains(b) {
 		t.Fatalf("after a restart: %+v", rec)
 	}
-	v.Member = rec
+	v.Membership = rec
 	delete(v.Sessions, "b")
-	if rec = Decide(v).Write; rec == nil || rec.Token != 3 || len(rec.Nodes) != 1 {
+	if rec = Decide(v).WriteMembership; rec == nil || rec.FencingToken != 3 || len(rec.Nodes) != 1 {
 		t.Fatalf("after a death: %+v", rec)
 	}
 }
 
 func TestOnlyTheLeaderWritesAndARestartedLeaderTakesOverAtOnce(t *testing.T) {
 	a, b := n("a", 1), n("b", 2)
-	v := View{Self: b, Sessions: map[string]Node{"a": a, "b": b}, Lead: &a}
-	if act := Decide(v); act.TakeLead || act.Write != nil {
+	v := View{Self: b, Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}
+	if act := Decide(v); act.BecomeLeader || act.WriteMembership != nil {
 		t.Fatalf("a follower acts: %+v", act)
 	}
 	v.Self = n("a", 5)
-	if act := Decide(v); act.TakeLead {
+	if act := Decide(v); act.BecomeLeader {
 		t.Fatal("a node without a stored session takes the lead")
 	}
 	v.Sessions["a"] = v.Self
-	if !Decide(v).TakeLead {
+	if !Decide(v).BecomeLeader {
 		t.Fatal("a restarted leader waits for its former lease")
 	}
 }
@@ -61,7 +61,7 @@
 		host := fmt.Sprintf("host-%06d", i)
 		o := three.Owner(host)
 		count[o]++
-		if three.Order(host)[0] != o {
+		if three.RankNodes(host)[0] != o {
 			t.Fatalf("%s: order and owner differ", host)
 		}
 		if p := two.Owner(host); o != "c" && p != o {
@@ -80,7 +80,7 @@
 	for _, step := range []struct {
 		e    SessionEvent
 		want SessionState
-	}{{Stored, NoLease}, {GotLease, Leased}, {Stored, Registered}, {GotLease, Registered}, {LeaseEnded, NoLease}} {
+	}{{SessionStored, NoLease}, {LeaseGranted, Leased}, {SessionStored, Registered}, {LeaseGranted, Registered}, {LeaseExpired, NoLease}} {
 		if s = s.Next(step.e); s != step.want {
 			t.Fatalf("after %s: %s, want %s", step.e, s, step.want)
 		}
@@ -90,18 +90,18 @@
 // A node that was cut from the workers alone kept its machines: their workers
 // were sent back to it by its siblings until their leases ran out.
 func TestADeafNodeOwnsNothingUntilItHearsAgain(t *testing.T) {
-	if (Reachability{Silent: 1, SiblingsReachable: true}).Next() || (Reachability{Silent: 5}).Next() || (Reachability{Silent: 5, Heard: 1, SiblingsReachable: true}).Next() {
+	if (Reachability{Silent: 1, SiblingsReachable: true}).NextUnreachable() || (Reachability{Silent: 5}).NextUnreachable() || (Reachability{Silent: 5, Heard: 1, SiblingsReachable: true}).NextUnreachable() {
 		t.Fatal("unreachable without evidence")
 	}
-	if !(Reachability{Silent: 2, SiblingsReachable: true}).Next() || !(Reachability{Unreachable: true}).Next() || (Reachability{Unreachable: true, Answered: true}).Next() {
+	if !(Reachability{Silent: 2, SiblingsReachable: true}).NextUnreachable() || !(Reachability{Unreachable: true}).NextUnreachable() || (Reachability{Unreachable: true, Answered: true}).NextUnreachable() {
 		t.Fatal("an unreachable node is not noticed, or does not end")
 	}
 	a, b := n("a", 1), n("b", 2)
-	v := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}, Lead: &a}
-	v.Member = Decide(v).Write
+	v := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}
+	v.Membership = Decide(v).WriteMembership
 	v.Unreachable = map[string]bool{"b": true}
-	rec := Decide(v).Write
-	if rec == nil || rec.Token != v.Member.Token+1 || !rec.Has(b) {
+	rec := Decide(v).WriteMembership
+	if rec == nil || rec.FencingToken != v.Membership.FencingToken+1 || !rec.Contains(b) {
 		t.Fatalf("%+v", rec)
 	}
 	for i := range 50 {
@@ -109,12 +109,12 @@
 			t.Fatalf("a machine is owned by %s", o)
 		}
 	}
-	v.Member = rec
-	if act := Decide(v); act.Write != nil {
-		t.Fatalf("written again: %+v", act.Write)
+	v.Membership = rec
+	if act := Decide(v); act.WriteMembership != nil {
+		t.Fatalf("written again: %+v", act.WriteMembership)
 	}
 	v.Unreachable["a"] = true
-	if rec = Decide(v).Write; rec == nil || len(rec.Unreachable) != 0 {
+	if rec = Decide(v).WriteMembership; rec == nil || len(rec.Unreachable) != 0 {
 		t.Fatalf("all are unreachable and %+v", rec)
 	}
 }
@@ -124,7 +124,7 @@
 func TestCancellationsAreKnownAsFarAsAllVouch(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(1000+s), 0) }
 	good := func(asked int) Attestation {
-		return Attestation{Incarnation: 7, Since: at(0), Asked: at(asked), Cancelled: 40}
+		return Attestation{Incarnation: 7, Since: at(0), AskedAt: at(asked), LastCancellation: 40}
 	}
 	with := func(w Attestation, f func(*Attestation)) Attestation { f(&w); return w }
 	for _, c := range []struct {
@@ -136,11 +136,11 @@
 		{"all attest: the least of the askings", []Attestation{good(50), good(30)}, 30},
 		{"one was never heard", []Attestation{good(50), {}}, 10},
 		{"one is new since the read", []Attestation{good(50), with(good(50), func(w *Attestation) { w.Since = at(10) })}, 10},
-		{"one knows a cancellation that is not in the cache", []Attestation{good(50), with(good(50), func(w *Attestation) { w.Cancelled = 51 })}, 10},
-		{"the last that is", []Attestation{good(50), with(good(50), func(w *Attestation) { w.Cancelled = 50 })}, 50},
+		{"one knows a cancellation that is not in the cache", []Attestation{good(50), with(good(50), func(w *Attestation) { w.LastCancellation = 51 })}, 10},
+		{"the last that is", []Attestation{good(50), with(good(50), func(w *Attestation) { w.LastCancellation = 50 })}, 50},
 		{"asked before the read", []Attestation{good(50), good(5)}, 10},
 	} {
-		if got := KnownUntil(at(10), 50, c.siblings); !got.Equal(at(c.want)) {
+		if got := CancellationsKnownUntil(at(10), 50, c.siblings); !got.Equal(at(c.want)) {
 			t.Errorf("%s: %v, want %v", c.name, got.Sub(at(0)), c.want)
 		}
 	}
--- a/internal/server/fakes_test.go
+++ b/internal/server/fakes_test.go
@@ -220,7 +220,7 @@
 	go func() { _ = n.runIntake(ctx) }()
 	w.nodes[label] = n
 	n.self.Incarnation, _ = w.st.GrantLease(ctx, time.Second)
-	n.session = n.session.Next(member.GotLease)
+	n.session = n.session.Next(member.LeaseGranted)
 	if err := n.sync.Load(ctx); err != nil {
 		w.t.Fatal(err)
 	}
@@ -355,7 +355,7 @@
 func (n *Node) membershipToken() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.member.Token
+	return n.member.FencingToken
 }
 
 func (n *Node) job(jobID string) jobs.Record {
--- a/internal/server/fleetview.go
+++ b/internal/server/fleetview.go
@@ -111,7 +111,7 @@
 	}
 	fresh := map[string]bool{} // owners whose status holds for this membership
 	for label, s := range n.siblings {
-		fresh[label] = n.freshSibling(s) && s.seen.Token == n.member.Token
+		fresh[label] = n.freshSibling(s) && s.seen.Token == n.member.FencingToken
 	}
 	silent := n.silentAfter()
 	for _, m := range some {
--- a/internal/server/leading.go
+++ b/internal/server/leading.go
@@ -50,12 +50,12 @@
 
 // leadMemory returns the leader's memory for the present token; mu is held.
 func (n *Node) leadMemory() *leading {
-	if n.leading.token == n.member.Token {
+	if n.leading.token == n.member.FencingToken {
 		return &n.leading
 	}
 	old := n.leading
-	n.leading = newLeading(n.member.Token, n.member.Last()+1)
-	if old.token > 0 && old.nextToken == n.member.Token && old.rented != nil {
+	n.leading = newLeading(n.member.FencingToken, n.member.LastToken()+1)
+	if old.token > 0 && old.nextToken == n.member.FencingToken && old.rented != nil {
 		n.leading.keep(&old)
 	}
 	return &n.leading
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -41,7 +41,7 @@
 	// has had no other owner: what it has proven stands. Guards against a
 	// fleet that takes nothing until each machine has reported, with every node
 	// that comes or goes, and against tasks behind a cut that nobody may release.
-	next := last != nil && r.Follows(last) && last.Has(n.self) && r.Has(n.self)
+	next := last != nil && r.Follows(last) && last.Contains(n.self) && r.Contains(n.self)
 	for host, w := range n.workers {
 		n.held[host] = w.Images
 		if n.ownerOf(host) != n.self.Label {
@@ -53,7 +53,7 @@
 	}
 	n.resetView()
 	n.shareBudget()
-	n.log.Info("membership", "token", r.Token, "leader", r.Leader.Label, "nodes", len(r.Nodes))
+	n.log.Info("membership", "token", r.FencingToken, "leader", r.Leader.Label, "nodes", len(r.Nodes))
 	return nil
 }
 
@@ -72,7 +72,7 @@
 // entitled reports whether this node is a member of the newest membership it
 // knows; mu is held.
 func (n *Node) entitled() bool {
-	return n.member != nil && n.session == member.Registered && n.member.Has(n.self) && n.cache.Consistent()
+	return n.member != nil && n.session == member.Registered && n.member.Contains(n.self) && n.cache.Consistent()
 }
 
 // leads reports whether this node is the leader; mu is held.
@@ -84,14 +84,14 @@
 // is held. A node that does not would run such a job at once if it took it in,
 // and would stop its tasks on its machines.
 func (n *Node) pipelines() bool {
-	return n.member != nil && n.member.Knows(member.FormPipelines, n.versions)
+	return n.member != nil && n.member.AllSupport(member.FormatDependencies, n.versions)
 }
 
 // spans reports whether every node with a session knows of memberships that
 // span several tokens; mu is held.
 func (n *Node) spans() bool {
 	for label, s := range n.sessions {
-		if v := n.versions[label]; v.Node != s || v.Form < member.FormSpans {
+		if v := n.versions[label]; v.Node != s || v.Format < member.FormatTokenRanges {
 			return false
 		}
 	}
@@ -105,7 +105,7 @@
 		return false
 	}
 	for _, s := range n.siblings {
-		if n.freshSibling(s) && s.status.HasState && s.status.Token > n.member.Token {
+		if n.freshSibling(s) && s.status.HasState && s.status.Token > n.member.FencingToken {
 			return true
 		}
 	}
@@ -153,7 +153,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.self.Incarnation = id
-	n.session = n.session.Next(member.GotLease)
+	n.session = n.session.Next(member.LeaseGranted)
 	wake(n.memberWake)
 }
 
@@ -164,7 +164,7 @@
 	if n.self.Incarnation != leaseID || n.session == member.NoLease {
 		return
 	}
-	n.session = n.session.Next(member.LeaseEnded)
+	n.session = n.session.Next(member.LeaseExpired)
 	n.log.Info("session ended")
 }
 
@@ -236,8 +236,8 @@
 		// be in the cache before it counts.
 		n.cache.ApplyOwnWrite(changes, revision)
 	}
-	if write.change.Put == member.NodeKey(n.self.Label) && self == n.self {
-		n.session = n.session.Next(member.Stored)
+	if write.change.Put == member.SessionKey(n.self.Label) && self == n.self {
+		n.session = n.session.Next(member.SessionStored)
 	}
 	wake(n.memberWake)
 	return nil
@@ -254,22 +254,22 @@
 		return n.sessionWrite()
 	}
 	now := n.now()
-	unreachable := n.reachability(now).Next()
+	unreachable := n.reachability(now).NextUnreachable()
 	action := member.Decide(member.View{
-		Self:        n.self,
-		Sessions:    n.sessions,
-		Unreachable: n.unreachable,
-		Lead:        n.lead,
-		Member:      n.member,
-		Spans:       n.spans(),
+		Self:                 n.self,
+		Sessions:             n.sessions,
+		Unreachable:          n.unreachable,
+		Leader:               n.lead,
+		Membership:           n.member,
+		TokenRangesSupported: n.spans(),
 	})
 	switch {
 	case unreachable != n.unreachable[n.self.Label]:
 		return n.reachabilityWrite(unreachable, now)
-	case action.TakeLead:
+	case action.BecomeLeader:
 		return n.leadWrite()
-	case action.Write != nil:
-		return n.membershipWrite(action.Write)
+	case action.WriteMembership != nil:
+		return n.membershipWrite(action.WriteMembership)
 	}
 	return nil
 }
@@ -283,14 +283,14 @@
 		n.session = member.Leased
 	}
 	if n.session == member.Leased && stored {
-		n.session = n.session.Next(member.Stored)
+		n.session = n.session.Next(member.SessionStored)
 	}
 }
 
 // sessionWrite stores this node's session key; mu is held.
 func (n *Node) sessionWrite() *memberWrite {
-	key := member.NodeKey(n.self.Label)
-	session := member.Session{Node: n.self, Form: member.Form, Version: tuning.Version}
+	key := member.SessionKey(n.self.Label)
+	session := member.Session{Node: n.self, Format: member.CurrentFormat, ProgramVersion: tuning.Version}
 	return &memberWrite{
 		guards: []wire.Compare{n.cache.Compare(key)},
 		change: wire.Operation{Put: key, Value: wire.MustMarshal(session), LeaseID: n.self.Incarnation},
@@ -307,7 +307,7 @@
 		n.chooseProbes(now)
 	}
 	return &memberWrite{
-		guards:       []wire.Compare{n.cache.Compare(member.NodeKey(n.self.Label))},
+		guards:       []wire.Compare{n.cache.Compare(member.SessionKey(n.self.Label))},
 		change:       change,
 		reachability: true,
 	}
@@ -316,15 +316,15 @@
 // leadWrite takes the lead; mu is held.
 func (n *Node) leadWrite() *memberWrite {
 	return &memberWrite{
-		guards: []wire.Compare{n.cache.Compare(member.LeadKey), n.cache.Compare(member.NodeKey(n.self.Label))},
-		change: wire.Operation{Put: member.LeadKey, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation},
+		guards: []wire.Compare{n.cache.Compare(member.LeaderKey), n.cache.Compare(member.SessionKey(n.self.Label))},
+		change: wire.Operation{Put: member.LeaderKey, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation},
 	}
 }
 
 // membershipWrite stores the next membership; mu is held.
 func (n *Node) membershipWrite(next *member.Record) *memberWrite {
 	return &memberWrite{
-		guards: []wire.Compare{n.cache.Compare(member.LeadKey), n.cache.Compare(member.Key)},
+		guards: []wire.Compare{n.cache.Compare(member.LeaderKey), n.cache.Compare(member.Key)},
 		change: wire.Operation{Put: member.Key, Value: wire.MustMarshal(next)},
 	}
 }
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -69,7 +69,7 @@
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	if n.member != nil {
-		gauge(descToken, float64(n.member.Token))
+		gauge(descToken, float64(n.member.FencingToken))
 	}
 	n.collectTeams(gauge)
 	n.collectRecovery(gauge)
@@ -82,7 +82,7 @@
 	if n.member != nil {
 		forms := map[uint64]int{}
 		for _, m := range n.member.Nodes {
-			forms[n.versions[m.Label].Form]++
+			forms[n.versions[m.Label].Format]++
 		}
 		for form, k := range forms {
 			gauge(descNodes, float64(k), strconv.FormatUint(form, 10))
--- a/internal/server/pass.go
+++ b/internal/server/pass.go
@@ -187,7 +187,7 @@
 
 // placeInput builds the pass's input; mu is held.
 func (n *Node) placeInput(fleet *place.Fleet, now time.Time) place.Input {
-	in := place.Input{Me: n.self.Label, Leader: n.member.Leader.Label, Order: n.member.Order,
+	in := place.Input{Me: n.self.Label, Leader: n.member.Leader.Label, Order: n.member.RankNodes,
 		Fleet: fleet, Teams: n.allowances(), Now: now, MostJobs: tuning.JobsPerPass,
 		LeastLoss: n.set.Operator.QuotaReservations}
 	avoid := map[string]map[string]bool{}
--- a/internal/server/pipeline_test.go
+++ b/internal/server/pipeline_test.go
@@ -209,9 +209,9 @@
 	n := w.nodes[label]
 	s := any(n.self)
 	if !old {
-		s = member.Session{Node: n.self, Form: member.Form, Version: "x"}
+		s = member.Session{Node: n.self, Format: member.CurrentFormat, ProgramVersion: "x"}
 	}
-	key := member.NodeKey(label)
+	key := member.SessionKey(label)
 	if _, err := w.st.CompareAndSwap(context.Background(), store.ClassLease, nil, []wire.Operation{{Put: key, Value: wire.MustMarshal(s), LeaseID: n.self.Incarnation}}); err != nil {
 		w.t.Fatal(err)
 	}
@@ -299,7 +299,7 @@
 	n := w.nodes["a"]
 	w.st.ValueLimit, w.st.OpsLimit = 2048, 4
 	for key, v := range data {
-		if key == member.Key || key == member.LeadKey || key == jobs.TeamKey("x") || strings.HasPrefix(key, member.NodePrefix) {
+		if key == member.Key || key == member.LeaderKey || key == jobs.TeamKey("x") || strings.HasPrefix(key, member.SessionPrefix) {
 			if err := n.applyRecord(key, v, 0); err != nil {
 				t.Errorf("%s: %v", key, err)
 			}
@@ -383,7 +383,7 @@
 		t.Fatalf("%+v", r)
 	}
 	var s oldNode
-	if err := wire.Unmarshal(wire.MustMarshal(member.Session{Node: member.Node{Label: "a", Incarnation: 7}, Form: 1, Version: "x"}), &s); err != nil || s != (oldNode{"a", 7}) {
+	if err := wire.Unmarshal(wire.MustMarshal(member.Session{Node: member.Node{Label: "a", Incarnation: 7}, Format: 1, ProgramVersion: "x"}), &s); err != nil || s != (oldNode{"a", 7}) {
 		t.Fatalf("%+v %v", s, err)
 	}
 }
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -41,7 +41,7 @@
 		Self:     n.self.Label,
 		Leader:   n.member.Leader.Label,
 		Nodes:    n.memberLabels,
-		Token:    n.member.Token,
+		Token:    n.member.FencingToken,
 		Held:     n.holdings(),
 		Revision: n.cache.Revision(),
 	}
@@ -238,6 +238,6 @@
 func (n *Node) noteShortages(out place.Output, now time.Time) {
 	for _, l := range n.quota.Ledgers() {
 		_, short := out.ShareShort[l.Team().Name]
-		l.NoteShortage(short, now, n.member.Token)
+		l.NoteShortage(short, now, n.member.FencingToken)
 	}
 }
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -128,7 +128,7 @@
 	rec := n.quota.Of("x").Record()
 	for label, by := range held {
 		claimed += by["x"].GPUs
-		if g := rec.Shares[label].GPUs; rec.Token == n.member.Token && !rec.Frozen && by["x"].GPUs > g+1e-6 {
+		if g := rec.Shares[label].GPUs; rec.Token == n.member.FencingToken && !rec.Frozen && by["x"].GPUs > g+1e-6 {
 			w.t.Fatalf("%s holds %v, its share is %v", label, by["x"].GPUs, g)
 		}
 	}
--- a/internal/server/records.go
+++ b/internal/server/records.go
@@ -39,11 +39,11 @@
 		return n.quota.ApplyReservations(v)
 	case strings.HasPrefix(key, fleet.GroupPrefix), strings.HasPrefix(key, fleet.HostPrefix):
 		return n.reg.Apply(key, v)
-	case strings.HasPrefix(key, member.NodePrefix):
-		return n.applySession(strings.TrimPrefix(key, member.NodePrefix), v)
+	case strings.HasPrefix(key, member.SessionPrefix):
+		return n.applySession(strings.TrimPrefix(key, member.SessionPrefix), v)
 	case strings.HasPrefix(key, member.UnreachablePrefix):
 		n.applyUnreachable(strings.TrimPrefix(key, member.UnreachablePrefix), v)
-	case key == member.LeadKey:
+	case key == member.LeaderKey:
 		return n.applyLead(v)
 	case key == member.Key:
 		return n.applyMembership(v)
--- a/internal/server/releases.go
+++ b/internal/server/releases.go
@@ -84,7 +84,7 @@
 		for id := range n.table.Hosts[host] {
 			mine, ok := first[id.Job]
 			if !ok {
-				mine = n.member.Order(id.Job)[0] == n.self.Label
+				mine = n.member.RankNodes(id.Job)[0] == n.self.Label
 				first[id.Job] = mine
 			}
 			if mine {
@@ -190,7 +190,7 @@
 // job's first node does it.
 func (n *Node) finished(txns []*txn, most *float64) []*txn {
 	for jobID, j := range n.table.Open {
-		if *most < 1 || !j.AllDone() || n.busyJob[jobID] || n.member.Order(jobID)[0] != n.self.Label {
+		if *most < 1 || !j.AllDone() || n.busyJob[jobID] || n.member.RankNodes(jobID)[0] != n.self.Label {
 			continue
 		}
 		t := n.newTxn("finish")
@@ -200,7 +200,7 @@
 	}
 	for jobID, j := range n.table.Unrecorded {
 		// It says nothing new: it lets intake records go, and tells old versions.
-		if *most < 2 || n.busyJob[jobID] || n.member.Order(jobID)[0] != n.self.Label {
+		if *most < 2 || n.busyJob[jobID] || n.member.RankNodes(jobID)[0] != n.self.Label {
 			continue
 		}
 		t := n.newTxn("cancelled with another")
@@ -210,7 +210,7 @@
 	}
 	for key := range n.table.Intakes {
 		// Nothing needs it any more: guards against reading it for ever.
-		if *most >= 1 && !n.busyJob[key] && n.table.Over(key) && n.member.Order(key)[0] == n.self.Label {
+		if *most >= 1 && !n.busyJob[key] && n.table.Over(key) && n.member.RankNodes(key)[0] == n.self.Label {
 			t := n.newTxn("intake over")
 			t.guards[key] = n.cache.Version(key)
 			t.drop(key)
--- a/internal/server/rolemoves.go
+++ b/internal/server/rolemoves.go
@@ -68,7 +68,7 @@
 func (n *Node) split(t wire.MachineType, machines *place.Fleet) roles.Split {
 	s := roles.Split{Type: t.Label, Complete: true}
 	for _, sib := range n.siblings {
-		if n.member.Has(member.Node{Label: sib.cfg.Label, Incarnation: sib.status.Incarnation}) && !n.freshSibling(sib) {
+		if n.member.Contains(member.Node{Label: sib.cfg.Label, Incarnation: sib.status.Incarnation}) && !n.freshSibling(sib) {
 			s.Complete = false
 		}
 	}
--- a/internal/server/scripted_test.go
+++ b/internal/server/scripted_test.go
@@ -309,7 +309,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.self.Incarnation, _ = x.st.GrantLease(context.Background(), time.Second)
-	n.session = n.session.Next(member.GotLease)
+	n.session = n.session.Next(member.LeaseGranted)
 }
 
 // restart replaces a node's process by a new one.
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -391,7 +391,7 @@
 	n := w.nodes["a"]
 	old := member.Node{Label: "a", Incarnation: 777}
 	w.st.Leases[777] = true
-	_, err := w.st.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: member.NodeKey("a"), Value: wire.MustMarshal(old), LeaseID: 777}})
+	_, err := w.st.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: member.SessionKey("a"), Value: wire.MustMarshal(old), LeaseID: 777}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/siblings.go
+++ b/internal/server/siblings.go
@@ -79,7 +79,7 @@
 	}
 	st.Hosts = nil
 	s.status, s.at = st, now
-	if n.member != nil && st.Token > n.member.Token {
+	if n.member != nil && st.Token > n.member.FencingToken {
 		wake(n.memberWake)
 	}
 }
@@ -114,7 +114,7 @@
 	for _, o := range n.siblings {
 		all = append(all, o.attestation)
 	}
-	if at := member.KnownUntil(n.sync.LastReadAt(), n.cache.Revision(), all); at.After(n.certain) {
+	if at := member.CancellationsKnownUntil(n.sync.LastReadAt(), n.cache.Revision(), all); at.After(n.certain) {
 		n.certain = at
 	}
 }
@@ -134,7 +134,7 @@
 	now := n.now()
 	st := peer.Status{Label: n.self.Label, Incarnation: n.self.Incarnation, Revision: n.cache.Revision(), HasState: n.hasState() && n.cache.Consistent()}
 	if n.member != nil {
-		st.Token = n.member.Token
+		st.Token = n.member.FencingToken
 	}
 	if n.entitled() && now.Sub(n.viewAt) >= tuning.ViewEvery {
 		n.viewAt = now
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -42,14 +42,14 @@
 		fmt.Fprintf(&b, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", n.now().Sub(at).Seconds(), n.set.AnswerBound().Seconds())
 	}
 	if n.member != nil {
-		fmt.Fprintf(&b, "membership token %d leader %s nodes", n.member.Token, n.member.Leader.Label)
+		fmt.Fprintf(&b, "membership token %d leader %s nodes", n.member.FencingToken, n.member.Leader.Label)
 		for _, m := range n.member.Nodes {
 			fmt.Fprintf(&b, " %s", m.Label)
 		}
 		b.WriteByte('\n')
 		for _, m := range n.member.Nodes {
 			s := n.versions[m.Label]
-			fmt.Fprintf(&b, "version %s %s form %d\n", m.Label, cmp.Or(s.Version, "not told (0.1.0 or older)"), s.Form)
+			fmt.Fprintf(&b, "version %s %s form %d\n", m.Label, cmp.Or(s.ProgramVersion, "not told (0.1.0 or older)"), s.Format)
 		}
 		fmt.Fprintf(&b, "pipelines taken %v\n", n.pipelines())
 	}
--- a/internal/server/trouble_test.go
+++ b/internal/server/trouble_test.go
@@ -232,7 +232,7 @@
 	for range 3 {
 		// On return it registers again, once, and asks for nothing more.
 		n.mu.Lock()
-		n.session, n.self.Incarnation = n.session.Next(member.GotLease), 0
+		n.session, n.self.Incarnation = n.session.Next(member.LeaseGranted), 0
 		n.mu.Unlock()
 		n.self.Incarnation, _ = w.st.GrantLease(context.Background(), time.Second)
 		break
@@ -263,7 +263,7 @@
 	old.mu.Lock()
 	held := w.st.Keys[member.Key].Version
 	stale := *old.member
-	stale.Token++
+	stale.FencingToken++
 	old.mu.Unlock()
 	fresh := w.start(label, labels) // its old session and lead key still stand
 	for range 6 {
@@ -273,7 +273,7 @@
 	if lead.membershipToken() <= token {
 		t.Fatal("the restart did not raise the token")
 	}
-	if lead.member.Has(old.self) || !lead.member.Has(fresh.self) {
+	if lead.member.Contains(old.self) || !lead.member.Contains(fresh.self) {
 		t.Fatalf("members %+v", lead.member.Nodes)
 	}
 	// The old process's write arrives late and changes nothing.
@@ -509,14 +509,14 @@
 		next func(*member.Record) uint64
 		want fleet.SessionState
 	}{
-		{"the next", func(r *member.Record) uint64 { return r.Last() + 1 }, fleet.Proven},
-		{"the one after it", func(r *member.Record) uint64 { return r.Last() + 2 }, fleet.Unproven},
-		{"an older version's, which takes a token of the one before", func(r *member.Record) uint64 { return r.Token + 1 }, fleet.Unproven},
+		{"the next", func(r *member.Record) uint64 { return r.LastToken() + 1 }, fleet.Proven},
+		{"the one after it", func(r *member.Record) uint64 { return r.LastToken() + 2 }, fleet.Unproven},
+		{"an older version's, which takes a token of the one before", func(r *member.Record) uint64 { return r.FencingToken + 1 }, fleet.Unproven},
 	} {
 		n.mu.Lock()
 		r := *n.member
 		n.workers["h1"].State = fleet.Proven
-		r.Token, r.Span = c.next(n.member), tuning.TokenSpan
+		r.FencingToken, r.TokenRange = c.next(n.member), tuning.TokenSpan
 		err := n.applyMembership(wire.MustMarshal(r))
 		got := n.workers["h1"].State
 		n.mu.Unlock()
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -82,9 +82,9 @@
 // token is the highest token that this node has used for a machine; mu is held.
 func (n *Node) token(host string) uint64 {
 	if w := n.workers[host]; w != nil {
-		return max(w.Token, n.member.Token)
+		return max(w.Token, n.member.FencingToken)
 	}
-	return n.member.Token
+	return n.member.FencingToken
 }
 
 // startable reports whether stored claims on a machine may be started: it is
@@ -111,7 +111,7 @@
 	for id, s := range w.Tasks {
 		before[id] = s.State
 	}
-	if !w.Observe(r, n.member.Token, now) {
+	if !w.Observe(r, n.member.FencingToken, now) {
 		return
 	}
 	n.view.touch(w.Host)
@@ -202,7 +202,7 @@
 // direct sends a worker what it should not wait a report interval for: starts,
 // kills, and our token if it has not shown it; mu is held.
 func (n *Node) direct(w *fleet.Worker, now time.Time) {
-	if w.NoPendingCommands && w.State == fleet.Proven && !w.Unresponsive && w.Token <= max(w.ShownToken, n.member.Token) {
+	if w.NoPendingCommands && w.State == fleet.Proven && !w.Unresponsive && w.Token <= max(w.ShownToken, n.member.FencingToken) {
 		return // nothing has changed, and there is nothing to ask
 	}
 	if w.Calling || w.Address == "" || w.State == fleet.Expired || !n.hasState() {
@@ -243,7 +243,7 @@
 	greet = greet || w.Unresponsive && now.Sub(w.Called) > tuning.UnresponsivePause
 	// A raised token that the worker has not seen: the sooner it shows it, the
 	// sooner the starts below it are void.
-	greet = greet || w.State == fleet.Proven && w.Token > max(w.ShownToken, n.member.Token)
+	greet = greet || w.State == fleet.Proven && w.Token > max(w.ShownToken, n.member.FencingToken)
 	if len(commands) == 0 && !greet || len(commands) == 0 && now.Sub(w.Called) < tuning.GreetPause {
 		return
 	}
@@ -269,7 +269,7 @@
 		w.Sent[fleet.KeyOf(o)] = now
 	}
 	starts := fleet.Starts(commands)
-	w.Token = max(w.Token, n.member.Token)
+	w.Token = max(w.Token, n.member.FencingToken)
 	w.StartSent(starts, w.Token)
 	w.Called, w.Calling = now, true
 	if commands == nil {
@@ -307,7 +307,7 @@
 		return // its answer may come yet
 	}
 	for _, a := range w.Held(n.table.Hosts[w.Host]) {
-		if w.InvalidateStarts(n.member.Last()) {
+		if w.InvalidateStarts(n.member.LastToken()) {
 			n.log.Debug("start made void", "task", a.ID, "try", a.Number, "host", w.Host, "token", w.Token)
 		}
 	}
