--- a/internal/fleet/worker.go
+++ b/internal/fleet/worker.go
@@ -13,47 +13,47 @@
 	"wheatspur/wire"
 )
 
-// SessionState is what the owner of a machine knows of its worker's session.
-type SessionState string
+// TokenState is what the owner of a machine knows of its worker's session.
+type TokenState string
 
 // States of a worker's session, as its owner sees it.
 const (
-	// Unproven: no report of the current session has shown our token yet; a
+	// TokenUnacknowledged: no report of the current session has shown our token yet; a
 	// former owner's commands may still be under way.
-	Unproven SessionState = "unproven"
-	// Proven: a report of the current session has shown our token, so that all
+	TokenUnacknowledged TokenState = "unproven"
+	// TokenAcknowledged: a report of the current session has shown our token, so that all
 	// commands under lower tokens are dead. It stays proven under the tokens
 	// after it for as long as each membership gives the machine to this node.
-	Proven SessionState = "proven"
-	// Expired: the worker's lease has surely ended; everything in the session
+	TokenAcknowledged TokenState = "proven"
+	// LeaseExpired: the worker's lease has surely ended; everything in the session
 	// is gone.
-	Expired SessionState = "expired"
+	LeaseExpired TokenState = "expired"
 )
 
-// SessionEvent changes a session's state.
-type SessionEvent string
+// TokenEvent changes a session's state.
+type TokenEvent string
 
 // Events of a worker's session.
 const (
-	TokenRaised SessionEvent = "token raised" // our membership has changed, and another node may have owned the machine
-	TokenShown  SessionEvent = "token shown"  // a newer report shows our token
-	NewSession  SessionEvent = "new session"
-	LeaseEnded  SessionEvent = "lease ended"
+	EventTokenRaised       TokenEvent = "token raised" // our membership has changed, and another node may have owned the machine
+	EventTokenAcknowledged TokenEvent = "token shown"  // a newer report shows our token
+	EventNewIncarnation    TokenEvent = "new session"
+	EventLeaseExpired      TokenEvent = "lease ended"
 )
 
 // Next is the one function that changes a worker session's state.
-func (s SessionState) Next(e SessionEvent) SessionState {
+func (s TokenState) Next(e TokenEvent) TokenState {
 	switch {
-	case e == NewSession:
-		return Unproven
-	case s == Expired:
-		return Expired // only a new session leaves it
-	case e == TokenRaised:
-		return Unproven
-	case e == TokenShown:
-		return Proven
-	case e == LeaseEnded && s == Proven:
-		return Expired
+	case e == EventNewIncarnation:
+		return TokenUnacknowledged
+	case s == LeaseExpired:
+		return LeaseExpired // only a new session leaves it
+	case e == EventTokenRaised:
+		return TokenUnacknowledged
+	case e == EventTokenAcknowledged:
+		return TokenAcknowledged
+	case e == EventLeaseExpired && s == TokenAcknowledged:
+		return LeaseExpired
 	}
 	return s
 }
@@ -64,56 +64,56 @@
 	Number uint64
 }
 
-// sentStart is a direct start under a token.
-type sentStart struct {
+// pendingStart is a direct start under a token.
+type pendingStart struct {
 	Attempt
 	token uint64
 }
 
 // Worker is the owner's view of one machine's worker.
 type Worker struct {
-	Host        string
-	Address     string
-	MachineType string
-	Zone        string
-	Spot        bool
-	State       SessionState
-	Session     uint64
-	Sequence    uint64 // of the newest message
-	Reported    uint64 // of the newest report; answers to direct calls come between
-	ShownToken  uint64 // highest that the worker has shown
-	Tasks       map[jobs.TaskID]wire.TaskStatus
-	Began       map[jobs.TaskID]time.Time // arrival of the first message that showed the task running
-	Heard       time.Time                 // arrival of the last message
-	First       time.Time                 // arrival of the first message
-	Answered    time.Time                 // arrival of the last report that we answered with 200
-	ProvenAt    time.Time                 // arrival of the message that proved the session
-	TakenAt     time.Time                 // when the cloud takes the machine; zero: no notice
-	Stopping    map[jobs.TaskID]bool      // tasks that we want off this machine
-
-	// Token of our commands to this worker; the membership's, or above it once
+	Machine           string
+	Address           string
+	MachineType       string
+	Zone              string
+	Spot              bool
+	State             TokenState
+	Incarnation       uint64
+	Sequence          uint64 // of the newest message
+	HeartbeatSequence uint64 // of the newest report; answers to direct calls come between
+	AcknowledgedToken uint64 // highest that the worker has shown
+	Tasks             map[jobs.TaskID]wire.TaskStatus
+	RunningSince      map[jobs.TaskID]time.Time // arrival of the first message that showed the task running
+	LastHeard         time.Time                 // arrival of the last message
+	FirstHeard        time.Time                 // arrival of the first message
+	LastAnswered      time.Time                 // arrival of the last report that we answered with 200
+	AcknowledgedAt    time.Time                 // arrival of the message that proved the session
+	TerminationAt     time.Time                 // when the cloud takes the machine; zero: no notice
+	Stopping          map[jobs.TaskID]bool      // tasks that we want off this machine
+
+	// FencingToken of our commands to this worker; the membership's, or above it once
 	// starts had to be made void (InvalidateStarts).
-	Token uint64
+	FencingToken uint64
 	// Direct starts of this session that were sent and not answered, by the
 	// token that they carry. They may yet be carried out.
-	unanswered map[sentStart]int
+	pendingStarts map[pendingStart]int
 	// Starts of this session that are over, by the message that shows what came
 	// of them: any report with a larger sequence.
-	started map[Attempt]uint64
+	answeredStarts map[Attempt]uint64
 
 	// Commands in answers to reports that no report has shown as carried out,
 	// by when the first of those answers went.
-	unconfirmed map[CommandKey]time.Time
+	unconfirmedCommands map[CommandKey]time.Time
 
-	Images            []string                 // seen here, newest last
-	Errors            map[string]bool          // jobs whose tasks failed here since the last success
-	Refused           time.Time                // last refusal for want of room
-	Sent              map[CommandKey]time.Time // direct starts and kills, by when
-	Called            time.Time                // last direct call
-	Calling           bool                     // a direct call is under way
-	Unresponsive      bool                     // it reports, but nothing that it is told shows
-	NoPendingCommands bool                     // nothing has changed since it last had no orders to send
-	nothingToProve    bool                     // nothing has changed since no claim's end could be proven
+	Images             []string                 // seen here, newest last
+	FailedJobs         map[string]bool          // jobs whose tasks failed here since the last success
+	LastRefusal        time.Time                // last refusal for want of room
+	SentCommands       map[CommandKey]time.Time // direct starts and kills, by when
+	LastCall           time.Time                // last direct call
+	CallInFlight       bool                     // a direct call is under way
+	Unresponsive       bool                     // it reports, but nothing that it is told shows
+	NoPendingCommands  bool                     // nothing has changed since it last had no orders to send
+	nothingToReconcile bool                     // nothing has changed since no claim's end could be proven
 }
 
 // CommandKey is one command about one attempt. A report must show its effect to
@@ -130,32 +130,32 @@
 	return task + "#" + strconv.FormatUint(attempt, 10)
 }
 
-// Copy reports whether a report is a late copy of one that this node has seen,
+// IsStale reports whether a report is a late copy of one that this node has seen,
 // or older: the network may deliver such copies minutes late. It guards against
 // a dead machine that looks alive and a lease that seems renewed.
-func (w *Worker) Copy(r *wire.Heartbeat) bool {
-	return r.Incarnation < w.Session || r.Incarnation == w.Session && r.Sequence <= w.Reported
+func (w *Worker) IsStale(r *wire.Heartbeat) bool {
+	return r.Incarnation < w.Incarnation || r.Incarnation == w.Incarnation && r.Sequence <= w.HeartbeatSequence
 }
 
-// Answer notes that a report was answered with 200 and these commands. A
+// HeartbeatAnswered notes that a report was answered with 200 and these commands. A
 // command that is due again and again is not heard: the machine's reports get
 // through to us and our answers not to it.
-func (w *Worker) Answer(r *wire.Heartbeat, commands []wire.Command, now time.Time) {
-	w.Answered, w.Reported = now, r.Sequence
-	w.nothingToProve = false // a start that this report shows the end of may be forgotten
-	for a, sequence := range w.started {
+func (w *Worker) HeartbeatAnswered(r *wire.Heartbeat, commands []wire.Command, now time.Time) {
+	w.LastAnswered, w.HeartbeatSequence = now, r.Sequence
+	w.nothingToReconcile = false // a start that this report shows the end of may be forgotten
+	for a, sequence := range w.answeredStarts {
 		if sequence < r.Sequence {
-			delete(w.started, a) // this report shows what came of it
+			delete(w.answeredStarts, a) // this report shows what came of it
 		}
 	}
-	for _, a := range Starts(commands) {
-		w.started[a] = max(w.started[a], r.Sequence)
+	for _, a := range StartedAttempts(commands) {
+		w.answeredStarts[a] = max(w.answeredStarts[a], r.Sequence)
 	}
 	unconfirmed := make(map[CommandKey]time.Time, len(commands))
 	late := false
 	for _, o := range commands {
 		c := KeyOf(o)
-		at, before := w.unconfirmed[c]
+		at, before := w.unconfirmedCommands[c]
 		if !before {
 			at = now
 		}
@@ -165,85 +165,85 @@
 	switch {
 	case late:
 		w.Unresponsive = true
-	case len(unconfirmed) < len(w.unconfirmed):
+	case len(unconfirmed) < len(w.unconfirmedCommands):
 		w.Unresponsive = false // something was carried out
 	}
-	w.unconfirmed = unconfirmed
+	w.unconfirmedCommands = unconfirmed
 }
 
-// Reached notes that the worker answered a direct call.
-func (w *Worker) Reached() {
+// CallAnswered notes that the worker answered a direct call.
+func (w *Worker) CallAnswered() {
 	w.Unresponsive = false
-	clear(w.unconfirmed)
+	clear(w.unconfirmedCommands)
 }
 
 // NewWorker returns the view of a machine that has not been heard.
 func NewWorker(host string) *Worker {
-	return &Worker{Host: host, State: Unproven, Tasks: map[jobs.TaskID]wire.TaskStatus{}, Began: map[jobs.TaskID]time.Time{}, Stopping: map[jobs.TaskID]bool{},
-		unanswered: map[sentStart]int{}, started: map[Attempt]uint64{}, Errors: map[string]bool{}, Sent: map[CommandKey]time.Time{}}
+	return &Worker{Machine: host, State: TokenUnacknowledged, Tasks: map[jobs.TaskID]wire.TaskStatus{}, RunningSince: map[jobs.TaskID]time.Time{}, Stopping: map[jobs.TaskID]bool{},
+		pendingStarts: map[pendingStart]int{}, answeredStarts: map[Attempt]uint64{}, FailedJobs: map[string]bool{}, SentCommands: map[CommandKey]time.Time{}}
 }
 
 // RaiseToken notes that our membership has changed, and that another node may
 // have owned the machine meanwhile.
 func (w *Worker) RaiseToken() {
-	w.State = w.State.Next(TokenRaised)
-	w.Changed()
+	w.State = w.State.Next(EventTokenRaised)
+	w.MarkChanged()
 }
 
-// Stop notes that a task is wanted off the machine.
-func (w *Worker) Stop(id jobs.TaskID) {
+// RequestStop notes that a task is wanted off the machine.
+func (w *Worker) RequestStop(id jobs.TaskID) {
 	w.Stopping[id] = true
-	w.Changed()
+	w.MarkChanged()
 }
 
-// Changed notes that something has changed that commands or proofs follow from:
+// MarkChanged notes that something has changed that commands or proofs follow from:
 // the claims on the machine, their jobs, or what is known of its worker.
-func (w *Worker) Changed() { w.NoPendingCommands, w.nothingToProve = false, false }
+func (w *Worker) MarkChanged() { w.NoPendingCommands, w.nothingToReconcile = false, false }
 
-// Observe enters a report that arrived now, if it is newer than what is known.
+// ApplyHeartbeat enters a report that arrived now, if it is newer than what is known.
 // token is the one of our membership; a worker that has shown it or one that
 // stands above it for this worker alone (InvalidateStarts) has heard us.
-func (w *Worker) Observe(r *wire.Heartbeat, token uint64, now time.Time) bool {
-	if w.First.IsZero() {
-		w.First = now
+func (w *Worker) ApplyHeartbeat(r *wire.Heartbeat, token uint64, now time.Time) bool {
+	if w.FirstHeard.IsZero() {
+		w.FirstHeard = now
 	}
-	if r.Incarnation < w.Session || r.Incarnation == w.Session && r.Sequence <= w.Sequence {
+	if r.Incarnation < w.Incarnation || r.Incarnation == w.Incarnation && r.Sequence <= w.Sequence {
 		return false
 	}
-	if r.Incarnation > w.Session {
+	if r.Incarnation > w.Incarnation {
 		// Guards against taking an old session's proof for the new one's, and
 		// against waiting for starts that the worker now refuses.
-		w.State = w.State.Next(NewSession)
-		clear(w.unanswered)
-		clear(w.started)
-		clear(w.Sent)
+		w.State = w.State.Next(EventNewIncarnation)
+		clear(w.pendingStarts)
+		clear(w.answeredStarts)
+		clear(w.SentCommands)
 		clear(w.Stopping)
-		clear(w.unconfirmed)
-		w.Reported = 0
-	}
-	w.Host, w.Address, w.MachineType, w.Zone, w.Spot = r.Machine, r.Address, r.MachineType, r.Zone, r.Spot
-	w.Session, w.Sequence, w.Heard = r.Incarnation, r.Sequence, now
-	w.Changed()
-	w.ShownToken = max(w.ShownToken, r.FencingToken)
-	w.Token = max(w.Token, token)
+		clear(w.unconfirmedCommands)
+		w.HeartbeatSequence = 0
+	}
+	w.Machine, w.Address, w.MachineType, w.Zone, w.Spot = r.Machine, r.Address, r.MachineType, r.Zone, r.Spot
+	w.Incarnation, w.Sequence, w.LastHeard = r.Incarnation, r.Sequence, now
+	w.MarkChanged()
+	w.AcknowledgedToken = max(w.AcknowledgedToken, r.FencingToken)
+	w.FencingToken = max(w.FencingToken, token)
 	if token > 0 && r.FencingToken >= token {
-		if w.State == Unproven {
-			w.State = w.State.Next(TokenShown)
-			w.ProvenAt = now
+		if w.State == TokenUnacknowledged {
+			w.State = w.State.Next(EventTokenAcknowledged)
+			w.AcknowledgedAt = now
 		}
 	}
 	// Starts under lower tokens than the worker has shown are dead from here on,
 	// and this message shows what came of them. Those under the same are not:
 	// one sent before the proof may still be held somewhere.
-	for k := range w.unanswered {
+	for k := range w.pendingStarts {
 		if k.token < r.FencingToken {
-			delete(w.unanswered, k)
+			delete(w.pendingStarts, k)
 		}
 	}
 	if r.TerminationNoticeS == nil {
-		w.TakenAt = time.Time{}
+		w.TerminationAt = time.Time{}
 	} else {
-		w.TakenAt = now.Add(time.Duration(*r.TerminationNoticeS * float64(time.Second)))
+		w.TerminationAt = now.Add(time.Duration(*r.TerminationNoticeS * float64(time.Second)))
 	}
 	clear(w.Tasks)
 	for _, s := range r.Tasks {
@@ -259,29 +259,29 @@
 		}
 		w.Tasks[id] = s
 	}
-	w.noteBegun(now)
+	w.updateRunningSince(now)
 	return true
 }
 
-// noteBegun notes since when the listed tasks have run.
-func (w *Worker) noteBegun(now time.Time) {
-	for id := range w.Began {
+// updateRunningSince notes since when the listed tasks have run.
+func (w *Worker) updateRunningSince(now time.Time) {
+	for id := range w.RunningSince {
 		if w.Tasks[id].State != wire.TaskRunning {
-			delete(w.Began, id)
+			delete(w.RunningSince, id)
 		}
 	}
 	for id, s := range w.Tasks {
-		if _, noted := w.Began[id]; s.State == wire.TaskRunning && !noted {
-			w.Began[id] = now
+		if _, noted := w.RunningSince[id]; s.State == wire.TaskRunning && !noted {
+			w.RunningSince[id] = now
 		}
 	}
 }
 
-// KeepStopping forgets the wish to stop tasks whose claim is released. Until
+// PruneStopping forgets the wish to stop tasks whose claim is released. Until
 // then it stands, also for an exited task: its room is about to be free, and
 // stopping others for the same room would be in vain.
 // It reports whether it forgot any.
-func (w *Worker) KeepStopping(claims map[jobs.TaskID]*jobs.Job) bool {
+func (w *Worker) PruneStopping(claims map[jobs.TaskID]*jobs.Job) bool {
 	before := len(w.Stopping)
 	for id := range w.Stopping {
 		if claims[id] == nil {
@@ -291,30 +291,30 @@
 	return len(w.Stopping) < before
 }
 
-// Leaves reports whether a claimed task is on its way off the machine.
-func (w *Worker) Leaves(id jobs.TaskID) bool {
+// IsLeaving reports whether a claimed task is on its way off the machine.
+func (w *Worker) IsLeaving(id jobs.TaskID) bool {
 	s, on := w.Tasks[id]
 	return w.Stopping[id] || on && s.State == wire.TaskExited
 }
 
-// StartSent notes direct starts that are about to be sent.
-func (w *Worker) StartSent(starts []Attempt, token uint64) {
+// StartsSent notes direct starts that are about to be sent.
+func (w *Worker) StartsSent(starts []Attempt, token uint64) {
 	for _, a := range starts {
-		w.unanswered[sentStart{a, token}]++
+		w.pendingStarts[pendingStart{a, token}]++
 	}
 }
 
-// StartAnswered notes that a direct call with these starts was answered by a
+// StartsAnswered notes that a direct call with these starts was answered by a
 // report with this session and sequence.
-func (w *Worker) StartAnswered(starts []Attempt, token, session, sequence uint64) {
-	w.nothingToProve = false
+func (w *Worker) StartsAnswered(starts []Attempt, token, session, sequence uint64) {
+	w.nothingToReconcile = false
 	for _, a := range starts {
-		k := sentStart{a, token}
-		if w.unanswered[k]--; w.unanswered[k] <= 0 {
-			delete(w.unanswered, k)
+		k := pendingStart{a, token}
+		if w.pendingStarts[k]--; w.pendingStarts[k] <= 0 {
+			delete(w.pendingStarts, k)
 		}
-		if session == w.Session {
-			w.started[a] = max(w.started[a], sequence)
+		if session == w.Incarnation {
+			w.answeredStarts[a] = max(w.answeredStarts[a], sequence)
 		}
 	}
 }
@@ -324,47 +324,47 @@
 // anew: the worker has shown our token, so that former owners' starts are dead;
 // none of ours is under way; and a report has come since the last that was.
 func (w *Worker) neverRan(a Attempt) bool {
-	_, sent := w.started[a]
-	return w.State == Proven && !sent && !w.mayStart(a)
+	_, sent := w.answeredStarts[a]
+	return w.State == TokenAcknowledged && !sent && !w.isStartPending(a)
 }
 
-// Held lists the claims of cancelled jobs that a start, which may yet arrive,
+// ClaimsBlockedByStarts lists the claims of cancelled jobs that a start, which may yet arrive,
 // keeps from being released.
-func (w *Worker) Held(claims map[jobs.TaskID]*jobs.Job) []Attempt {
-	if len(w.unanswered) == 0 {
+func (w *Worker) ClaimsBlockedByStarts(claims map[jobs.TaskID]*jobs.Job) []Attempt {
+	if len(w.pendingStarts) == 0 {
 		return nil
 	}
 	var out []Attempt
 	for id, j := range claims {
 		a := Attempt{id, j.Live[id.Task].Attempt}
-		if s, on := w.Tasks[id]; j.Phase == jobs.Cancelled && !(on && s.Attempt == a.Number) && w.mayStart(a) {
+		if s, on := w.Tasks[id]; j.Phase == jobs.Cancelled && !(on && s.Attempt == a.Number) && w.isStartPending(a) {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// InvalidateStarts makes the starts that are under way void, once the worker
+// FencePendingStarts makes the starts that are under way void, once the worker
 // shows the token that it returns or answers a call with it. most bounds the tokens of
 // the present membership; false if they are used up. A token that is raised
 // already and not shown yet serves.
-func (w *Worker) InvalidateStarts(most uint64) bool {
+func (w *Worker) FencePendingStarts(most uint64) bool {
 	top := uint64(0)
-	for k := range w.unanswered {
+	for k := range w.pendingStarts {
 		top = max(top, k.token)
 	}
-	if w.Token <= top {
-		if w.Token+tuning.InvalidateStep > most {
+	if w.FencingToken <= top {
+		if w.FencingToken+tuning.InvalidateStep > most {
 			return false
 		}
-		w.Token, w.NoPendingCommands = w.Token+tuning.InvalidateStep, false
+		w.FencingToken, w.NoPendingCommands = w.FencingToken+tuning.InvalidateStep, false
 	}
 	return true
 }
 
-// mayStart reports whether a direct start of the attempt may yet arrive.
-func (w *Worker) mayStart(a Attempt) bool {
-	for k := range w.unanswered {
+// isStartPending reports whether a direct start of the attempt may yet arrive.
+func (w *Worker) isStartPending(a Attempt) bool {
+	for k := range w.pendingStarts {
 		if k.Attempt == a {
 			return true
 		}
@@ -372,10 +372,10 @@
 	return false
 }
 
-// NoteImage remembers that the machine uses an image, and forgets the images
+// RecordImage remembers that the machine uses an image, and forgets the images
 // that it has dropped for want of room: it keeps those used last. gb tells the
 // size of an image; room is the machine's disk, 0 if it is not known.
-func (w *Worker) NoteImage(image string, gb func(string) float64, room float64) {
+func (w *Worker) RecordImage(image string, gb func(string) float64, room float64) {
 	kept := make([]string, 0, len(w.Images)+1)
 	for _, im := range w.Images {
 		if im != image {
@@ -394,60 +394,60 @@
 	w.Images = kept[min(first, len(kept)-1):]
 }
 
-// Renewed is the latest time at which a proven session's lease may have been
+// LeaseRenewedAt is the latest time at which a proven session's lease may have been
 // renewed: its last report that we answered had arrived by then.
-func (w *Worker) Renewed() time.Time {
-	if w.Answered.After(w.ProvenAt) {
-		return w.Answered
+func (w *Worker) LeaseRenewedAt() time.Time {
+	if w.LastAnswered.After(w.AcknowledgedAt) {
+		return w.LastAnswered
 	}
-	return w.ProvenAt
+	return w.AcknowledgedAt
 }
 
-// LeaseOver reports whether the session's lease has surely ended: the worker
+// ExpireLease reports whether the session's lease has surely ended: the worker
 // showed our token, so that only our answers renew it, and the last report
 // that we answered arrived too long ago. A report is sent before it arrives,
 // and the worker counts from the sending.
-func (w *Worker) LeaseOver(now time.Time, lease time.Duration) bool {
-	if w.State != Proven {
-		return w.State == Expired
+func (w *Worker) ExpireLease(now time.Time, lease time.Duration) bool {
+	if w.State != TokenAcknowledged {
+		return w.State == LeaseExpired
 	}
-	if now.Sub(w.Renewed()) <= time.Duration(float64(lease)*tuning.DriftFactor)+tuning.LeaseMargin {
+	if now.Sub(w.LeaseRenewedAt()) <= time.Duration(float64(lease)*tuning.DriftFactor)+tuning.LeaseMargin {
 		return false
 	}
-	w.State = w.State.Next(LeaseEnded)
+	w.State = w.State.Next(EventLeaseExpired)
 	return true
 }
 
-// Release is a claim whose end is proven.
-type Release struct {
-	ID    jobs.TaskID
+// ProvenEnd is a claim whose end is proven.
+type ProvenEnd struct {
+	Task  jobs.TaskID
 	Kind  jobs.TaskEventKind
 	Cause string
 }
 
-// NothingToProve reports whether Proofs would return nothing: it did, and since
+// NothingToReconcile reports whether Proofs would return nothing: it did, and since
 // then nothing has changed, nor has the session's lease ended.
-func (w *Worker) NothingToProve(now time.Time, lease time.Duration) bool {
-	return w.nothingToProve && !w.LeaseOver(now, lease)
+func (w *Worker) NothingToReconcile(now time.Time, lease time.Duration) bool {
+	return w.nothingToReconcile && !w.ExpireLease(now, lease)
 }
 
-// Settled reports whether nothing is due for the machine until something
+// Quiescent reports whether nothing is due for the machine until something
 // changes or time passes: no command, no proof, no start that may yet arrive.
-func (w *Worker) Settled() bool {
-	return w.NoPendingCommands && w.nothingToProve && len(w.Stopping) == 0 && len(w.unanswered) == 0
+func (w *Worker) Quiescent() bool {
+	return w.NoPendingCommands && w.nothingToReconcile && len(w.Stopping) == 0 && len(w.pendingStarts) == 0
 }
 
-// claimOf is a claim on the machine as package recovery takes it; j is nil if there
+// desiredTask is a claim on the machine as package recovery takes it; j is nil if there
 // is none.
-func claimOf(j *jobs.Job, t jobs.Task) recovery.Claim {
+func desiredTask(j *jobs.Job, t jobs.Task) recovery.Claim {
 	if j == nil {
 		return recovery.Claim{}
 	}
 	return recovery.Claim{Stored: true, Open: j.Phase == jobs.Open, Cancelled: j.Phase == jobs.Cancelled, Attempt: t.Attempt, Session: t.Session}
 }
 
-// listedOf is a task of a report as package recovery takes it.
-func listedOf(s wire.TaskStatus, on bool) recovery.Listed {
+// observedTask is a task of a report as package recovery takes it.
+func observedTask(s wire.TaskStatus, on bool) recovery.Listed {
 	l := recovery.Listed{Attempt: s.Attempt}
 	switch {
 	case !on:
@@ -468,30 +468,30 @@
 	return l
 }
 
-// session is the worker's session as package recovery takes it.
-func (w *Worker) session() recovery.Session {
-	s := recovery.Session{Number: w.Session}
+// observedWorker is the worker's session as package recovery takes it.
+func (w *Worker) observedWorker() recovery.Session {
+	s := recovery.Session{Number: w.Incarnation}
 	switch w.State {
-	case Proven:
+	case TokenAcknowledged:
 		s.State = recovery.Proven
-	case Expired:
+	case LeaseExpired:
 		s.State = recovery.Ended
 	}
 	return s
 }
 
-// Proofs returns the claims on the machine whose attempts have surely ended.
+// ProvenEnds returns the claims on the machine whose attempts have surely ended.
 // claims are those stored for this machine.
-func (w *Worker) Proofs(claims map[jobs.TaskID]*jobs.Job, now time.Time, lease time.Duration) []Release {
-	w.LeaseOver(now, lease)
-	session := w.session()
-	var out []Release
-	defer func() { w.nothingToProve = len(out) == 0 }()
+func (w *Worker) ProvenEnds(claims map[jobs.TaskID]*jobs.Job, now time.Time, lease time.Duration) []ProvenEnd {
+	w.ExpireLease(now, lease)
+	session := w.observedWorker()
+	var out []ProvenEnd
+	defer func() { w.nothingToReconcile = len(out) == 0 }()
 	for id, j := range claims {
 		t := j.Live[id.Task]
 		s, on := w.Tasks[id]
 		session.NeverRan = j.Phase == jobs.Cancelled && w.neverRan(Attempt{id, t.Attempt})
-		record, reason := recovery.Proof(claimOf(j, t), listedOf(s, on), session)
+		record, reason := recovery.Proof(desiredTask(j, t), observedTask(s, on), session)
 		if record == recovery.NoRecord {
 			continue
 		}
@@ -499,14 +499,14 @@
 		if reason == recovery.ReasonExited {
 			cause = s.ExitCause
 		}
-		out = append(out, Release{id, releaseKinds[record], cause})
+		out = append(out, ProvenEnd{id, endEvents[record], cause})
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].ID.Less(out[b].ID) })
+	sort.Slice(out, func(a, b int) bool { return out[a].Task.Less(out[b].Task) })
 	return out
 }
 
-// releaseKinds are the events of a claim's task that the proofs lead to.
-var releaseKinds = map[recovery.Record]jobs.TaskEventKind{
+// endEvents are the events of a claim's task that the proofs lead to.
+var endEvents = map[recovery.Record]jobs.TaskEventKind{
 	recovery.RecordDone: jobs.Complete, recovery.RecordFailed: jobs.Fail, recovery.RecordFree: jobs.Release,
 }
 
@@ -515,26 +515,26 @@
 
 // Channels to a worker.
 const (
-	InAnswer Channel = iota // the answer to a report
-	Direct                  // a call of ours
+	HeartbeatAnswer Channel = iota // the answer to a report
+	DirectCall                     // a call of ours
 )
 
 // CommandOptions say how commands are about to go, and which starts may.
 type CommandOptions struct {
-	Channel  Channel
-	MayStart bool // the state service can be read
-	Now      time.Time
+	Channel     Channel
+	AllowStarts bool // the state service can be read
+	Now         time.Time
 	// AwaitCall keeps a start out of an answer while a direct call that holds it
 	// has just been sent.
 	AwaitCall bool
-	// Resend is how long a start that went directly is not sent so again.
-	Resend time.Duration
-	// Repeat is how long a start that went in an answer to a report is not sent
+	// ResendAfter is how long a start that went directly is not sent so again.
+	ResendAfter time.Duration
+	// RepeatAfter is how long a start that went in an answer to a report is not sent
 	// again directly: until the next report shows what came of it.
-	Repeat time.Duration
-	// Admit takes a start that is due from the rate of starts; false if it has to
+	RepeatAfter time.Duration
+	// AdmitStart takes a start that is due from the rate of starts; false if it has to
 	// wait. nil: there is no bound.
-	Admit func(j *jobs.Job) bool
+	AdmitStart func(j *jobs.Job) bool
 }
 
 // Commands returns the commands that the stored claims call for. postponed says
@@ -542,11 +542,11 @@
 // travel in report responses only: a start in the response to an earlier report
 // is then surely over, while a direct reap could overtake it.
 func (w *Worker) Commands(claims map[jobs.TaskID]*jobs.Job, o CommandOptions) (out []wire.Command, postponed bool) {
-	if w.State == Expired {
+	if w.State == LeaseExpired {
 		return nil, false
 	}
-	session := w.session()
-	session.MayStart = o.MayStart
+	session := w.observedWorker()
+	session.MayStart = o.AllowStarts
 	zero := 0.0
 	for _, id := range w.taskIDs(claims) {
 		if len(out) >= tuning.TasksPerMachine {
@@ -558,9 +558,9 @@
 			t = j.Live[id.Task]
 		}
 		s, on := w.Tasks[id]
-		session.StartHeld = on && w.mayStart(Attempt{id, s.Attempt})
+		session.StartHeld = on && w.isStartPending(Attempt{id, s.Attempt})
 		session.Stopping = w.Stopping[id]
-		d := recovery.Orders(claimOf(j, t), listedOf(s, on), session)
+		d := recovery.Orders(desiredTask(j, t), observedTask(s, on), session)
 		switch d.Stop {
 		case recovery.Kill:
 			out = append(out, wire.Command{Verb: wire.VerbKill, Task: s.Task, Attempt: s.Attempt, GracePeriodS: &zero})
@@ -576,7 +576,7 @@
 		if !d.Start {
 			continue
 		}
-		if w.startUnderWay(Attempt{id, t.Attempt}, o) || o.Admit != nil && !o.Admit(j) {
+		if w.startInFlight(Attempt{id, t.Attempt}, o) || o.AdmitStart != nil && !o.AdmitStart(j) {
 			postponed = true
 			continue
 		}
@@ -585,23 +585,23 @@
 	return out, postponed
 }
 
-// startUnderWay reports whether a start of the attempt has gone to the worker,
+// startInFlight reports whether a start of the attempt has gone to the worker,
 // and what came of it will show by itself: a direct call that has not ended, or
 // the answer to a report that no later one has followed. Guards against telling
 // workers twice what they are about to do: after an outage of all nodes, a fifth
 // of the starts were.
-func (w *Worker) startUnderWay(a Attempt, o CommandOptions) bool {
-	if o.Channel == InAnswer {
+func (w *Worker) startInFlight(a Attempt, o CommandOptions) bool {
+	if o.Channel == HeartbeatAnswer {
 		// The report is newer than any answer before it. A call that takes long
 		// may never arrive, while answers do.
-		return o.AwaitCall && w.Calling && w.mayStart(a) && o.Now.Sub(w.Called) < tuning.StartCallGrace
+		return o.AwaitCall && w.CallInFlight && w.isStartPending(a) && o.Now.Sub(w.LastCall) < tuning.StartCallGrace
 	}
 	start := CommandKey{wire.VerbStart, commandTask(a.ID.String(), a.Number)}
-	if sent, ok := w.Sent[start]; ok && o.Now.Sub(sent) <= o.Resend {
+	if sent, ok := w.SentCommands[start]; ok && o.Now.Sub(sent) <= o.ResendAfter {
 		return true
 	}
-	_, answered := w.started[a]
-	return answered && o.Now.Sub(w.Answered) < o.Repeat
+	_, answered := w.answeredStarts[a]
+	return answered && o.Now.Sub(w.LastAnswered) < o.RepeatAfter
 }
 
 // taskIDs lists the tasks that are claimed for the machine or listed by it, in
@@ -620,8 +620,8 @@
 	return ids
 }
 
-// Starts lists the attempts that a list of commands starts.
-func Starts(commands []wire.Command) []Attempt {
+// StartedAttempts lists the attempts that a list of commands starts.
+func StartedAttempts(commands []wire.Command) []Attempt {
 	var out []Attempt
 	for _, o := range commands {
 		if o.Verb != wire.VerbStart {
--- a/internal/fleet/worker_test.go
+++ b/internal/fleet/worker_test.go
@@ -45,15 +45,15 @@
 	claims := claimed(t, 1, 1, jobs.Open)
 	w := NewWorker("h")
 	exited := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}
-	w.Observe(report(1, 1, 4, exited), 5, t0)
-	if p := w.Proofs(claims, t0, lease); len(p) != 0 {
+	w.ApplyHeartbeat(report(1, 1, 4, exited), 5, t0)
+	if p := w.ProvenEnds(claims, t0, lease); len(p) != 0 {
 		t.Fatalf("released at an old token: %v", p)
 	}
 	if o := answerTo(w, nil, true); len(o) != 0 {
 		t.Fatalf("reaped at an old token: %v", o)
 	}
-	w.Observe(report(1, 2, 5, exited), 5, t0)
-	p := w.Proofs(claims, t0, lease)
+	w.ApplyHeartbeat(report(1, 2, 5, exited), 5, t0)
+	p := w.ProvenEnds(claims, t0, lease)
 	if len(p) != 1 || p[0].Kind != jobs.Complete {
 		t.Fatalf("not released at our token: %v", p)
 	}
@@ -62,12 +62,12 @@
 func TestAbsenceProvesNothingAndANewStintDoes(t *testing.T) {
 	claims := claimed(t, 1, 1, jobs.Open)
 	w := NewWorker("h")
-	w.Observe(report(1, 1, 5), 5, t0)
-	if p := w.Proofs(claims, t0.Add(time.Hour/100), lease); len(p) != 0 {
+	w.ApplyHeartbeat(report(1, 1, 5), 5, t0)
+	if p := w.ProvenEnds(claims, t0.Add(time.Hour/100), lease); len(p) != 0 {
 		t.Fatalf("absence released a task: %v", p)
 	}
-	w.Observe(report(2, 2, 5), 5, t0)
-	if p := w.Proofs(claims, t0, lease); len(p) != 1 || p[0].Kind != jobs.Release {
+	w.ApplyHeartbeat(report(2, 2, 5), 5, t0)
+	if p := w.ProvenEnds(claims, t0, lease); len(p) != 1 || p[0].Kind != jobs.Release {
 		t.Fatalf("a new session at our token released %v", p)
 	}
 }
@@ -75,29 +75,29 @@
 func TestALeaseEndsOnlyAfterOurLastAnswer(t *testing.T) {
 	claims := claimed(t, 1, 1, jobs.Open)
 	w := NewWorker("h")
-	w.Observe(report(1, 1, 4), 5, t0)
-	if w.LeaseOver(t0.Add(time.Hour), lease) {
+	w.ApplyHeartbeat(report(1, 1, 4), 5, t0)
+	if w.ExpireLease(t0.Add(time.Hour), lease) {
 		t.Fatal("a lease that an old owner may renew was taken to have ended")
 	}
-	w.Observe(report(1, 2, 5), 5, t0.Add(time.Second))
-	w.Answered = t0.Add(10 * time.Second)
-	if w.LeaseOver(w.Answered.Add(lease), lease) {
+	w.ApplyHeartbeat(report(1, 2, 5), 5, t0.Add(time.Second))
+	w.LastAnswered = t0.Add(10 * time.Second)
+	if w.ExpireLease(w.LastAnswered.Add(lease), lease) {
 		t.Fatal("the lease ended without a margin for drift")
 	}
-	at := w.Answered.Add(lease + lease/100 + tuning.LeaseMargin)
-	if p := w.Proofs(claims, at, lease); len(p) != 1 || w.State != Expired {
+	at := w.LastAnswered.Add(lease + lease/100 + tuning.LeaseMargin)
+	if p := w.ProvenEnds(claims, at, lease); len(p) != 1 || w.State != LeaseExpired {
 		t.Fatalf("an ended lease released %v in state %s", p, w.State)
 	}
 	if o := answerTo(w, claims, true); len(o) != 0 {
 		t.Fatalf("an ended session got orders: %v", o)
 	}
 	// A late report of the ended session must not revive it.
-	w.Observe(report(1, 3, 5), 5, at)
-	if w.State != Expired {
+	w.ApplyHeartbeat(report(1, 3, 5), 5, at)
+	if w.State != LeaseExpired {
 		t.Fatalf("a late report made the session %s", w.State)
 	}
-	w.Observe(report(2, 4, 5), 5, at)
-	if w.State != Proven {
+	w.ApplyHeartbeat(report(2, 4, 5), 5, at)
+	if w.State != TokenAcknowledged {
 		t.Fatalf("a new session at our token is %s", w.State)
 	}
 }
@@ -106,18 +106,18 @@
 	claims := claimed(t, 1, 1, jobs.Open)
 	w := NewWorker("h")
 	exited := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseError}
-	w.Observe(report(1, 1, 5, exited), 5, t0)
+	w.ApplyHeartbeat(report(1, 1, 5, exited), 5, t0)
 	if o := verbs(answerTo(w, claims, true)); o != "" {
 		t.Fatalf("with the claim stored: %s", o)
 	}
 	a := Attempt{jobs.TaskID{Job: "wk-1", Task: 0}, 1}
-	w.StartSent([]Attempt{a}, 5)
+	w.StartsSent([]Attempt{a}, 5)
 	if o := verbs(answerTo(w, nil, true)); o != "" {
 		t.Fatalf("reaped while a start may still arrive: %s", o)
 	}
 	// A higher token shown by the worker kills the late start.
 	w.RaiseToken()
-	w.Observe(report(1, 2, 6, exited), 6, t0)
+	w.ApplyHeartbeat(report(1, 2, 6, exited), 6, t0)
 	if o := verbs(answerTo(w, nil, true)); o != "reap " {
 		t.Fatalf("after the release: %q", o)
 	}
@@ -129,13 +129,13 @@
 	w := NewWorker("h")
 	exited := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseStopped}
 	a := []Attempt{{jobs.TaskID{Job: "wk-1", Task: 0}, 1}}
-	w.Observe(report(1, 1, 5, exited), 6, t0)
-	w.StartSent(a, 6)
-	w.Observe(report(1, 2, 6, exited), 6, t0)
-	if o := verbs(answerTo(w, nil, true)); w.State != Proven || o != "" {
+	w.ApplyHeartbeat(report(1, 1, 5, exited), 6, t0)
+	w.StartsSent(a, 6)
+	w.ApplyHeartbeat(report(1, 2, 6, exited), 6, t0)
+	if o := verbs(answerTo(w, nil, true)); w.State != TokenAcknowledged || o != "" {
 		t.Fatalf("state %s, orders %q", w.State, o)
 	}
-	w.StartAnswered(a, 6, 1, 2)
+	w.StartsAnswered(a, 6, 1, 2)
 	if o := verbs(answerTo(w, nil, true)); o != "reap " {
 		t.Fatalf("after the answer: %q", o)
 	}
@@ -160,7 +160,7 @@
 		{"an older attempt is killed first", claimed(t, 1, 2, jobs.Open), []wire.TaskStatus{run}, true, "kill start "},
 	} {
 		w := NewWorker("h")
-		w.Observe(report(1, 1, 5, c.shards...), 5, t0)
+		w.ApplyHeartbeat(report(1, 1, 5, c.shards...), 5, t0)
 		if got := verbs(answerTo(w, c.claims, c.start)); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
@@ -174,12 +174,12 @@
 	id := jobs.TaskID{Job: "wk-1", Task: 0}
 	w := NewWorker("h")
 	w.Stopping[id] = true
-	w.Observe(report(1, 1, 5, wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseStopped}), 5, t0)
-	w.KeepStopping(claims)
-	if !w.Leaves(id) {
+	w.ApplyHeartbeat(report(1, 1, 5, wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseStopped}), 5, t0)
+	w.PruneStopping(claims)
+	if !w.IsLeaving(id) {
 		t.Fatal("the task no longer leaves")
 	}
-	w.KeepStopping(nil)
+	w.PruneStopping(nil)
 	if w.Stopping[id] {
 		t.Fatal("the wish outlived the claim")
 	}
@@ -187,8 +187,8 @@
 
 func TestOldReportsChangeNothing(t *testing.T) {
 	w := NewWorker("h")
-	w.Observe(report(2, 9, 5, wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}), 5, t0)
-	if w.Observe(report(2, 8, 5), 5, t0) || w.Observe(report(1, 99, 5), 5, t0) || len(w.Tasks) != 1 {
+	w.ApplyHeartbeat(report(2, 9, 5, wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}), 5, t0)
+	if w.ApplyHeartbeat(report(2, 8, 5), 5, t0) || w.ApplyHeartbeat(report(1, 99, 5), 5, t0) || len(w.Tasks) != 1 {
 		t.Fatal("an older report was taken")
 	}
 }
@@ -198,23 +198,23 @@
 func TestALateCopyIsNoNewReport(t *testing.T) {
 	w := NewWorker("h1")
 	first := &wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: 5, FencingToken: 7}
-	if w.Copy(first) {
+	if w.IsStale(first) {
 		t.Fatal("the first report is no copy")
 	}
-	w.Observe(first, 7, t0)
-	w.Answer(first, nil, t0)
+	w.ApplyHeartbeat(first, 7, t0)
+	w.HeartbeatAnswered(first, nil, t0)
 	for _, c := range []struct {
 		session, sequence uint64
 		want              bool
 	}{{2, 5, true}, {2, 4, true}, {1, 99, true}, {2, 6, false}, {3, 1, false}} {
-		if got := w.Copy(&wire.Heartbeat{Machine: "h1", Incarnation: c.session, Sequence: c.sequence}); got != c.want {
+		if got := w.IsStale(&wire.Heartbeat{Machine: "h1", Incarnation: c.session, Sequence: c.sequence}); got != c.want {
 			t.Errorf("session %d sequence %d: copy %v", c.session, c.sequence, got)
 		}
 	}
 	// The answer to a direct call overtook a report that is still under way:
 	// that report is answered, and its answer renews the lease.
-	w.Observe(&wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: 9, FencingToken: 7}, 7, t0)
-	if w.Copy(&wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: 8}) {
+	w.ApplyHeartbeat(&wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: 9, FencingToken: 7}, 7, t0)
+	if w.IsStale(&wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: 8}) {
 		t.Fatal("an overtaken report is taken for a copy")
 	}
 }
@@ -225,8 +225,8 @@
 	report := func(commands ...wire.Command) {
 		sequence++
 		r := &wire.Heartbeat{Machine: "h1", Incarnation: 1, Sequence: sequence, FencingToken: 7}
-		w.Observe(r, 7, now)
-		w.Answer(r, commands, now)
+		w.ApplyHeartbeat(r, 7, now)
+		w.HeartbeatAnswered(r, commands, now)
 	}
 	start := wire.Command{Verb: wire.VerbStart, Task: "wk-1/0", Attempt: 1}
 	report(start)
@@ -247,15 +247,15 @@
 	report(start)
 	now = now.Add(2 * tuning.ConfirmAfter)
 	report(start)
-	if w.Reached(); w.Unresponsive {
+	if w.CallAnswered(); w.Unresponsive {
 		t.Fatal("unresponsive though it answered a direct call")
 	}
 	report(start)
 	now = now.Add(2 * tuning.ConfirmAfter)
-	w.Observe(&wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: sequence + 1, FencingToken: 7}, 7, now)
+	w.ApplyHeartbeat(&wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: sequence + 1, FencingToken: 7}, 7, now)
 	r := &wire.Heartbeat{Machine: "h1", Incarnation: 2, Sequence: sequence + 2, FencingToken: 7}
-	w.Observe(r, 7, now)
-	if w.Answer(r, []wire.Command{start}, now); w.Unresponsive {
+	w.ApplyHeartbeat(r, 7, now)
+	if w.HeartbeatAnswered(r, []wire.Command{start}, now); w.Unresponsive {
 		t.Fatal("orders of an earlier session count against the new one")
 	}
 }
@@ -267,15 +267,15 @@
 	gb := func(im string) float64 { return size[im] }
 	w := NewWorker("h")
 	for _, im := range []string{"a", "b", "c", "a"} {
-		w.NoteImage(im, gb, 100)
+		w.RecordImage(im, gb, 100)
 	}
 	if got := strings.Join(w.Images, " "); got != "b c a" {
 		t.Fatalf("holds %q", got)
 	}
-	if w.NoteImage("big", gb, 100); strings.Join(w.Images, " ") != "big" {
+	if w.RecordImage("big", gb, 100); strings.Join(w.Images, " ") != "big" {
 		t.Fatalf("holds %q beside an image that leaves no room", w.Images)
 	}
-	if w.NoteImage("a", gb, 0); strings.Join(w.Images, " ") != "big a" {
+	if w.RecordImage("a", gb, 0); strings.Join(w.Images, " ") != "big a" {
 		t.Fatalf("holds %q though the disk is not known", w.Images)
 	}
 }
@@ -294,76 +294,76 @@
 		want  bool
 	}{
 		{"nothing was sent", jobs.Cancelled, func(*Worker) {}, true},
-		{"an older attempt is still listed", jobs.Cancelled, func(w *Worker) { w.Observe(report(1, 4, 5, older), 5, t0) }, true},
+		{"an older attempt is still listed", jobs.Cancelled, func(w *Worker) { w.ApplyHeartbeat(report(1, 4, 5, older), 5, t0) }, true},
 		{"the job may run yet", jobs.Open, func(*Worker) {}, false},
 		{"our token is not shown", jobs.Cancelled, func(w *Worker) { w.RaiseToken() }, false},
 		{"the last answer held the start", jobs.Cancelled, func(w *Worker) {
-			w.Answer(report(1, 3, 5), start, t0)
+			w.HeartbeatAnswered(report(1, 3, 5), start, t0)
 		}, false},
 		{"a direct call was answered meanwhile", jobs.Cancelled, func(w *Worker) {
-			w.Answer(report(1, 3, 5), start, t0)
-			w.Observe(report(1, 5, 5), 5, t0) // before the answer to the report came
-			w.Reached()
+			w.HeartbeatAnswered(report(1, 3, 5), start, t0)
+			w.ApplyHeartbeat(report(1, 5, 5), 5, t0) // before the answer to the report came
+			w.CallAnswered()
 		}, false},
 		{"a report came after the answer that held it", jobs.Cancelled, func(w *Worker) {
-			w.Answer(report(1, 3, 5), start, t0)
-			w.Observe(report(1, 4, 5), 5, t0)
-			w.Answer(report(1, 4, 5), nil, t0)
+			w.HeartbeatAnswered(report(1, 3, 5), start, t0)
+			w.ApplyHeartbeat(report(1, 4, 5), 5, t0)
+			w.HeartbeatAnswered(report(1, 4, 5), nil, t0)
 		}, true},
 		{"a direct start is not answered", jobs.Cancelled, func(w *Worker) {
-			w.StartSent([]Attempt{a}, 5)
-			w.Observe(report(1, 9, 5), 5, t0)
-			w.Answer(report(1, 9, 5), nil, t0)
+			w.StartsSent([]Attempt{a}, 5)
+			w.ApplyHeartbeat(report(1, 9, 5), 5, t0)
+			w.HeartbeatAnswered(report(1, 9, 5), nil, t0)
 		}, false},
 		{"it is answered, and the answer not observed", jobs.Cancelled, func(w *Worker) {
-			w.StartSent([]Attempt{a}, 5)
-			w.StartAnswered([]Attempt{a}, 5, 1, 9)
+			w.StartsSent([]Attempt{a}, 5)
+			w.StartsAnswered([]Attempt{a}, 5, 1, 9)
 		}, false},
 		{"it is answered, and a report that was sent before comes", jobs.Cancelled, func(w *Worker) {
-			w.StartSent([]Attempt{a}, 5)
-			w.StartAnswered([]Attempt{a}, 5, 1, 9)
-			w.Observe(report(1, 8, 5), 5, t0)
-			w.Answer(report(1, 8, 5), nil, t0)
+			w.StartsSent([]Attempt{a}, 5)
+			w.StartsAnswered([]Attempt{a}, 5, 1, 9)
+			w.ApplyHeartbeat(report(1, 8, 5), 5, t0)
+			w.HeartbeatAnswered(report(1, 8, 5), nil, t0)
 		}, false},
 		{"it is made void, and the token not shown", jobs.Cancelled, func(w *Worker) {
-			w.StartSent([]Attempt{a}, 5)
-			w.InvalidateStarts(5 + tuning.TokenSpan)
-			w.Observe(report(1, 9, 5), 5, t0)
-			w.Answer(report(1, 9, 5), nil, t0)
+			w.StartsSent([]Attempt{a}, 5)
+			w.FencePendingStarts(5 + tuning.TokenSpan)
+			w.ApplyHeartbeat(report(1, 9, 5), 5, t0)
+			w.HeartbeatAnswered(report(1, 9, 5), nil, t0)
 		}, false},
 		{"it is made void, and the token shown", jobs.Cancelled, func(w *Worker) {
-			w.StartSent([]Attempt{a}, 5)
-			w.InvalidateStarts(5 + tuning.TokenSpan)
-			w.Observe(report(1, 9, 5+tuning.InvalidateStep), 5, t0)
-			w.Answer(report(1, 9, 5+tuning.InvalidateStep), nil, t0)
+			w.StartsSent([]Attempt{a}, 5)
+			w.FencePendingStarts(5 + tuning.TokenSpan)
+			w.ApplyHeartbeat(report(1, 9, 5+tuning.InvalidateStep), 5, t0)
+			w.HeartbeatAnswered(report(1, 9, 5+tuning.InvalidateStep), nil, t0)
 		}, true},
 		{"it was sent under the raised token", jobs.Cancelled, func(w *Worker) {
-			w.StartSent([]Attempt{a}, 5)
-			w.InvalidateStarts(5 + tuning.TokenSpan)
-			w.StartSent([]Attempt{a}, w.Token)
-			w.Observe(report(1, 9, w.Token), 5, t0)
-			w.Answer(report(1, 9, w.Token), nil, t0)
+			w.StartsSent([]Attempt{a}, 5)
+			w.FencePendingStarts(5 + tuning.TokenSpan)
+			w.StartsSent([]Attempt{a}, w.FencingToken)
+			w.ApplyHeartbeat(report(1, 9, w.FencingToken), 5, t0)
+			w.HeartbeatAnswered(report(1, 9, w.FencingToken), nil, t0)
 		}, false},
 	} {
 		claims := claimed(t, 1, 2, c.phase)
 		w := NewWorker("h")
-		w.Observe(report(1, 3, 5), 5, t0)
-		w.Answer(report(1, 3, 5), nil, t0)
+		w.ApplyHeartbeat(report(1, 3, 5), 5, t0)
+		w.HeartbeatAnswered(report(1, 3, 5), nil, t0)
 		c.do(w)
-		if p := w.Proofs(claims, t0, lease); (len(p) == 1) != c.want {
+		if p := w.ProvenEnds(claims, t0, lease); (len(p) == 1) != c.want {
 			t.Errorf("%s: released %v, want %v", c.name, p, c.want)
 		}
 	}
 	// The tokens of a membership are used up: nothing is raised beyond it.
 	w := NewWorker("h")
-	w.Observe(report(1, 3, 5), 5, t0)
+	w.ApplyHeartbeat(report(1, 3, 5), 5, t0)
 	for i := range 20 {
-		w.StartSent([]Attempt{a}, w.Token)
-		if w.InvalidateStarts(5 + tuning.TokenSpan - 1); w.Token > 5+tuning.TokenSpan-1 {
-			t.Fatalf("token %d after %d raises", w.Token, i+1)
+		w.StartsSent([]Attempt{a}, w.FencingToken)
+		if w.FencePendingStarts(5 + tuning.TokenSpan - 1); w.FencingToken > 5+tuning.TokenSpan-1 {
+			t.Fatalf("token %d after %d raises", w.FencingToken, i+1)
 		}
 	}
-	if w.InvalidateStarts(5 + tuning.TokenSpan - 1) {
+	if w.FencePendingStarts(5 + tuning.TokenSpan - 1) {
 		t.Fatal("raised beyond the membership")
 	}
 }
@@ -380,25 +380,25 @@
 		want bool
 	}{
 		{"nothing happens", t0, func(*Worker) {}, true},
-		{"an old report comes", t0, func(w *Worker) { w.Observe(report(1, 3, 5), 5, t0) }, true},
-		{"a newer report comes", t0, func(w *Worker) { w.Observe(report(1, 4, 5), 5, t0) }, false},
-		{"a new session begins", t0, func(w *Worker) { w.Observe(report(2, 1, 5), 5, t0) }, false},
-		{"a claim comes, goes, or its job ends", t0, func(w *Worker) { w.Changed() }, false},
+		{"an old report comes", t0, func(w *Worker) { w.ApplyHeartbeat(report(1, 3, 5), 5, t0) }, true},
+		{"a newer report comes", t0, func(w *Worker) { w.ApplyHeartbeat(report(1, 4, 5), 5, t0) }, false},
+		{"a new session begins", t0, func(w *Worker) { w.ApplyHeartbeat(report(2, 1, 5), 5, t0) }, false},
+		{"a claim comes, goes, or its job ends", t0, func(w *Worker) { w.MarkChanged() }, false},
 		{"the membership changes", t0, func(w *Worker) { w.RaiseToken() }, false},
-		{"a task is to stop", t0, func(w *Worker) { w.Stop(start[0].ID) }, false},
-		{"a report is answered", t0, func(w *Worker) { w.Answer(report(1, 3, 5), nil, t0) }, false},
-		{"a direct start is answered", t0, func(w *Worker) { w.StartAnswered(start, 5, 1, 3) }, false},
+		{"a task is to stop", t0, func(w *Worker) { w.RequestStop(start[0].ID) }, false},
+		{"a report is answered", t0, func(w *Worker) { w.HeartbeatAnswered(report(1, 3, 5), nil, t0) }, false},
+		{"a direct start is answered", t0, func(w *Worker) { w.StartsAnswered(start, 5, 1, 3) }, false},
 		{"the lease goes on", t0.Add(lease), func(*Worker) {}, true},
 		{"the lease has ended", t0.Add(lease + 5*time.Second), func(*Worker) {}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := NewWorker("h1")
-			w.Observe(report(1, 3, 5), 5, t0)
-			if got := w.Proofs(claimed(t, 1, 2, jobs.Open), t0, lease); len(got) != 0 {
+			w.ApplyHeartbeat(report(1, 3, 5), 5, t0)
+			if got := w.ProvenEnds(claimed(t, 1, 2, jobs.Open), t0, lease); len(got) != 0 {
 				t.Fatalf("%v is proven", got)
 			}
 			c.do(w)
-			if got := w.NothingToProve(c.at, lease); got != c.want {
+			if got := w.NothingToReconcile(c.at, lease); got != c.want {
 				t.Errorf("nothing to prove: %v", got)
 			}
 		})
@@ -407,6 +407,6 @@
 
 // answerTo is the commands of the answer to a report.
 func answerTo(w *Worker, claims map[jobs.TaskID]*jobs.Job, mayStart bool) []wire.Command {
-	out, _ := w.Commands(claims, CommandOptions{Channel: InAnswer, MayStart: mayStart})
+	out, _ := w.Commands(claims, CommandOptions{Channel: HeartbeatAnswer, AllowStarts: mayStart})
 	return out
 }
--- a/internal/server/displace.go
+++ b/internal/server/displace.go
@@ -30,7 +30,7 @@
 		}
 		rec := n.reg.Hosts[m.Name]
 		w := n.workers[m.Name]
-		if w == nil || m.Role == place.Service && rec.Phase == fleet.In && w.TakenAt.IsZero() {
+		if w == nil || m.Role == place.Service && rec.Phase == fleet.In && w.TerminationAt.IsZero() {
 			continue
 		}
 		for _, r := range m.Tasks {
--- a/internal/server/fleetview.go
+++ b/internal/server/fleetview.go
@@ -91,7 +91,7 @@
 // looks at; mu is held.
 func (n *Node) settle() {
 	for host := range n.view.active {
-		if w := n.workers[host]; w == nil || w.Settled() {
+		if w := n.workers[host]; w == nil || w.Quiescent() {
 			delete(n.view.active, host)
 		}
 	}
@@ -130,8 +130,8 @@
 // machine that is gone. And only one whose reports come: one that answers calls
 // and can't report ends with its lease. mu is held.
 func (n *Node) takesTasks(w *fleet.Worker, now time.Time, silent time.Duration) bool {
-	return w != nil && w.State == fleet.Proven && now.Sub(w.Heard) < silent && now.Sub(w.Renewed()) < silent &&
-		w.TakenAt.IsZero() && !n.unfit(w, now)
+	return w != nil && w.State == fleet.TokenAcknowledged && now.Sub(w.LastHeard) < silent && now.Sub(w.LeaseRenewedAt()) < silent &&
+		w.TerminationAt.IsZero() && !n.unfit(w, now)
 }
 
 // refreshRecords looks at the machine records that have changed: most of them only
@@ -219,7 +219,7 @@
 	m.worker, m.usable, m.Session, m.Images = nil, false, 0, nil
 	if m.Owner == n.self.Label {
 		if m.worker = n.workers[m.Name]; m.worker != nil {
-			m.Session, m.Images = m.worker.Session, m.worker.Images
+			m.Session, m.Images = m.worker.Incarnation, m.worker.Images
 		}
 	} else if s := n.siblings[m.Owner]; s != nil {
 		if h, ok := s.hosts[m.Name]; ok {
@@ -230,10 +230,10 @@
 	m.Free, m.Freeing = m.Total.Sub(n.table.Needs[m.Name]), jobs.Resources{}
 	m.Tasks = m.Tasks[:0]
 	for id, j := range n.table.Hosts[m.Name] {
-		stopping := j.Phase != jobs.Open || n.workers[m.Name] != nil && n.workers[m.Name].Leaves(id)
+		stopping := j.Phase != jobs.Open || n.workers[m.Name] != nil && n.workers[m.Name].IsLeaving(id)
 		resident := place.Resident{ID: id, Job: j, Stopping: stopping}
 		if m.worker != nil {
-			resident.Began = m.worker.Began[id]
+			resident.Began = m.worker.RunningSince[id]
 		}
 		m.Tasks = append(m.Tasks, resident)
 		if stopping {
--- a/internal/server/meetings_test.go
+++ b/internal/server/meetings_test.go
@@ -560,7 +560,7 @@
 				}
 				n.mu.Lock()
 				for host, w := range n.workers {
-					if w.State == fleet.Proven {
+					if w.State == fleet.TokenAcknowledged {
 						x.t.Errorf("%s is %s by an old report", host, w.State)
 					}
 				}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -351,10 +351,10 @@
 func (n *Node) countHeard(now time.Time) (heard, silent int) {
 	silentAfter := n.silentAfter()
 	for host, w := range n.workers {
-		if n.ownerOf(host) != n.self.Label || w.Heard.IsZero() {
+		if n.ownerOf(host) != n.self.Label || w.LastHeard.IsZero() {
 			continue
 		}
-		if now.Sub(w.Heard) < silentAfter {
+		if now.Sub(w.LastHeard) < silentAfter {
 			heard++
 		} else if len(n.table.Hosts[host]) > 0 && now.Sub(n.raisedAt) > silentAfter {
 			silent++
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -162,7 +162,7 @@
 	n.table.Moved = func(host string) {
 		n.view.touch(host)
 		if w := n.workers[host]; w != nil {
-			w.Changed()
+			w.MarkChanged()
 		}
 	}
 	n.cache = store.NewCache(n.sink)
@@ -303,5 +303,5 @@
 
 // unfit reports whether a machine should get no tasks for now.
 func (n *Node) unfit(w *fleet.Worker, now time.Time) bool {
-	return w.Unresponsive || len(w.Errors) >= tuning.HostErrorsMax || now.Sub(w.Refused) < tuning.NoRoomPause
+	return w.Unresponsive || len(w.FailedJobs) >= tuning.HostErrorsMax || now.Sub(w.LastRefusal) < tuning.NoRoomPause
 }
--- a/internal/server/pass.go
+++ b/internal/server/pass.go
@@ -76,12 +76,12 @@
 // is held.
 func (n *Node) forgetOver(workers map[string]*fleet.Worker, now time.Time) {
 	for host, w := range workers {
-		if len(w.Stopping) > 0 && w.KeepStopping(n.table.Hosts[host]) {
+		if len(w.Stopping) > 0 && w.PruneStopping(n.table.Hosts[host]) {
 			n.view.touch(host)
 		}
 	}
 	for host, w := range n.failing {
-		if len(w.Errors) == 0 || n.workers[host] != w {
+		if len(w.FailedJobs) == 0 || n.workers[host] != w {
 			delete(n.failing, host)
 		}
 	}
@@ -106,7 +106,7 @@
 		}
 		n.stopTask(w, r.ID)
 		n.preemptedFor[r.For] = now
-		n.log.Debug("task stopped for a job of higher claim", "task", r.ID, "host", w.Host, "for", r.For)
+		n.log.Debug("task stopped for a job of higher claim", "task", r.ID, "host", w.Machine, "for", r.For)
 	}
 }
 
@@ -160,7 +160,7 @@
 		if n.ownerOf(host) == n.self.Label {
 			n.invalidateHeldStarts(w)
 			n.direct(w, now)
-		} else if n.reg.Key(host) == "" && now.Sub(w.Heard) > 2*n.set.Lease() {
+		} else if n.reg.Key(host) == "" && now.Sub(w.LastHeard) > 2*n.set.Lease() {
 			delete(n.workers, host)
 		}
 	}
@@ -192,7 +192,7 @@
 		LeastLoss: n.set.Operator.QuotaReservations}
 	avoid := map[string]map[string]bool{}
 	for host, w := range n.failing {
-		for jobID := range w.Errors {
+		for jobID := range w.FailedJobs {
 			if avoid[jobID] == nil {
 				avoid[jobID] = map[string]bool{}
 			}
--- a/internal/server/planinput.go
+++ b/internal/server/planinput.go
@@ -191,7 +191,7 @@
 // failing reports whether too many tasks failed lately on a machine of this node.
 func (b *planBuilder) failing(m *place.Machine) bool {
 	w := b.node.workers[m.Name]
-	return m.Owner == b.node.self.Label && w != nil && len(w.Errors) >= tuning.HostErrorsMax
+	return m.Owner == b.node.self.Label && w != nil && len(w.FailedJobs) >= tuning.HostErrorsMax
 }
 
 // addRented enters the machines that were hired and have no record yet.
@@ -217,8 +217,8 @@
 func (n *Node) lastHeard(now time.Time) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for host, w := range n.workers {
-		if !w.Heard.IsZero() {
-			out[host] = now.Sub(w.Heard)
+		if !w.LastHeard.IsZero() {
+			out[host] = now.Sub(w.LastHeard)
 		}
 	}
 	for _, s := range n.siblings {
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -61,15 +61,15 @@
 			continue
 		}
 		w := n.workers[host]
-		heard := w != nil && !w.Heard.IsZero()
-		state := recovery.StateOf(heard, heard && w.State == fleet.Proven, waited, patience)
+		heard := w != nil && !w.LastHeard.IsZero()
+		state := recovery.StateOf(heard, heard && w.State == fleet.TokenAcknowledged, waited, patience)
 		count[state]++
 		if !heard {
 			continue
 		}
 		for id, j := range n.table.Hosts[host] {
 			t := j.Live[id.Task]
-			if s, on := w.Tasks[id]; j.Phase == jobs.Open && t.Session == w.Session && (!on || s.Attempt < t.Attempt) {
+			if s, on := w.Tasks[id]; j.Phase == jobs.Open && t.Session == w.Incarnation && (!on || s.Attempt < t.Attempt) {
 				left[startClass(j)]++
 			}
 		}
--- a/internal/server/releases.go
+++ b/internal/server/releases.go
@@ -94,11 +94,11 @@
 	}
 	lease := n.set.Lease()
 	for host, w := range workers {
-		if w.NothingToProve(now, lease) || n.ownerOf(host) != n.self.Label || n.reg.Hosts[host].Phase == fleet.Returned {
+		if w.NothingToReconcile(now, lease) || n.ownerOf(host) != n.self.Label || n.reg.Hosts[host].Phase == fleet.Returned {
 			continue
 		}
-		for _, r := range w.Proofs(n.table.Hosts[host], now, lease) {
-			add(r.ID, r.Kind)
+		for _, r := range w.ProvenEnds(n.table.Hosts[host], now, lease) {
+			add(r.Task, r.Kind)
 		}
 	}
 	return changes
--- a/internal/server/scale_test.go
+++ b/internal/server/scale_test.go
@@ -89,7 +89,7 @@
 	w.fill(300, 0)
 	n := w.leader()
 	for _, m := range n.workers {
-		m.TakenAt = w.clk.now() // no machine takes tasks
+		m.TerminationAt = w.clk.now() // no machine takes tasks
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -278,7 +278,7 @@
 	}
 	proven := 0
 	for _, m := range l.workers {
-		if m.State == fleet.Proven {
+		if m.State == fleet.TokenAcknowledged {
 			proven++
 		}
 	}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -152,7 +152,7 @@
 	}
 	// Direct calls of the pass were not answered: a start may be under way.
 	n.mu.Lock()
-	n.workers["h1"].StartAnswered([]fleet.Attempt{{ID: jobs.TaskID{Job: "wk-1"}, Number: 1}}, b, 1, 1)
+	n.workers["h1"].StartsAnswered([]fleet.Attempt{{ID: jobs.TaskID{Job: "wk-1"}, Number: 1}}, b, 1, 1)
 	n.mu.Unlock()
 	_, body = n.take(w.report("h1", 1, b, exited))
 	if o := commandsOf(t, 200, body); len(o) != 1 || o[0].Verb != wire.VerbReap {
--- a/internal/server/siblings.go
+++ b/internal/server/siblings.go
@@ -159,12 +159,12 @@
 func (n *Node) refreshPublished(now time.Time) {
 	silent := n.silentAfter()
 	for host, w := range n.unpublished(now) {
-		if w.Heard.IsZero() {
+		if w.LastHeard.IsZero() {
 			continue
 		}
-		h := peer.Host{Name: host, Session: w.Session, Silent: now.Sub(w.Heard) > silent, Proven: w.State == fleet.Proven,
+		h := peer.Host{Name: host, Session: w.Incarnation, Silent: now.Sub(w.LastHeard) > silent, Proven: w.State == fleet.TokenAcknowledged,
 			Notice: -1, Suspect: n.unfit(w, now)}
-		if !w.TakenAt.IsZero() {
+		if !w.TerminationAt.IsZero() {
 			h.Notice = 0
 		}
 		t := n.published[host]
@@ -175,7 +175,7 @@
 			o.Suspect == h.Suspect && slices.Equal(o.Images, w.Images) {
 			continue
 		}
-		h.Age = now.Sub(w.Heard)
+		h.Age = now.Sub(w.LastHeard)
 		h.Images = slices.Clone(w.Images)
 		n.publishedView++
 		t.host, t.view = h, n.publishedView
--- a/internal/server/trouble_test.go
+++ b/internal/server/trouble_test.go
@@ -69,7 +69,7 @@
 	}
 	// It hears again: a direct call is answered.
 	n.mu.Lock()
-	n.workers["h1"].Reached()
+	n.workers["h1"].CallAnswered()
 	n.mu.Unlock()
 	w.prove("h1", 2)
 	w.submit(n, service("wk-4", 1))
@@ -90,7 +90,7 @@
 	for range 4 {
 		w.clk.add(lease)
 		w.sync()
-		w.prove("h1", n.workers["h1"].Session+1)
+		w.prove("h1", n.workers["h1"].Incarnation+1)
 		n.mu.Lock()
 		n.workers["h1"].Unresponsive = true
 		n.leadMemory().listAt = w.clk.now()
@@ -507,15 +507,15 @@
 	for _, c := range []struct {
 		name string
 		next func(*member.Record) uint64
-		want fleet.SessionState
+		want fleet.TokenState
 	}{
-		{"the next", func(r *member.Record) uint64 { return r.LastToken() + 1 }, fleet.Proven},
-		{"the one after it", func(r *member.Record) uint64 { return r.LastToken() + 2 }, fleet.Unproven},
-		{"an older version's, which takes a token of the one before", func(r *member.Record) uint64 { return r.FencingToken + 1 }, fleet.Unproven},
+		{"the next", func(r *member.Record) uint64 { return r.LastToken() + 1 }, fleet.TokenAcknowledged},
+		{"the one after it", func(r *member.Record) uint64 { return r.LastToken() + 2 }, fleet.TokenUnacknowledged},
+		{"an older version's, which takes a token of the one before", func(r *member.Record) uint64 { return r.FencingToken + 1 }, fleet.TokenUnacknowledged},
 	} {
 		n.mu.Lock()
 		r := *n.member
-		n.workers["h1"].State = fleet.Proven
+		n.workers["h1"].State = fleet.TokenAcknowledged
 		r.FencingToken, r.TokenRange = c.next(n.member), tuning.TokenSpan
 		err := n.applyMembership(wire.MustMarshal(r))
 		got := n.workers["h1"].State
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -54,35 +54,35 @@
 		return 421, wire.Redirect{Node: owner}
 	}
 	w := n.worker(r.Machine)
-	if w.Copy(r) {
+	if w.IsStale(r) {
 		return 503, wire.ErrorResponse{Error: "a newer report has been seen"}
 	}
-	if w.State == fleet.Expired && r.Incarnation <= w.Session {
+	if w.State == fleet.LeaseExpired && r.Incarnation <= w.Incarnation {
 		return 503, wire.ErrorResponse{Error: "session has ended"}
 	}
 	n.observe(w, r, now)
 	commands, _ := w.Commands(n.table.Hosts[r.Machine], fleet.CommandOptions{
-		Channel:   fleet.InAnswer,
-		MayStart:  stale < tuning.StateStale && n.startable(r.Machine),
-		Now:       now,
-		AwaitCall: !n.recovery.Over(),
-		Admit:     n.admitStart,
+		Channel:     fleet.HeartbeatAnswer,
+		AllowStarts: stale < tuning.StateStale && n.startable(r.Machine),
+		Now:         now,
+		AwaitCall:   !n.recovery.Over(),
+		AdmitStart:  n.admitStart,
 	})
 	if commands == nil {
 		commands = []wire.Command{}
 	}
 	before := w.Unresponsive
-	w.Answer(r, commands, now)
+	w.HeartbeatAnswered(r, commands, now)
 	if w.Unresponsive != before {
-		n.log.Info("machine's responsiveness changes", "host", w.Host, "unresponsive", w.Unresponsive)
+		n.log.Info("machine's responsiveness changes", "host", w.Machine, "unresponsive", w.Unresponsive)
 	}
-	return 200, wire.HeartbeatResponse{FencingToken: w.Token, Commands: commands}
+	return 200, wire.HeartbeatResponse{FencingToken: w.FencingToken, Commands: commands}
 }
 
 // token is the highest token that this node has used for a machine; mu is held.
 func (n *Node) token(host string) uint64 {
 	if w := n.workers[host]; w != nil {
-		return max(w.Token, n.member.FencingToken)
+		return max(w.FencingToken, n.member.FencingToken)
 	}
 	return n.member.FencingToken
 }
@@ -111,14 +111,14 @@
 	for id, s := range w.Tasks {
 		before[id] = s.State
 	}
-	if !w.Observe(r, n.member.FencingToken, now) {
+	if !w.ApplyHeartbeat(r, n.member.FencingToken, now) {
 		return
 	}
-	n.view.touch(w.Host)
+	n.view.touch(w.Machine)
 	for id, s := range w.Tasks {
 		j := n.table.Jobs[id.Job]
 		if before[id] != s.State {
-			n.log.Debug("task changes", "task", id, "try", s.Attempt, "phase", s.State, "cause", s.ExitCause, "host", w.Host)
+			n.log.Debug("task changes", "task", id, "try", s.Attempt, "phase", s.State, "cause", s.ExitCause, "host", w.Machine)
 		}
 		if j == nil || j.Record.Spec == nil {
 			continue
@@ -129,24 +129,24 @@
 				// Once a start. Guards against an order of use that changes with
 				// each report: siblings were told of every machine all the time.
 				n.imageGB[j.Record.Spec.Image] = j.Record.Spec.ImageGB
-				w.NoteImage(j.Record.Spec.Image, n.imageSize, n.machineTypes[w.MachineType].LocalGB)
+				w.RecordImage(j.Record.Spec.Image, n.imageSize, n.machineTypes[w.MachineType].LocalGB)
 			}
 		case wire.TaskExited:
 			switch s.ExitCause {
 			case wire.ExitCauseDone:
-				clear(w.Errors)
+				clear(w.FailedJobs)
 			case wire.ExitCauseError:
-				w.Errors[id.Job] = true
-				n.failing[w.Host] = w
+				w.FailedJobs[id.Job] = true
+				n.failing[w.Machine] = w
 			case wire.ExitCauseNoRoom:
-				w.Refused = now
+				w.LastRefusal = now
 			}
 		}
 	}
-	if !w.TakenAt.IsZero() {
+	if !w.TerminationAt.IsZero() {
 		// The cloud takes the machine: what can't end in time starts elsewhere.
-		left := time.Duration(float64(w.TakenAt.Sub(now)) * tuning.NoticeKillFactor)
-		for id, j := range n.table.Hosts[w.Host] {
+		left := time.Duration(float64(w.TerminationAt.Sub(now)) * tuning.NoticeKillFactor)
+		for id, j := range n.table.Hosts[w.Machine] {
 			if wk := j.Record.Spec; wk != nil && (j.Service() || wk.EstimateS > left.Seconds()) {
 				n.stopTask(w, id)
 			}
@@ -158,8 +158,8 @@
 // stopTask notes that a task is wanted off one of this node's machines; mu is
 // held.
 func (n *Node) stopTask(w *fleet.Worker, id jobs.TaskID) {
-	w.Stop(id)
-	n.view.touch(w.Host)
+	w.RequestStop(id)
+	n.view.touch(w.Machine)
 }
 
 // imageSize is the size of an image in GB, as the last job that uses it says;
@@ -202,26 +202,26 @@
 // direct sends a worker what it should not wait a report interval for: starts,
 // kills, and our token if it has not shown it; mu is held.
 func (n *Node) direct(w *fleet.Worker, now time.Time) {
-	if w.NoPendingCommands && w.State == fleet.Proven && !w.Unresponsive && w.Token <= max(w.ShownToken, n.member.FencingToken) {
+	if w.NoPendingCommands && w.State == fleet.TokenAcknowledged && !w.Unresponsive && w.FencingToken <= max(w.AcknowledgedToken, n.member.FencingToken) {
 		return // nothing has changed, and there is nothing to ask
 	}
-	if w.Calling || w.Address == "" || w.State == fleet.Expired || !n.hasState() {
+	if w.CallInFlight || w.Address == "" || w.State == fleet.LeaseExpired || !n.hasState() {
 		return
 	}
 	if !n.recovery.Over() && len(n.calls) >= cap(n.calls)*3/4 {
 		return // guards against starts that are taken from the rate and can't go
 	}
 	var commands []wire.Command
-	silent := now.Sub(w.Heard) >= n.silentAfter()
-	if !w.NoPendingCommands && w.Session > 0 {
+	silent := now.Sub(w.LastHeard) >= n.silentAfter()
+	if !w.NoPendingCommands && w.Incarnation > 0 {
 		w.NoPendingCommands = true
-		due, postponed := w.Commands(n.table.Hosts[w.Host], fleet.CommandOptions{
-			Channel:  fleet.Direct,
-			MayStart: n.startable(w.Host) && !silent,
-			Now:      now,
-			Resend:   n.set.Report(),
-			Repeat:   n.set.Report() * 3 / 2,
-			Admit:    n.admitStart,
+		due, postponed := w.Commands(n.table.Hosts[w.Machine], fleet.CommandOptions{
+			Channel:     fleet.DirectCall,
+			AllowStarts: n.startable(w.Machine) && !silent,
+			Now:         now,
+			ResendAfter: n.set.Report(),
+			RepeatAfter: n.set.Report() * 3 / 2,
+			AdmitStart:  n.admitStart,
 		})
 		if postponed {
 			w.NoPendingCommands = false
@@ -234,17 +234,17 @@
 				continue // it may only be unable to reach us, and run what was cancelled
 			}
 			w.NoPendingCommands = false
-			if now.Sub(w.Sent[fleet.KeyOf(o)]) > n.set.Report() {
+			if now.Sub(w.SentCommands[fleet.KeyOf(o)]) > n.set.Report() {
 				commands = append(commands, o)
 			}
 		}
 	}
-	greet := w.State == fleet.Unproven && now.Sub(w.Heard) > n.set.Report()*5/4 && now.Sub(n.raisedAt) > time.Second/2
-	greet = greet || w.Unresponsive && now.Sub(w.Called) > tuning.UnresponsivePause
+	greet := w.State == fleet.TokenUnacknowledged && now.Sub(w.LastHeard) > n.set.Report()*5/4 && now.Sub(n.raisedAt) > time.Second/2
+	greet = greet || w.Unresponsive && now.Sub(w.LastCall) > tuning.UnresponsivePause
 	// A raised token that the worker has not seen: the sooner it shows it, the
 	// sooner the starts below it are void.
-	greet = greet || w.State == fleet.Proven && w.Token > max(w.ShownToken, n.member.FencingToken)
-	if len(commands) == 0 && !greet || len(commands) == 0 && now.Sub(w.Called) < tuning.GreetPause {
+	greet = greet || w.State == fleet.TokenAcknowledged && w.FencingToken > max(w.AcknowledgedToken, n.member.FencingToken)
+	if len(commands) == 0 && !greet || len(commands) == 0 && now.Sub(w.LastCall) < tuning.GreetPause {
 		return
 	}
 	// Kills go before starts, and those before calls that only ask: each call to
@@ -260,22 +260,22 @@
 		return // the buffer of direct calls is full; the next report carries them
 	}
 	n.calls <- struct{}{} // filled with mu held only
-	for c, at := range w.Sent {
+	for c, at := range w.SentCommands {
 		if now.Sub(at) > 10*n.set.Report() {
-			delete(w.Sent, c)
+			delete(w.SentCommands, c)
 		}
 	}
 	for _, o := range commands {
-		w.Sent[fleet.KeyOf(o)] = now
+		w.SentCommands[fleet.KeyOf(o)] = now
 	}
-	starts := fleet.Starts(commands)
-	w.Token = max(w.Token, n.member.FencingToken)
-	w.StartSent(starts, w.Token)
-	w.Called, w.Calling = now, true
+	starts := fleet.StartedAttempts(commands)
+	w.FencingToken = max(w.FencingToken, n.member.FencingToken)
+	w.StartsSent(starts, w.FencingToken)
+	w.LastCall, w.CallInFlight = now, true
 	if commands == nil {
 		commands = []wire.Command{}
 	}
-	go n.callWorker(w, w.Address, wire.CommandRequest{FencingToken: w.Token, Incarnation: max(w.Session, 1), Commands: commands}, starts)
+	go n.callWorker(w, w.Address, wire.CommandRequest{FencingToken: w.FencingToken, Incarnation: max(w.Incarnation, 1), Commands: commands}, starts)
 }
 
 func (n *Node) callWorker(w *fleet.Worker, address string, cmd wire.CommandRequest, starts []fleet.Attempt) {
@@ -283,15 +283,15 @@
 	_, r, err := n.call.commands(address, cmd)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w.Calling = false
+	w.CallInFlight = false
 	if err != nil {
 		// The starts may yet be carried out: they stay unanswered.
-		n.log.Debug("direct call failed", "host", w.Host, "err", err)
+		n.log.Debug("direct call failed", "host", w.Machine, "err", err)
 		return
 	}
-	w.StartAnswered(starts, cmd.FencingToken, r.Incarnation, r.Sequence)
-	w.Reached()
-	if n.workers[w.Host] == w && r.Machine == w.Host && n.entitled() && r.FencingToken <= n.token(w.Host) {
+	w.StartsAnswered(starts, cmd.FencingToken, r.Incarnation, r.Sequence)
+	w.CallAnswered()
+	if n.workers[w.Machine] == w && r.Machine == w.Machine && n.entitled() && r.FencingToken <= n.token(w.Machine) {
 		n.observe(w, r, n.now())
 	}
 	wake(n.passWake)
@@ -303,12 +303,12 @@
 // else anything; once the machine shows it, the start is dead and its claim is
 // released. mu is held.
 func (n *Node) invalidateHeldStarts(w *fleet.Worker) {
-	if w.Calling {
+	if w.CallInFlight {
 		return // its answer may come yet
 	}
-	for _, a := range w.Held(n.table.Hosts[w.Host]) {
-		if w.InvalidateStarts(n.member.LastToken()) {
-			n.log.Debug("start made void", "task", a.ID, "try", a.Number, "host", w.Host, "token", w.Token)
+	for _, a := range w.ClaimsBlockedByStarts(n.table.Hosts[w.Machine]) {
+		if w.FencePendingStarts(n.member.LastToken()) {
+			n.log.Debug("start made void", "task", a.ID, "try", a.Number, "host", w.Machine, "token", w.FencingToken)
 		}
 	}
 }
