--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -13,7 +13,7 @@
 // What a node has stored must stay readable to every later version, and to the
 // version that works beside it.
 func TestGoldenRecords(t *testing.T) {
-	record := Record{MachineType: "g8", Zone: "zone-1", Spot: true, Role: place.Batch, Phase: Draining, Why: "no work"}
+	record := Record{MachineType: "g8", Zone: "zone-1", Spot: true, Role: place.Batch, Phase: Draining, Reason: "no work"}
 	golden.Check(t, []golden.Sample{
 		golden.CBOR("machine record", record),
 		golden.CBOR("group record", Group{Machines: map[string]Record{"host-1": record}}),
@@ -23,8 +23,8 @@
 // The values of the stored phases and key prefixes.
 func TestStoredConstants(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
-		{string(In), "in"}, {string(Draining), "draining"}, {string(Returned), "returned"},
-		{GroupKey(7), "w/fleet/000007"}, {HostPrefix, "w/host/"},
+		{string(Active), "in"}, {string(Draining), "draining"}, {string(Terminated), "returned"},
+		{GroupKey(7), "w/fleet/000007"}, {SingleMachinePrefix, "w/host/"},
 	} {
 		if c.got != c.want {
 			t.Errorf("stored constant %q, want %q", c.got, c.want)
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -19,9 +19,9 @@
 	// each machine would take the whole budget of changes for a minute when a
 	// fleet starts.
 	GroupPrefix = jobs.Root + "fleet/"
-	// HostPrefix starts the keys of an earlier layout, one record a machine.
+	// SingleMachinePrefix starts the keys of an earlier layout, one record a machine.
 	// Such a record is read, and moves into a group with its next change.
-	HostPrefix = jobs.Root + "host/"
+	SingleMachinePrefix = jobs.Root + "host/"
 )
 
 // GroupKey is the key of a group of machine records.
@@ -32,27 +32,27 @@
 
 // Phases of a machine.
 const (
-	In       Phase = "in"       // takes tasks
-	Draining Phase = "draining" // takes no new tasks; goes back when empty
-	Returned Phase = "returned" // surely gone: proof for every claim on it
+	Active     Phase = "in"       // takes tasks
+	Draining   Phase = "draining" // takes no new tasks; goes back when empty
+	Terminated Phase = "returned" // surely gone: proof for every claim on it
 )
 
-// HostEvent changes a machine's phase.
-type HostEvent string
+// Event changes a machine's phase.
+type Event string
 
 // Events of a machine.
 const (
-	Drain HostEvent = "drain"
-	Gone  HostEvent = "gone" // return answered, or listed as failed
+	EventDrain      Event = "drain"
+	EventTerminated Event = "gone" // return answered, or listed as failed
 )
 
 // Next is the one function that changes a machine's phase.
-func (p Phase) Next(e HostEvent) (Phase, error) {
+func (p Phase) Next(e Event) (Phase, error) {
 	switch {
-	case p == In && e == Drain:
+	case p == Active && e == EventDrain:
 		return Draining, nil
-	case e == Gone:
-		return Returned, nil
+	case e == EventTerminated:
+		return Terminated, nil
 	}
 	return p, fmt.Errorf("machine: no %s in phase %s", e, p)
 }
@@ -64,7 +64,7 @@
 	Spot        bool       `cbor:"s,omitempty"`
 	Role        place.Role `cbor:"o"`
 	Phase       Phase      `cbor:"p"`
-	Why         string     `cbor:"w,omitempty"` // of the last change, for operators
+	Reason      string     `cbor:"w,omitempty"` // of the last change, for operators
 }
 
 // bytes bounds the JSON form of the record in its group, whatever becomes of
@@ -74,9 +74,9 @@
 }
 
 const (
-	recordBytes = 68 // all but the names and the reason
-	whyMax      = 60 // bytes of a reason that are kept
-	whyBytes    = 10 // around it
+	recordBytes    = 68 // all but the names and the reason
+	reasonMax      = 60 // bytes of a reason that are kept
+	reasonOverhead = 10 // around it
 )
 
 // Group is the stored form of several machines.
@@ -84,33 +84,33 @@
 	Machines map[string]Record `cbor:"m"`
 }
 
-// Register is what is stored of all machines, with the key of each. It is fed
+// Inventory is what is stored of all machines, with the key of each. It is fed
 // by the cache and changed by nothing else.
-type Register struct {
-	Hosts  map[string]Record
-	keys   map[string]string          // of each machine
-	groups map[string]map[string]bool // machines of each key
+type Inventory struct {
+	Machines  map[string]Record
+	groupKeys map[string]string          // of each machine
+	groups    map[string]map[string]bool // machines of each key
 
-	// Moved is told of machines whose record has changed, has come or is gone.
-	Moved func(host string)
+	// OnChange is told of machines whose record has changed, has come or is gone.
+	OnChange func(host string)
 }
 
-// NewRegister returns an empty register.
-func NewRegister() *Register {
-	return &Register{Hosts: map[string]Record{}, keys: map[string]string{}, groups: map[string]map[string]bool{}, Moved: func(string) {}}
+// NewInventory returns an empty register.
+func NewInventory() *Inventory {
+	return &Inventory{Machines: map[string]Record{}, groupKeys: map[string]string{}, groups: map[string]map[string]bool{}, OnChange: func(string) {}}
 }
 
-// Key is the key that holds the machine's record, "" if it has none.
-func (g *Register) Key(host string) string { return g.keys[host] }
+// KeyOf is the key that holds the machine's record, "" if it has none.
+func (g *Inventory) KeyOf(host string) string { return g.groupKeys[host] }
 
 // Apply enters a stored value, nil if the key is gone.
-func (g *Register) Apply(key string, raw wire.Raw) error {
+func (g *Inventory) Apply(key string, raw wire.Raw) error {
 	machines, err := decodeMachines(key, raw)
 	if err != nil {
 		return err
 	}
-	g.drop(key, machines)
-	g.enter(key, machines)
+	g.removeMissing(key, machines)
+	g.add(key, machines)
 	return nil
 }
 
@@ -119,7 +119,7 @@
 	if raw == nil {
 		return nil, nil
 	}
-	if host, single := strings.CutPrefix(key, HostPrefix); single {
+	if host, single := strings.CutPrefix(key, SingleMachinePrefix); single {
 		var record Record
 		err := wire.Unmarshal(raw, &record)
 		return map[string]Record{host: record}, err
@@ -129,61 +129,61 @@
 	return group.Machines, err
 }
 
-// drop forgets the machines of a key that it holds no more.
-func (g *Register) drop(key string, machines map[string]Record) {
+// removeMissing forgets the machines of a key that it holds no more.
+func (g *Inventory) removeMissing(key string, machines map[string]Record) {
 	for host := range g.groups[key] {
-		if _, still := machines[host]; !still && g.keys[host] == key {
-			delete(g.Hosts, host)
-			delete(g.keys, host)
-			g.Moved(host)
+		if _, still := machines[host]; !still && g.groupKeys[host] == key {
+			delete(g.Machines, host)
+			delete(g.groupKeys, host)
+			g.OnChange(host)
 		}
 	}
 	delete(g.groups, key)
 }
 
-// enter takes in the machines that a key holds.
-func (g *Register) enter(key string, machines map[string]Record) {
+// add takes in the machines that a key holds.
+func (g *Inventory) add(key string, machines map[string]Record) {
 	if len(machines) > 0 {
 		g.groups[key] = make(map[string]bool, len(machines))
 	}
 	for host, record := range machines {
-		if strings.HasPrefix(key, HostPrefix) && strings.HasPrefix(g.keys[host], GroupPrefix) {
+		if strings.HasPrefix(key, SingleMachinePrefix) && strings.HasPrefix(g.groupKeys[host], GroupPrefix) {
 			continue // it has moved; its former key is about to go
 		}
-		old, known := g.Hosts[host]
-		g.Hosts[host], g.keys[host] = record, key
+		old, known := g.Machines[host]
+		g.Machines[host], g.groupKeys[host] = record, key
 		if !known || old != record {
-			g.Moved(host)
+			g.OnChange(host)
 		}
 		g.groups[key][host] = true
 	}
 }
 
-// Change is one change of a machine's record.
-type Change struct {
-	Host string
-	Was  *Record // what the change was decided on; nil: not stored
-	Now  *Record // nil: drop
+// RecordChange is one change of a machine's record.
+type RecordChange struct {
+	Machine string
+	Before  *Record // what the change was decided on; nil: not stored
+	After   *Record // nil: drop
 }
 
-// Write is one transaction that stores several changes of machines.
-type Write struct {
+// GroupWrite is one transaction that stores several changes of machines.
+type GroupWrite struct {
 	Key     string
 	Changes int    // machines of the group that change
-	V       *Group // nil: drop
-	// Cut holds the new keys of machines that leave the group in the same
+	Group   *Group // nil: drop
+	// SplitOff holds the new keys of machines that leave the group in the same
 	// transaction, because it is larger than the state service takes.
-	Cut map[string]*Group
+	SplitOff map[string]*Group
 }
 
-// Oversize lists keys whose groups are larger than limit, at most some: an
+// OversizeGroups lists keys whose groups are larger than limit, at most some: an
 // earlier version, or earlier settings, wrote them.
-func (g *Register) Oversize(limit, most int) []string {
+func (g *Inventory) OversizeGroups(limit, most int) []string {
 	var out []string
 	for key, hosts := range g.groups {
 		size := 0
 		for host := range hosts {
-			size += g.Hosts[host].bytes(host)
+			size += g.Machines[host].bytes(host)
 		}
 		if size > limit && strings.HasPrefix(key, GroupPrefix) {
 			out = append(out, key)
@@ -193,16 +193,16 @@
 	return out[:min(len(out), most)]
 }
 
-// Writes turns changes of machines into changes of keys. What was decided on
+// PlanWrites turns changes of machines into changes of keys. What was decided on
 // a record that has changed since is left out. A new machine goes to a group
 // that stays below limit bytes of JSON. A group that is larger, whether one of
 // its machines changes or it is named in cut, is cut in one transaction of at
 // most ops keys, so that each machine is in exactly one group at any time.
 // Those with the most changes come first.
-func (g *Register) Writes(list []Change, cut []string, limit, ops int) []Write {
-	edit := g.edit(limit, ops)
+func (g *Inventory) PlanWrites(list []RecordChange, cut []string, limit, ops int) []GroupWrite {
+	edit := g.newGroupEdit(limit, ops)
 	for _, c := range list {
-		edit.enter(c)
+		edit.apply(c)
 	}
 	for _, key := range cut {
 		edit.open(key)
@@ -214,9 +214,9 @@
 
 // groupEdit collects changes of machines by the group that they are made in.
 type groupEdit struct {
-	register *Register
-	limit    int // bytes of JSON in a group
-	ops      int // keys in a transaction
+	inventory *Inventory
+	limit     int // bytes of JSON in a group
+	ops       int // keys in a transaction
 
 	touched map[string]map[string]Record // groups as they will be
 	changes map[string]int               // machines of each that change
@@ -224,13 +224,13 @@
 	last    string                       // the group that takes new machines, "" at first
 }
 
-func (g *Register) edit(limit, ops int) *groupEdit {
+func (g *Inventory) newGroupEdit(limit, ops int) *groupEdit {
 	e := &groupEdit{
-		register: g,
-		limit:    limit,
-		ops:      ops,
-		touched:  map[string]map[string]Record{},
-		changes:  map[string]int{},
+		inventory: g,
+		limit:     limit,
+		ops:       ops,
+		touched:   map[string]map[string]Record{},
+		changes:   map[string]int{},
 	}
 	for key := range g.groups {
 		n, err := strconv.Atoi(strings.TrimPrefix(key, GroupPrefix))
@@ -252,53 +252,53 @@
 func (e *groupEdit) open(key string) map[string]Record {
 	machines := e.touched[key]
 	if machines == nil {
-		stored := e.register.groups[key]
+		stored := e.inventory.groups[key]
 		machines = make(map[string]Record, len(stored)+1)
 		for host := range stored {
-			machines[host] = e.register.Hosts[host]
+			machines[host] = e.inventory.Machines[host]
 		}
 		e.touched[key] = machines
 	}
 	return machines
 }
 
-// enter makes one change, unless the record has changed since it was decided.
-func (e *groupEdit) enter(c Change) {
-	was, known := e.register.Hosts[c.Host]
-	if known != (c.Was != nil) || known && was != *c.Was {
+// apply makes one change, unless the record has changed since it was decided.
+func (e *groupEdit) apply(c RecordChange) {
+	was, known := e.inventory.Machines[c.Machine]
+	if known != (c.Before != nil) || known && was != *c.Before {
 		return
 	}
-	key := e.register.keys[c.Host]
-	if c.Now == nil {
-		delete(e.open(key), c.Host)
+	key := e.inventory.groupKeys[c.Machine]
+	if c.After == nil {
+		delete(e.open(key), c.Machine)
 		e.changes[key]++
 		return
 	}
 	if grouped := known && strings.HasPrefix(key, GroupPrefix); !grouped {
 		if known {
-			delete(e.open(key), c.Host)
+			delete(e.open(key), c.Machine)
 		}
 		key = e.groupFor(c)
 	}
-	record := *c.Now
-	record.Why = record.Why[:min(len(record.Why), whyMax)]
-	e.open(key)[c.Host] = record
+	record := *c.After
+	record.Reason = record.Reason[:min(len(record.Reason), reasonMax)]
+	e.open(key)[c.Machine] = record
 	e.changes[key]++
 }
 
 // groupFor is the key of a group with room for a machine that is in none.
-func (e *groupEdit) groupFor(c Change) string {
-	if e.last == "" || !fits(e.open(e.last), *c.Now, c.Host, e.limit) {
+func (e *groupEdit) groupFor(c RecordChange) string {
+	if e.last == "" || !fits(e.open(e.last), *c.After, c.Machine, e.limit) {
 		e.last = e.newKey()
 	}
 	return e.last
 }
 
 // writes lists a transaction for each group that was opened.
-func (e *groupEdit) writes() []Write {
-	out := make([]Write, 0, len(e.touched))
+func (e *groupEdit) writes() []GroupWrite {
+	out := make([]GroupWrite, 0, len(e.touched))
 	for key, machines := range e.touched {
-		if len(machines) == 0 && len(e.register.groups[key]) == 0 {
+		if len(machines) == 0 && len(e.inventory.groups[key]) == 0 {
 			continue // it is not stored
 		}
 		out = append(out, e.write(key, machines))
@@ -306,18 +306,18 @@
 	return out
 }
 
-func (e *groupEdit) write(key string, machines map[string]Record) Write {
-	w := Write{Key: key, Changes: e.changes[key]}
+func (e *groupEdit) write(key string, machines map[string]Record) GroupWrite {
+	w := GroupWrite{Key: key, Changes: e.changes[key]}
 	if len(machines) == 0 {
 		return w
 	}
 	parts := split(machines, e.limit, e.ops)
-	w.V = &Group{Machines: parts[0]}
+	w.Group = &Group{Machines: parts[0]}
 	if len(parts) > 1 {
-		w.Cut = make(map[string]*Group, len(parts)-1)
+		w.SplitOff = make(map[string]*Group, len(parts)-1)
 	}
 	for _, part := range parts[1:] {
-		w.Cut[e.newKey()] = &Group{Machines: part}
+		w.SplitOff[e.newKey()] = &Group{Machines: part}
 	}
 	return w
 }
@@ -325,14 +325,14 @@
 // sortWrites puts the groups with the most changes first. If machines move
 // from the earlier layout, dropped keys come last: a machine that moves stands
 // in its new key before it leaves the old one.
-func sortWrites(writes []Write) {
-	moves := slices.ContainsFunc(writes, func(w Write) bool {
-		return strings.HasPrefix(w.Key, HostPrefix)
+func sortWrites(writes []GroupWrite) {
+	moves := slices.ContainsFunc(writes, func(w GroupWrite) bool {
+		return strings.HasPrefix(w.Key, SingleMachinePrefix)
 	})
 	sort.Slice(writes, func(a, b int) bool {
 		x, y := &writes[a], &writes[b]
-		if moves && (x.V == nil) != (y.V == nil) {
-			return x.V != nil
+		if moves && (x.Group == nil) != (y.Group == nil) {
+			return x.Group != nil
 		}
 		if x.Changes != y.Changes {
 			return x.Changes > y.Changes
@@ -357,7 +357,7 @@
 	used := 0
 	for _, host := range hosts {
 		record := machines[host]
-		record.Why = ""
+		record.Reason = ""
 		size := record.bytes(host)
 		if used > 0 && used+size > limit && len(parts) < most {
 			part = map[string]Record{}
@@ -375,8 +375,8 @@
 	size := 0
 	for host, record := range machines {
 		size += record.bytes(host)
-		if record.Why != "" {
-			size += len(record.Why) + whyBytes
+		if record.Reason != "" {
+			size += len(record.Reason) + reasonOverhead
 		}
 	}
 	return size
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -68,7 +68,7 @@
 		t.guards[key] = n.cache.Version(key)
 		t.set(key, jobs.ChunkRecord{Tasks: tasks})
 		for id, e := range c.events {
-			t.note("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Host, "role", string(n.reg.Hosts[e.Host].Role))
+			t.note("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Host, "role", string(n.reg.Machines[e.Host].Role))
 		}
 	}
 	if claimed == 0 || j.Gang() && claimed < len(g.claims) || !n.admit(t, j.Record.Spec.Team, amount, others) {
@@ -90,7 +90,7 @@
 	changes, others = map[string]*chunkChange{}, map[string]quota.Amount{}
 	for _, claim := range g.claims {
 		chunk := claim.Task / j.Record.Chunk
-		key, machineKey := jobs.ChunkKey(j.ID, chunk), n.reg.Key(claim.Host)
+		key, machineKey := jobs.ChunkKey(j.ID, chunk), n.reg.KeyOf(claim.Host)
 		c := changes[key]
 		if c == nil {
 			if !n.room(t, len(changes)+3, (len(changes)+1)*n.chunkBytes(j), len(changes)+5) {
--- a/internal/server/displace.go
+++ b/internal/server/displace.go
@@ -28,9 +28,9 @@
 		if m.Owner != n.self.Label {
 			continue
 		}
-		rec := n.reg.Hosts[m.Name]
+		rec := n.reg.Machines[m.Name]
 		w := n.workers[m.Name]
-		if w == nil || m.Role == place.Service && rec.Phase == fleet.In && w.TerminationAt.IsZero() {
+		if w == nil || m.Role == place.Service && rec.Phase == fleet.Active && w.TerminationAt.IsZero() {
 			continue
 		}
 		for _, r := range m.Tasks {
--- a/internal/server/fleetview.go
+++ b/internal/server/fleetview.go
@@ -64,7 +64,7 @@
 	for host := range n.table.Hosts {
 		n.view.touch(host)
 	}
-	for host := range n.reg.Hosts {
+	for host := range n.reg.Machines {
 		n.view.records[host] = true
 	}
 }
@@ -139,12 +139,12 @@
 func (n *Node) refreshRecords() {
 	v := &n.view
 	for host := range v.records {
-		rec, stored := n.reg.Hosts[host]
+		rec, stored := n.reg.Machines[host]
 		m := v.machines[host]
 		if stored != (m != nil) || stored && !sameMachine(m.Machine, n.newMachine(host, rec)) {
 			v.stale = true
 		}
-		if stored && rec.Phase == fleet.Returned {
+		if stored && rec.Phase == fleet.Terminated {
 			v.returned[host] = true
 		} else {
 			delete(v.returned, host)
@@ -170,9 +170,9 @@
 		v.fleet.Rewind() // the machines that are kept hold what the last pass placed
 	}
 	kept := v.machines
-	v.machines = make(map[string]*machineView, len(n.reg.Hosts))
-	list := make([]*place.Machine, 0, len(n.reg.Hosts))
-	for host, rec := range n.reg.Hosts {
+	v.machines = make(map[string]*machineView, len(n.reg.Machines))
+	list := make([]*place.Machine, 0, len(n.reg.Machines))
+	for host, rec := range n.reg.Machines {
 		next, m := n.newMachine(host, rec), kept[host]
 		if m == nil || !sameMachine(m.Machine, next) {
 			m = &machineView{Machine: next}
@@ -215,7 +215,7 @@
 // applyMachine enters a machine's claims, and what its owner knows of it; mu is
 // held.
 func (n *Node) applyMachine(m *machineView) {
-	m.in = n.reg.Hosts[m.Name].Phase == fleet.In
+	m.in = n.reg.Machines[m.Name].Phase == fleet.Active
 	m.worker, m.usable, m.Session, m.Images = nil, false, 0, nil
 	if m.Owner == n.self.Label {
 		if m.worker = n.workers[m.Name]; m.worker != nil {
--- a/internal/server/lead.go
+++ b/internal/server/lead.go
@@ -57,7 +57,7 @@
 		machines := n.machines(now)
 		n.noteArrivals(l, now)
 		free := len(storing) == 0
-		var moves []fleet.Change
+		var moves []fleet.RecordChange
 		if free && now.Sub(stepped) >= tuning.RoleStep {
 			stepped = now
 			moves = n.stepRoles(l, machines, now)
@@ -79,7 +79,7 @@
 		returns = slices.Concat(dead, l.lost, returns)
 		var cut []string
 		if n.lim.AvailableWrites(tuning.WriteReserve) >= 2 {
-			cut = n.reg.Oversize(n.groupLimit(), tuning.CutsPerPlan)
+			cut = n.reg.OversizeGroups(n.groupLimit(), tuning.CutsPerPlan)
 		}
 		n.mu.Unlock()
 
--- a/internal/server/machines.go
+++ b/internal/server/machines.go
@@ -79,12 +79,12 @@
 // writeHosts stores changes of machine records, each guarded by the version of
 // its group's key. Several go in one change, and one call at a time, so that
 // the leader's own writes don't race for a group.
-func (n *Node) writeHosts(ctx context.Context, list []fleet.Change, cut ...string) {
+func (n *Node) writeHosts(ctx context.Context, list []fleet.RecordChange, cut ...string) {
 	n.storeHosts(ctx, list, cut, math.MaxInt)
 }
 
 // storeHosts stores the changes of at most most groups.
-func (n *Node) storeHosts(ctx context.Context, list []fleet.Change, cut []string, most int) {
+func (n *Node) storeHosts(ctx context.Context, list []fleet.RecordChange, cut []string, most int) {
 	if len(list) == 0 && len(cut) == 0 {
 		return
 	}
@@ -95,8 +95,8 @@
 		n.mu.Unlock()
 		return
 	}
-	writes := n.reg.Writes(list, cut, n.groupLimit(), n.limits.TxnOps)
-	if len(writes) > most && !slices.ContainsFunc(writes, func(w fleet.Write) bool { return strings.HasPrefix(w.Key, fleet.HostPrefix) }) {
+	writes := n.reg.PlanWrites(list, cut, n.groupLimit(), n.limits.TxnOps)
+	if len(writes) > most && !slices.ContainsFunc(writes, func(w fleet.GroupWrite) bool { return strings.HasPrefix(w.Key, fleet.SingleMachinePrefix) }) {
 		writes = writes[:most]
 	}
 	// The versions of what the writes were computed from. Guards against a node
@@ -106,15 +106,15 @@
 	guards := make([][]wire.Compare, len(writes))
 	for i, w := range writes {
 		guards[i] = []wire.Compare{seen, n.cache.Compare(w.Key)}
-		for key := range w.Cut {
+		for key := range w.SplitOff {
 			guards[i] = append(guards[i], n.cache.Compare(key))
 		}
 	}
 	n.mu.Unlock()
 	idle := map[string][]string{} // machines to go because they are idle, by group
 	for _, c := range list {
-		if c.Now != nil && c.Now.Phase == fleet.Draining && c.Now.Why == fleet.WhyIdle {
-			idle[n.keyOf(c.Host)] = append(idle[n.keyOf(c.Host)], c.Host)
+		if c.After != nil && c.After.Phase == fleet.Draining && c.After.Reason == fleet.WhyIdle {
+			idle[n.keyOf(c.Machine)] = append(idle[n.keyOf(c.Machine)], c.Machine)
 		}
 	}
 	defer func() {
@@ -134,10 +134,10 @@
 			continue // one of them has got work while this waited
 		}
 		then := []wire.Operation{{Delete: w.Key}}
-		if w.V != nil {
-			then = []wire.Operation{{Put: w.Key, Value: wire.MustMarshal(w.V)}}
+		if w.Group != nil {
+			then = []wire.Operation{{Put: w.Key, Value: wire.MustMarshal(w.Group)}}
 		}
-		for key, part := range w.Cut {
+		for key, part := range w.SplitOff {
 			then = append(then, wire.Operation{Put: key, Value: wire.MustMarshal(part)})
 		}
 		n.mu.Unlock()
@@ -151,7 +151,7 @@
 func (n *Node) keyOf(host string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.reg.Key(host)
+	return n.reg.KeyOf(host)
 }
 
 // groupLimit is how much JSON a group of machine records may hold.
@@ -168,7 +168,7 @@
 	now := n.now()
 	l.listAt = now
 	seen := map[string]bool{}
-	var changes []fleet.Change
+	var changes []fleet.RecordChange
 	for host, at := range l.gone {
 		if now.Sub(at) > tuning.GoneKept {
 			delete(l.gone, host)
@@ -184,7 +184,7 @@
 		}
 		l.listed[h.Name] = h
 		delete(l.absent, h.Name)
-		rec, known := n.reg.Hosts[h.Name]
+		rec, known := n.reg.Machines[h.Name]
 		switch {
 		case h.State == wire.MachineFailed:
 			was := &rec
@@ -192,15 +192,15 @@
 				// Its record is dropped already; the entry stays until deleted.
 				was, rec = nil, fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Role: place.Batch}
 			}
-			if next, err := rec.Phase.Next(fleet.Gone); err == nil && rec.Phase != fleet.Returned {
+			if next, err := rec.Phase.Next(fleet.EventTerminated); err == nil && rec.Phase != fleet.Terminated {
 				gone := rec
-				gone.Phase, gone.Why = next, "listed as failed"
-				changes = append(changes, fleet.Change{Host: h.Name, Was: was, Now: &gone})
+				gone.Phase, gone.Reason = next, "listed as failed"
+				changes = append(changes, fleet.RecordChange{Machine: h.Name, Before: was, After: &gone})
 				n.log.Info("machine failed", "host", h.Name)
 			}
 		case !known:
-			rec = fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Phase: fleet.In, Role: n.firstRole(l, h, changes)}
-			changes = append(changes, fleet.Change{Host: h.Name, Now: &rec})
+			rec = fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Phase: fleet.Active, Role: n.firstRole(l, h, changes)}
+			changes = append(changes, fleet.RecordChange{Machine: h.Name, After: &rec})
 			n.log.Info("machine joins", "host", h.Name, "type", h.MachineType, "zone", h.Zone, "spot", h.Spot, "role", string(rec.Role))
 		}
 		if n.ownerOf(h.Name) == n.self.Label && h.State == wire.MachineRunning {
@@ -214,7 +214,7 @@
 		newest = max(newest, h.Name)
 	}
 	lag := config.Seconds(n.set.Params.Cloud.ListLagS)
-	for host, rec := range n.reg.Hosts {
+	for host, rec := range n.reg.Machines {
 		if seen[host] {
 			continue
 		}
@@ -224,7 +224,7 @@
 		if _, ok := l.since[host]; !ok {
 			l.since[host] = now
 		}
-		if rec.Phase == fleet.Returned || host < newest || now.Sub(l.since[host]) > tuning.ListLagFactor*lag {
+		if rec.Phase == fleet.Terminated || host < newest || now.Sub(l.since[host]) > tuning.ListLagFactor*lag {
 			l.absent[host]++
 		}
 	}
@@ -239,7 +239,7 @@
 
 // firstRole is the role of a machine that is new to the store: what it was
 // rented for; else the role floors, then what waits, then services.
-func (n *Node) firstRole(l *leading, h wire.Machine, joining []fleet.Change) place.Role {
+func (n *Node) firstRole(l *leading, h wire.Machine, joining []fleet.RecordChange) place.Role {
 	if h.Spot {
 		return place.Batch
 	}
@@ -248,15 +248,15 @@
 	}
 	count := map[place.Role]int{}
 	add := func(r fleet.Record) {
-		if r.MachineType == h.MachineType && !r.Spot && r.Phase == fleet.In {
+		if r.MachineType == h.MachineType && !r.Spot && r.Phase == fleet.Active {
 			count[r.Role]++
 		}
 	}
-	for _, r := range n.reg.Hosts {
+	for _, r := range n.reg.Machines {
 		add(r)
 	}
 	for _, c := range joining {
-		add(*c.Now)
+		add(*c.After)
 	}
 	services, arrays := false, false
 	for jobID := range n.unmet {
@@ -280,13 +280,13 @@
 // drainChanges stores that machines take no more tasks; mu is held.
 // Machines that are dead go back at once, by name: what would drain them is
 // over, and their tasks wait for the proof of their return.
-func (n *Node) drainChanges(drains []fleet.DrainPlan) (changes []fleet.Change, dead []string) {
+func (n *Node) drainChanges(drains []fleet.DrainPlan) (changes []fleet.RecordChange, dead []string) {
 	for _, d := range drains {
-		rec, ok := n.reg.Hosts[d.Name]
+		rec, ok := n.reg.Machines[d.Name]
 		if !ok {
 			continue
 		}
-		next, err := rec.Phase.Next(fleet.Drain)
+		next, err := rec.Phase.Next(fleet.EventDrain)
 		if err != nil {
 			continue
 		}
@@ -296,20 +296,20 @@
 			continue
 		}
 		drained := rec
-		drained.Phase, drained.Why = next, d.Why
-		changes = append(changes, fleet.Change{Host: d.Name, Was: &rec, Now: &drained})
+		drained.Phase, drained.Reason = next, d.Why
+		changes = append(changes, fleet.RecordChange{Machine: d.Name, Before: &rec, After: &drained})
 	}
 	return changes, dead
 }
 
 // toReturn lists drained machines to give back, and records to drop; mu is
 // held. A drained machine goes back when it is empty.
-func (n *Node) toReturn(l *leading, now time.Time) (returns []string, drops []fleet.Change) {
-	over := map[string][]fleet.Change{} // by group
-	for host, rec := range n.reg.Hosts {
+func (n *Node) toReturn(l *leading, now time.Time) (returns []string, drops []fleet.RecordChange) {
+	over := map[string][]fleet.RecordChange{} // by group
+	for host, rec := range n.reg.Machines {
 		switch rec.Phase {
 		case fleet.Draining:
-			if n.cache.Revision() < n.cache.Version(n.reg.Key(host)) {
+			if n.cache.Revision() < n.cache.Version(n.reg.KeyOf(host)) {
 				continue // claims stored before the drain may not be seen yet
 			}
 			open := 0
@@ -321,12 +321,12 @@
 			if open == 0 {
 				returns = append(returns, host)
 			}
-		case fleet.Returned:
+		case fleet.Terminated:
 			if len(n.table.Hosts[host]) > 0 {
 				continue // its owner releases them first
 			}
 			if l.absent[host] >= tuning.GoneLists {
-				over[n.reg.Key(host)] = append(over[n.reg.Key(host)], fleet.Change{Host: host, Was: &rec})
+				over[n.reg.KeyOf(host)] = append(over[n.reg.KeyOf(host)], fleet.RecordChange{Machine: host, Before: &rec})
 			} else if l.listed[host].State == wire.MachineFailed && l.absent[host] == 0 {
 				returns = append(returns, host) // stays listed until deleted
 			}
@@ -342,7 +342,7 @@
 	for _, key := range keys[:min(len(keys), max(n.groupsNow(), 1))] {
 		for _, c := range over[key] {
 			drops = append(drops, c)
-			l.forget(c.Host)
+			l.forget(c.Machine)
 		}
 	}
 	return returns, drops
@@ -380,10 +380,10 @@
 		hosts = append(hosts, some...)
 	}
 	n.mu.Lock()
-	var changes []fleet.Change
+	var changes []fleet.RecordChange
 	for _, h := range hosts {
-		rec, ok := n.reg.Hosts[h]
-		if !ok || rec.Phase == fleet.Returned {
+		rec, ok := n.reg.Machines[h]
+		if !ok || rec.Phase == fleet.Terminated {
 			continue
 		}
 		if rec.Phase == fleet.Draining && len(n.table.Hosts[h]) == 0 && n.leads() {
@@ -392,13 +392,13 @@
 			l := n.leadMemory()
 			l.gone[h] = n.now()
 			l.forget(h)
-			changes = append(changes, fleet.Change{Host: h, Was: &rec})
+			changes = append(changes, fleet.RecordChange{Machine: h, Before: &rec})
 			continue
 		}
-		if next, err := rec.Phase.Next(fleet.Gone); err == nil {
+		if next, err := rec.Phase.Next(fleet.EventTerminated); err == nil {
 			gone := rec
 			gone.Phase = next
-			changes = append(changes, fleet.Change{Host: h, Was: &rec, Now: &gone})
+			changes = append(changes, fleet.RecordChange{Machine: h, Before: &rec, After: &gone})
 		}
 	}
 	n.mu.Unlock()
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -62,7 +62,7 @@
 	o, ok := n.owners[host]
 	if !ok {
 		o = n.member.Owner(host)
-		if n.reg.Key(host) != "" {
+		if n.reg.KeyOf(host) != "" {
 			n.owners[host] = o // bounded by what is stored
 		}
 	}
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -107,7 +107,7 @@
 		phase                   fleet.Phase
 	}
 	hosts := map[group]int{}
-	for _, h := range n.reg.Hosts {
+	for _, h := range n.reg.Machines {
 		kind := "ordinary"
 		if h.Spot {
 			kind = "spot"
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -56,7 +56,7 @@
 	lead          *member.Node
 	member        *member.Record
 	memberLabels  []string // of its nodes
-	reg           *fleet.Register
+	reg           *fleet.Inventory
 	owners        map[string]string // of machines under the present membership
 	view          fleetView
 	published     map[string]*publishedHost
@@ -127,7 +127,7 @@
 		session:      member.NoLease,
 		sessions:     map[string]member.Node{},
 		versions:     map[string]member.Session{},
-		reg:          fleet.NewRegister(),
+		reg:          fleet.NewInventory(),
 		owners:       map[string]string{},
 		published:    map[string]*publishedHost{},
 		quota:        quota.NewBook(quotaTeams(set.Params.Teams), quotaOptions(set)),
@@ -158,7 +158,7 @@
 	n.metrics = newMetrics(n)
 	n.table = jobs.NewTable(now)
 	n.view = newFleetView()
-	n.reg.Moved = func(host string) { n.view.records[host] = true }
+	n.reg.OnChange = func(host string) { n.view.records[host] = true }
 	n.table.Moved = func(host string) {
 		n.view.touch(host)
 		if w := n.workers[host]; w != nil {
--- a/internal/server/pass.go
+++ b/internal/server/pass.go
@@ -160,7 +160,7 @@
 		if n.ownerOf(host) == n.self.Label {
 			n.invalidateHeldStarts(w)
 			n.direct(w, now)
-		} else if n.reg.Key(host) == "" && now.Sub(w.LastHeard) > 2*n.set.Lease() {
+		} else if n.reg.KeyOf(host) == "" && now.Sub(w.LastHeard) > 2*n.set.Lease() {
 			delete(n.workers, host)
 		}
 	}
--- a/internal/server/pipeline_test.go
+++ b/internal/server/pipeline_test.go
@@ -316,8 +316,8 @@
 			t.Fatalf("%s: %+v", jobID, j)
 		}
 	}
-	if n.table.Jobs["wk-1"].Counts != [3]int{30, 70, 0} || len(n.reg.Hosts) != 33 {
-		t.Fatalf("%v, %d machines", n.table.Jobs["wk-1"].Counts, len(n.reg.Hosts))
+	if n.table.Jobs["wk-1"].Counts != [3]int{30, 70, 0} || len(n.reg.Machines) != 33 {
+		t.Fatalf("%v, %d machines", n.table.Jobs["wk-1"].Counts, len(n.reg.Machines))
 	}
 	// Pipelines may name what production took in, also in shared records and done.
 	w.submit(n, after(work("wk-10", 1), "wk-3", "wk-5"))
@@ -329,22 +329,22 @@
 		}
 	}
 	w.phases("cancelled", map[string]string{"wk-1": wire.StateCancelled, "wk-10": wire.StateCancelled, "wk-11": wire.StateCancelled})
-	var changes []fleet.Change
+	var changes []fleet.RecordChange
 	for _, host := range []string{"host-000000", "host-000017", "host-000031", "host-000099"} {
-		was := n.reg.Hosts[host]
+		was := n.reg.Machines[host]
 		is := was
-		is.Phase, is.Why = fleet.Draining, "a long reason for which there may be no room in the record"
-		changes = append(changes, fleet.Change{Host: host, Was: &was, Now: &is})
+		is.Phase, is.Reason = fleet.Draining, "a long reason for which there may be no room in the record"
+		changes = append(changes, fleet.RecordChange{Machine: host, Before: &was, After: &is})
 	}
 	n.writeHosts(context.Background(), changes)
 	w.sync()
 	for _, c := range changes {
-		if n.reg.Hosts[c.Host].Phase != fleet.Draining {
-			t.Errorf("%s is %s", c.Host, n.reg.Hosts[c.Host].Phase)
+		if n.reg.Machines[c.Machine].Phase != fleet.Draining {
+			t.Errorf("%s is %s", c.Machine, n.reg.Machines[c.Machine].Phase)
 		}
 	}
-	if len(n.reg.Hosts) != 33 || len(n.reg.Oversize(n.groupLimit(), 9)) != 0 {
-		t.Fatalf("%d machines, too large: %v", len(n.reg.Hosts), n.reg.Oversize(n.groupLimit(), 9))
+	if len(n.reg.Machines) != 33 || len(n.reg.OversizeGroups(n.groupLimit(), 9)) != 0 {
+		t.Fatalf("%d machines, too large: %v", len(n.reg.Machines), n.reg.OversizeGroups(n.groupLimit(), 9))
 	}
 	if w.st.Refused != 0 {
 		t.Fatalf("%d transactions beyond the limits", w.st.Refused)
@@ -410,26 +410,26 @@
 		w = w.again("a") // the process that cut the last one is gone
 		n := w.nodes["a"]
 		n.limits.ValueKB, n.limits.TxnOps = 2, 4
-		if len(n.reg.Hosts) != machines {
-			t.Fatalf("step %d: %d machines", step, len(n.reg.Hosts))
+		if len(n.reg.Machines) != machines {
+			t.Fatalf("step %d: %d machines", step, len(n.reg.Machines))
 		}
-		n.writeHosts(context.Background(), nil, n.reg.Oversize(n.groupLimit(), 1)...)
+		n.writeHosts(context.Background(), nil, n.reg.OversizeGroups(n.groupLimit(), 1)...)
 		if step == 1 {
 			// An old leader fills up a group that was cut.
 			big := fleet.Group{Machines: map[string]fleet.Record{}}
-			for host, r := range n.reg.Hosts {
-				if n.reg.Key(host) == fleet.GroupKey(0) {
+			for host, r := range n.reg.Machines {
+				if n.reg.KeyOf(host) == fleet.GroupKey(0) {
 					big.Machines[host] = r
 				}
 			}
 			for ; len(big.Machines) < 32; machines++ {
-				big.Machines[fmt.Sprintf("host-9%05d", machines)] = fleet.Record{MachineType: "a-large-type", Zone: "a-far-away-zone", Role: "batch", Phase: fleet.In, Why: "joins"}
+				big.Machines[fmt.Sprintf("host-9%05d", machines)] = fleet.Record{MachineType: "a-large-type", Zone: "a-far-away-zone", Role: "batch", Phase: fleet.Active, Reason: "joins"}
 			}
 			w.st.Put(fleet.GroupKey(0), wire.MustMarshal(big))
 		}
 	}
 	n := w.nodes["a"]
-	if left := n.reg.Oversize(n.groupLimit(), 9); len(left) != 0 || w.st.Refused != 0 {
+	if left := n.reg.OversizeGroups(n.groupLimit(), 9); len(left) != 0 || w.st.Refused != 0 {
 		t.Fatalf("too large: %v, refused %d", left, w.st.Refused)
 	}
 	seen := map[string]string{}
--- a/internal/server/planinput.go
+++ b/internal/server/planinput.go
@@ -86,7 +86,7 @@
 // addMachine enters a machine that has a record: what its tasks hold, and itself
 // if it is neither drained nor given back.
 func (b *planBuilder) addMachine(m *place.Machine) {
-	phase := b.node.reg.Hosts[m.Name].Phase
+	phase := b.node.reg.Machines[m.Name].Phase
 	b.noteHeard(m)
 	unit := b.unit(m, phase)
 	b.addHeld(m)
@@ -100,7 +100,7 @@
 	if draining && (unit.Missing || unit.Silent) {
 		b.leader.lost = append(b.leader.lost, m.Name)
 	}
-	if phase == fleet.In {
+	if phase == fleet.Active {
 		b.input.Units = append(b.input.Units, unit)
 	}
 }
@@ -129,7 +129,7 @@
 		Kind:    fleet.Kind{MachineType: m.Type, Zone: m.Zone, Spot: m.Spot},
 		Role:    m.Role,
 		Open:    m.Open,
-		Booting: !wasUp && phase == fleet.In,
+		Booting: !wasUp && phase == fleet.Active,
 		Age:     b.age(m.Name),
 		Idle:    b.idleFor(m, phase),
 		Movable: b.movable[m.Name],
@@ -138,7 +138,7 @@
 		Silent:  wasUp && quiet > 2*b.lease,
 		Missing: b.leader.absent[m.Name] >= tuning.GoneLists && wasUp && quiet > missing,
 		Quiet:   wasUp && quiet > b.node.silentAfter(),
-		Group:   b.node.reg.Key(m.Name),
+		Group:   b.node.reg.KeyOf(m.Name),
 	}
 	unit.Suspect = b.unfitTooLong(m, phase, unit.Booting) || b.failing(m)
 	return unit
@@ -160,7 +160,7 @@
 
 // idleFor is how long a machine has had no claims, and notes when that began.
 func (b *planBuilder) idleFor(m *place.Machine, phase fleet.Phase) time.Duration {
-	if len(m.Tasks) > 0 || phase != fleet.In {
+	if len(m.Tasks) > 0 || phase != fleet.Active {
 		delete(b.leader.idle, m.Name)
 		return 0
 	}
@@ -176,7 +176,7 @@
 // for instance because it does not hear: another takes its place. It notes when
 // that began.
 func (b *planBuilder) unfitTooLong(m *place.Machine, phase fleet.Phase, booting bool) bool {
-	if m.Open || booting || phase != fleet.In || b.quietFor(m.Name) > b.node.silentAfter() {
+	if m.Open || booting || phase != fleet.Active || b.quietFor(m.Name) > b.node.silentAfter() {
 		delete(b.leader.unfit, m.Name)
 		return false
 	}
@@ -197,7 +197,7 @@
 // addRented enters the machines that were hired and have no record yet.
 func (b *planBuilder) addRented() {
 	for host, rented := range b.leader.rented {
-		if _, known := b.node.reg.Hosts[host]; known || b.now.Sub(rented.at) > time.Minute {
+		if _, known := b.node.reg.Machines[host]; known || b.now.Sub(rented.at) > time.Minute {
 			delete(b.leader.rented, host)
 			continue
 		}
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -71,8 +71,8 @@
 // fleetAmount is what all machines that take tasks hold together; mu is held.
 func (n *Node) fleetAmount() quota.Amount {
 	var sum quota.Amount
-	for _, r := range n.reg.Hosts {
-		if r.Phase == fleet.In {
+	for _, r := range n.reg.Machines {
+		if r.Phase == fleet.Active {
 			t := n.machineTypes[r.MachineType]
 			sum = sum.Add(quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs})
 		}
--- a/internal/server/records.go
+++ b/internal/server/records.go
@@ -37,7 +37,7 @@
 		return n.quota.Apply(strings.TrimPrefix(key, jobs.TeamPrefix), v, version)
 	case key == quota.ReservationsKey:
 		return n.quota.ApplyReservations(v)
-	case strings.HasPrefix(key, fleet.GroupPrefix), strings.HasPrefix(key, fleet.HostPrefix):
+	case strings.HasPrefix(key, fleet.GroupPrefix), strings.HasPrefix(key, fleet.SingleMachinePrefix):
 		return n.reg.Apply(key, v)
 	case strings.HasPrefix(key, member.SessionPrefix):
 		return n.applySession(strings.TrimPrefix(key, member.SessionPrefix), v)
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -46,7 +46,7 @@
 	before, since := n.recovery.Phase, n.recovery.Since
 	if n.recovery.Apply(e, now) {
 		n.log.Info("recovery", "phase", string(n.recovery.Phase), "after", string(before), "took", now.Sub(since).Round(time.Millisecond),
-			"machines", len(n.reg.Hosts), "missing", n.recovery.Machines[recovery.Missing], "starts_left", n.recovery.Left.Total())
+			"machines", len(n.reg.Machines), "missing", n.recovery.Machines[recovery.Missing], "starts_left", n.recovery.Left.Total())
 	}
 }
 
@@ -56,8 +56,8 @@
 	count = recovery.Count{}
 	waited := now.Sub(n.recovery.Began)
 	patience := time.Duration(tuning.RecoveryReports * float64(n.set.Report()))
-	for host, rec := range n.reg.Hosts {
-		if rec.Phase == fleet.Returned || n.ownerOf(host) != n.self.Label {
+	for host, rec := range n.reg.Machines {
+		if rec.Phase == fleet.Terminated || n.ownerOf(host) != n.self.Label {
 			continue
 		}
 		w := n.workers[host]
--- a/internal/server/releases.go
+++ b/internal/server/releases.go
@@ -94,7 +94,7 @@
 	}
 	lease := n.set.Lease()
 	for host, w := range workers {
-		if w.NothingToReconcile(now, lease) || n.ownerOf(host) != n.self.Label || n.reg.Hosts[host].Phase == fleet.Returned {
+		if w.NothingToReconcile(now, lease) || n.ownerOf(host) != n.self.Label || n.reg.Machines[host].Phase == fleet.Terminated {
 			continue
 		}
 		for _, r := range w.ProvenEnds(n.table.Hosts[host], now, lease) {
--- a/internal/server/rolemoves.go
+++ b/internal/server/rolemoves.go
@@ -75,7 +75,7 @@
 	count := map[string]int{}    // machines that take tasks, by type
 	coming := []jobs.Resources{} // room on batch machines of the type that still boot
 	for _, m := range machines.Machines {
-		if n.reg.Hosts[m.Name].Phase != fleet.In {
+		if n.reg.Machines[m.Name].Phase != fleet.Active {
 			continue
 		}
 		if !m.Open && len(m.Tasks) == 0 {
@@ -146,8 +146,8 @@
 }
 
 // stepRoles evaluates every type's split and returns the moves; mu is held.
-func (n *Node) stepRoles(l *leading, machines *place.Fleet, now time.Time) []fleet.Change {
-	var out []fleet.Change
+func (n *Node) stepRoles(l *leading, machines *place.Fleet, now time.Time) []fleet.RecordChange {
+	var out []fleet.RecordChange
 	for _, t := range n.types {
 		c := l.control[t.Label]
 		if c == nil {
@@ -155,7 +155,7 @@
 		}
 		var service, batch []*place.Machine
 		for _, m := range machines.Machines {
-			if m.Type == t.Label && !m.Spot && n.reg.Hosts[m.Name].Phase == fleet.In && (m.Open || len(m.Tasks) > 0) {
+			if m.Type == t.Label && !m.Spot && n.reg.Machines[m.Name].Phase == fleet.Active && (m.Open || len(m.Tasks) > 0) {
 				if m.Role == place.Service {
 					service = append(service, m)
 				} else {
@@ -180,10 +180,10 @@
 		if m == nil {
 			continue
 		}
-		rec := n.reg.Hosts[m.Name]
+		rec := n.reg.Machines[m.Name]
 		moved := rec
-		moved.Role, moved.Why = role, string(d.Proposal.Rule)
-		out = append(out, fleet.Change{Host: m.Name, Was: &rec, Now: &moved})
+		moved.Role, moved.Reason = role, string(d.Proposal.Rule)
+		out = append(out, fleet.RecordChange{Machine: m.Name, Before: &rec, After: &moved})
 		n.log.Info("role move", "host", m.Name, "type", t.Label, "to", string(role), "rule", string(d.Proposal.Rule),
 			"batch_load", d.BatchLoad, "service_load", d.ServiceLoad)
 	}
--- a/internal/server/scale_test.go
+++ b/internal/server/scale_test.go
@@ -316,7 +316,7 @@
 		w.sync()
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return len(n.reg.Hosts)
+		return len(n.reg.Machines)
 	}
 	w.st.Lose = 1
 	n.applyList(ctx, list[:10])
@@ -329,7 +329,7 @@
 		t.Fatal("a group whose answer was lost is written again")
 	}
 	// Somebody else's write of the group comes first.
-	key := n.reg.Key("host-000000")
+	key := n.reg.KeyOf("host-000000")
 	if _, err := w.st.CompareAndSwap(ctx, 0, nil, []wire.Operation{{Put: key, Value: w.st.Keys[key].Value}}); err != nil {
 		t.Fatal(err)
 	}
@@ -343,12 +343,12 @@
 	}
 	// The leader stops after its first group: some joined, the rest did not.
 	n.mu.Lock()
-	writes := n.reg.Writes(joins(list[12:]), nil, n.groupLimit(), n.limits.TxnOps)
+	writes := n.reg.PlanWrites(joins(list[12:]), nil, n.groupLimit(), n.limits.TxnOps)
 	n.mu.Unlock()
 	if len(writes) < 3 {
 		t.Fatalf("%d writes", len(writes))
 	}
-	if _, err := w.st.CompareAndSwap(ctx, 0, nil, []wire.Operation{{Put: writes[0].Key, Value: wire.MustMarshal(writes[0].V)}}); err != nil {
+	if _, err := w.st.CompareAndSwap(ctx, 0, nil, []wire.Operation{{Put: writes[0].Key, Value: wire.MustMarshal(writes[0].Group)}}); err != nil {
 		t.Fatal(err)
 	}
 	if k := known(); k <= 12 || k >= 100 {
@@ -360,10 +360,10 @@
 	}
 }
 
-func joins(list []wire.Machine) []fleet.Change {
-	var out []fleet.Change
+func joins(list []wire.Machine) []fleet.RecordChange {
+	var out []fleet.RecordChange
 	for _, h := range list {
-		out = append(out, fleet.Change{Host: h.Name, Now: &fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Role: place.Batch, Phase: fleet.In}})
+		out = append(out, fleet.RecordChange{Machine: h.Name, After: &fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Role: place.Batch, Phase: fleet.Active}})
 	}
 	return out
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -299,7 +299,7 @@
 	n.giveBack(ctx, returns)
 	// A list that is late still shows it; it must not join again.
 	n.applyList(ctx, w.cl.Listed)
-	if rec, known := n.reg.Hosts["h1"]; len(w.cl.Returned) != 1 || known {
+	if rec, known := n.reg.Machines["h1"]; len(w.cl.Returned) != 1 || known {
 		t.Fatalf("returned %v, still known: %+v", w.cl.Returned, rec)
 	}
 }
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -54,17 +54,17 @@
 		fmt.Fprintf(&b, "pipelines taken %v\n", n.pipelines())
 	}
 	fmt.Fprintf(&b, "state_limits write_rps %g value_kb %g txn_ops %d machine_groups_to_cut %d\n", n.limits.WriteRPS, n.limits.ValueKB, n.limits.TxnOps,
-		len(n.reg.Oversize(n.groupLimit(), len(n.reg.Hosts))))
+		len(n.reg.OversizeGroups(n.groupLimit(), len(n.reg.Machines))))
 	pending := 0
 	for _, j := range n.table.Open {
 		pending += j.Counts[jobs.Pending]
 	}
 	fmt.Fprintf(&b, "jobs open %d waiting_for_others %d tasks_pending %d\n", len(n.table.Open), len(n.table.Waiting), pending)
 	phases := map[fleet.Phase]int{}
-	for _, h := range n.reg.Hosts {
+	for _, h := range n.reg.Machines {
 		phases[h.Phase]++
 	}
-	fmt.Fprintf(&b, "machines in %d draining %d returned %d\n", phases[fleet.In], phases[fleet.Draining], phases[fleet.Returned])
+	fmt.Fprintf(&b, "machines in %d draining %d returned %d\n", phases[fleet.Active], phases[fleet.Draining], phases[fleet.Terminated])
 	if n.entitled() && n.leads() {
 		for _, t := range n.types {
 			if d, ok := n.leading.decision[t.Label]; ok {
--- a/internal/server/trouble_test.go
+++ b/internal/server/trouble_test.go
@@ -567,10 +567,10 @@
 func (w *world) drain(host, why string) {
 	w.t.Helper()
 	n := w.leader()
-	was := n.reg.Hosts[host]
+	was := n.reg.Machines[host]
 	is := was
-	is.Phase, is.Why = fleet.Draining, why
-	n.writeHosts(context.Background(), []fleet.Change{{Host: host, Was: &was, Now: &is}})
+	is.Phase, is.Reason = fleet.Draining, why
+	n.writeHosts(context.Background(), []fleet.RecordChange{{Machine: host, Before: &was, After: &is}})
 	w.sync()
 }
 
@@ -585,8 +585,8 @@
 	w.passAll()
 	w.drain("h1", fleet.WhySpare)
 	owner, other := w.owner("h1")
-	if owner.claimsOn("h1") != 1 || owner.reg.Hosts["h1"].Phase != fleet.Draining {
-		t.Fatalf("%d claims, %s", owner.claimsOn("h1"), owner.reg.Hosts["h1"].Phase)
+	if owner.claimsOn("h1") != 1 || owner.reg.Machines["h1"].Phase != fleet.Draining {
+		t.Fatalf("%d claims, %s", owner.claimsOn("h1"), owner.reg.Machines["h1"].Phase)
 	}
 	// Its owner ends and never hears it again.
 	w.st.Expire(owner.self.Incarnation)
@@ -632,19 +632,19 @@
 	w.submit(n, work("wk-1", 1))
 	w.passAll()
 	w.drain("h1", fleet.WhyIdle)
-	if n.reg.Hosts["h1"].Phase != fleet.In {
+	if n.reg.Machines["h1"].Phase != fleet.Active {
 		t.Fatal("a machine that has work again goes because it was idle")
 	}
 	w.drain("h1", fleet.WhySpare)
-	if n.reg.Hosts["h1"].Phase != fleet.Draining {
+	if n.reg.Machines["h1"].Phase != fleet.Draining {
 		t.Fatal("a machine is not drained")
 	}
 	n.mu.Lock()
 	n.lead = nil
 	n.mu.Unlock()
-	n.writeHosts(context.Background(), []fleet.Change{{Host: "h9", Now: &fleet.Record{MachineType: "g", Zone: "z", Role: "batch", Phase: fleet.In}}})
+	n.writeHosts(context.Background(), []fleet.RecordChange{{Machine: "h9", After: &fleet.Record{MachineType: "g", Zone: "z", Role: "batch", Phase: fleet.Active}}})
 	w.sync()
-	if n.reg.Key("h9") != "" {
+	if n.reg.KeyOf("h9") != "" {
 		t.Fatal("a node that does not lead stores machine records")
 	}
 }
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -90,8 +90,8 @@
 // startable reports whether stored claims on a machine may be started: it is
 // not known to be gone; mu is held.
 func (n *Node) startable(host string) bool {
-	rec, ok := n.reg.Hosts[host]
-	return ok && rec.Phase != fleet.Returned
+	rec, ok := n.reg.Machines[host]
+	return ok && rec.Phase != fleet.Terminated
 }
 
 func (n *Node) worker(host string) *fleet.Worker {
