--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -19,105 +19,105 @@
 var (
 	// ErrNoCapacity: no machine of this type, zone and kind.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrCloud: refused, in trouble, or no answer.
-	ErrCloud = errors.New("cloud does not answer")
+	// ErrUnavailable: refused, in trouble, or no answer.
+	ErrUnavailable = errors.New("cloud does not answer")
 )
 
-// Cloud is what the leader needs of the cloud.
-type Cloud interface {
-	Types() ([]wire.MachineType, error)
-	Rent(h wire.ScaleOutRequest) ([]string, error)
-	Return(hosts []string) error
-	List() ([]wire.Machine, error)
+// Provider is what the leader needs of the cloud.
+type Provider interface {
+	MachineTypes() ([]wire.MachineType, error)
+	ScaleOut(h wire.ScaleOutRequest) ([]string, error)
+	Terminate(hosts []string) error
+	ListMachines() ([]wire.Machine, error)
 }
 
-// CloudClient is the HTTP client of the cloud.
-type CloudClient struct {
-	addr string
-	hc   *fasthttp.HostClient
-	rps  float64
-	now  func() time.Time
+// Client is the HTTP client of the cloud.
+type Client struct {
+	addr           string
+	http           *fasthttp.HostClient
+	callsPerSecond float64
+	now            func() time.Time
 
-	mu    sync.Mutex
-	allow float64
-	last  time.Time
+	mu         sync.Mutex
+	budget     float64
+	refilledAt time.Time
 }
 
-// NewCloudClient returns a client that keeps to its share of the cloud's rate.
-func NewCloudClient(addr string, rps float64, now func() time.Time) *CloudClient {
-	return &CloudClient{addr: addr, rps: rps, now: now, allow: rps, last: now(), hc: httpc.Host(addr, tuning.CloudConns)}
+// NewClient returns a client that keeps to its share of the cloud's rate.
+func NewClient(addr string, rps float64, now func() time.Time) *Client {
+	return &Client{addr: addr, callsPerSecond: rps, now: now, budget: rps, refilledAt: now(), http: httpc.Host(addr, tuning.CloudConns)}
 }
 
-// permit takes one call from the budget, or refuses at once.
-func (c *CloudClient) permit() bool {
+// takeCall takes one call from the budget, or refuses at once.
+func (c *Client) takeCall() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	c.allow = min(c.allow+now.Sub(c.last).Seconds()*c.rps, c.rps)
-	c.last = now
-	if c.allow < 1 {
+	c.budget = min(c.budget+now.Sub(c.refilledAt).Seconds()*c.callsPerSecond, c.callsPerSecond)
+	c.refilledAt = now
+	if c.budget < 1 {
 		return false
 	}
-	c.allow--
+	c.budget--
 	return true
 }
 
-func (c *CloudClient) call(method, path string, in, out any) error {
-	if !c.permit() {
-		return fmt.Errorf("%w: call budget is spent", ErrCloud)
+func (c *Client) call(method, path string, in, out any) error {
+	if !c.takeCall() {
+		return fmt.Errorf("%w: call budget is spent", ErrUnavailable)
 	}
 	var body []byte
 	if in != nil {
 		body = wire.MustMarshal(in)
 	}
-	status, answer, err := httpc.Do(c.hc, method, c.addr, path, body, tuning.CloudCallTimeout)
+	status, answer, err := httpc.Do(c.http, method, c.addr, path, body, tuning.CloudCallTimeout)
 	if err != nil {
-		return fmt.Errorf("%w: %v", ErrCloud, err)
+		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
 	if status != 200 {
 		var f wire.ErrorResponse
 		if wire.Unmarshal(answer, &f) == nil && f.Error == "no capacity" {
 			return ErrNoCapacity
 		}
-		return fmt.Errorf("%w: status %d %s", ErrCloud, status, f.Error)
+		return fmt.Errorf("%w: status %d %s", ErrUnavailable, status, f.Error)
 	}
 	if out == nil {
 		return nil
 	}
 	if err := wire.Unmarshal(answer, out); err != nil {
-		return fmt.Errorf("%w: %v", ErrCloud, err)
+		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
 	return nil
 }
 
-// Types reads the machine types.
-func (c *CloudClient) Types() ([]wire.MachineType, error) {
+// MachineTypes reads the machine types.
+func (c *Client) MachineTypes() ([]wire.MachineType, error) {
 	var out wire.MachineTypes
 	err := c.call("GET", "/machine_types", nil, &out)
 	return out.Types, err
 }
 
-// Rent rents machines.
-func (c *CloudClient) Rent(h wire.ScaleOutRequest) ([]string, error) {
+// ScaleOut rents machines.
+func (c *Client) ScaleOut(h wire.ScaleOutRequest) ([]string, error) {
 	var out wire.MachineNames
 	err := c.call("POST", "/hosts", h, &out)
 	return out.Machines, err
 }
 
-// Return gives machines back; when it succeeds they are gone.
-func (c *CloudClient) Return(hosts []string) error {
+// Terminate gives machines back; when it succeeds they are gone.
+func (c *Client) Terminate(hosts []string) error {
 	return c.call("POST", "/hosts/return", wire.MachineNames{Machines: hosts}, nil)
 }
 
-// ListPage is the number of machines on a page of the list, the most allowed.
-const ListPage = 500
+// ListPageSize is the number of machines on a page of the list, the most allowed.
+const ListPageSize = 500
 
-// List reads the whole machine list.
-func (c *CloudClient) List() ([]wire.Machine, error) {
+// ListMachines reads the whole machine list.
+func (c *Client) ListMachines() ([]wire.Machine, error) {
 	var all []wire.Machine
 	after := ""
 	for {
-		path := "/hosts?page=" + strconv.Itoa(ListPage)
+		path := "/hosts?page=" + strconv.Itoa(ListPageSize)
 		if after != "" {
 			path += "&after=" + url.QueryEscape(after)
 		}
--- a/internal/fleet/drains.go
+++ b/internal/fleet/drains.go
@@ -8,65 +8,65 @@
 	"wheatspur/internal/tuning"
 )
 
-// drains chooses machines to give back: those that are of no use, and idle
+// scaleIn chooses machines to give back: those that are of no use, and idle
 // ones whose loss leaves the headroom and the role floors.
-func (p *planner) drains(unmet map[place.Role]bool) []DrainPlan {
-	useless, spare := p.drainCandidates()
-	p.sortSpare(spare)
-	choice := p.newDrainChoice(unmet)
+func (p *planner) scaleIn(unmet map[place.Role]bool) []ScaleIn {
+	useless, spare := p.scaleInCandidates()
+	p.sortSurplus(spare)
+	choice := p.newScaleInChoice(unmet)
 	for _, u := range spare {
 		choice.consider(u)
 	}
 	p.forgetSurplus(choice.surplus)
 	out := append(useless, choice.busy...)
-	return append(out, choice.idleDrains()...)
+	return append(out, choice.idleMachines()...)
 }
 
-// drainCandidates lists the machines that are of no use, with the reason, and
+// scaleInCandidates lists the machines that are of no use, with the reason, and
 // those that might be spared.
-func (p *planner) drainCandidates() (useless []DrainPlan, spare []Unit) {
-	for _, u := range p.in.Units {
-		if why := p.uselessWhy(u); why != "" {
-			useless = append(useless, DrainPlan{u.Name, why})
-		} else if u.Open && p.mayBeSpared(u) {
+func (p *planner) scaleInCandidates() (useless []ScaleIn, spare []Machine) {
+	for _, u := range p.input.Machines {
+		if why := p.uselessReason(u); why != "" {
+			useless = append(useless, ScaleIn{u.Name, why})
+		} else if u.Schedulable && p.surplusCandidate(u) {
 			spare = append(spare, u)
 		}
 	}
 	return useless, spare
 }
 
-// uselessWhy is the reason for giving back a machine whatever the demand is,
+// uselessReason is the reason for giving back a machine whatever the demand is,
 // "" if there is none.
-func (p *planner) uselessWhy(u Unit) string {
-	slowBoot := max(time.Duration(tuning.SlowBootFactor*float64(p.boot(u))), tuning.SlowBootMin)
+func (p *planner) uselessReason(u Machine) string {
+	slowBoot := max(time.Duration(tuning.SlowBootFactor*float64(p.bootTime(u))), tuning.SlowBootMin)
 	switch {
 	case u.Booting && u.Age > slowBoot:
-		return WhySlowBoot
+		return ReasonSlowBoot
 	case u.Missing:
-		return WhyGone
+		return ReasonNotListed
 	case u.Silent:
-		return WhySilent
-	case u.Suspect:
-		return WhyUnfit
+		return ReasonSilent
+	case u.Quarantined:
+		return ReasonQuarantined
 	}
 	return ""
 }
 
-// mayBeSpared reports whether an open machine is idle, or could be emptied:
+// surplusCandidate reports whether an open machine is idle, or could be emptied:
 // an ordinary one of batch work, whose tasks end by themselves, or one whose
 // service tasks can move.
-func (p *planner) mayBeSpared(u Unit) bool {
+func (p *planner) surplusCandidate(u Machine) bool {
 	if u.Claims == 0 {
 		return true
 	}
 	if u.Role == place.Batch {
 		return !u.Kind.Spot
 	}
-	return u.Role == place.Service && u.Movable && p.in.Moving < max(p.in.Movers, 1)
+	return u.Role == place.Service && u.Movable && p.input.Draining < max(p.input.MaxDraining, 1)
 }
 
-// sortSpare puts idle machines first, then the emptiest of the dearest.
-func (p *planner) sortSpare(spare []Unit) {
+// sortSurplus puts idle machines first, then the emptiest of the dearest.
+func (p *planner) sortSurplus(spare []Machine) {
 	sort.Slice(spare, func(a, b int) bool {
 		x, y := spare[a], spare[b]
 		if (x.Claims == 0) != (y.Claims == 0) {
@@ -84,9 +84,9 @@
 
 // forgetSurplus ends the surplus of the machines that are not in it any more.
 func (p *planner) forgetSurplus(surplus map[string]bool) {
-	for name := range p.in.SurplusSince {
+	for name := range p.input.SurplusSince {
 		if !surplus[name] {
-			delete(p.in.SurplusSince, name)
+			delete(p.input.SurplusSince, name)
 		}
 	}
 }
@@ -97,13 +97,13 @@
 	role        place.Role
 }
 
-func (u Unit) roleOfType() roleOfType {
+func (u Machine) roleOfType() roleOfType {
 	return roleOfType{u.Kind.MachineType, u.Role}
 }
 
-// drainChoice is the choice among the machines that might be spared, given
+// scaleInChoice is the choice among the machines that might be spared, given
 // those that were chosen before.
-type drainChoice struct {
+type scaleInChoice struct {
 	planner *planner
 	unmet   map[place.Role]bool   // roles with tasks without a place
 	holds   map[roleOfType]int    // machines that keep a role's floor
@@ -111,26 +111,26 @@
 	plain   *rooms                // room for batch work that may not use spot machines
 	surplus map[string]bool       // machines that the plan could do without
 	emptied map[place.Role]bool   // roles of which a busy machine was chosen
-	busy    []DrainPlan           // chosen, to be emptied
-	idle    map[string][]Unit     // chosen, empty, by group
+	busy    []ScaleIn             // chosen, to be emptied
+	idle    map[string][]Machine  // chosen, empty, by group
 }
 
-func (p *planner) newDrainChoice(unmet map[place.Role]bool) *drainChoice {
-	c := &drainChoice{
+func (p *planner) newScaleInChoice(unmet map[place.Role]bool) *scaleInChoice {
+	c := &scaleInChoice{
 		planner: p,
 		unmet:   unmet,
 		holds:   map[roleOfType]int{},
 		rooms: map[place.Role]*rooms{
-			place.Batch:   p.rooms(p.in.Batch, p.in.Op.BatchHeadroom),
-			place.Service: p.rooms(p.in.Service, p.in.Op.ServiceHeadroom),
+			place.Batch:   p.rooms(p.input.Batch, p.input.Operator.BatchHeadroom),
+			place.Service: p.rooms(p.input.Service, p.input.Operator.ServiceHeadroom),
 		},
-		plain:   p.rooms(p.in.Plain, p.in.Op.BatchHeadroom),
+		plain:   p.rooms(p.input.OnDemand, p.input.Operator.BatchHeadroom),
 		surplus: map[string]bool{},
 		emptied: map[place.Role]bool{},
-		idle:    map[string][]Unit{},
+		idle:    map[string][]Machine{},
 	}
-	for _, u := range p.in.Units {
-		if u.Open && u.sound() {
+	for _, u := range p.input.Machines {
+		if u.Schedulable && u.healthy() {
 			c.holds[u.roleOfType()]++
 		}
 	}
@@ -139,12 +139,12 @@
 
 // consider chooses the machine if it can be spared now, and notes it as
 // surplus if it could be.
-func (c *drainChoice) consider(u Unit) {
+func (c *scaleInChoice) consider(u Machine) {
 	if c.needed(u) {
 		return
 	}
 	c.surplus[u.Name] = true
-	if !c.rested(u) || c.unmet[u.Role] || len(c.planner.rentals) > 0 {
+	if !c.rested(u) || c.unmet[u.Role] || len(c.planner.scaleOut) > 0 {
 		return
 	}
 	if u.Claims > 0 && c.emptied[u.Role] {
@@ -154,44 +154,44 @@
 }
 
 // needed reports whether the role floors or the headroom need the machine.
-func (c *drainChoice) needed(u Unit) bool {
+func (c *scaleInChoice) needed(u Machine) bool {
 	// Guards against short work that may not use spot machines waiting for a
 	// boot each time, since spot machines hold the role's floor.
 	if u.Role == place.Batch && !u.Kind.Spot && !c.plain.spares(u) {
 		return true
 	}
-	active := c.planner.in.Active[u.Role]
+	active := c.planner.input.ActiveRoles[u.Role]
 	if active && c.holds[u.roleOfType()] <= tuning.RoleFloor {
 		return true
 	}
 	// What is not rented for headroom is not kept for it. Guards against idle
 	// ordinary machines, several times as dear, that stand in for the spot
 	// machines of which the cloud has no more.
-	if c.standsInForSpot(u) {
+	if c.replacesSpot(u) {
 		return false
 	}
 	return (active || u.Claims > 0) && !c.rooms[u.Role].spares(u)
 }
 
-// standsInForSpot reports whether the machine is an idle ordinary one, though
+// replacesSpot reports whether the machine is an idle ordinary one, though
 // the typical batch work may use spot machines.
-func (c *drainChoice) standsInForSpot(u Unit) bool {
-	typical := c.planner.in.Batch.Spec
+func (c *scaleInChoice) replacesSpot(u Machine) bool {
+	typical := c.planner.input.Batch.Spec
 	return u.Claims == 0 && u.Role == place.Batch && !u.Kind.Spot && typical != nil && typical.Spot
 }
 
 // rested reports whether the machine has been idle for long enough to go. A
 // busy machine must be surplus for as long as an idle one must be idle.
-func (c *drainChoice) rested(u Unit) bool {
-	in := &c.planner.in
+func (c *scaleInChoice) rested(u Machine) bool {
+	in := &c.planner.input
 	since, known := in.SurplusSince[u.Name]
 	if !known {
 		since = in.Now
 		in.SurplusSince[u.Name] = since
 	}
-	limit := in.Op.IdleOrdinary
+	limit := in.Operator.IdleOrdinary
 	if u.Kind.Spot {
-		limit = in.Op.IdleSpot
+		limit = in.Operator.IdleSpot
 	}
 	rest := u.Idle
 	if u.Claims > 0 {
@@ -201,22 +201,22 @@
 }
 
 // choose gives the machine back, and takes it out of what is left.
-func (c *drainChoice) choose(u Unit) {
+func (c *scaleInChoice) choose(u Machine) {
 	c.holds[u.roleOfType()]--
 	c.rooms[u.Role].leave(u)
 	c.plain.leave(u)
 	if u.Claims > 0 {
 		c.emptied[u.Role] = true
-		c.busy = append(c.busy, DrainPlan{u.Name, WhySpare})
+		c.busy = append(c.busy, ScaleIn{u.Name, ReasonSurplus})
 		return
 	}
 	c.idle[u.Group] = append(c.idle[u.Group], u)
 }
 
-// idleDrains gives back the idle machines that were chosen. The groups with
+// idleMachines gives back the idle machines that were chosen. The groups with
 // the most of them go first, a few a plan: each group costs a change, however
 // many of its machines go.
-func (c *drainChoice) idleDrains() []DrainPlan {
+func (c *scaleInChoice) idleMachines() []ScaleIn {
 	groups := make([]string, 0, len(c.idle))
 	for group := range c.idle {
 		groups = append(groups, group)
@@ -227,11 +227,11 @@
 		}
 		return groups[a] < groups[b]
 	})
-	most := max(c.planner.in.Groups, tuning.DrainGroups)
-	var out []DrainPlan
+	most := max(c.planner.input.MaxGroups, tuning.DrainGroups)
+	var out []ScaleIn
 	for _, group := range groups[:min(len(groups), most)] {
 		for _, u := range c.idle[group] {
-			out = append(out, DrainPlan{u.Name, WhyIdle})
+			out = append(out, ScaleIn{u.Name, ReasonIdle})
 		}
 	}
 	return out
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -15,204 +15,204 @@
 // Reasons for giving back a machine that holds nothing any more, or never came
 // up: its return proves that its tasks are gone.
 const (
-	WhySlowBoot = "slow boot"
-	WhyGone     = "gone from the cloud's list"
-	WhySilent   = "silent for longer than a lease"
-	WhyUnfit    = "its tasks fail, or it does not do what it is told"
-	WhyIdle     = "idle"
-	WhySpare    = "the others have room for its tasks"
+	ReasonSlowBoot    = "slow boot"
+	ReasonNotListed   = "gone from the cloud's list"
+	ReasonSilent      = "silent for longer than a lease"
+	ReasonQuarantined = "its tasks fail, or it does not do what it is told"
+	ReasonIdle        = "idle"
+	ReasonSurplus     = "the others have room for its tasks"
 )
 
 // Reasons for renting a machine.
 const (
-	whyUnplaced = "tasks without a place"
-	whyHeadroom = "headroom"
+	reasonUnplaced = "tasks without a place"
+	reasonHeadroom = "headroom"
 )
 
-// Kind is what one rental asks for.
-type Kind struct {
+// MachineKind is what one rental asks for.
+type MachineKind struct {
 	MachineType, Zone string
 	Spot              bool
 }
 
-// Unit is a machine in the plan.
-type Unit struct {
-	Name    string
-	Kind    Kind
-	Role    place.Role
-	Open    bool          // takes tasks now
-	Booting bool          // not up yet
-	Age     time.Duration // since it was rented or first listed
-	Idle    time.Duration // without claims
-	Movable bool          // its service tasks have room on machines that hold their images
-	Claims  int
-	Free    jobs.Resources
-	Suspect bool
-	Silent  bool   // up before, not heard for longer than a lease
-	Missing bool   // was listed, is no more
-	Quiet   bool   // up before, and due a report
-	Group   string // key of its record: machines of one key go back in one change
+// Machine is a machine in the plan.
+type Machine struct {
+	Name             string
+	Kind             MachineKind
+	Role             place.Role
+	Schedulable      bool          // takes tasks now
+	Booting          bool          // not up yet
+	Age              time.Duration // since it was rented or first listed
+	Idle             time.Duration // without claims
+	Movable          bool          // its service tasks have room on machines that hold their images
+	Claims           int
+	Free             jobs.Resources
+	Quarantined      bool
+	Silent           bool   // up before, not heard for longer than a lease
+	Missing          bool   // was listed, is no more
+	HeartbeatOverdue bool   // up before, and due a report
+	Group            string // key of its record: machines of one key go back in one change
 }
 
-// sound reports whether the machine can be counted on, once it is up.
-func (u Unit) sound() bool {
-	return !u.Suspect && !u.Silent && !u.Missing
+// healthy reports whether the machine can be counted on, once it is up.
+func (u Machine) healthy() bool {
+	return !u.Quarantined && !u.Silent && !u.Missing
 }
 
-// Want is a number of like tasks without a place.
-type Want struct {
-	Job     *jobs.Job
-	Count   int
-	Waiting time.Duration
-	Untried bool // no place was looked for yet: machines that take tasks may do
+// Demand is a number of like tasks without a place.
+type Demand struct {
+	Job             *jobs.Job
+	Count           int
+	Waiting         time.Duration
+	NotScheduledYet bool // no place was looked for yet: machines that take tasks may do
 }
 
 // Load is what a role holds now, for its headroom.
 type Load struct {
-	Tasks float64        // tasks held, a mean over time for batch
-	Least int            // tasks that the headroom holds at least
-	Wait  float64        // tasks that wait for machines to boot
-	Need  jobs.Resources // of a typical task
-	Spec  *wire.JobSpec  // a typical job
-}
-
-// PlanInput is what the capacity plan is made from.
-type PlanInput struct {
-	Now     time.Time
-	Op      config.Operator
-	Types   []wire.MachineType
-	Units   []Unit
-	Wants   []Want
-	Service Load
-	Batch   Load
-	// Plain is the batch work that may not use spot machines; no Spec: none
+	Tasks        float64        // tasks held, a mean over time for batch
+	MinTasks     int            // tasks that the headroom holds at least
+	AwaitingBoot float64        // tasks that wait for machines to boot
+	Need         jobs.Resources // of a typical task
+	Spec         *wire.JobSpec  // a typical job
+}
+
+// Input is what the capacity plan is made from.
+type Input struct {
+	Now      time.Time
+	Operator config.Operator
+	Types    []wire.MachineType
+	Machines []Machine
+	Demands  []Demand
+	Service  Load
+	Batch    Load
+	// OnDemand is the batch work that may not use spot machines; no Spec: none
 	// is open, waits for others, or was lately.
-	Plain   Load
-	Refused map[Kind]time.Time // when the cloud had none
+	OnDemand        Load
+	NoCapacitySince map[MachineKind]time.Time // when the cloud had none
 
 	// SurplusSince says since when the plan could do without a busy machine; the
 	// plan keeps it up to date.
 	SurplusSince map[string]time.Time
-	Moving       int // machines that are being drained of service tasks
-	Movers       int // how many may be at once
-	Groups       int // groups of records that may be changed to give idle machines back
+	Draining     int // machines that are being drained of service tasks
+	MaxDraining  int // how many may be at once
+	MaxGroups    int // groups of records that may be changed to give idle machines back
 
-	// Active says which roles have had work lately; the others need neither
+	// ActiveRoles says which roles have had work lately; the others need neither
 	// floor nor headroom.
-	Active map[place.Role]bool
+	ActiveRoles map[place.Role]bool
 }
 
-// RentPlan is a number of machines to rent for a role.
-type RentPlan struct {
-	Kind  Kind
-	Role  place.Role
-	Count int
-	Why   string
+// ScaleOut is a number of machines to rent for a role.
+type ScaleOut struct {
+	Kind   MachineKind
+	Role   place.Role
+	Count  int
+	Reason string
 }
 
-// DrainPlan is a machine to give back once it is empty.
-type DrainPlan struct {
-	Name string
-	Why  string
+// ScaleIn is a machine to give back once it is empty.
+type ScaleIn struct {
+	Machine string
+	Reason  string
 }
 
-// Dead reports whether the machine holds nothing any more, or never came up.
-func (d DrainPlan) Dead() bool {
-	return d.Why == WhyGone || d.Why == WhySilent || d.Why == WhySlowBoot
+// Terminated reports whether the machine holds nothing any more, or never came up.
+func (d ScaleIn) Terminated() bool {
+	return d.Reason == ReasonNotListed || d.Reason == ReasonSilent || d.Reason == ReasonSlowBoot
 }
 
-// PlanOutput is what to rent and to give back.
-type PlanOutput struct {
-	Rentals []RentPlan
-	Drains  []DrainPlan
+// Output is what to rent and to give back.
+type Output struct {
+	ScaleOut []ScaleOut
+	ScaleIn  []ScaleIn
 }
 
 // bin is the room of a machine, one that there is or a planned one.
 type bin struct {
-	kind Kind
-	role place.Role
-	free jobs.Resources
-	open bool   // takes tasks now
-	name string // "" for a planned one
+	kind        MachineKind
+	role        place.Role
+	free        jobs.Resources
+	schedulable bool   // takes tasks now
+	name        string // "" for a planned one
 }
 
 // planner is a plan in the making.
 type planner struct {
-	in      PlanInput
-	types   map[string]wire.MachineType
-	bins    []*bin
-	crowds  map[crowd]int       // bins by zone and role
-	dark    map[string]bool     // zones; see the function
-	rentals map[RentPlan]int    // planned, by kind and role
-	whys    map[RentPlan]string // why the first of them is rented
+	input            Input
+	types            map[string]wire.MachineType
+	bins             []*bin
+	zoneCounts       map[zoneRole]int    // bins by zone and role
+	unreachableZones map[string]bool     // zones; see the function
+	scaleOut         map[ScaleOut]int    // planned, by kind and role
+	reasons          map[ScaleOut]string // why the first of them is rented
 }
 
-// crowd is what machines are spread over zones by.
-type crowd struct {
+// zoneRole is what machines are spread over zones by.
+type zoneRole struct {
 	zone string
 	role place.Role
 }
 
 // Plan decides what to rent and what to give back. It is pure, but for
 // SurplusSince.
-func Plan(in PlanInput) PlanOutput {
+func Plan(in Input) Output {
 	p := newPlanner(in)
-	unmet := p.coverWants()
-	p.headroom(place.Service, in.Service, in.Op.ServiceHeadroom)
-	p.headroom(place.Batch, in.Batch, in.Op.BatchHeadroom)
-	p.headroom(place.Batch, in.Plain, in.Op.BatchHeadroom)
-	return PlanOutput{
-		Rentals: p.sortedRentals(),
-		Drains:  p.drains(unmet),
+	unmet := p.coverDemands()
+	p.headroom(place.Service, in.Service, in.Operator.ServiceHeadroom)
+	p.headroom(place.Batch, in.Batch, in.Operator.BatchHeadroom)
+	p.headroom(place.Batch, in.OnDemand, in.Operator.BatchHeadroom)
+	return Output{
+		ScaleOut: p.sortedScaleOut(),
+		ScaleIn:  p.scaleIn(unmet),
 	}
 }
 
-func newPlanner(in PlanInput) *planner {
+func newPlanner(in Input) *planner {
 	p := &planner{
-		in:      in,
-		types:   map[string]wire.MachineType{},
-		crowds:  map[crowd]int{},
-		dark:    dark(in.Units),
-		rentals: map[RentPlan]int{},
-		whys:    map[RentPlan]string{},
+		input:            in,
+		types:            map[string]wire.MachineType{},
+		zoneCounts:       map[zoneRole]int{},
+		unreachableZones: unreachableZones(in.Machines),
+		scaleOut:         map[ScaleOut]int{},
+		reasons:          map[ScaleOut]string{},
 	}
 	for _, t := range in.Types {
 		p.types[t.Label] = t
 	}
-	for _, u := range in.Units {
-		if u.sound() && !p.late(u) && (u.Open || u.Booting) {
-			p.add(&bin{u.Kind, u.Role, u.Free, u.Open, u.Name})
+	for _, u := range in.Machines {
+		if u.healthy() && !p.bootOverdue(u) && (u.Schedulable || u.Booting) {
+			p.addBin(&bin{u.Kind, u.Role, u.Free, u.Schedulable, u.Name})
 		}
 	}
 	return p
 }
 
-// late reports whether the machine is beyond the usual boot time: it may yet
+// bootOverdue reports whether the machine is beyond the usual boot time: it may yet
 // come, or never. What counts on it waits for the time in which another would
 // boot.
-func (p *planner) late(u Unit) bool {
-	return u.Booting && u.Age > time.Duration(tuning.LateBootFactor*float64(p.boot(u)))
+func (p *planner) bootOverdue(u Machine) bool {
+	return u.Booting && u.Age > time.Duration(tuning.LateBootFactor*float64(p.bootTime(u)))
 }
 
-// coverWants plans room for the tasks without a place, and returns the roles
+// coverDemands plans room for the tasks without a place, and returns the roles
 // of those for which a place was looked for.
-func (p *planner) coverWants() map[place.Role]bool {
+func (p *planner) coverDemands() map[place.Role]bool {
 	unmet := map[place.Role]bool{}
-	for _, w := range p.in.Wants {
-		p.cover(w.Job, w.Count, !w.Untried, w.Waiting, whyUnplaced)
-		if !w.Untried {
+	for _, w := range p.input.Demands {
+		p.cover(w.Job, w.Count, !w.NotScheduledYet, w.Waiting, reasonUnplaced)
+		if !w.NotScheduledYet {
 			unmet[roleOf(w.Job)] = true
 		}
 	}
 	return unmet
 }
 
-// sortedRentals lists what was planned: for services first, then by zone and
+// sortedScaleOut lists what was planned: for services first, then by zone and
 // type.
-func (p *planner) sortedRentals() []RentPlan {
-	var rentals []RentPlan
-	for rental, count := range p.rentals {
-		rental.Count, rental.Why = count, p.whys[rental]
+func (p *planner) sortedScaleOut() []ScaleOut {
+	var rentals []ScaleOut
+	for rental, count := range p.scaleOut {
+		rental.Count, rental.Reason = count, p.reasons[rental]
 		rentals = append(rentals, rental)
 	}
 	sort.Slice(rentals, func(a, b int) bool {
@@ -228,15 +228,15 @@
 	return rentals
 }
 
-// dark finds the zones of which most machines are quiet: what is rented there
+// unreachableZones finds the zones of which most machines are quiet: what is rented there
 // would not be heard either. Guards against replacing what is behind a cut by
 // machines behind it, in the zone that seems to have the fewest.
-func dark(units []Unit) map[string]bool {
+func unreachableZones(units []Machine) map[string]bool {
 	quiet := map[string]int{} // less those heard
 	for _, u := range units {
-		if u.Quiet {
+		if u.HeartbeatOverdue {
 			quiet[u.Kind.Zone]++
-		} else if u.Open {
+		} else if u.Schedulable {
 			quiet[u.Kind.Zone]--
 		}
 	}
@@ -247,8 +247,8 @@
 	return out
 }
 
-// boot is the usual boot time of the machine's type.
-func (p *planner) boot(u Unit) time.Duration {
+// bootTime is the usual boot time of the machine's type.
+func (p *planner) bootTime(u Machine) time.Duration {
 	return config.Seconds(p.types[u.Kind.MachineType].StartupS)
 }
 
@@ -258,7 +258,7 @@
 }
 
 // price is what a machine of the kind costs.
-func (p *planner) price(k Kind) float64 {
+func (p *planner) price(k MachineKind) float64 {
 	return priceOf(p.types[k.MachineType], k.Spot)
 }
 
@@ -269,8 +269,8 @@
 	return t.Price
 }
 
-// suits reports whether the job may use machines of the kind in the role.
-func suits(j *jobs.Job, k Kind, role place.Role) bool {
+// eligible reports whether the job may use machines of the kind in the role.
+func eligible(j *jobs.Job, k MachineKind, role place.Role) bool {
 	return place.Suits(j, &place.Machine{Type: k.MachineType, Zone: k.Zone, Spot: k.Spot, Role: role})
 }
 
@@ -282,9 +282,9 @@
 	return place.Batch
 }
 
-func (p *planner) add(b *bin) {
+func (p *planner) addBin(b *bin) {
 	p.bins = append(p.bins, b)
-	p.crowds[crowd{b.kind.Zone, b.role}]++
+	p.zoneCounts[zoneRole{b.kind.Zone, b.role}]++
 }
 
 // cover finds room for a number of like tasks in the bins, and plans to rent
@@ -293,7 +293,7 @@
 func (p *planner) cover(j *jobs.Job, count int, coming bool, waiting time.Duration, why string) {
 	var fit []*bin
 	for _, b := range p.bins {
-		if !(coming && b.open) && j.Need.Fits(b.free) && suits(j, b.kind, b.role) {
+		if !(coming && b.schedulable) && j.Need.Fits(b.free) && eligible(j, b.kind, b.role) {
 			fit = append(fit, b)
 		}
 	}
@@ -304,7 +304,7 @@
 		}
 	}
 	for count > 0 {
-		b := p.rent(j, waiting, why)
+		b := p.scaleOutFor(j, waiting, why)
 		if b == nil {
 			return
 		}
@@ -314,27 +314,27 @@
 	}
 }
 
-// rent plans one more machine for a task, the best that the cloud offers; nil
+// scaleOutFor plans one more machine for a task, the best that the cloud offers; nil
 // if none is to be had.
-func (p *planner) rent(j *jobs.Job, waiting time.Duration, why string) *bin {
+func (p *planner) scaleOutFor(j *jobs.Job, waiting time.Duration, why string) *bin {
 	best := p.bestOffer(j, waiting)
 	if math.IsInf(best.taskPrice, 1) {
 		return nil
 	}
 	role := roleOf(j)
-	rental := RentPlan{Kind: best.kind, Role: role}
-	p.rentals[rental]++
-	if p.whys[rental] == "" {
-		p.whys[rental] = why
+	rental := ScaleOut{Kind: best.kind, Role: role}
+	p.scaleOut[rental]++
+	if p.reasons[rental] == "" {
+		p.reasons[rental] = why
 	}
 	b := &bin{kind: best.kind, role: role, free: total(p.types[best.kind.MachineType])}
-	p.add(b)
+	p.addBin(b)
 	return b
 }
 
 // offer is a kind of machine that could be rented for a task.
 type offer struct {
-	kind      Kind
+	kind      MachineKind
 	taskPrice float64 // for each task that the machine holds
 	crowd     int     // machines of the role in the zone
 	dark      bool    // in a dark zone
@@ -359,22 +359,22 @@
 // there is none.
 func (p *planner) bestOffer(j *jobs.Job, waiting time.Duration) offer {
 	best := offer{taskPrice: math.Inf(1), dark: true}
-	for _, t := range p.in.Types {
+	for _, t := range p.input.Types {
 		if !j.Need.Fits(total(t)) {
 			continue
 		}
 		tasks := tasksHeld(j, t)
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
-				kind := Kind{t.Label, zone, spot}
-				if !p.mayRent(j, kind, waiting) {
+				kind := MachineKind{t.Label, zone, spot}
+				if !p.mayScaleOut(j, kind, waiting) {
 					continue
 				}
 				o := offer{
 					kind:      kind,
 					taskPrice: priceOf(t, spot) / tasks,
-					crowd:     p.crowdFor(kind, roleOf(j)),
-					dark:      p.dark[zone],
+					crowd:     p.zoneCount(kind, roleOf(j)),
+					dark:      p.unreachableZones[zone],
 				}
 				if o.better(best) {
 					best = o
@@ -385,27 +385,27 @@
 	return best
 }
 
-// mayRent reports whether a machine of the kind may be rented for the job now.
-func (p *planner) mayRent(j *jobs.Job, kind Kind, waiting time.Duration) bool {
+// mayScaleOut reports whether a machine of the kind may be rented for the job now.
+func (p *planner) mayScaleOut(j *jobs.Job, kind MachineKind, waiting time.Duration) bool {
 	role := roleOf(j)
-	if !suits(j, kind, role) {
+	if !eligible(j, kind, role) {
 		return false
 	}
-	if at, refused := p.in.Refused[kind]; refused && p.in.Now.Sub(at) < tuning.RefusedPause {
+	if at, refused := p.input.NoCapacitySince[kind]; refused && p.input.Now.Sub(at) < tuning.RefusedPause {
 		return false
 	}
 	spotFirst := role == place.Batch && j.Record.Spec.Spot && waiting < tuning.OrdinaryBatchAfter
 	return kind.Spot || !spotFirst
 }
 
-// crowdFor is the number of machines of the role in the kind's zone. Batch
+// zoneCount is the number of machines of the role in the kind's zone. Batch
 // work fills one call before the next, so a call that has begun goes first.
-func (p *planner) crowdFor(kind Kind, role place.Role) int {
-	planned := p.rentals[RentPlan{Kind: kind, Role: role}]
+func (p *planner) zoneCount(kind MachineKind, role place.Role) int {
+	planned := p.scaleOut[ScaleOut{Kind: kind, Role: role}]
 	if role == place.Batch && planned%tuning.RentMax > 0 {
 		return -1
 	}
-	return p.crowds[crowd{kind.Zone, role}]
+	return p.zoneCounts[zoneRole{kind.Zone, role}]
 }
 
 // Guards of tasksHeld against a job that needs next to nothing, and against
@@ -421,12 +421,12 @@
 	return math.Floor(1/share + shareTolerance)
 }
 
-// spare is the number of typical tasks that a role's headroom holds.
-func spare(l Load, share float64) int {
+// headroomTasks is the number of typical tasks that a role's headroom holds.
+func headroomTasks(l Load, share float64) int {
 	if l.Spec == nil || share <= 0 {
 		return 0
 	}
-	return max(int(math.Ceil(l.Tasks*share)), l.Least)
+	return max(int(math.Ceil(l.Tasks*share)), l.MinTasks)
 }
 
 // typical makes a job that stands for a load.
@@ -439,25 +439,25 @@
 // headroom plans room for tasks that are yet to come, and for some of the
 // machines that are booting to come late.
 func (p *planner) headroom(role place.Role, l Load, share float64) {
-	if !p.in.Active[role] {
+	if !p.input.ActiveRoles[role] {
 		return
 	}
-	tasks := spare(l, share)
-	if l.Spec != nil && l.Wait > 0 {
-		tasks += p.hedge(typical(l), l.Wait)
+	tasks := headroomTasks(l, share)
+	if l.Spec != nil && l.AwaitingBoot > 0 {
+		tasks += p.lateBootHedge(typical(l), l.AwaitingBoot)
 	}
 	if tasks > 0 {
-		p.cover(typical(l), tasks, false, 0, whyHeadroom)
+		p.cover(typical(l), tasks, false, 0, reasonHeadroom)
 	}
 }
 
-// hedge is the room to rent beside that for waiting tasks, since some of the
+// lateBootHedge is the room to rent beside that for waiting tasks, since some of the
 // machines take much longer to boot than usual: their expected number and a
 // little over a deviation, which is most of a machine for one, and a sixth of
 // the machines for a hundred.
-func (p *planner) hedge(j *jobs.Job, waiting float64) int {
+func (p *planner) lateBootHedge(j *jobs.Job, waiting float64) int {
 	each := 0.0 // tasks a machine, of the type that holds the fewest
-	for _, t := range p.in.Types {
+	for _, t := range p.input.Types {
 		if !jobs.Allowed(j.Record.Spec, t.Label) || !j.Need.Fits(total(t)) {
 			continue
 		}
@@ -483,15 +483,15 @@
 
 func (p *planner) rooms(l Load, share float64) *rooms {
 	if l.Spec == nil {
-		return &rooms{need: spare(l, share), of: map[string]int{}}
+		return &rooms{need: headroomTasks(l, share), of: map[string]int{}}
 	}
 	r := &rooms{
 		job:  typical(l),
-		need: spare(l, share),
-		of:   make(map[string]int, len(p.in.Units)),
+		need: headroomTasks(l, share),
+		of:   make(map[string]int, len(p.input.Machines)),
 	}
-	for _, v := range p.in.Units {
-		if !(v.Open || v.Booting) || !v.sound() || !suits(r.job, v.Kind, v.Role) {
+	for _, v := range p.input.Machines {
+		if !(v.Schedulable || v.Booting) || !v.healthy() || !eligible(r.job, v.Kind, v.Role) {
 			continue
 		}
 		n := 0
@@ -509,7 +509,7 @@
 
 // spares reports whether the role's headroom stands without the machine, with
 // the service tasks that would have to move. Batch tasks end where they are.
-func (r *rooms) spares(u Unit) bool {
+func (r *rooms) spares(u Machine) bool {
 	need := r.need
 	if u.Role == place.Service {
 		need += u.Claims
@@ -521,7 +521,7 @@
 }
 
 // leave takes a machine that is given back out of the room.
-func (r *rooms) leave(u Unit) {
+func (r *rooms) leave(u Machine) {
 	r.all -= r.of[u.Name]
 	if u.Role == place.Service {
 		r.need += u.Claims
--- a/internal/server/headroom.go
+++ b/internal/server/headroom.go
@@ -38,12 +38,12 @@
 func (b *planBuilder) addHeadroom() {
 	l := b.leader
 	l.averageBatch(l.typicalBatch(b.batch), b.now)
-	l.batch.Tasks, l.batch.Least = l.batchAvg, 0
+	l.batch.Tasks, l.batch.MinTasks = l.batchAvg, 0
 	if b.now.Sub(l.batchSeen) < tuning.BatchHeadroomHold {
-		l.batch.Least = int(math.Ceil(l.batchSize * tuning.BatchHeadroomJobs))
+		l.batch.MinTasks = int(math.Ceil(l.batchSize * tuning.BatchHeadroomJobs))
 	}
 	b.input.Batch = l.batch
-	b.input.Plain = b.node.plain(l, b.now)
+	b.input.OnDemand = b.node.plain(l, b.now)
 }
 
 // averageBatch moves the mean of the batch tasks held towards their present number.
@@ -67,12 +67,12 @@
 			active[place.Batch] = b.now
 		}
 	}
-	b.input.Active = map[place.Role]bool{}
+	b.input.ActiveRoles = map[place.Role]bool{}
 	for _, role := range []place.Role{place.Batch, place.Service} {
 		if _, ok := active[role]; !ok {
 			active[role] = b.now // a new leader does not know
 		}
-		b.input.Active[role] = b.now.Sub(active[role]) < tuning.RoleLapse
+		b.input.ActiveRoles[role] = b.now.Sub(active[role]) < tuning.RoleLapse
 	}
 }
 
@@ -95,7 +95,7 @@
 		}
 	}
 	if typical != nil {
-		l.plain = fleet.Load{Need: typical.Need, Spec: typical.Record.Spec, Least: int(math.Ceil(tasks / float64(arrays) * tuning.BatchHeadroomJobs))}
+		l.plain = fleet.Load{Need: typical.Need, Spec: typical.Record.Spec, MinTasks: int(math.Ceil(tasks / float64(arrays) * tuning.BatchHeadroomJobs))}
 		l.plainSeen = now
 	} else if now.Sub(l.plainSeen) > tuning.BatchHeadroomHold {
 		l.plain = fleet.Load{}
--- a/internal/server/lead.go
+++ b/internal/server/lead.go
@@ -63,18 +63,18 @@
 			moves = n.stepRoles(l, machines, now)
 		}
 		listed := !l.listAt.IsZero() && now.Sub(l.listAt) < 5*tuning.ListEvery
-		var out fleet.PlanOutput
+		var out fleet.Output
 		if listed {
 			out = fleet.Plan(n.planInput(l, machines, now))
 		}
 		if !free {
 			n.mu.Unlock()
-			for _, h := range out.Rentals {
+			for _, h := range out.ScaleOut {
 				n.rent(ctx, h)
 			}
 			continue
 		}
-		drains, dead := n.drainChanges(out.Drains)
+		drains, dead := n.drainChanges(out.ScaleIn)
 		returns, drops := n.toReturn(l, now)
 		returns = slices.Concat(dead, l.lost, returns)
 		var cut []string
@@ -92,7 +92,7 @@
 			<-storing
 			return nil
 		})
-		for _, h := range out.Rentals {
+		for _, h := range out.ScaleOut {
 			n.rent(ctx, h)
 		}
 	}
--- a/internal/server/leading.go
+++ b/internal/server/leading.go
@@ -20,7 +20,7 @@
 	listAt       time.Time
 	absent       map[string]int // lists in a row that omitted a machine listed before
 	rented       map[string]rental
-	refused      map[fleet.Kind]time.Time
+	refused      map[fleet.MachineKind]time.Time
 	control      map[string]*roles.Controller
 	decision     map[string]roles.Decision
 	seenJobs     map[string]bool
@@ -43,7 +43,7 @@
 }
 
 type rental struct {
-	kind fleet.Kind
+	kind fleet.MachineKind
 	role place.Role
 	at   time.Time
 }
@@ -69,7 +69,7 @@
 		listed:       map[string]wire.Machine{},
 		absent:       map[string]int{},
 		rented:       map[string]rental{},
-		refused:      map[fleet.Kind]time.Time{},
+		refused:      map[fleet.MachineKind]time.Time{},
 		control:      map[string]*roles.Controller{},
 		decision:     map[string]roles.Decision{},
 		seenJobs:     map[string]bool{},
--- a/internal/server/machines.go
+++ b/internal/server/machines.go
@@ -40,14 +40,14 @@
 				types = n.now()
 			}
 		}
-		if list, err := n.cloud.List(); err != nil {
+		if list, err := n.cloud.ListMachines(); err != nil {
 			n.log.Info("machine list not read", "err", err)
 		} else {
 			n.applyList(ctx, list)
 		}
 		// A list of many pages takes as many calls of the cloud's budget.
 		n.mu.Lock()
-		pages := len(n.leading.listed)/fleet.ListPage + 1
+		pages := len(n.leading.listed)/fleet.ListPageSize + 1
 		n.mu.Unlock()
 		sleep(ctx, tuning.ListEvery*time.Duration(max(1, pages/2)))
 	}
@@ -56,7 +56,7 @@
 
 // readTypes stores the machine types, if they have changed.
 func (n *Node) readTypes(ctx context.Context) error {
-	list, err := n.cloud.Types()
+	list, err := n.cloud.MachineTypes()
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 	n.mu.Unlock()
 	idle := map[string][]string{} // machines to go because they are idle, by group
 	for _, c := range list {
-		if c.After != nil && c.After.Phase == fleet.Draining && c.After.Reason == fleet.WhyIdle {
+		if c.After != nil && c.After.Phase == fleet.Draining && c.After.Reason == fleet.ReasonIdle {
 			idle[n.keyOf(c.Machine)] = append(idle[n.keyOf(c.Machine)], c.Machine)
 		}
 	}
@@ -280,9 +280,9 @@
 // drainChanges stores that machines take no more tasks; mu is held.
 // Machines that are dead go back at once, by name: what would drain them is
 // over, and their tasks wait for the proof of their return.
-func (n *Node) drainChanges(drains []fleet.DrainPlan) (changes []fleet.RecordChange, dead []string) {
+func (n *Node) drainChanges(drains []fleet.ScaleIn) (changes []fleet.RecordChange, dead []string) {
 	for _, d := range drains {
-		rec, ok := n.reg.Machines[d.Name]
+		rec, ok := n.reg.Machines[d.Machine]
 		if !ok {
 			continue
 		}
@@ -290,14 +290,14 @@
 		if err != nil {
 			continue
 		}
-		n.log.Info("machine drains", "host", d.Name, "why", d.Why)
-		if d.Dead() {
-			dead = append(dead, d.Name)
+		n.log.Info("machine drains", "host", d.Machine, "why", d.Reason)
+		if d.Terminated() {
+			dead = append(dead, d.Machine)
 			continue
 		}
 		drained := rec
-		drained.Phase, drained.Reason = next, d.Why
-		changes = append(changes, fleet.RecordChange{Machine: d.Name, Before: &rec, After: &drained})
+		drained.Phase, drained.Reason = next, d.Reason
+		changes = append(changes, fleet.RecordChange{Machine: d.Machine, Before: &rec, After: &drained})
 	}
 	return changes, dead
 }
@@ -372,7 +372,7 @@
 	for len(list) > 0 {
 		some := list[:min(len(list), tuning.ReturnMax)]
 		list = list[len(some):]
-		if err := n.cloud.Return(some); err != nil {
+		if err := n.cloud.Terminate(some); err != nil {
 			n.log.Info("machines not returned", "hosts", some, "err", err)
 			break
 		}
@@ -410,7 +410,7 @@
 
 // rent rents machines. A request's name holds the token, which only one leader
 // ever has, and a counter: no name is used twice.
-func (n *Node) rent(ctx context.Context, h fleet.RentPlan) {
+func (n *Node) rent(ctx context.Context, h fleet.ScaleOut) {
 	n.mu.Lock()
 	if !n.leads() || ctx.Err() != nil {
 		n.mu.Unlock()
@@ -421,7 +421,7 @@
 	name := fmt.Sprintf("%s-%d-%d", n.self.Label, l.token, l.counter)
 	n.mu.Unlock()
 	count := min(h.Count, tuning.RentMax)
-	names, err := n.cloud.Rent(wire.ScaleOutRequest{Name: name, MachineType: h.Kind.MachineType, Zone: h.Kind.Zone, Spot: h.Kind.Spot, Count: count})
+	names, err := n.cloud.ScaleOut(wire.ScaleOutRequest{Name: name, MachineType: h.Kind.MachineType, Zone: h.Kind.Zone, Spot: h.Kind.Spot, Count: count})
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l = n.leadMemory()
@@ -430,7 +430,7 @@
 		l.refused[h.Kind] = now
 	}
 	n.log.Info("machines rented", "request", name, "type", h.Kind.MachineType, "zone", h.Kind.Zone, "spot", h.Kind.Spot,
-		"role", string(h.Role), "asked", count, "got", len(names), "why", h.Why, "err", err)
+		"role", string(h.Role), "asked", count, "got", len(names), "why", h.Reason, "err", err)
 	for _, host := range names {
 		l.rented[host] = rental{h.Kind, h.Role, now}
 	}
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -36,7 +36,7 @@
 	now    func() time.Time
 	svc    store.KeyValueStore
 	lim    *store.Limiter
-	cloud  fleet.Cloud
+	cloud  fleet.Provider
 	call   caller
 
 	metrics *metrics
@@ -110,11 +110,11 @@
 	share := tuning.BudgetShare / float64(max(1, len(set.Siblings)+1))
 	limits := set.StateLimits()
 	lim := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.BudgetQueue, now)
-	cloud := fleet.NewCloudClient(set.Endpoints.Cloud, set.Params.Cloud.RPS*tuning.BudgetShare, now)
+	cloud := fleet.NewClient(set.Endpoints.Cloud, set.Params.Cloud.RPS*tuning.BudgetShare, now)
 	return newNode(set, log, now, store.NewClient(set.Endpoints.State, lim), lim, cloud, newWorkerCaller())
 }
 
-func newNode(set *config.Settings, log *slog.Logger, now func() time.Time, svc store.KeyValueStore, lim *store.Limiter, cloud fleet.Cloud, call caller) *Node {
+func newNode(set *config.Settings, log *slog.Logger, now func() time.Time, svc store.KeyValueStore, lim *store.Limiter, cloud fleet.Provider, call caller) *Node {
 	n := &Node{
 		set:          set,
 		limits:       set.StateLimits(),
--- a/internal/server/planinput.go
+++ b/internal/server/planinput.go
@@ -33,19 +33,19 @@
 }
 
 // planInput builds the capacity plan's input; mu is held.
-func (n *Node) planInput(l *leading, machines *place.Fleet, now time.Time) fleet.PlanInput {
+func (n *Node) planInput(l *leading, machines *place.Fleet, now time.Time) fleet.Input {
 	b := n.newPlanBuilder(l, machines, now)
 	l.lost = nil
 	for _, m := range machines.Machines {
 		b.addMachine(m)
 	}
-	b.input.Movers = int(float64(b.serving) * tuning.MoversShare)
+	b.input.MaxDraining = int(float64(b.serving) * tuning.MoversShare)
 	b.addRented()
 	b.addHeadroom()
 	b.addActiveRoles()
 	b.addUntried()
-	b.input.Groups = n.groupsNow()
-	b.input.Wants = append(b.input.Wants, n.tasksAtRisk(machines, b.heard, now)...)
+	b.input.MaxGroups = n.groupsNow()
+	b.input.Demands = append(b.input.Demands, n.tasksAtRisk(machines, b.heard, now)...)
 	b.addUnmet()
 	return b.input
 }
@@ -61,7 +61,7 @@
 	movable map[string]bool          // service machines whose tasks have room elsewhere
 	batch   map[string]*heldBatch    // what batch tasks hold, by class
 	serving int                      // service machines that take tasks
-	input   fleet.PlanInput
+	input   fleet.Input
 }
 
 func (n *Node) newPlanBuilder(l *leading, machines *place.Fleet, now time.Time) *planBuilder {
@@ -73,12 +73,12 @@
 		heard:   n.lastHeard(now),
 		movable: n.movable(machines),
 		batch:   map[string]*heldBatch{},
-		input: fleet.PlanInput{
-			Now:          now,
-			Op:           n.set.Operator,
-			Types:        n.types,
-			Refused:      l.refused,
-			SurplusSince: l.surplusSince,
+		input: fleet.Input{
+			Now:             now,
+			Operator:        n.set.Operator,
+			Types:           n.types,
+			NoCapacitySince: l.refused,
+			SurplusSince:    l.surplusSince,
 		},
 	}
 }
@@ -95,13 +95,13 @@
 	}
 	draining := phase == fleet.Draining && len(m.Tasks) > 0
 	if draining && m.Role == place.Service {
-		b.input.Moving++
+		b.input.Draining++
 	}
 	if draining && (unit.Missing || unit.Silent) {
 		b.leader.lost = append(b.leader.lost, m.Name)
 	}
 	if phase == fleet.Active {
-		b.input.Units = append(b.input.Units, unit)
+		b.input.Machines = append(b.input.Machines, unit)
 	}
 }
 
@@ -120,27 +120,27 @@
 }
 
 // unit describes a machine to the plan, and notes since when it is idle or unfit.
-func (b *planBuilder) unit(m *place.Machine, phase fleet.Phase) fleet.Unit {
+func (b *planBuilder) unit(m *place.Machine, phase fleet.Phase) fleet.Machine {
 	_, wasUp := b.leader.heard[m.Name]
 	quiet := b.quietFor(m.Name)
 	missing := time.Duration(tuning.MissingReports * float64(b.node.set.Report()))
-	unit := fleet.Unit{
-		Name:    m.Name,
-		Kind:    fleet.Kind{MachineType: m.Type, Zone: m.Zone, Spot: m.Spot},
-		Role:    m.Role,
-		Open:    m.Open,
-		Booting: !wasUp && phase == fleet.Active,
-		Age:     b.age(m.Name),
-		Idle:    b.idleFor(m, phase),
-		Movable: b.movable[m.Name],
-		Claims:  len(m.Tasks),
-		Free:    m.Free,
-		Silent:  wasUp && quiet > 2*b.lease,
-		Missing: b.leader.absent[m.Name] >= tuning.GoneLists && wasUp && quiet > missing,
-		Quiet:   wasUp && quiet > b.node.silentAfter(),
-		Group:   b.node.reg.KeyOf(m.Name),
-	}
-	unit.Suspect = b.unfitTooLong(m, phase, unit.Booting) || b.failing(m)
+	unit := fleet.Machine{
+		Name:             m.Name,
+		Kind:             fleet.MachineKind{MachineType: m.Type, Zone: m.Zone, Spot: m.Spot},
+		Role:             m.Role,
+		Schedulable:      m.Open,
+		Booting:          !wasUp && phase == fleet.Active,
+		Age:              b.age(m.Name),
+		Idle:             b.idleFor(m, phase),
+		Movable:          b.movable[m.Name],
+		Claims:           len(m.Tasks),
+		Free:             m.Free,
+		Silent:           wasUp && quiet > 2*b.lease,
+		Missing:          b.leader.absent[m.Name] >= tuning.GoneLists && wasUp && quiet > missing,
+		HeartbeatOverdue: wasUp && quiet > b.node.silentAfter(),
+		Group:            b.node.reg.KeyOf(m.Name),
+	}
+	unit.Quarantined = b.unfitTooLong(m, phase, unit.Booting) || b.failing(m)
 	return unit
 }
 
@@ -202,7 +202,7 @@
 			continue
 		}
 		t := b.node.machineTypes[rented.kind.MachineType]
-		b.input.Units = append(b.input.Units, fleet.Unit{
+		b.input.Machines = append(b.input.Machines, fleet.Machine{
 			Name:    host,
 			Kind:    rented.kind,
 			Role:    rented.role,
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -277,7 +277,7 @@
 	w.submit(n, work("wk-1", 1))
 	n.mu.Lock()
 	claim := n.pass()
-	drains, _ := n.drainChanges([]fleet.DrainPlan{{Name: "h1", Why: fleet.WhyIdle}})
+	drains, _ := n.drainChanges([]fleet.ScaleIn{{Machine: "h1", Reason: fleet.ReasonIdle}})
 	n.mu.Unlock()
 	n.writeHosts(ctx, drains)
 	n.mu.Lock()
@@ -327,10 +327,10 @@
 	n.planInput(l, n.machines(w.clk.now()), w.clk.now())
 	l.heard["h1"] = w.clk.now().Add(-time.Minute)
 	out := fleet.Plan(n.planInput(l, n.machines(w.clk.now()), w.clk.now()))
-	_, returns := n.drainChanges(out.Drains)
+	_, returns := n.drainChanges(out.ScaleIn)
 	n.mu.Unlock()
 	if len(returns) != 1 {
-		t.Fatalf("a machine that the list omits is not returned: drains %v", out.Drains)
+		t.Fatalf("a machine that the list omits is not returned: drains %v", out.ScaleIn)
 	}
 	n.giveBack(ctx, returns)
 	w.sync()
@@ -358,15 +358,15 @@
 		}
 	}
 	w.addHost(host, "batch")
-	units := func() fleet.Unit {
+	units := func() fleet.Machine {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for _, u := range l.planInput(l.leadMemory(), l.machines(w.clk.now()), w.clk.now()).Units {
+		for _, u := range l.planInput(l.leadMemory(), l.machines(w.clk.now()), w.clk.now()).Machines {
 			if u.Name == host {
 				return u
 			}
 		}
-		return fleet.Unit{}
+		return fleet.Machine{}
 	}
 	for range 40 { // heard for a long time
 		w.clk.add(5 * time.Second)
--- a/internal/server/trouble_test.go
+++ b/internal/server/trouble_test.go
@@ -86,7 +86,7 @@
 	w.addHost("h1", "service")
 	w.prove("h1", 1)
 	n.workers["h1"].Unresponsive = true
-	var out fleet.PlanOutput
+	var out fleet.Output
 	for range 4 {
 		w.clk.add(lease)
 		w.sync()
@@ -97,8 +97,8 @@
 		out = fleet.Plan(n.planInput(n.leadMemory(), n.machines(w.clk.now()), w.clk.now()))
 		n.mu.Unlock()
 	}
-	if len(out.Drains) != 1 || out.Drains[0].Why != fleet.WhyUnfit {
-		t.Fatalf("%+v", out.Drains)
+	if len(out.ScaleIn) != 1 || out.ScaleIn[0].Reason != fleet.ReasonQuarantined {
+		t.Fatalf("%+v", out.ScaleIn)
 	}
 }
 
@@ -549,7 +549,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		now := n.now()
-		for _, want := range n.planInput(n.leadMemory(), n.machines(now), now).Wants {
+		for _, want := range n.planInput(n.leadMemory(), n.machines(now), now).Demands {
 			if want.Job.ID == "wk-1" {
 				tasks += want.Count
 			}
@@ -583,7 +583,7 @@
 	w.prove("h1", 1)
 	w.submit(w.nodes["a"], work("wk-1", 1))
 	w.passAll()
-	w.drain("h1", fleet.WhySpare)
+	w.drain("h1", fleet.ReasonSurplus)
 	owner, other := w.owner("h1")
 	if owner.claimsOn("h1") != 1 || owner.reg.Machines["h1"].Phase != fleet.Draining {
 		t.Fatalf("%d claims, %s", owner.claimsOn("h1"), owner.reg.Machines["h1"].Phase)
@@ -631,11 +631,11 @@
 	w.prove("h1", 1)
 	w.submit(n, work("wk-1", 1))
 	w.passAll()
-	w.drain("h1", fleet.WhyIdle)
+	w.drain("h1", fleet.ReasonIdle)
 	if n.reg.Machines["h1"].Phase != fleet.Active {
 		t.Fatal("a machine that has work again goes because it was idle")
 	}
-	w.drain("h1", fleet.WhySpare)
+	w.drain("h1", fleet.ReasonSurplus)
 	if n.reg.Machines["h1"].Phase != fleet.Draining {
 		t.Fatal("a machine is not drained")
 	}
--- a/internal/server/wants.go
+++ b/internal/server/wants.go
@@ -23,10 +23,10 @@
 			count -= b.node.unmet[jobID]
 		}
 		if count > 0 && (why == "" || why == place.NoTurn || why == place.NoRoom) {
-			b.input.Wants = append(b.input.Wants, fleet.Want{Job: j, Count: count, Untried: true})
+			b.input.Demands = append(b.input.Demands, fleet.Demand{Job: j, Count: count, NotScheduledYet: true})
 		}
 	}
-	wants := b.input.Wants
+	wants := b.input.Demands
 	sort.Slice(wants, func(i, k int) bool { return wants[i].Job.ID < wants[k].Job.ID })
 }
 
@@ -42,10 +42,10 @@
 		if j.Service() {
 			// The headroom is for what will run too.
 			b.input.Service.Tasks += float64(count)
-			b.input.Service.Wait += float64(count)
+			b.input.Service.AwaitingBoot += float64(count)
 			b.input.Service.Need, b.input.Service.Spec = j.Need, j.Record.Spec
 		}
-		b.input.Wants = append(b.input.Wants, fleet.Want{Job: j, Count: count, Waiting: b.now.Sub(b.node.unmetAt[jobID])})
+		b.input.Demands = append(b.input.Demands, fleet.Demand{Job: j, Count: count, Waiting: b.now.Sub(b.node.unmetAt[jobID])})
 	}
 }
 
@@ -66,7 +66,7 @@
 // machines had died, services waited for their replacements for 45 s. A node
 // that hears hardly any of its machines has trouble of its own. up is how long
 // ago each machine was heard; mu is held.
-func (n *Node) tasksAtRisk(machines *place.Fleet, up map[string]time.Duration, now time.Time) []fleet.Want {
+func (n *Node) tasksAtRisk(machines *place.Fleet, up map[string]time.Duration, now time.Time) []fleet.Demand {
 	heard, quiet := map[string]int{}, map[string]int{}
 	var list []*place.Machine
 	for _, m := range machines.Machines {
@@ -91,9 +91,9 @@
 			}
 		}
 	}
-	out := make([]fleet.Want, 0, len(count))
+	out := make([]fleet.Demand, 0, len(count))
 	for j, k := range count {
-		out = append(out, fleet.Want{Job: j, Count: k, Untried: true})
+		out = append(out, fleet.Demand{Job: j, Count: k, NotScheduledYet: true})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Job.ID < out[b].Job.ID })
 	return out
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -25,19 +25,19 @@
 	return &Cloud{Machines: types, keepsList: keepsList}
 }
 
-// Types lists the types of machines.
-func (c *Cloud) Types() ([]wire.MachineType, error) { return c.Machines, nil }
+// MachineTypes lists the types of machines.
+func (c *Cloud) MachineTypes() ([]wire.MachineType, error) { return c.Machines, nil }
 
-// Rent notes the request and refuses it.
-func (c *Cloud) Rent(r wire.ScaleOutRequest) ([]string, error) {
+// ScaleOut notes the request and refuses it.
+func (c *Cloud) ScaleOut(r wire.ScaleOutRequest) ([]string, error) {
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
 	c.Rentals = append(c.Rentals, r)
 	return nil, fleet.ErrNoCapacity
 }
 
-// Return takes machines back.
-func (c *Cloud) Return(hosts []string) error {
+// Terminate takes machines back.
+func (c *Cloud) Terminate(hosts []string) error {
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
 	c.Returned = append(c.Returned, hosts...)
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// List lists the machines.
-func (c *Cloud) List() ([]wire.Machine, error) {
+// ListMachines lists the machines.
+func (c *Cloud) ListMachines() ([]wire.Machine, error) {
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
 	return c.Listed, nil
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -129,20 +129,20 @@
 	return serve(l, link, func(c *fasthttp.RequestCtx) {
 		switch path := string(c.Path()); {
 		case path == "/machine_types":
-			types, err := cloud.Types()
+			types, err := cloud.MachineTypes()
 			answer(c, wire.MachineTypes{Types: types}, err)
 		case path == "/hosts/return":
 			var hosts wire.MachineNames
 			_ = wire.Unmarshal(c.PostBody(), &hosts)
-			answer(c, struct{}{}, cloud.Return(hosts.Machines))
+			answer(c, struct{}{}, cloud.Terminate(hosts.Machines))
 		case c.IsPost():
 			var r wire.ScaleOutRequest
 			_ = wire.Unmarshal(c.PostBody(), &r)
-			_, _ = cloud.Rent(r)
+			_, _ = cloud.ScaleOut(r)
 			c.SetStatusCode(503)
 			c.SetBody(wire.MustMarshal(wire.ErrorResponse{Error: "no capacity"}))
 		default:
-			hosts, err := cloud.List()
+			hosts, err := cloud.ListMachines()
 			answer(c, wire.MachinePage{Machines: hosts}, err)
 		}
 	})
