--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -271,7 +271,7 @@
 
 // eligible reports whether the job may use machines of the kind in the role.
 func eligible(j *jobs.Job, k MachineKind, role place.Role) bool {
-	return place.Suits(j, &place.Machine{Type: k.MachineType, Zone: k.Zone, Spot: k.Spot, Role: role})
+	return place.Eligible(j, &place.Machine{Type: k.MachineType, Zone: k.Zone, Spot: k.Spot, Role: role})
 }
 
 // roleOf is the role of the machines that run the job's tasks.
--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -17,7 +17,7 @@
 		return in.fit(d, tasks, "") // zones count across owners
 	}
 	var parts [][]*Machine
-	for _, node := range in.Order(d.Job.ID) {
+	for _, node := range in.RankNodes(d.Job.ID) {
 		if p := in.fit(d, tasks, node); len(p) > 0 {
 			parts = append(parts, p)
 		}
@@ -30,31 +30,31 @@
 	return picks
 }
 
-// hold keeps the machine that comes closest to holding a task of the job from
+// holdMachine keeps the machine that comes closest to holding a task of the job from
 // what comes later in the pass. It guards against small tasks taking all room
 // as it comes free, so that a large one never finds enough on one machine.
-func (in *Input) hold(d *Demand) {
+func (in *Input) holdMachine(d *Demand) {
 	var best *Machine
 	for _, p := range in.Fleet.pools {
-		if !p.suits(d.Job) {
+		if !p.eligible(d.Job) {
 			continue
 		}
 		for _, m := range p.machines {
-			if m.Open && !d.Avoid[m.Name] && d.Job.Need.Fits(m.Total) &&
+			if m.Schedulable && !d.Avoid[m.Name] && d.Job.Need.Fits(m.Total) &&
 				(best == nil || m.Free.Share(m.Total) > best.Free.Share(best.Total)) {
 				best = m
 			}
 		}
 	}
 	if best != nil {
-		in.Fleet.change(best)
+		in.Fleet.markChanged(best)
 		best.Free = jobs.Resources{}
 	}
 }
 
-// Suits reports whether the job may use the machine, leaving aside zones of
+// Eligible reports whether the job may use the machine, leaving aside zones of
 // its other tasks.
-func Suits(j *jobs.Job, m *Machine) bool {
+func Eligible(j *jobs.Job, m *Machine) bool {
 	w := j.Record.Spec
 	switch {
 	case !jobs.Allowed(w, m.Type), w.Zone != nil && *w.Zone != m.Zone:
@@ -95,20 +95,20 @@
 func (in *Input) candidates(d *Demand, node string) []candidate {
 	cand := in.Fleet.scratch[:0]
 	for _, p := range in.Fleet.pools {
-		if node != "" && p.Owner != node || !p.suits(d.Job) || !d.Job.Need.Fits(p.room) {
+		if node != "" && p.Owner != node || !p.eligible(d.Job) || !d.Job.Need.Fits(p.room) {
 			continue
 		}
 		var room jobs.Resources
 		for _, m := range p.machines {
-			if !m.Open {
+			if !m.Schedulable {
 				continue
 			}
 			room = room.Max(m.Free)
-			if d.Job.Need.Fits(m.Free) && !d.Avoid[m.Name] && m.slots() > 0 {
-				cand = append(cand, candidate{m, m.wait(d.Job), m.Free.Sub(d.Job.Need).Share(m.Total)})
+			if d.Job.Need.Fits(m.Free) && !d.Avoid[m.Name] && m.freeTaskSlots() > 0 {
+				cand = append(cand, candidate{m, m.imageWait(d.Job), m.Free.Sub(d.Job.Need).Share(m.Total)})
 			}
 		}
-		if in.track && p.room != room {
+		if in.trackRoom && p.room != room {
 			p.room, p.stale = room, true
 		}
 	}
@@ -152,8 +152,8 @@
 	return c.m.Name < o.m.Name
 }
 
-// ApartCap is the most tasks that an apart job may have in one zone.
-func ApartCap(tasks int) int { return (tasks + 1) / 2 }
+// MaxTasksPerZone is the most tasks that an apart job may have in one zone.
+func MaxTasksPerZone(tasks int) int { return (tasks + 1) / 2 }
 
 // greedy chooses machines for as many of the tasks as fit, in one zone if only
 // names it: the best candidate is filled before the next. zones counts the
@@ -202,7 +202,7 @@
 // picks, and counts them in used if the job is to be spread over zones.
 func fill(j *jobs.Job, m *Machine, used map[string]int, picks []*Machine, most int) []*Machine {
 	free := m.Free
-	for n := 0; len(picks) < most && n < m.slots() && j.Need.Fits(free); n++ {
+	for n := 0; len(picks) < most && n < m.freeTaskSlots() && j.Need.Fits(free); n++ {
 		if spreadFull(j, used, m.Zone) {
 			break
 		}
@@ -218,12 +218,12 @@
 // spreadFull reports whether the job is to be spread over zones, and has as
 // many tasks in this one as it may.
 func spreadFull(j *jobs.Job, used map[string]int, zone string) bool {
-	return j.Record.Spec.SpreadZones && used[zone] >= ApartCap(j.Record.Tasks)
+	return j.Record.Spec.SpreadZones && used[zone] >= MaxTasksPerZone(j.Record.Tasks)
 }
 
-// Elsewhere finds another machine with room for a running task, given where
+// FitElsewhere finds another machine with room for a running task, given where
 // the job's other tasks are; nil if there is none.
-func Elsewhere(fleet *Fleet, j *jobs.Job, task int, from string) *Machine {
+func FitElsewhere(fleet *Fleet, j *jobs.Job, task int, from string) *Machine {
 	in := Input{Fleet: fleet}
 	// The task's own claim is released before it starts elsewhere.
 	others := *j
--- a/internal/place/fleet.go
+++ b/internal/place/fleet.go
@@ -13,42 +13,42 @@
 // the last pass has placed is undone (Rewind).
 type Fleet struct {
 	Machines []*Machine // by name
-	named    map[string]*Machine
+	byName   map[string]*Machine
 	pools    []*pool
 	scratch  []candidate // of the last search, for its memory
 	changed  []*Machine  // machines that the pass has placed on, or plans to stop tasks on
 }
 
-// kind is what a pool's machines have in common.
-type kind struct {
+// poolKey is what a pool's machines have in common.
+type poolKey struct {
 	Owner, Type, Zone string
 	Spot              bool
 	Role              Role
 }
 
 type pool struct {
-	kind
-	machines []*Machine
-	stale    bool           // what follows is to be summed up again
-	room     jobs.Resources // no open machine has more free, in any resource
-	freeing  bool           // some room is being freed
-	worst    int            // the lowest priority, as a number, of what could be stopped
+	poolKey
+	machines       []*Machine
+	stale          bool           // what follows is to be summed up again
+	room           jobs.Resources // no open machine has more free, in any resource
+	freeing        bool           // some room is being freed
+	lowestPriority int            // the lowest priority, as a number, of what could be stopped
 }
 
-// suits reports whether the job may use the pool's machines.
-func (p *pool) suits(j *jobs.Job) bool { return Suits(j, p.machines[0]) }
+// eligible reports whether the job may use the pool's machines.
+func (p *pool) eligible(j *jobs.Job) bool { return Eligible(j, p.machines[0]) }
 
 // NewFleet indexes machines.
 func NewFleet(machines []*Machine) *Fleet {
-	f := &Fleet{Machines: machines, named: make(map[string]*Machine, len(machines))}
+	f := &Fleet{Machines: machines, byName: make(map[string]*Machine, len(machines))}
 	sort.Slice(machines, func(a, b int) bool { return machines[a].Name < machines[b].Name })
-	pools := map[kind]*pool{}
+	pools := map[poolKey]*pool{}
 	for _, m := range machines {
-		f.named[m.Name] = m
-		k := kind{m.Owner, m.Type, m.Zone, m.Spot, m.Role}
+		f.byName[m.Name] = m
+		k := poolKey{m.Owner, m.Type, m.Zone, m.Spot, m.Role}
 		p := pools[k]
 		if p == nil {
-			p = &pool{kind: k}
+			p = &pool{poolKey: k}
 			pools[k] = p
 			f.pools = append(f.pools, p)
 		}
@@ -60,56 +60,56 @@
 }
 
 // Machine finds a machine by name; nil if it is not known.
-func (f *Fleet) Machine(name string) *Machine { return f.named[name] }
+func (f *Fleet) Machine(name string) *Machine { return f.byName[name] }
 
 // Refresh enters every machine anew and sums up the pools.
 func (f *Fleet) Refresh() {
 	for _, m := range f.Machines {
-		m.Enter()
+		m.Snapshot()
 	}
-	f.Rewind()
+	f.Rollback()
 }
 
-// Rewind undoes what a pass has placed and planned, and sums up the pools whose
+// Rollback undoes what a pass has placed and planned, and sums up the pools whose
 // machines have changed.
-func (f *Fleet) Rewind() {
+func (f *Fleet) Rollback() {
 	for _, m := range f.changed {
-		m.rewind()
+		m.rollback()
 	}
 	f.changed = f.changed[:0]
 	for _, p := range f.pools {
 		if p.stale {
-			p.sum()
+			p.summarize()
 		}
 	}
 }
 
-// change notes that a pass changes a machine.
-func (f *Fleet) change(m *Machine) {
+// markChanged notes that a pass changes a machine.
+func (f *Fleet) markChanged(m *Machine) {
 	if !m.changed {
 		m.changed = true
 		f.changed = append(f.changed, m)
 	}
 }
 
-// sum works out what the pool's machines have in common.
-func (p *pool) sum() {
+// summarize works out what the pool's machines have in common.
+func (p *pool) summarize() {
 	p.stale = false
-	p.room, p.freeing, p.worst = jobs.Resources{}, false, -1
+	p.room, p.freeing, p.lowestPriority = jobs.Resources{}, false, -1
 	for _, m := range p.machines {
-		if !m.Open {
+		if !m.Schedulable {
 			continue
 		}
 		p.room = p.room.Max(m.Free)
 		p.freeing = p.freeing || m.Freeing.GPUs > 0 || m.Freeing.CPUs > 0 || m.Freeing.RAM > 0
-		p.worst = max(p.worst, m.entered.worst)
+		p.lowestPriority = max(p.lowestPriority, m.snapshot.lowestPriority)
 	}
 }
 
 // mayHold reports whether some machine might have room for a task of the job.
 func (f *Fleet) mayHold(j *jobs.Job) bool {
 	for _, p := range f.pools {
-		if p.suits(j) && j.Need.Fits(p.room) {
+		if p.eligible(j) && j.Need.Fits(p.room) {
 			return true
 		}
 	}
@@ -122,7 +122,7 @@
 	out := map[string]int{}
 	for _, t := range j.Live {
 		zone := ""
-		if m := f.named[t.Host]; m != nil {
+		if m := f.byName[t.Host]; m != nil {
 			zone = m.Zone
 		}
 		out[zone]++
--- a/internal/place/order.go
+++ b/internal/place/order.go
@@ -6,8 +6,8 @@
 	"wheatspur/internal/jobs"
 )
 
-// pressed reports whether others' borrowed work may be stopped for the demand.
-func (d *Demand) pressed() bool { return d.guaranteed && d.Pressed }
+// reclaims reports whether others' borrowed work may be stopped for the demand.
+func (d *Demand) reclaims() bool { return d.guaranteed && d.MayReclaim }
 
 // less orders demands: priority, then pressed work within its team's guarantee,
 // then what has waited too long, by age; then other work within its guarantee,
@@ -17,33 +17,33 @@
 	if a.priority != b.priority {
 		return a.priority < b.priority
 	}
-	if a.pressed() != b.pressed() {
+	if a.reclaims() != b.reclaims() {
 		// What others were stopped for takes the room that they leave. Guards
 		// against a livelock: the room went to the next in line, often to the very
 		// tasks that had been stopped, since their job was older, and they were
 		// stopped again.
-		return a.pressed()
+		return a.reclaims()
 	}
-	if a.Aged != b.Aged {
+	if a.Starved != b.Starved {
 		// Guards against starving a team without a guarantee, or a job that
 		// can't keep its deadline, by an endless stream of others.
-		return a.Aged
+		return a.Starved
 	}
-	if a.Aged && a.Job.Ready != b.Job.Ready {
+	if a.Starved && a.Job.Ready != b.Job.Ready {
 		return a.Job.Ready < b.Job.Ready
 	}
 	if a.guaranteed != b.guaranteed {
 		return a.guaranteed
 	}
-	if a.latest != b.latest {
-		return a.latest < b.latest
+	if a.latestStart != b.latestStart {
+		return a.latestStart < b.latestStart
 	}
 	return a.Job.ID < b.Job.ID
 }
 
-// latest is when a job's tasks must start to keep its deadline, and those of
+// latestStart is when a job's tasks must start to keep its deadline, and those of
 // the jobs that depend on it, in Unix milliseconds.
-func (in *Input) latest(j *jobs.Job) int64 {
+func (in *Input) latestStart(j *jobs.Job) int64 {
 	if j.Deadline == 0 {
 		return j.Ready + noDeadline
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -16,154 +16,154 @@
 
 // Demand is a job with pending tasks.
 type Demand struct {
-	Job          *jobs.Job
-	Tasks        []int
-	Avoid        map[string]bool // machines that lately refused or failed it
-	Pressed      bool            // has waited long enough to displace borrowed work
-	PreemptedFor bool            // tasks were stopped for it lately; their room comes
-	Blocked      bool            // a write of this node about it is under way
-	Aged         bool            // has waited so long that nothing of its priority goes before it
+	Job           *jobs.Job
+	Tasks         []int
+	Avoid         map[string]bool // machines that lately refused or failed it
+	MayReclaim    bool            // has waited long enough to displace borrowed work
+	PreemptedFor  bool            // tasks were stopped for it lately; their room comes
+	WriteInFlight bool            // a write of this node about it is under way
+	Starved       bool            // has waited so long that nothing of its priority goes before it
 
-	priority   int
-	guaranteed bool
-	latest     int64
+	priority    int
+	guaranteed  bool
+	latestStart int64
 }
 
 // Input of a pass.
 type Input struct {
-	Me, Leader string
-	Order      func(jobID string) []string // nodes in the job's hashed order
-	Fleet      *Fleet
-	Demands    []*Demand
-	Teams      map[string]*quota.Allowance
-	Now        time.Time
-	// MostJobs bounds the jobs that are placed in one pass, and with them its
+	Self, Leader string
+	RankNodes    func(jobID string) []string // nodes in the job's hashed order
+	Fleet        *Fleet
+	Demands      []*Demand
+	Teams        map[string]*quota.Allowance
+	Now          time.Time
+	// MaxJobs bounds the jobs that are placed in one pass, and with them its
 	// processor time; the rest has its turn when those are stored.
-	MostJobs int
-	// LeastLoss lets this node stop, on its own machines, those tasks first of a
+	MaxJobs int
+	// MinimizeLoss lets this node stop, on its own machines, those tasks first of a
 	// rank that lose the least by it. Which machine is emptied does not depend on
 	// it, since other nodes can't know.
-	LeastLoss bool
+	MinimizeLoss bool
 
-	held  int  // priority from which borrowed room is kept for a guarantee; see one
-	scans int  // how often makeRoom may still look through the machines
-	track bool // room only shrinks: pools may note what is left
+	reservedPriority int  // priority from which borrowed room is kept for a guarantee; see one
+	scansLeft        int  // how often makeRoom may still look through the machines
+	trackRoom        bool // room only shrinks: pools may note what is left
 }
 
 // Claim is a placement for this node to store.
 type Claim struct {
-	Job     *jobs.Job
-	Task    int
-	Host    string
-	Session uint64
+	Job         *jobs.Job
+	Task        int
+	Machine     string
+	Incarnation uint64
 }
 
-// Eviction is a task to stop on one of this node's machines.
-type Eviction struct {
-	Resident
+// Preemption is a task to stop on one of this node's machines.
+type Preemption struct {
+	ClaimedTask
 	For string // the job that needs the room
 }
 
 // Output of a pass.
 type Output struct {
-	Claims []Claim
-	Evict  []Eviction
-	Unmet  map[string]int // tasks without a place, by job
-	Why    map[string]string
-	// ShareShort has the teams whose limit is not used up, but shared out so that
+	Claims      []Claim
+	Preemptions []Preemption
+	Unplaced    map[string]int // tasks without a place, by job
+	Reasons     map[string]string
+	// ShareShortfall has the teams whose limit is not used up, but shared out so that
 	// work waits, with what the leader lacks of it for the first job that waits;
 	// nothing if machines lack room, too.
-	ShareShort map[string]quota.Amount
-	// GuaranteeShort is the room that each team's work lacks within its guarantee.
-	GuaranteeShort map[string]quota.Amount
+	ShareShortfall map[string]quota.Amount
+	// GuaranteeShortfall is the room that each team's work lacks within its guarantee.
+	GuaranteeShortfall map[string]quota.Amount
 }
 
 // Why tasks wait.
 const (
-	NoRoom  = "no machine has room"
-	NoTurn  = "others are placed first"
-	NoQuota = "its team is at its limit"
-	NoShare = "its team's limit is being shared out anew"
+	ReasonNoRoom  = "no machine has room"
+	ReasonNoTurn  = "others are placed first"
+	ReasonNoQuota = "its team is at its limit"
+	ReasonNoShare = "its team's limit is being shared out anew"
 
-	noTeam           = "its team is not in the settings"
-	keptForGuarantee = "room is kept for another team's guarantee"
+	reasonNoTeam           = "its team is not in the settings"
+	reasonKeptForGuarantee = "room is kept for another team's guarantee"
 )
 
-// Pass places pending tasks.
-func Pass(in Input) Output {
-	out := Output{Unmet: map[string]int{}, Why: map[string]string{}}
-	in.held, in.scans, in.track = noPriority, scansPerPass, true
+// Schedule places pending tasks.
+func Schedule(in Input) Output {
+	out := Output{Unplaced: map[string]int{}, Reasons: map[string]string{}}
+	in.reservedPriority, in.scansLeft, in.trackRoom = noPriority, scansPerPass, true
 	for _, d := range in.Demands {
-		d.priority, d.guaranteed, d.latest = d.Job.Priority, in.guaranteed(d.Job), in.latest(d.Job)
+		d.priority, d.guaranteed, d.latestStart = d.Job.Priority, in.guaranteed(d.Job), in.latestStart(d.Job)
 	}
 	sort.Slice(in.Demands, func(a, b int) bool { return less(in.Demands[a], in.Demands[b]) })
 	for _, d := range in.Demands {
-		in.one(d, &out)
+		in.scheduleDemand(d, &out)
 	}
 	return out
 }
 
-// one places the tasks of a demand, as many as it can, and notes why the
+// scheduleDemand places the tasks of a demand, as many as it can, and notes why the
 // others wait.
-func (in *Input) one(d *Demand, out *Output) {
+func (in *Input) scheduleDemand(d *Demand, out *Output) {
 	team := in.Teams[d.Job.Record.Spec.Team]
 	if team == nil {
-		out.wait(d, len(d.Tasks), noTeam)
+		out.recordUnplaced(d, len(d.Tasks), reasonNoTeam)
 		return
 	}
 	guaranteed := in.guaranteed(d.Job)
-	if !guaranteed && d.priority >= in.held {
+	if !guaranteed && d.priority >= in.reservedPriority {
 		// Guards against borrowed work taking back the room that was freed for
 		// a guarantee: it was stopped and placed again many times a minute.
-		out.wait(d, len(d.Tasks), keptForGuarantee)
+		out.recordUnplaced(d, len(d.Tasks), reasonKeptForGuarantee)
 		return
 	}
 	tasks := d.Tasks[:team.Total(d.Job.Need.Amount(), len(d.Tasks))]
 	if len(tasks) == 0 {
-		out.wait(d, len(d.Tasks), NoQuota)
+		out.recordUnplaced(d, len(d.Tasks), ReasonNoQuota)
 		return
 	}
-	var choice placement
+	var choice nodeChoice
 	if in.Fleet.mayHold(d.Job) {
-		if in.MostJobs <= 0 {
-			out.wait(d, len(tasks), NoTurn)
+		if in.MaxJobs <= 0 {
+			out.recordUnplaced(d, len(tasks), ReasonNoTurn)
 			return
 		}
 		choice = in.choose(d, team, tasks)
 	}
-	if len(choice.picks) > 0 {
-		in.MostJobs--
-		in.take(d, team, tasks, choice, out)
+	if len(choice.machines) > 0 {
+		in.MaxJobs--
+		in.commit(d, team, tasks, choice, out)
 	}
-	if out.noteUnplaced(d, tasks, choice) {
+	if out.explainUnplaced(d, tasks, choice) {
 		in.findRoom(d, guaranteed, tasks, choice, out)
 	}
 }
 
-// placement is the machines chosen for a demand's first tasks, and the node
+// nodeChoice is the machines chosen for a demand's first tasks, and the node
 // that stores the claims.
-type placement struct {
-	placer string
-	picks  []*Machine
-	short  bool         // its place is limited by the shares of the limit
-	lack   quota.Amount // what the leader lacks of the limit, if that alone is so
+type nodeChoice struct {
+	node           string
+	machines       []*Machine
+	shareLimited   bool         // its place is limited by the shares of the limit
+	shareShortfall quota.Amount // what the leader lacks of the limit, if that alone is so
 }
 
 // choose finds machines for the tasks: those of one node if they hold all of
 // them, else those of any.
-func (in *Input) choose(d *Demand, team *quota.Allowance, tasks []int) placement {
+func (in *Input) choose(d *Demand, team *quota.Allowance, tasks []int) nodeChoice {
 	choice := in.chooseNode(d, team, tasks)
-	if choice.placer == "" {
+	if choice.node == "" {
 		granted := team.AtNode(in.Leader, d.Job.Need.Amount(), len(tasks))
-		choice.placer = in.Leader
-		choice.short = granted < len(tasks)
-		choice.picks = in.spread(d, tasks[:granted])
-		if choice.short && len(choice.picks) == granted {
-			choice.lack = d.Job.Need.Amount().Times(float64(len(tasks))).Sub(team.Left[in.Leader])
+		choice.node = in.Leader
+		choice.shareLimited = granted < len(tasks)
+		choice.machines = in.spread(d, tasks[:granted])
+		if choice.shareLimited && len(choice.machines) == granted {
+			choice.shareShortfall = d.Job.Need.Amount().Times(float64(len(tasks))).Sub(team.Left[in.Leader])
 		}
 	}
-	if d.Job.Gang() && (len(d.Job.Live) > 0 || len(choice.picks) < d.Job.Record.Tasks-d.Job.Counts[jobs.Completed]) {
-		choice.picks = nil // all at once or not at all
+	if d.Job.Gang() && (len(d.Job.Live) > 0 || len(choice.machines) < d.Job.Record.Tasks-d.Job.Counts[jobs.Completed]) {
+		choice.machines = nil // all at once or not at all
 	}
 	return choice
 }
@@ -171,10 +171,10 @@
 // chooseNode finds the first node whose machines hold all tasks, the shortest
 // waits for the image coming first: a fetch costs more than any other choice
 // here. Without such a node the placement is empty.
-func (in *Input) chooseNode(d *Demand, team *quota.Allowance, tasks []int) placement {
-	var best placement
+func (in *Input) chooseNode(d *Demand, team *quota.Allowance, tasks []int) nodeChoice {
+	var best nodeChoice
 	leastWait := 0.0
-	for _, node := range in.Order(d.Job.ID) {
+	for _, node := range in.RankNodes(d.Job.ID) {
 		if team.AtNode(node, d.Job.Need.Amount(), len(tasks)) < len(tasks) {
 			continue
 		}
@@ -184,62 +184,62 @@
 		}
 		wait := 0.0
 		for _, m := range picks {
-			wait += m.wait(d.Job)
+			wait += m.imageWait(d.Job)
 		}
-		if best.placer == "" || wait < leastWait {
-			best.placer, best.picks = node, picks
+		if best.node == "" || wait < leastWait {
+			best.node, best.machines = node, picks
 			leastWait = wait
 		}
 	}
 	return best
 }
 
-// take enters the placement into the machines and the team's use, and claims
+// commit enters the placement into the machines and the team's use, and claims
 // the tasks if this node is to store them.
-func (in *Input) take(d *Demand, team *quota.Allowance, tasks []int, choice placement, out *Output) {
-	for i, m := range choice.picks {
-		in.Fleet.change(m)
+func (in *Input) commit(d *Demand, team *quota.Allowance, tasks []int, choice nodeChoice, out *Output) {
+	for i, m := range choice.machines {
+		in.Fleet.markChanged(m)
 		m.Free = m.Free.Sub(d.Job.Need)
-		m.pulling(d.Job.Record.Spec)
+		m.addImagePull(d.Job.Record.Spec)
 		m.placed++
-		if choice.placer == in.Me && !d.Blocked {
-			out.Claims = append(out.Claims, Claim{d.Job, tasks[i], m.Name, m.Session})
+		if choice.node == in.Self && !d.WriteInFlight {
+			out.Claims = append(out.Claims, Claim{d.Job, tasks[i], m.Name, m.Incarnation})
 		}
 	}
-	team.Take(choice.placer, d.Job.Need.Amount().Times(float64(len(choice.picks))))
+	team.Take(choice.node, d.Job.Need.Amount().Times(float64(len(choice.machines))))
 }
 
-// wait notes that tasks of the demand have no place, and why.
-func (out *Output) wait(d *Demand, tasks int, why string) {
-	out.Unmet[d.Job.ID] = tasks
-	out.Why[d.Job.ID] = why
+// recordUnplaced notes that tasks of the demand have no place, and why.
+func (out *Output) recordUnplaced(d *Demand, tasks int, why string) {
+	out.Unplaced[d.Job.ID] = tasks
+	out.Reasons[d.Job.ID] = why
 }
 
-// noteUnplaced notes why tasks of the demand were left without a place, of
+// explainUnplaced notes why tasks of the demand were left without a place, of
 // which tasks are within its team's limit. It reports whether machines with
 // more room would help.
-func (out *Output) noteUnplaced(d *Demand, tasks []int, choice placement) bool {
-	placed := len(choice.picks)
+func (out *Output) explainUnplaced(d *Demand, tasks []int, choice nodeChoice) bool {
+	placed := len(choice.machines)
 	switch {
 	case len(d.Tasks) == placed:
 		return false
-	case choice.short:
+	case choice.shareLimited:
 		name := d.Job.Record.Spec.Team
-		if _, known := out.ShareShort[name]; !known {
-			out.ShareShort = with(out.ShareShort, name, choice.lack)
+		if _, known := out.ShareShortfall[name]; !known {
+			out.ShareShortfall = withEntry(out.ShareShortfall, name, choice.shareShortfall)
 		}
-		out.wait(d, len(d.Tasks)-placed, NoShare)
+		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonNoShare)
 		return false
 	case len(tasks) == placed:
-		out.wait(d, len(d.Tasks)-placed, NoQuota) // no machine helps these
+		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonNoQuota) // no machine helps these
 		return false
 	}
-	out.wait(d, len(tasks)-placed, NoRoom)
+	out.recordUnplaced(d, len(tasks)-placed, ReasonNoRoom)
 	return true
 }
 
-// with is the map with an entry; it is made when the first one comes.
-func with(m map[string]quota.Amount, key string, amount quota.Amount) map[string]quota.Amount {
+// withEntry is the map with an entry; it is made when the first one comes.
+func withEntry(m map[string]quota.Amount, key string, amount quota.Amount) map[string]quota.Amount {
 	if m == nil {
 		m = map[string]quota.Amount{}
 	}
@@ -249,20 +249,20 @@
 
 // findRoom sees to it that the tasks without a place get one: what comes later
 // in the pass may not take it, and other tasks are stopped for it.
-func (in *Input) findRoom(d *Demand, guaranteed bool, tasks []int, choice placement, out *Output) {
-	placed := len(choice.picks)
+func (in *Input) findRoom(d *Demand, guaranteed bool, tasks []int, choice nodeChoice, out *Output) {
+	placed := len(choice.machines)
 	if guaranteed {
 		name := d.Job.Record.Spec.Team
 		team := in.Teams[name]
 		lack := d.Job.Need.Amount().Times(float64(len(tasks) - placed))
 		open := team.Guarantee.Sub(team.Used).Max(quota.Amount{})
-		out.GuaranteeShort = with(out.GuaranteeShort, name, out.GuaranteeShort[name].Add(lack).Min(open))
+		out.GuaranteeShortfall = withEntry(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(lack).Min(open))
 	}
-	if d.Pressed && guaranteed {
-		in.held = min(in.held, d.priority)
+	if d.MayReclaim && guaranteed {
+		in.reservedPriority = min(in.reservedPriority, d.priority)
 	}
-	if d.Aged && placed == 0 && len(d.Job.Live) == 0 {
-		in.hold(d)
+	if d.Starved && placed == 0 && len(d.Job.Live) == 0 {
+		in.holdMachine(d)
 	}
 	for range len(tasks) - placed {
 		if !in.makeRoom(d, out) {
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -28,7 +28,7 @@
 
 func machine(name, owner, zone string, role Role, gpus float64) *Machine {
 	tot := jobs.Resources{CPUs: 8, GPUs: gpus, RAM: 64}
-	return &Machine{Name: name, Owner: owner, Zone: zone, Type: "g", Role: role, Open: true, Session: 3, Total: tot, Free: tot}
+	return &Machine{Name: name, Owner: owner, Zone: zone, Type: "g", Role: role, Schedulable: true, Incarnation: 3, Total: tot, Free: tot}
 }
 
 func demand(j *jobs.Job) *Demand {
@@ -42,8 +42,8 @@
 }
 
 func input(me string, machines []*Machine, js ...*jobs.Job) Input {
-	in := Input{Me: me, Leader: "L", Order: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
-		Teams: map[string]*quota.Allowance{"x": {}}, MostJobs: 100}
+	in := Input{Self: me, Leader: "L", RankNodes: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
+		Teams: map[string]*quota.Allowance{"x": {}}, MaxJobs: 100}
 	in.Fleet.Refresh()
 	for _, j := range js {
 		in.Demands = append(in.Demands, demand(j))
@@ -57,23 +57,23 @@
 		spot.Spot = true
 		return []*Machine{machine("b", "a", "z", Batch, 4), machine("s", "a", "z", Service, 4), spot}
 	}
-	out := Pass(input("a", ms(), job("wk-1", wire.KindService, wire.PriorityCritical, 6, nil)))
-	if len(out.Claims) != 0 || out.Unmet["wk-1"] != 2 {
-		t.Fatalf("six replicas on four service cards, by the leader: claims %d unmet %d", len(out.Claims), out.Unmet["wk-1"])
+	out := Schedule(input("a", ms(), job("wk-1", wire.KindService, wire.PriorityCritical, 6, nil)))
+	if len(out.Claims) != 0 || out.Unplaced["wk-1"] != 2 {
+		t.Fatalf("six replicas on four service cards, by the leader: claims %d unmet %d", len(out.Claims), out.Unplaced["wk-1"])
 	}
-	out = Pass(input("L", ms(), job("wk-1", wire.KindService, wire.PriorityCritical, 6, nil)))
+	out = Schedule(input("L", ms(), job("wk-1", wire.KindService, wire.PriorityCritical, 6, nil)))
 	if len(out.Claims) != 4 {
 		t.Fatalf("the leader claims %d", len(out.Claims))
 	}
 	for _, c := range out.Claims {
-		if c.Host != "s" {
-			t.Fatalf("a service was placed on %s", c.Host)
+		if c.Machine != "s" {
+			t.Fatalf("a service was placed on %s", c.Machine)
 		}
 	}
 	noSpot := job("wk-2", wire.KindArray, wire.PriorityNormal, 4, func(w *wire.JobSpec) { w.Spot = false })
-	for _, c := range Pass(input("a", ms(), noSpot)).Claims {
-		if c.Host != "b" {
-			t.Fatalf("a job that may not use spot machines was placed on %s", c.Host)
+	for _, c := range Schedule(input("a", ms(), noSpot)).Claims {
+		if c.Machine != "b" {
+			t.Fatalf("a job that may not use spot machines was placed on %s", c.Machine)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 		tasks int
 		want  int
 	}{{"a", 2, 2}, {"b", 2, 0}, {"a", 4, 0}, {"b", 4, 4}, {"a", 6, 0}, {"b", 6, 0}, {"L", 6, 6}} {
-		if got := len(Pass(input(c.me, ms(), j(c.tasks))).Claims); got != c.want {
+		if got := len(Schedule(input(c.me, ms(), j(c.tasks))).Claims); got != c.want {
 			t.Errorf("%s claims %d of %d tasks, want %d", c.me, got, c.tasks, c.want)
 		}
 	}
@@ -97,7 +97,7 @@
 func TestANodeWhoseMachinesHoldTheImageGoesFirst(t *testing.T) {
 	m1, m2 := machine("m1", "a", "z", Batch, 2), machine("m2", "b", "z", Batch, 4)
 	m2.Images = []string{"img"}
-	if n := len(Pass(input("b", []*Machine{m1, m2}, job("wk-1", wire.KindArray, wire.PriorityNormal, 2, nil))).Claims); n != 2 {
+	if n := len(Schedule(input("b", []*Machine{m1, m2}, job("wk-1", wire.KindArray, wire.PriorityNormal, 2, nil))).Claims); n != 2 {
 		t.Fatalf("the node with the image claims %d of 2", n)
 	}
 }
@@ -105,14 +105,14 @@
 func TestLeastFreeRoomAndHeldImages(t *testing.T) {
 	big, small := machine("big", "a", "z", Batch, 8), machine("small", "a", "z", Batch, 8)
 	small.Free = jobs.Resources{CPUs: 2, GPUs: 2, RAM: 8}
-	out := Pass(input("a", []*Machine{big, small}, job("wk-1", wire.KindArray, wire.PriorityNormal, 1, nil)))
-	if out.Claims[0].Host != "small" || out.Claims[0].Session != 3 {
+	out := Schedule(input("a", []*Machine{big, small}, job("wk-1", wire.KindArray, wire.PriorityNormal, 1, nil)))
+	if out.Claims[0].Machine != "small" || out.Claims[0].Incarnation != 3 {
 		t.Fatalf("placed as %+v", out.Claims[0])
 	}
 	small.Free = jobs.Resources{CPUs: 2, GPUs: 2, RAM: 8}
 	big.Images = []string{"img"}
-	out = Pass(input("a", []*Machine{big, small}, job("wk-1", wire.KindArray, wire.PriorityNormal, 1, nil)))
-	if out.Claims[0].Host != "big" {
+	out = Schedule(input("a", []*Machine{big, small}, job("wk-1", wire.KindArray, wire.PriorityNormal, 1, nil)))
+	if out.Claims[0].Machine != "big" {
 		t.Fatal("the machine that holds the image was passed over")
 	}
 }
@@ -125,8 +125,8 @@
 	apart.Chunks[0] = []jobs.Task{{State: jobs.Claimed, Host: "m1", Session: 3}, {}, {}, {}, {}}
 	apart.Live[0] = apart.Chunks[0][0]
 	zones := map[string]int{}
-	for _, c := range Pass(input("L", ms(), apart)).Claims {
-		zones[c.Host]++
+	for _, c := range Schedule(input("L", ms(), apart)).Claims {
+		zones[c.Machine]++
 	}
 	if zones["m1"] != 2 || zones["m2"] != 2 {
 		t.Fatalf("apart: %v beside one live on m1, the cap is 3", zones)
@@ -134,14 +134,14 @@
 	together := job("wk-2", wire.KindArray, wire.PriorityNormal, 4, func(w *wire.JobSpec) { w.SameZone = true })
 	together.Chunks[0] = []jobs.Task{{State: jobs.Claimed, Host: "m2", Session: 3}, {}, {}, {}}
 	together.Live[0] = together.Chunks[0][0]
-	for _, c := range Pass(input("L", ms(), together)).Claims {
-		if c.Host != "m2" {
-			t.Fatalf("together with a task in z2 but placed on %s", c.Host)
+	for _, c := range Schedule(input("L", ms(), together)).Claims {
+		if c.Machine != "m2" {
+			t.Fatalf("together with a task in z2 but placed on %s", c.Machine)
 		}
 	}
 	// A live claim on a machine that is not known: its zone is not known either.
 	together.Live[0] = jobs.Task{State: jobs.Claimed, Host: "gone"}
-	if out := Pass(input("L", ms(), together)); len(out.Claims) != 0 {
+	if out := Schedule(input("L", ms(), together)); len(out.Claims) != 0 {
 		t.Fatal("placed beside a task in an unknown zone")
 	}
 }
@@ -150,17 +150,17 @@
 	in := input("a", []*Machine{machine("m", "a", "z", Batch, 8)},
 		job("wk-1", wire.KindArray, wire.PriorityNormal, 3, nil), job("wk-2", wire.KindArray, wire.PriorityNormal, 3, nil))
 	in.Teams["x"].Limit, in.Teams["x"].Used = quota.Amount{GPUs: 5}, quota.Amount{GPUs: 1}
-	if n := len(Pass(in).Claims); n != 4 {
+	if n := len(Schedule(in).Claims); n != 4 {
 		t.Fatalf("%d claims beside one of five", n)
 	}
 }
 
 func TestGangsArePlacedWholeOrNotAtAll(t *testing.T) {
 	ms := []*Machine{machine("m", "a", "z", Batch, 2)}
-	if n := len(Pass(input("L", ms, job("wk-1", wire.KindGang, wire.PriorityNormal, 3, nil))).Claims); n != 0 {
+	if n := len(Schedule(input("L", ms, job("wk-1", wire.KindGang, wire.PriorityNormal, 3, nil))).Claims); n != 0 {
 		t.Fatalf("%d of 3 tasks of a gang placed", n)
 	}
-	if n := len(Pass(input("a", ms, job("wk-1", wire.KindGang, wire.PriorityNormal, 2, nil))).Claims); n != 2 {
+	if n := len(Schedule(input("a", ms, job("wk-1", wire.KindGang, wire.PriorityNormal, 2, nil))).Claims); n != 2 {
 		t.Fatalf("%d of 2 tasks of a gang placed", n)
 	}
 }
@@ -170,18 +170,18 @@
 	full := func() *Machine {
 		m := machine("m", "a", "z", Batch, 1)
 		m.Free = jobs.Resources{}
-		m.Tasks = []Resident{{ID: jobs.TaskID{Job: "wk-9"}, Job: low}}
+		m.Tasks = []ClaimedTask{{ID: jobs.TaskID{Job: "wk-9"}, Job: low}}
 		return m
 	}
 	run := func(priority string, pressed, borrowed bool) int {
 		in := input("a", []*Machine{full()}, job("wk-1", wire.KindArray, priority, 1, nil))
-		in.Demands[0].Pressed = pressed
+		in.Demands[0].MayReclaim = pressed
 		in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
 		in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 1}, Guarantee: quota.Amount{GPUs: 1}}
 		if borrowed {
 			in.Teams["y"].Used.GPUs = 2
 		}
-		return len(Pass(in).Evict)
+		return len(Schedule(in).Preemptions)
 	}
 	for _, c := range []struct {
 		rank              string
@@ -200,7 +200,7 @@
 	m := full()
 	m.Freeing = jobs.Resources{CPUs: 1, GPUs: 1, RAM: 1}
 	m.Tasks[0].Stopping = true
-	if out := Pass(input("a", []*Machine{m}, job("wk-1", wire.KindArray, wire.PriorityUrgent, 1, nil))); len(out.Evict) != 0 {
+	if out := Schedule(input("a", []*Machine{m}, job("wk-1", wire.KindArray, wire.PriorityUrgent, 1, nil))); len(out.Preemptions) != 0 {
 		t.Error("a task was stopped for room that is being freed")
 	}
 }
@@ -209,11 +209,11 @@
 	low := job("wk-9", wire.KindArray, wire.PriorityLow, 1, nil)
 	m := machine("m", "a", "z1", Batch, 1)
 	m.Free = jobs.Resources{}
-	m.Tasks = []Resident{{ID: jobs.TaskID{Job: "wk-9"}, Job: low}}
+	m.Tasks = []ClaimedTask{{ID: jobs.TaskID{Job: "wk-9"}, Job: low}}
 	j := job("wk-1", wire.KindArray, wire.PriorityUrgent, 2, func(w *wire.JobSpec) { w.SpreadZones = true })
 	j.Chunks[0] = []jobs.Task{{State: jobs.Claimed, Host: "m", Session: 3}, {}}
 	j.Live[0] = j.Chunks[0][0]
-	if out := Pass(input("a", []*Machine{m}, j)); len(out.Evict) != 0 {
+	if out := Schedule(input("a", []*Machine{m}, j)); len(out.Preemptions) != 0 {
 		t.Fatal("a task was stopped in the zone that the job's other task holds")
 	}
 }
@@ -222,12 +222,12 @@
 	svc := job("wk-9", wire.KindService, wire.PriorityCritical, 1, func(w *wire.JobSpec) { w.Team = "y" })
 	m := machine("m", "a", "z", Service, 1)
 	m.Free = jobs.Resources{}
-	m.Tasks = []Resident{{ID: jobs.TaskID{Job: "wk-9"}, Job: svc}}
+	m.Tasks = []ClaimedTask{{ID: jobs.TaskID{Job: "wk-9"}, Job: svc}}
 	in := input("a", []*Machine{m}, job("wk-1", wire.KindService, wire.PriorityCritical, 1, nil))
-	in.Demands[0].Pressed = true
+	in.Demands[0].MayReclaim = true
 	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
 	in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 2}, Guarantee: quota.Amount{GPUs: 1}}
-	if out := Pass(in); len(out.Evict) != 0 {
+	if out := Schedule(in); len(out.Preemptions) != 0 {
 		t.Fatal("a running service was stopped for one of the same rank")
 	}
 }
@@ -238,10 +238,10 @@
 	m := machine("m", "a", "z", Batch, 1)
 	m.Free = jobs.Resources{CPUs: 0.5, GPUs: 1, RAM: 64} // too small for mine, freed for it
 	in := input("a", []*Machine{m}, mine, theirs)
-	in.Demands[0].Pressed = true
+	in.Demands[0].MayReclaim = true
 	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
 	in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 2}, Guarantee: quota.Amount{GPUs: 1}}
-	if out := Pass(in); len(out.Claims) != 0 {
+	if out := Schedule(in); len(out.Claims) != 0 {
 		t.Fatal("borrowed work took the room that a guarantee waits for")
 	}
 }
@@ -262,7 +262,7 @@
 		}
 		in := input("a", []*Machine{machine("m", "a", "z", Batch, 1)}, left...)
 		in.Now = time.UnixMilli(0).Add(55 * time.Second)
-		if out := Pass(in); len(out.Claims) != 1 || out.Claims[0].Job.ID != want {
+		if out := Schedule(in); len(out.Claims) != 1 || out.Claims[0].Job.ID != want {
 			t.Fatalf("step %d: %+v", i, out.Claims)
 		}
 	}
@@ -274,16 +274,16 @@
 	a, b := job("wk-1", wire.KindArray, wire.PriorityNormal, 1, nil), job("wk-2", wire.KindArray, wire.PriorityNormal, 1, nil)
 	in := input("a", []*Machine{machine("m", "a", "z", Batch, 1)}, a, b)
 	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
-	in.Demands[1].Pressed = true
-	if out := Pass(in); len(out.Claims) != 1 || out.Claims[0].Job != b {
+	in.Demands[1].MayReclaim = true
+	if out := Schedule(in); len(out.Claims) != 1 || out.Claims[0].Job != b {
 		t.Fatalf("%+v", out.Claims)
 	}
 	low := job("wk-9", wire.KindArray, wire.PriorityLow, 1, nil)
 	m := machine("m", "a", "z", Batch, 1)
-	m.Free, m.Tasks = jobs.Resources{}, []Resident{{ID: jobs.TaskID{Job: "wk-9"}, Job: low}}
+	m.Free, m.Tasks = jobs.Resources{}, []ClaimedTask{{ID: jobs.TaskID{Job: "wk-9"}, Job: low}}
 	in = input("a", []*Machine{m}, job("wk-1", wire.KindArray, wire.PriorityUrgent, 1, nil))
 	in.Demands[0].PreemptedFor = true
-	if out := Pass(in); len(out.Evict) != 0 {
+	if out := Schedule(in); len(out.Preemptions) != 0 {
 		t.Fatal("more was stopped for a job before the first stop could help it")
 	}
 }
@@ -301,10 +301,10 @@
 		small := job("wk-1", wire.KindArray, wire.PriorityNormal, 8, nil)
 		in := input("L", ms(), small, large)
 		in.Leader = "L"
-		in.Demands[1].Aged = aged
+		in.Demands[1].Starved = aged
 		hosts := map[string]int{}
-		for _, c := range Pass(in).Claims {
-			hosts[c.Host]++
+		for _, c := range Schedule(in).Claims {
+			hosts[c.Machine]++
 		}
 		return hosts
 	}
@@ -325,16 +325,16 @@
 		in := input("a", []*Machine{machine("m", "a", "z", Batch, 1)}, better, old)
 		in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
 		in.Teams["y"] = &quota.Allowance{}
-		in.Demands[1].Aged = aged
-		return Pass(in).Claims[0].Job.ID
+		in.Demands[1].Starved = aged
+		return Schedule(in).Claims[0].Job.ID
 	}
 	if run(false) != "wk-1" || run(true) != "wk-2" {
 		t.Fatalf("first without age %s, with age %s", run(false), run(true))
 	}
 	urgent := job("wk-1", wire.KindArray, wire.PriorityUrgent, 1, nil)
 	in := input("a", []*Machine{machine("m", "a", "z", Batch, 1)}, urgent, job("wk-2", wire.KindArray, wire.PriorityNormal, 1, nil))
-	in.Demands[1].Aged = true
-	if Pass(in).Claims[0].Job.ID != "wk-1" {
+	in.Demands[1].Starved = true
+	if Schedule(in).Claims[0].Job.ID != "wk-1" {
 		t.Fatal("age goes before rank")
 	}
 }
@@ -345,18 +345,18 @@
 		list = append(list, job("wk-"+string(rune('1'+i)), wire.KindArray, wire.PriorityNormal, 1, nil))
 	}
 	in := input("a", []*Machine{machine("m", "a", "z", Batch, 8)}, list...)
-	in.MostJobs = 3
-	out := Pass(in)
-	if len(out.Claims) != 3 || len(out.Unmet) != 6 || out.Why["wk-9"] != NoTurn {
-		t.Fatalf("%d claims, waiting %v", len(out.Claims), out.Why)
+	in.MaxJobs = 3
+	out := Schedule(in)
+	if len(out.Claims) != 3 || len(out.Unplaced) != 6 || out.Reasons["wk-9"] != ReasonNoTurn {
+		t.Fatalf("%d claims, waiting %v", len(out.Claims), out.Reasons)
 	}
 }
 
 func TestTasksBeyondTheTeamsLimitWantNoMachine(t *testing.T) {
 	in := input("a", []*Machine{machine("m", "a", "z", Batch, 8)}, job("wk-1", wire.KindArray, wire.PriorityNormal, 5, nil))
 	in.Teams["x"].Limit = quota.Amount{GPUs: 3}
-	if out := Pass(in); len(out.Claims) != 3 || out.Why["wk-1"] != NoQuota {
-		t.Fatalf("%d claims, waits because %s", len(out.Claims), out.Why["wk-1"])
+	if out := Schedule(in); len(out.Claims) != 3 || out.Reasons["wk-1"] != ReasonNoQuota {
+		t.Fatalf("%d claims, waits because %s", len(out.Claims), out.Reasons["wk-1"])
 	}
 }
 
@@ -364,8 +364,8 @@
 func TestALargeJobIsSpreadOverFewOwners(t *testing.T) {
 	ms := []*Machine{machine("m1", "a", "z", Batch, 1), machine("m2", "b", "z", Batch, 4), machine("m3", "L", "z", Batch, 3)}
 	hosts := map[string]int{}
-	for _, c := range Pass(input("L", ms, job("wk-1", wire.KindArray, wire.PriorityNormal, 7, nil))).Claims {
-		hosts[c.Host]++
+	for _, c := range Schedule(input("L", ms, job("wk-1", wire.KindArray, wire.PriorityNormal, 7, nil))).Claims {
+		hosts[c.Machine]++
 	}
 	if hosts["m1"] != 0 || hosts["m2"] != 4 || hosts["m3"] != 3 {
 		t.Fatalf("placed on %v", hosts)
@@ -377,7 +377,7 @@
 	tiny := job("wk-1", wire.KindArray, wire.PriorityNormal, 2*tuning.TasksPerMachine, func(w *wire.JobSpec) { w.CPUs, w.GPUs, w.RAMGB = 0.001, 0, 0.001 })
 	in := input("a", []*Machine{machine("m", "a", "z", Batch, 4)}, tiny)
 	in.Leader = "a"
-	if n := len(Pass(in).Claims); n != tuning.TasksPerMachine {
+	if n := len(Schedule(in).Claims); n != tuning.TasksPerMachine {
 		t.Fatalf("%d tiny tasks on one machine", n)
 	}
 }
@@ -413,8 +413,8 @@
 	} {
 		m0, m1, m2 := machine("m0", "L", "z1", Batch, 0), machine("m1", "L", "z1", Batch, c.z1), machine("m2", "L", "z2", Batch, 8)
 		got := map[string]int{}
-		for _, cl := range Pass(input("L", []*Machine{m0, m1, m2}, c.job)).Claims {
-			got[cl.Host]++
+		for _, cl := range Schedule(input("L", []*Machine{m0, m1, m2}, c.job)).Claims {
+			got[cl.Machine]++
 		}
 		if !maps.Equal(got, c.want) {
 			t.Errorf("%s: placed on %v, want %v", c.name, got, c.want)
@@ -433,9 +433,9 @@
 	waiting.Team, waiting.Record.Spec.Team = "y", "y"
 	in.Teams["y"] = &quota.Allowance{Guarantee: quota.Amount{GPUs: 4}}
 	for _, d := range in.Demands {
-		d.Aged, d.Pressed = true, true
+		d.Starved, d.MayReclaim = true, true
 	}
-	out := Pass(in)
+	out := Schedule(in)
 	for _, c := range out.Claims {
 		if c.Job.ID != "wk-2" {
 			t.Fatalf("%s takes the room that was freed for a guarantee", c.Job.ID)
@@ -461,19 +461,19 @@
 			if i == 1 {
 				j.Record.Spec.CheckpointIntervalS, j.Record.Spec.CheckpointWriteS = 30, 4
 			}
-			r := Resident{ID: jobs.TaskID{Job: j.ID}, Job: j}
+			r := ClaimedTask{ID: jobs.TaskID{Job: j.ID}, Job: j}
 			if ran > 0 {
-				r.Began = now.Add(-ran)
+				r.RunningSince = now.Add(-ran)
 			}
 			m.Tasks = append(m.Tasks, r)
 		}
-		m.Enter()
+		m.Snapshot()
 		waiting := job("wk-1", wire.KindArray, wire.PriorityUrgent, 3, nil)
 		in := input("a", []*Machine{m}, waiting)
-		in.Now, in.LeastLoss = now, true
+		in.Now, in.MinimizeLoss = now, true
 		in.Teams["x"] = &quota.Allowance{}
 		var stopped []string
-		for _, e := range Pass(in).Evict {
+		for _, e := range Schedule(in).Preemptions {
 			stopped = append(stopped, e.ID.Job)
 		}
 		want := []string{"wk-12", "wk-11", "wk-10"}
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -15,7 +15,7 @@
 const scansPerPass = 16
 
 // mayPreempt reports whether the protocol lets the job displace the resident.
-func (in *Input) mayPreempt(d *Demand, r Resident) bool {
+func (in *Input) mayPreempt(d *Demand, r ClaimedTask) bool {
 	j := d.Job
 	w, v := j.Record.Spec, r.Job.Record.Spec
 	if v == nil {
@@ -29,14 +29,14 @@
 		return false
 	}
 	other := in.Teams[v.Team]
-	return d.Pressed && v.Team != w.Team && in.guaranteed(j) && other != nil && !other.WithinGuarantee(other.Used)
+	return d.MayReclaim && v.Team != w.Team && in.guaranteed(j) && other != nil && !other.WithinGuarantee(other.Used)
 }
 
 // makeRoom reserves room that is being freed for one task, or stops the fewest
 // tasks that the protocol lets it stop.
 func (in *Input) makeRoom(d *Demand, out *Output) bool {
 	var best *Machine
-	var victims []Resident
+	var victims []ClaimedTask
 	zones := in.zonesInUse(d.Job)
 	scanned := false
 	for _, p := range in.Fleet.pools {
@@ -44,25 +44,25 @@
 			continue
 		}
 		if !scanned {
-			if in.scans--; in.scans < 0 {
+			if in.scansLeft--; in.scansLeft < 0 {
 				return false
 			}
 			scanned = true
 		}
 		for _, m := range p.machines {
-			if !m.Open || d.Avoid[m.Name] {
+			if !m.Schedulable || d.Avoid[m.Name] {
 				continue
 			}
 			room := m.Free.Add(m.Freeing)
 			if d.Job.Need.Fits(room) {
-				in.Fleet.change(m)
+				in.Fleet.markChanged(m)
 				m.Freeing = m.Freeing.Sub(d.Job.Need)
 				return true
 			}
 			if d.PreemptedFor {
 				continue
 			}
-			if list := in.victims(d, m, room, younger); list != nil && (best == nil || len(list) < len(victims)) {
+			if list := in.victims(d, m, room, startedLater); list != nil && (best == nil || len(list) < len(victims)) {
 				best, victims = m, list
 			}
 		}
@@ -77,13 +77,13 @@
 // mayMakeRoom reports whether the demand may use the pool's machines, and tasks
 // there are being stopped, or may be for it.
 func (p *pool) mayMakeRoom(d *Demand) bool {
-	if !p.suits(d.Job) {
+	if !p.eligible(d.Job) {
 		return false
 	}
 	if p.freeing {
 		return true
 	}
-	return !d.PreemptedFor && (p.worst > d.priority || d.Pressed && d.guaranteed)
+	return !d.PreemptedFor && (p.lowestPriority > d.priority || d.MayReclaim && d.guaranteed)
 }
 
 // zonesInUse counts the job's tasks by zone, if it matters for others of them.
@@ -106,51 +106,51 @@
 
 // preempt stops tasks of the machine and reserves their room for one task of
 // the demand.
-func (in *Input) preempt(d *Demand, m *Machine, victims []Resident, out *Output) {
-	if in.LeastLoss && m.Owner == in.Me {
-		victims = in.victims(d, m, m.Free.Add(m.Freeing), in.cheaper)
+func (in *Input) preempt(d *Demand, m *Machine, victims []ClaimedTask, out *Output) {
+	if in.MinimizeLoss && m.Owner == in.Self {
+		victims = in.victims(d, m, m.Free.Add(m.Freeing), in.losesLess)
 	}
-	in.Fleet.change(m)
+	in.Fleet.markChanged(m)
 	for _, victim := range victims {
-		m.markEvicted(victim.ID)
-		m.evicts = true
+		m.markPreempted(victim.ID)
+		m.preempts = true
 		m.Freeing = m.Freeing.Add(victim.Job.Need)
-		if m.Owner == in.Me {
-			out.Evict = append(out.Evict, Eviction{victim, d.Job.ID})
+		if m.Owner == in.Self {
+			out.Preemptions = append(out.Preemptions, Preemption{victim, d.Job.ID})
 		}
 	}
 	m.Freeing = m.Freeing.Sub(d.Job.Need)
 }
 
-// markEvicted notes that a task of the machine is being stopped by the pass.
-func (m *Machine) markEvicted(task jobs.TaskID) {
+// markPreempted notes that a task of the machine is being stopped by the pass.
+func (m *Machine) markPreempted(task jobs.TaskID) {
 	for i := range m.Tasks {
 		if r := &m.Tasks[i]; r.ID == task {
-			r.Stopping, r.evicted = true, true
+			r.Stopping, r.preempted = true, true
 		}
 	}
 }
 
-// younger orders the tasks of a rank that could be stopped by the age of their
+// startedLater orders the tasks of a rank that could be stopped by the age of their
 // jobs, which every node knows: the youngest first.
-func younger(a, b *Resident) bool { return a.Job.Ready > b.Job.Ready }
+func startedLater(a, b *ClaimedTask) bool { return a.Job.Ready > b.Job.Ready }
 
-// cheaper orders the tasks of a rank that could be stopped on this node's machines:
+// losesLess orders the tasks of a rank that could be stopped on this node's machines:
 // those that have not begun first, then by what a stop loses.
-func (in *Input) cheaper(a, b *Resident) bool {
-	if x, y := in.loss(a), in.loss(b); x != y {
+func (in *Input) losesLess(a, b *ClaimedTask) bool {
+	if x, y := in.lostWork(a), in.lostWork(b); x != y {
 		return x < y
 	}
-	return younger(a, b)
+	return startedLater(a, b)
 }
 
-// loss is the run time that a stop of the task loses: all of it, or what it takes
+// lostWork is the run time that a stop of the task loses: all of it, or what it takes
 // to save for a task that can.
-func (in *Input) loss(r *Resident) time.Duration {
-	if r.Began.IsZero() {
+func (in *Input) lostWork(r *ClaimedTask) time.Duration {
+	if r.RunningSince.IsZero() {
 		return 0
 	}
-	ran := in.Now.Sub(r.Began)
+	ran := in.Now.Sub(r.RunningSince)
 	if spec := r.Job.Record.Spec; spec != nil && spec.CheckpointIntervalS > 0 {
 		ran = min(ran, time.Duration(spec.CheckpointWriteS*float64(time.Second)))
 	}
@@ -160,8 +160,8 @@
 // victims is the shortest list of tasks whose stop makes room for a task of the
 // job, the lowest priority first, and in a rank in the given order; nil if there
 // is none.
-func (in *Input) victims(d *Demand, m *Machine, room jobs.Resources, before func(a, b *Resident) bool) []Resident {
-	var list []Resident
+func (in *Input) victims(d *Demand, m *Machine, room jobs.Resources, before func(a, b *ClaimedTask) bool) []ClaimedTask {
+	var list []ClaimedTask
 	for _, r := range m.Tasks {
 		if !r.Stopping && in.mayPreempt(d, r) {
 			list = append(list, r)
--- a/internal/place/starve_test.go
+++ b/internal/place/starve_test.go
@@ -58,7 +58,7 @@
 			free[m] = m.Free
 		}
 		in := input("a", ms)
-		in.Leader, in.MostJobs = "a", 1000
+		in.Leader, in.MaxJobs = "a", 1000
 		in.Teams["x"].Guarantee = quota.Amount{GPUs: 1000}
 		in.Teams["y"] = &quota.Allowance{Limit: quota.Amount{GPUs: 12}}
 		for _, r := range live {
@@ -67,19 +67,19 @@
 		for _, j := range open {
 			d := demand(j)
 			_, has := began[j.ID]
-			d.Aged = !has && round-born[j.ID] > agedAfter
+			d.Starved = !has && round-born[j.ID] > agedAfter
 			if len(d.Tasks) > 0 {
 				in.Demands = append(in.Demands, d)
 			}
 		}
-		out := Pass(in)
+		out := Schedule(in)
 		for _, m := range ms {
 			m.Free = free[m] // what a pass holds back is free again
 		}
 		for k, c := range out.Claims {
 			c.Job.Chunks[0][c.Task].State = jobs.Claimed
 			for _, m := range ms {
-				if m.Name == c.Host {
+				if m.Name == c.Machine {
 					m.Free = m.Free.Sub(c.Job.Need)
 					live = append(live, running{c.Job, c.Task, m, round + 1 + k%3})
 				}
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -322,15 +322,15 @@
 // Victim chooses the service machine to flip: the one with the fewest service
 // tasks (ours); names break ties.
 func Victim(machines []*place.Machine) *place.Machine {
-	return fewest(machines, func(r place.Resident) bool { return r.Job.Service() })
+	return fewest(machines, func(r place.ClaimedTask) bool { return r.Job.Service() })
 }
 
 // Emptiest chooses the batch machine to flip: the one with the fewest tasks.
 func Emptiest(machines []*place.Machine) *place.Machine {
-	return fewest(machines, func(place.Resident) bool { return true })
+	return fewest(machines, func(place.ClaimedTask) bool { return true })
 }
 
-func fewest(machines []*place.Machine, counts func(place.Resident) bool) *place.Machine {
+func fewest(machines []*place.Machine, counts func(place.ClaimedTask) bool) *place.Machine {
 	var best *place.Machine
 	n := 0
 	for _, m := range machines {
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -90,7 +90,7 @@
 	changes, others = map[string]*chunkChange{}, map[string]quota.Amount{}
 	for _, claim := range g.claims {
 		chunk := claim.Task / j.Record.Chunk
-		key, machineKey := jobs.ChunkKey(j.ID, chunk), n.reg.KeyOf(claim.Host)
+		key, machineKey := jobs.ChunkKey(j.ID, chunk), n.reg.KeyOf(claim.Machine)
 		c := changes[key]
 		if c == nil {
 			if !n.room(t, len(changes)+3, (len(changes)+1)*n.chunkBytes(j), len(changes)+5) {
@@ -102,12 +102,12 @@
 		if _, ok := t.guards[machineKey]; !ok && !n.room(t, 0, 0, len(changes)+4) {
 			continue // more machines than one write may name
 		}
-		if !c.claim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Host: claim.Host, Session: claim.Session}, int(n.limits.ValueKB*1024)) {
+		if !c.claim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Host: claim.Machine, Session: claim.Incarnation}, int(n.limits.ValueKB*1024)) {
 			continue // its turn comes when others of the chunk are over
 		}
 		t.guards[machineKey] = n.cache.Version(machineKey)
 		amount = amount.Add(j.Need.Amount())
-		if owner := n.ownerOf(claim.Host); owner != n.self.Label {
+		if owner := n.ownerOf(claim.Machine); owner != n.self.Label {
 			others[owner] = others[owner].Add(j.Need.Amount())
 		}
 	}
--- a/internal/server/displace.go
+++ b/internal/server/displace.go
@@ -40,7 +40,7 @@
 			if tries++; tries > displaceTries {
 				return
 			}
-			if place.Elsewhere(f, r.Job, r.ID.Task, m.Name) != nil {
+			if place.FitElsewhere(f, r.Job, r.ID.Task, m.Name) != nil {
 				n.stopTask(w, r.ID)
 				n.log.Info("service task moves", "task", r.ID, "host", m.Name, "role", string(m.Role), "phase", string(rec.Phase))
 				return
--- a/internal/server/fleetview.go
+++ b/internal/server/fleetview.go
@@ -116,12 +116,12 @@
 	silent := n.silentAfter()
 	for _, m := range some {
 		if m.Owner == n.self.Label {
-			m.SetOpen(m.in && n.takesTasks(m.worker, now, silent))
+			m.SetSchedulable(m.in && n.takesTasks(m.worker, now, silent))
 		} else {
-			m.SetOpen(m.in && m.usable && fresh[m.Owner])
+			m.SetSchedulable(m.in && m.usable && fresh[m.Owner])
 		}
 	}
-	v.fleet.Rewind()
+	v.fleet.Rollback()
 	return v.fleet
 }
 
@@ -167,7 +167,7 @@
 func (n *Node) buildFleet() {
 	v := &n.view
 	if v.fleet != nil {
-		v.fleet.Rewind() // the machines that are kept hold what the last pass placed
+		v.fleet.Rollback() // the machines that are kept hold what the last pass placed
 	}
 	kept := v.machines
 	v.machines = make(map[string]*machineView, len(n.reg.Machines))
@@ -216,14 +216,14 @@
 // held.
 func (n *Node) applyMachine(m *machineView) {
 	m.in = n.reg.Machines[m.Name].Phase == fleet.Active
-	m.worker, m.usable, m.Session, m.Images = nil, false, 0, nil
+	m.worker, m.usable, m.Incarnation, m.Images = nil, false, 0, nil
 	if m.Owner == n.self.Label {
 		if m.worker = n.workers[m.Name]; m.worker != nil {
-			m.Session, m.Images = m.worker.Incarnation, m.worker.Images
+			m.Incarnation, m.Images = m.worker.Incarnation, m.worker.Images
 		}
 	} else if s := n.siblings[m.Owner]; s != nil {
 		if h, ok := s.hosts[m.Name]; ok {
-			m.Session, m.Images = h.Session, h.Images
+			m.Incarnation, m.Images = h.Session, h.Images
 			m.usable = h.Proven && !h.Silent && h.Notice < 0 && !h.Suspect
 		}
 	}
@@ -231,16 +231,16 @@
 	m.Tasks = m.Tasks[:0]
 	for id, j := range n.table.Hosts[m.Name] {
 		stopping := j.Phase != jobs.Open || n.workers[m.Name] != nil && n.workers[m.Name].IsLeaving(id)
-		resident := place.Resident{ID: id, Job: j, Stopping: stopping}
+		resident := place.ClaimedTask{ID: id, Job: j, Stopping: stopping}
 		if m.worker != nil {
-			resident.Began = m.worker.RunningSince[id]
+			resident.RunningSince = m.worker.RunningSince[id]
 		}
 		m.Tasks = append(m.Tasks, resident)
 		if stopping {
 			m.Freeing = m.Freeing.Add(j.Need)
 		}
 	}
-	m.Enter()
+	m.Snapshot()
 }
 
 // sumClaims enters the claims on a machine in the sums by owner; mu is held.
--- a/internal/server/fleetview_test.go
+++ b/internal/server/fleetview_test.go
@@ -17,11 +17,11 @@
 	var out []string
 	for _, m := range f.Machines {
 		tasks := slices.Clone(m.Tasks)
-		slices.SortFunc(tasks, func(a, b place.Resident) int {
+		slices.SortFunc(tasks, func(a, b place.ClaimedTask) int {
 			return cmp.Or(cmp.Compare(a.ID.Job, b.ID.Job), cmp.Compare(a.ID.Task, b.ID.Task))
 		})
 		line := fmt.Sprintf("%s %s %s %s %v %s open %v session %d images %v free %.3f freeing %.3f tasks", m.Name, m.Type, m.Zone, m.Owner,
-			m.Spot, m.Role, m.Open, m.Session, m.Images, m.Free, m.Freeing)
+			m.Spot, m.Role, m.Schedulable, m.Incarnation, m.Images, m.Free, m.Freeing)
 		for _, r := range tasks {
 			line += fmt.Sprintf(" %s/%v", r.ID, r.Stopping)
 		}
@@ -125,17 +125,17 @@
 		n.mu.Lock()
 		now := n.now()
 		before := picture(n.machines(now))
-		out := place.Pass(n.placeInput(n.machines(now), now))
+		out := place.Schedule(n.placeInput(n.machines(now), now))
 		during := picture(n.view.fleet)
 		after := picture(n.machines(now))
-		place.Pass(n.placeInput(n.view.fleet, now))
+		place.Schedule(n.placeInput(n.view.fleet, now))
 		n.view.stale = true // a machine has come: all are indexed anew
 		rebuilt := picture(n.machines(now))
 		n.mu.Unlock()
 		if !slices.Equal(before, rebuilt) {
 			t.Errorf("%s: before a pass and in a new index:\n%v\n%v", n.self.Label, before, rebuilt)
 		}
-		evicted += len(out.Evict)
+		evicted += len(out.Preemptions)
 		if slices.Equal(before, during) {
 			t.Errorf("%s plans nothing: the test needs a pass that does", n.self.Label)
 		}
--- a/internal/server/meetings_test.go
+++ b/internal/server/meetings_test.go
@@ -580,7 +580,7 @@
 			}
 			x.run(2 * time.Second)
 			x.want("the kill comes directly", "wk-1", 0, 1)
-			if n, _ := x.owner(m.Host); n.machines(x.clk.now()).Machine(m.Host).Open {
+			if n, _ := x.owner(m.Host); n.machines(x.clk.now()).Machine(m.Host).Schedulable {
 				x.t.Error("it has just been heard, and takes tasks, which would end with its lease")
 			}
 			m.outboundCut = false
--- a/internal/server/pass.go
+++ b/internal/server/pass.go
@@ -53,17 +53,17 @@
 	due := n.releases(workers, now)
 	fleet := n.machines(now)
 	in := n.placeInput(fleet, now)
-	out := place.Pass(in)
+	out := place.Schedule(in)
 	n.noteUnmet(out, now)
 	if !n.blind() {
-		n.stopEvicted(out.Evict, now)
+		n.stopEvicted(out.Preemptions, now)
 		if all {
 			n.displace(fleet)
 		}
 	}
 	txns = n.endsAndClaims(txns, due, out.Claims, &most)
-	txns = append(txns, n.offerShares(in.Teams, out.ShareShort, now, &most)...)
-	txns = append(txns, n.reserve(out.GuaranteeShort, now, &most)...)
+	txns = append(txns, n.offerShares(in.Teams, out.ShareShortfall, now, &most)...)
+	txns = append(txns, n.reserve(out.GuaranteeShortfall, now, &most)...)
 	txns = n.finished(txns, &most)
 	n.noteQueue(len(due) + countJobs(out.Claims) - len(txns))
 	n.shareBudget()
@@ -98,9 +98,9 @@
 }
 
 // stopEvicted stops tasks whose room others need; mu is held.
-func (n *Node) stopEvicted(list []place.Eviction, now time.Time) {
+func (n *Node) stopEvicted(list []place.Preemption, now time.Time) {
 	for _, r := range list {
-		w := n.workers[n.hostOf(r.Resident)]
+		w := n.workers[n.hostOf(r.ClaimedTask)]
 		if w == nil {
 			continue
 		}
@@ -167,18 +167,18 @@
 }
 
 // hostOf is the machine that a claimed task is on.
-func (n *Node) hostOf(r place.Resident) string { return r.Job.Live[r.ID.Task].Host }
+func (n *Node) hostOf(r place.ClaimedTask) string { return r.Job.Live[r.ID.Task].Host }
 
 // noteUnmet notes the tasks without a place, why, and since when; mu is held.
 func (n *Node) noteUnmet(out place.Output, now time.Time) {
-	n.unmet, n.why = out.Unmet, out.Why
+	n.unmet, n.why = out.Unplaced, out.Reasons
 	n.noteShortages(out, now)
 	for jobID := range n.unmetAt {
-		if out.Unmet[jobID] == 0 {
+		if out.Unplaced[jobID] == 0 {
 			delete(n.unmetAt, jobID)
 		}
 	}
-	for jobID := range out.Unmet {
+	for jobID := range out.Unplaced {
 		if _, ok := n.unmetAt[jobID]; !ok {
 			n.unmetAt[jobID] = now
 		}
@@ -187,9 +187,9 @@
 
 // placeInput builds the pass's input; mu is held.
 func (n *Node) placeInput(fleet *place.Fleet, now time.Time) place.Input {
-	in := place.Input{Me: n.self.Label, Leader: n.member.Leader.Label, Order: n.member.RankNodes,
-		Fleet: fleet, Teams: n.allowances(), Now: now, MostJobs: tuning.JobsPerPass,
-		LeastLoss: n.set.Operator.QuotaReservations}
+	in := place.Input{Self: n.self.Label, Leader: n.member.Leader.Label, RankNodes: n.member.RankNodes,
+		Fleet: fleet, Teams: n.allowances(), Now: now, MaxJobs: tuning.JobsPerPass,
+		MinimizeLoss: n.set.Operator.QuotaReservations}
 	avoid := map[string]map[string]bool{}
 	for host, w := range n.failing {
 		for jobID := range w.FailedJobs {
@@ -208,10 +208,10 @@
 		d.Tasks = n.pending(j, tuning.TasksPerJob, now)
 		// The cloud may still bring room for a guarantee; work that is stopped
 		// for it is lost.
-		d.Pressed = n.pressed(j, now)
-		d.Aged = j.Counts[jobs.Pending] == j.Record.Tasks && now.UnixMilli()-j.Ready > tuning.AgedAfter.Milliseconds()
+		d.MayReclaim = n.pressed(j, now)
+		d.Starved = j.Counts[jobs.Pending] == j.Record.Tasks && now.UnixMilli()-j.Ready > tuning.AgedAfter.Milliseconds()
 		d.PreemptedFor = now.Sub(n.preemptedFor[jobID]) < tuning.PreemptPause
-		d.Blocked = n.busyJob[jobID] || now.Before(n.notUntil[jobID])
+		d.WriteInFlight = n.busyJob[jobID] || now.Before(n.notUntil[jobID])
 		if len(d.Tasks) > 0 {
 			in.Demands = append(in.Demands, d)
 		}
--- a/internal/server/planinput.go
+++ b/internal/server/planinput.go
@@ -18,7 +18,7 @@
 func (n *Node) movable(f *place.Fleet) map[string]bool {
 	var list []*place.Machine
 	for _, m := range f.Machines {
-		if m.Open && m.Role == place.Service && len(m.Tasks) > 0 {
+		if m.Schedulable && m.Role == place.Service && len(m.Tasks) > 0 {
 			list = append(list, m)
 		}
 	}
@@ -90,7 +90,7 @@
 	b.noteHeard(m)
 	unit := b.unit(m, phase)
 	b.addHeld(m)
-	if m.Open && m.Role == place.Service {
+	if m.Schedulable && m.Role == place.Service {
 		b.serving++
 	}
 	draining := phase == fleet.Draining && len(m.Tasks) > 0
@@ -128,7 +128,7 @@
 		Name:             m.Name,
 		Kind:             fleet.MachineKind{MachineType: m.Type, Zone: m.Zone, Spot: m.Spot},
 		Role:             m.Role,
-		Schedulable:      m.Open,
+		Schedulable:      m.Schedulable,
 		Booting:          !wasUp && phase == fleet.Active,
 		Age:              b.age(m.Name),
 		Idle:             b.idleFor(m, phase),
@@ -176,7 +176,7 @@
 // for instance because it does not hear: another takes its place. It notes when
 // that began.
 func (b *planBuilder) unfitTooLong(m *place.Machine, phase fleet.Phase, booting bool) bool {
-	if m.Open || booting || phase != fleet.Active || b.quietFor(m.Name) > b.node.silentAfter() {
+	if m.Schedulable || booting || phase != fleet.Active || b.quietFor(m.Name) > b.node.silentAfter() {
 		delete(b.leader.unfit, m.Name)
 		return false
 	}
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -237,7 +237,7 @@
 // noteShortages notes which teams' work waits for other shares; mu is held.
 func (n *Node) noteShortages(out place.Output, now time.Time) {
 	for _, l := range n.quota.Ledgers() {
-		_, short := out.ShareShort[l.Team().Name]
+		_, short := out.ShareShortfall[l.Team().Name]
 		l.NoteShortage(short, now, n.member.FencingToken)
 	}
 }
--- a/internal/server/rolemoves.go
+++ b/internal/server/rolemoves.go
@@ -78,7 +78,7 @@
 		if n.reg.Machines[m.Name].Phase != fleet.Active {
 			continue
 		}
-		if !m.Open && len(m.Tasks) == 0 {
+		if !m.Schedulable && len(m.Tasks) == 0 {
 			// Only machines that are up count, and only they move. Counting
 			// those that boot made queued work that waits for them look like a
 			// lack of batch machines.
@@ -155,7 +155,7 @@
 		}
 		var service, batch []*place.Machine
 		for _, m := range machines.Machines {
-			if m.Type == t.Label && !m.Spot && n.reg.Machines[m.Name].Phase == fleet.Active && (m.Open || len(m.Tasks) > 0) {
+			if m.Type == t.Label && !m.Spot && n.reg.Machines[m.Name].Phase == fleet.Active && (m.Schedulable || len(m.Tasks) > 0) {
 				if m.Role == place.Service {
 					service = append(service, m)
 				} else {
@@ -207,8 +207,8 @@
 		if !r.Job.Service() || r.Job.Phase != jobs.Open {
 			continue
 		}
-		to := place.Elsewhere(f, r.Job, r.ID.Task, victim.Name)
-		if to == nil || held && !to.Holds(r.Job.Record.Spec.Image) {
+		to := place.FitElsewhere(f, r.Job, r.ID.Task, victim.Name)
+		if to == nil || held && !to.HasImage(r.Job.Record.Spec.Image) {
 			return false
 		}
 		to.Free = to.Free.Sub(r.Job.Need)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -440,7 +440,7 @@
 	w.submit(n, service("wk-1", 1))
 	w.passAll()
 	_, _, c := ask(n, "GET", "/status", nil)
-	if body := string(c.Response.Body()); !strings.Contains(body, "leader a") || !strings.Contains(body, "waiting wk-1 tasks 1 because "+place.NoRoom) {
+	if body := string(c.Response.Body()); !strings.Contains(body, "leader a") || !strings.Contains(body, "waiting wk-1 tasks 1 because "+place.ReasonNoRoom) {
 		t.Fatalf("status:\n%s", body)
 	}
 	_, _, c = ask(n, "GET", "/metrics", nil)
--- a/internal/server/trouble_test.go
+++ b/internal/server/trouble_test.go
@@ -155,7 +155,7 @@
 		t.Fatal("copies kept the lease of a dead machine alive")
 	}
 	n.mu.Lock()
-	open := n.machines(w.clk.now()).Machine("h1").Open
+	open := n.machines(w.clk.now()).Machine("h1").Schedulable
 	n.mu.Unlock()
 	if open {
 		t.Fatal("copies make a dead machine look alive")
--- a/internal/server/wants.go
+++ b/internal/server/wants.go
@@ -19,10 +19,10 @@
 	for jobID, j := range b.node.table.Open {
 		why := b.node.why[jobID]
 		count := j.Counts[jobs.Pending]
-		if why != place.NoTurn {
+		if why != place.ReasonNoTurn {
 			count -= b.node.unmet[jobID]
 		}
-		if count > 0 && (why == "" || why == place.NoTurn || why == place.NoRoom) {
+		if count > 0 && (why == "" || why == place.ReasonNoTurn || why == place.ReasonNoRoom) {
 			b.input.Demands = append(b.input.Demands, fleet.Demand{Job: j, Count: count, NotScheduledYet: true})
 		}
 	}
@@ -35,7 +35,7 @@
 func (b *planBuilder) addUnmet() {
 	for _, jobID := range b.node.unmetByAge() {
 		j := b.node.table.Open[jobID]
-		if j == nil || b.node.why[jobID] != place.NoRoom {
+		if j == nil || b.node.why[jobID] != place.ReasonNoRoom {
 			continue
 		}
 		count := b.node.unmet[jobID]
