--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -16,8 +16,8 @@
 	Reservations bool
 }
 
-// Book holds the ledgers of all teams of the settings, in their order.
-type Book struct {
+// Manager holds the ledgers of all teams of the settings, in their order.
+type Manager struct {
 	options Options
 	ledgers []*Ledger
 	byTeam  map[string]*Ledger
@@ -27,15 +27,15 @@
 	reservedAt time.Time    // of the last decision to write them
 }
 
-// NewBook returns a book of the teams, with nothing stored.
-func NewBook(teams []Team, o Options) *Book {
-	b := &Book{}
+// NewManager returns a book of the teams, with nothing stored.
+func NewManager(teams []Team, o Options) *Manager {
+	b := &Manager{}
 	b.Configure(teams, o)
 	return b
 }
 
 // Configure changes the settings. What is known of the teams that stay is kept.
-func (b *Book) Configure(teams []Team, o Options) {
+func (b *Manager) Configure(teams []Team, o Options) {
 	known := b.byTeam
 	b.options = o
 	b.ledgers, b.byTeam = nil, map[string]*Ledger{}
@@ -52,10 +52,10 @@
 }
 
 // Ledgers lists the ledgers in the order of the settings.
-func (b *Book) Ledgers() []*Ledger { return b.ledgers }
+func (b *Manager) Ledgers() []*Ledger { return b.ledgers }
 
-// Of is the ledger of a team; nil if the team is not in the settings.
-func (b *Book) Of(team string) *Ledger { return b.byTeam[team] }
+// Ledger is the ledger of a team; nil if the team is not in the settings.
+func (b *Manager) Ledger(team string) *Ledger { return b.byTeam[team] }
 
 // Apply enters a team's stored record and its version; nil says that there is
 // none any more. A
@@ -63,7 +63,7 @@
 // admitting from the record before it, with the version of the one that could
 // not be read as guard. Records of teams that are not in the settings are left
 // aside.
-func (b *Book) Apply(team string, raw wire.Raw, version uint64) error {
+func (b *Manager) Apply(team string, raw wire.Raw, version uint64) error {
 	l := b.byTeam[team]
 	if l == nil {
 		return nil
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -9,21 +9,21 @@
 // View is the membership and the picture of the stored claims that decisions
 // start from.
 type View struct {
-	Self   string // this node
-	Leader string
-	Nodes  []string // all members
-	Token  uint64   // of the membership
-	Held   Holdings
+	Self         string // this node
+	Leader       string
+	Nodes        []string // all members
+	FencingToken uint64   // of the membership
+	Claimed      ClaimedByNode
 	// Revision of the state service up to which every claim is in Held.
 	Revision uint64
 }
 
-// Holdings is what the stored claims on each node's machines take, by node and
+// ClaimedByNode is what the stored claims on each node's machines take, by node and
 // team.
-type Holdings map[string]map[string]Amount
+type ClaimedByNode map[string]map[string]Amount
 
 // Of is what a team's claims on all machines take.
-func (h Holdings) Of(team string) Amount {
+func (h ClaimedByNode) Of(team string) Amount {
 	var sum Amount
 	for _, teams := range h {
 		sum = sum.Add(teams[team])
@@ -34,27 +34,27 @@
 // Ledger is what a node knows of one team's limit: the stored shares, and its
 // own admissions that are not seen among the stored claims yet.
 type Ledger struct {
-	team     Team
-	options  Options
-	record   Record
-	version  uint64     // of the stored record
-	damage   error      // why the stored record can't be read
-	fault    error      // what Record.Check finds in it
-	inFlight Amount     // admitted, the write is under way
-	inDoubt  []Doubtful // admitted, the write's answer was lost
-	writing  bool       // a write of the record by this node is under way
+	team      Team
+	options   Options
+	record    Record
+	version   uint64               // of the stored record
+	damage    error                // why the stored record can't be read
+	fault     error                // what Record.Check finds in it
+	inFlight  Amount               // admitted, the write is under way
+	uncertain []UncertainAdmission // admitted, the write's answer was lost
+	writing   bool                 // a write of the record by this node is under way
 
-	shortSince time.Time // since when work waits though the limit is not used up
-	frozenAt   time.Time // when this node last froze the shares
-	offeredAt  time.Time // when this node last gave part of its share away
+	shortSince    time.Time // since when work waits though the limit is not used up
+	frozenAt      time.Time // when this node last froze the shares
+	transferredAt time.Time // when this node last gave part of its share away
 
 	reservation reservation // of the leader
 }
 
-// Doubtful is an admission whose write got no answer. It may be applied until
+// UncertainAdmission is an admission whose write got no answer. It may be applied until
 // one of its guards has changed, and counts until everything up to that change
 // has been read.
-type Doubtful struct {
+type UncertainAdmission struct {
 	Guards map[string]uint64
 	Amount Amount
 
@@ -114,7 +114,7 @@
 		return Unlimited
 	case l.damage != nil:
 		return Damaged
-	case l.record.Token != token:
+	case l.record.FencingToken != token:
 		return Unshared
 	case l.record.Frozen:
 		return Frozen
@@ -132,7 +132,7 @@
 // Pending is what this node has admitted and does not see among the stored
 // claims yet: with writes under way, and with writes whose answer was lost.
 func (l *Ledger) Pending() (inFlight, inDoubt Amount) {
-	for _, d := range l.inDoubt {
+	for _, d := range l.uncertain {
 		inDoubt = inDoubt.Add(d.Amount)
 	}
 	return l.inFlight, inDoubt
@@ -144,8 +144,8 @@
 // own write of the record changed the guard, while the claim, applied before it
 // without an answer, was not read yet.
 func (l *Ledger) Forget(c Cache) {
-	kept := l.inDoubt[:0]
-	for _, d := range l.inDoubt {
+	kept := l.uncertain[:0]
+	for _, d := range l.uncertain {
 		if d.closed == 0 && d.guardChanged(c) {
 			d.closed = c.NewestRevision()
 		}
@@ -153,12 +153,12 @@
 			kept = append(kept, d)
 		}
 	}
-	clear(l.inDoubt[len(kept):])
-	l.inDoubt = kept
+	clear(l.uncertain[len(kept):])
+	l.uncertain = kept
 }
 
 // guardChanged reports whether a guard does not stand as it was.
-func (d Doubtful) guardChanged(c Cache) bool {
+func (d UncertainAdmission) guardChanged(c Cache) bool {
 	for key, guarded := range d.Guards {
 		if c.Version(key) != guarded {
 			return true
@@ -169,7 +169,7 @@
 
 // left is what a node may still admit within its share.
 func (l *Ledger) left(v View, node string) Amount {
-	left := l.record.Shares[node].Amount().Sub(v.Held[node][l.team.Name])
+	left := l.record.Shares[node].Amount().Sub(v.Claimed[node][l.team.Name])
 	if node != v.Self {
 		return left // what others have under way is not known here
 	}
@@ -185,7 +185,7 @@
 		return a
 	}
 	a.Left = map[string]Amount{}
-	if l.Phase(v.Token) != Shared {
+	if l.Phase(v.FencingToken) != Shared {
 		return a
 	}
 	for node := range l.record.Shares {
@@ -212,7 +212,7 @@
 	if !l.team.Limited() {
 		return nil, nil
 	}
-	if phase := l.Phase(v.Token); phase != Shared {
+	if phase := l.Phase(v.FencingToken); phase != Shared {
 		return nil, fmt.Errorf("%w: admission from shares that are %s", ErrPhase, phase)
 	}
 	if l.writing {
@@ -236,15 +236,15 @@
 	return admission, nil
 }
 
-// Settle ends an admission. guards are those of its write.
-func (l *Ledger) Settle(a *Admission, outcome Outcome, guards map[string]uint64) {
+// ResolveAdmission ends an admission. guards are those of its write.
+func (l *Ledger) ResolveAdmission(a *Admission, outcome Outcome, guards map[string]uint64) {
 	l.inFlight = l.inFlight.Sub(a.Amount)
 	if a.Next != nil {
 		l.writing = false
 	}
 	if outcome == Unknown {
 		// Guards against a late application beside claims that took its place.
-		l.inDoubt = append(l.inDoubt, Doubtful{Guards: guards, Amount: a.Amount})
+		l.uncertain = append(l.uncertain, UncertainAdmission{Guards: guards, Amount: a.Amount})
 	}
 }
 
@@ -253,7 +253,7 @@
 	if l.writing {
 		return ErrBusy
 	}
-	if _, err := l.Phase(v.Token).Next(e); err != nil {
+	if _, err := l.Phase(v.FencingToken).Next(e); err != nil {
 		return err
 	}
 	if err := next.Check(l.team); err != nil && !errors.Is(err, ErrOverLimit) {
@@ -263,13 +263,13 @@
 	return nil
 }
 
-// Written ends a write of the record. guards are those that it had. What a
+// ResolveWrite ends a write of the record. guards are those that it had. What a
 // transfer gives away counts while its outcome is in doubt: guards against
 // admitting from it, which does not change the record, before the transfer is
 // applied late.
-func (l *Ledger) Written(w *Write, outcome Outcome, guards map[string]uint64) {
+func (l *Ledger) ResolveWrite(w *Write, outcome Outcome, guards map[string]uint64) {
 	l.writing = false
 	if outcome == Unknown && !w.Given.IsZero() {
-		l.inDoubt = append(l.inDoubt, Doubtful{Guards: guards, Amount: w.Given})
+		l.uncertain = append(l.uncertain, UncertainAdmission{Guards: guards, Amount: w.Given})
 	}
 }
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -16,7 +16,7 @@
 	m := newModel(Amount{GPUs: gpus}, nodes...)
 	m.settle()
 	for _, n := range m.nodes {
-		if phase := n.book.Of(m.team).Phase(m.members.token); phase != Shared {
+		if phase := n.book.Ledger(m.team).Phase(m.members.token); phase != Shared {
 			t.Fatalf("the shares are %s at %s", phase, n.label)
 		}
 	}
@@ -52,7 +52,7 @@
 	}
 	// Once it is read, nothing is in doubt any more.
 	m.settle()
-	if _, inDoubt := m.nodes["a"].book.Of("x").Pending(); !inDoubt.IsZero() {
+	if _, inDoubt := m.nodes["a"].book.Ledger("x").Pending(); !inDoubt.IsZero() {
 		t.Fatalf("%+v stays in doubt", inDoubt)
 	}
 }
@@ -84,15 +84,15 @@
 func TestWithoutBudgetOnlyANewMembershipIsServed(t *testing.T) {
 	m := newShared(t, 3, "a", "b")
 	n := m.nodes["a"]
-	ledger := n.book.Of(m.team)
-	ledger.NoteShortage(true, m.now, n.members.token)
+	ledger := n.book.Ledger(m.team)
+	ledger.RecordShortage(true, m.now, n.members.token)
 	later := m.now.Add(time.Minute)
-	if w := ledger.Redistribute(later, n.view(m.team), oneUnit, false); w != nil {
+	if w := ledger.Rebalance(later, n.view(m.team), oneUnit, false); w != nil {
 		t.Fatalf("%s without room for it", w.Event)
 	}
 	m.join([]string{"a", "b"}, "a")
 	n.readTo(m.log, len(m.log))
-	if w := ledger.Redistribute(later, n.view(m.team), oneUnit, false); w == nil || w.Event != ShareOut {
+	if w := ledger.Rebalance(later, n.view(m.team), oneUnit, false); w == nil || w.Event != ShareOut {
 		t.Fatalf("a new membership: %+v", w)
 	}
 }
@@ -117,7 +117,7 @@
 	if m.broken != nil {
 		t.Fatal(m.broken)
 	}
-	shares := m.nodes["b"].book.Of("x").Record().Shares
+	shares := m.nodes["b"].book.Ledger("x").Record().Shares
 	if sum := shares["a"].GPUs + shares["b"].GPUs + shares["c"].GPUs; sum != 4 {
 		t.Fatalf("shares of %v after a late transfer: %v", sum, shares)
 	}
@@ -230,16 +230,16 @@
 	for name, raw := range map[string]wire.Raw{
 		"no cbor":        {0xff},
 		"another type":   wire.MustMarshal([]int{1}),
-		"negative share": wire.MustMarshal(Record{Token: token, Shares: map[string]Share{"a": {GPUs: -1}, "b": {GPUs: 2}}}),
-		"no number":      wire.MustMarshal(Record{Token: token, Shares: map[string]Share{"a": {GPUs: math.NaN()}}}),
-		"infinite":       wire.MustMarshal(Record{Token: token, Shares: map[string]Share{"a": {GPUs: math.Inf(1)}}}),
+		"negative share": wire.MustMarshal(Record{FencingToken: token, Shares: map[string]Share{"a": {GPUs: -1}, "b": {GPUs: 2}}}),
+		"no number":      wire.MustMarshal(Record{FencingToken: token, Shares: map[string]Share{"a": {GPUs: math.NaN()}}}),
+		"infinite":       wire.MustMarshal(Record{FencingToken: token, Shares: map[string]Share{"a": {GPUs: math.Inf(1)}}}),
 	} {
 		m := newShared(t, 4, "a", "b")
 		m.deliver(m.mustAdmit(t, "b", 1))
 		m.damage(raw)
 		for _, n := range m.nodes {
 			n.readTo(m.log, len(m.log))
-			ledger := n.book.Of(m.team)
+			ledger := n.book.Ledger(m.team)
 			if phase := ledger.Phase(token); phase != Damaged || !errors.Is(ledger.Damage(), ErrDamaged) {
 				t.Errorf("%s: %s at %s, %v", name, phase, n.label, ledger.Damage())
 			}
@@ -253,7 +253,7 @@
 		}
 		m.settle()
 		a := m.nodes["a"]
-		if got := a.book.Of(m.team).Record(); got.Check(Team{Limit: Amount{GPUs: 4}}) != nil || got.total().GPUs != 4 || got.Shares["b"].GPUs < 1 {
+		if got := a.book.Ledger(m.team).Record(); got.Check(Team{Limit: Amount{GPUs: 4}}) != nil || got.total().GPUs != 4 || got.Shares["b"].GPUs < 1 {
 			t.Errorf("%s: rebuilt as %+v", name, got)
 		}
 	}
@@ -293,7 +293,7 @@
 			t.Fatalf("%d claims of a limit of 3: %d more are admitted, want %d", len(m.claims), left, want)
 		}
 		for _, w := range m.waiting {
-			w.node.book.Of(m.team).Settle(w.admission, Failed, nil)
+			w.node.book.Ledger(m.team).ResolveAdmission(w.admission, Failed, nil)
 		}
 		m.waiting = nil
 	}
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -75,7 +75,7 @@
 // modelNode is a process of a node, with its cache.
 type modelNode struct {
 	label    string
-	book     *Book
+	book     *Manager
 	read     int // changes of the log that it has read
 	revision uint64
 	newest   uint64 // of its own writes
@@ -96,7 +96,7 @@
 
 // start begins a process of a node, which has read nothing.
 func (m *model) start(label string, limit Amount) {
-	n := &modelNode{label: label, book: &Book{}, versions: map[string]uint64{}, claims: map[string]claim{}}
+	n := &modelNode{label: label, book: &Manager{}, versions: map[string]uint64{}, claims: map[string]claim{}}
 	n.configure(m.team, limit)
 	m.nodes[label] = n
 }
@@ -163,8 +163,8 @@
 }
 
 // held is what the stored claims on each node's machines take.
-func held(team string, claims map[string]claim, members membership) Holdings {
-	out := Holdings{}
+func held(team string, claims map[string]claim, members membership) ClaimedByNode {
+	out := ClaimedByNode{}
 	for _, c := range claims {
 		owner := members.owner(c.machine)
 		if out[owner] == nil {
@@ -183,7 +183,7 @@
 		return fmt.Errorf("claims of %+v after an admission by %s under a limit of %+v", total, w.node.label, w.limit)
 	}
 	var record Record
-	if m.record == nil || wire.Unmarshal(m.record, &record) != nil || record.Token != m.members.token || record.Frozen {
+	if m.record == nil || wire.Unmarshal(m.record, &record) != nil || record.FencingToken != m.members.token || record.Frozen {
 		return nil
 	}
 	for node, teams := range holdings {
@@ -226,8 +226,8 @@
 func (n *modelNode) NewestRevision() uint64    { return max(n.revision, n.newest) }
 
 func (n *modelNode) view(team string) View {
-	return View{Self: n.label, Leader: n.members.leader, Nodes: n.members.nodes, Token: n.members.token,
-		Held: held(team, n.claims, n.members), Revision: n.revision}
+	return View{Self: n.label, Leader: n.members.leader, Nodes: n.members.nodes, FencingToken: n.members.token,
+		Claimed: held(team, n.claims, n.members), Revision: n.revision}
 }
 
 // member reports whether the node, as far as it has read, is a member.
@@ -240,7 +240,7 @@
 
 // admit lets a node decide on a claim on a machine; nil if it may not.
 func (m *model) admit(n *modelNode, machine int, amount Amount) *write {
-	ledger := n.book.Of(m.team)
+	ledger := n.book.Ledger(m.team)
 	ledger.Forget(n)
 	if !n.member() {
 		return nil
@@ -274,10 +274,10 @@
 	if !n.member() || n.members.leader != n.label {
 		return nil
 	}
-	ledger := n.book.Of(m.team)
-	ledger.NoteShortage(short, m.now, n.members.token)
+	ledger := n.book.Ledger(m.team)
+	ledger.RecordShortage(short, m.now, n.members.token)
 	m.now = m.now.Add(4 * time.Second)
-	return m.sendShares(n, ledger.Redistribute(m.now, n.view(m.team), pending, true))
+	return m.sendShares(n, ledger.Rebalance(m.now, n.view(m.team), pending, true))
 }
 
 // transfer lets a node give part of its share; nil if it does not.
@@ -287,9 +287,9 @@
 	}
 	m.now = m.now.Add(time.Second)
 	v := n.view(m.team)
-	ledger := n.book.Of(m.team)
+	ledger := n.book.Ledger(m.team)
 	ledger.Forget(n)
-	return m.sendShares(n, ledger.Offer(m.now, v, taker, lack, m.unused))
+	return m.sendShares(n, ledger.Transfer(m.now, v, taker, lack, m.unused))
 }
 
 // sendShares sends a write of the record on its way.
@@ -339,12 +339,12 @@
 	} else {
 		n.readTo(m.log, len(m.log)) // what is stored now decides
 	}
-	ledger := n.book.Of(m.team)
+	ledger := n.book.Ledger(m.team)
 	if w.shares != nil {
-		ledger.Written(w.shares, outcome, w.guards)
+		ledger.ResolveWrite(w.shares, outcome, w.guards)
 	}
 	if w.admission != nil {
-		ledger.Settle(w.admission, outcome, w.guards)
+		ledger.ResolveAdmission(w.admission, outcome, w.guards)
 	}
 }
 
@@ -370,7 +370,7 @@
 		}
 		for _, n := range m.nodes {
 			n.readTo(m.log, len(m.log))
-			n.book.Of(m.team).Forget(n)
+			n.book.Ledger(m.team).Forget(n)
 		}
 		m.redistribute(m.nodes[m.members.leader], oneUnit, round < 4)
 	}
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -95,7 +95,7 @@
 			shares[node] = Share{GPUs: float64(rapid.IntRange(-20, 20).Draw(t, "share"))}
 		}
 		shares["a"] = Share{GPUs: 40}
-		h.damage(wire.MustMarshal(Record{Token: h.members.token, Shares: shares}))
+		h.damage(wire.MustMarshal(Record{FencingToken: h.members.token, Shares: shares}))
 		return
 	}
 	h.damage(rapid.SampledFrom(unreadable).Draw(t, "raw"))
@@ -189,7 +189,7 @@
 		}
 		var left Amount
 		for _, n := range h.nodes {
-			a := n.book.Of(h.team).Allowance(n.view(h.team), Amount{}, Amount{1, 1})
+			a := n.book.Ledger(h.team).Allowance(n.view(h.team), Amount{}, Amount{1, 1})
 			left = left.Add(a.Left[n.label])
 		}
 		if free := limit.Sub(left).in(limit); !free.IsZero() {
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -12,9 +12,9 @@
 // than the limit, and the claims on a node's machines sum to no more than its
 // share. So the team's claims never exceed its limit.
 type Record struct {
-	Token  uint64           `cbor:"b"`
-	Frozen bool             `cbor:"f,omitempty"` // about to be shared out anew: nobody admits
-	Shares map[string]Share `cbor:"g,omitempty"` // by node
+	FencingToken uint64           `cbor:"b"`
+	Frozen       bool             `cbor:"f,omitempty"` // about to be shared out anew: nobody admits
+	Shares       map[string]Share `cbor:"g,omitempty"` // by node
 }
 
 // Share is the stored form of a node's part of a team's limit.
--- a/internal/quota/reservation.go
+++ b/internal/quota/reservation.go
@@ -41,7 +41,7 @@
 // ApplyReservations enters the stored record; nil says that there is none. One
 // that can't be read counts as none: guarantees are then pressed as by a node
 // that has just begun.
-func (b *Book) ApplyReservations(raw wire.Raw) error {
+func (b *Manager) ApplyReservations(raw wire.Raw) error {
 	b.reserved = Reservations{}
 	if raw == nil {
 		return nil
@@ -60,15 +60,15 @@
 }
 
 // Reserved is a team's stored reservation.
-func (b *Book) Reserved(team string) (Reservation, bool) {
+func (b *Manager) Reserved(team string) (Reservation, bool) {
 	r, ok := b.reserved.Teams[team]
 	return r, ok
 }
 
-// Pressed reports whether a team has waited so long for room within its
+// MayReclaim reports whether a team has waited so long for room within its
 // guarantee that others' borrowed work is stopped for it: by then the cloud has
 // had the time to bring room.
-func (b *Book) Pressed(team string, now time.Time) bool {
+func (b *Manager) MayReclaim(team string, now time.Time) bool {
 	r, ok := b.reserved.Teams[team]
 	return ok && now.Sub(time.UnixMilli(r.Since)) > tuning.GuaranteePreemptAfter
 }
@@ -77,7 +77,7 @@
 // team's work lacks within its guarantee. It is nil while the stored record
 // will do. After a result that is not nil, nothing is decided until
 // ReservationsWritten.
-func (b *Book) Reserve(now time.Time, short map[string]Amount) *Reservations {
+func (b *Manager) Reserve(now time.Time, short map[string]Amount) *Reservations {
 	if !b.options.Reservations || b.reserving || now.Sub(b.reservedAt) < tuning.ReservePause {
 		return nil
 	}
@@ -105,7 +105,7 @@
 }
 
 // ReservationsWritten ends a write of the reservations.
-func (b *Book) ReservationsWritten() { b.reserving = false }
+func (b *Manager) ReservationsWritten() { b.reserving = false }
 
 // reserve makes, changes or drops the team's reservation; false if it stays as
 // it is. A wait that has just begun or ended is not stored: most are over in a
@@ -150,8 +150,8 @@
 	return far(a.CPUs, b.CPUs) || far(a.GPUs, b.GPUs)
 }
 
-// Promised is the sum of all teams' guarantees.
-func (b *Book) Promised() Amount {
+// TotalGuarantees is the sum of all teams' guarantees.
+func (b *Manager) TotalGuarantees() Amount {
 	var sum Amount
 	for _, l := range b.ledgers {
 		sum = sum.Add(l.team.Guarantee)
@@ -163,16 +163,16 @@
 // fleet, grown as far as it goes, can't hold all guarantees together: equal
 // parts of each. Until a team has waited so long that others would be stopped for
 // it, all guarantees count in full, since the fleet may still grow.
-func (b *Book) Scale(capacity func() Amount, now time.Time) Amount {
+func (b *Manager) Scale(capacity func() Amount, now time.Time) Amount {
 	full := Amount{1, 1}
 	pressed := false
 	for team := range b.reserved.Teams {
-		pressed = pressed || b.Pressed(team, now)
+		pressed = pressed || b.MayReclaim(team, now)
 	}
 	if !pressed {
 		return full
 	}
-	promised, fleet := b.Promised(), capacity()
+	promised, fleet := b.TotalGuarantees(), capacity()
 	if promised.CPUs > fleet.CPUs {
 		full.CPUs = fleet.CPUs / promised.CPUs
 	}
--- a/internal/quota/reservation_test.go
+++ b/internal/quota/reservation_test.go
@@ -10,8 +10,8 @@
 )
 
 // reserving is a book of two teams with guarantees and one without.
-func reserving() *Book {
-	return NewBook([]Team{
+func reserving() *Manager {
+	return NewManager([]Team{
 		{Name: "x", Guarantee: Amount{GPUs: 8}},
 		{Name: "y", Guarantee: Amount{CPUs: 10, GPUs: 16}},
 		{Name: "z"},
@@ -19,7 +19,7 @@
 }
 
 // store carries a decision out and lets the book read it.
-func (b *Book) store(t *testing.T, r *Reservations) {
+func (b *Manager) store(t *testing.T, r *Reservations) {
 	t.Helper()
 	if r == nil {
 		t.Fatal("nothing is to be stored")
@@ -65,7 +65,7 @@
 	if r, _ := next.Reserved("x"); r.Since != begin.UnixMilli() || r.GPUs != 6 {
 		t.Fatalf("a new leader stored %+v", r)
 	}
-	if !next.Pressed("x", begin.Add(tuning.GuaranteePreemptAfter+time.Second)) || next.Pressed("x", begin.Add(tuning.GuaranteePreemptAfter-time.Second)) {
+	if !next.MayReclaim("x", begin.Add(tuning.GuaranteePreemptAfter+time.Second)) || next.MayReclaim("x", begin.Add(tuning.GuaranteePreemptAfter-time.Second)) {
 		t.Fatal("the wait counts from another time")
 	}
 
@@ -115,9 +115,9 @@
 	}
 	scale := b.Scale(fleet, late)
 	if scale != (Amount{1, 0.5}) {
-		t.Fatalf("scale %+v for guarantees of %+v and a fleet of %+v", scale, b.Promised(), fleet())
+		t.Fatalf("scale %+v for guarantees of %+v and a fleet of %+v", scale, b.TotalGuarantees(), fleet())
 	}
-	y := b.Of("y").Allowance(View{}, Amount{GPUs: 9}, scale)
+	y := b.Ledger("y").Allowance(View{}, Amount{GPUs: 9}, scale)
 	if y.WithinGuarantee(y.Used) || !y.WithinGuarantee(Amount{GPUs: 8}) {
 		t.Fatalf("half of a guarantee of 16: %+v", y)
 	}
@@ -132,7 +132,7 @@
 	} {
 		b := reserving()
 		err := b.ApplyReservations(raw)
-		if err == nil || b.Pressed("x", time.Now()) {
+		if err == nil || b.MayReclaim("x", time.Now()) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if name == "negative" && !errors.Is(err, ErrDamaged) {
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -16,19 +16,19 @@
 	Given  Amount // of this node's share, by a transfer
 }
 
-// Redistribute lets the leader share the limit out: at once under a new
+// Rebalance lets the leader share the limit out: at once under a new
 // membership; and in two steps when work waits while the limit is not used up,
 // or when the record can't be admitted from. The first step freezes the shares;
 // what every node holds is then known, and the second shares out the rest.
 // pending is what each waiting job of the team takes. Without room in the
 // budget of changes only a new membership is served, since all admissions wait
 // for that.
-func (l *Ledger) Redistribute(now time.Time, v View, pending iter.Seq[Amount], room bool) *Write {
-	phase := l.Phase(v.Token)
+func (l *Ledger) Rebalance(now time.Time, v View, pending iter.Seq[Amount], room bool) *Write {
+	phase := l.Phase(v.FencingToken)
 	if l.writing || phase == Unlimited || !room && phase != Unshared {
 		return nil
 	}
-	next := Record{Token: v.Token}
+	next := Record{FencingToken: v.FencingToken}
 	event := Freeze
 	switch {
 	case phase == Unshared, phase == Frozen && v.Revision >= l.version:
@@ -62,17 +62,17 @@
 		return true
 	case OverLimit:
 		// Until something is released, the shares would stay what they are.
-		held := v.Held.Of(l.team.Name).in(l.team.Limit)
+		held := v.Claimed.Of(l.team.Name).in(l.team.Limit)
 		return !l.record.total().in(l.team.Limit).Sub(held).IsZero()
 	case Shared:
-		return !l.shortSince.IsZero() && now.Sub(l.shortSince) >= l.patience()
+		return !l.shortSince.IsZero() && now.Sub(l.shortSince) >= l.rebalanceDelay()
 	}
 	return false
 }
 
-// patience is how long a shortage lasts before the limit is shared out anew:
+// rebalanceDelay is how long a shortage lasts before the limit is shared out anew:
 // transfers come first, where there are any.
-func (l *Ledger) patience() time.Duration {
+func (l *Ledger) rebalanceDelay() time.Duration {
 	if l.options.Transfers {
 		return tuning.TransferPatience
 	}
@@ -84,7 +84,7 @@
 // one node. Where a part would not hold the largest waiting job, the leader
 // gets all the rest and admits for all.
 func (l *Ledger) divide(v View, pending iter.Seq[Amount]) map[string]Share {
-	rest := l.team.Limit.Sub(v.Held.Of(l.team.Name)).Max(Amount{})
+	rest := l.team.Limit.Sub(v.Claimed.Of(l.team.Name)).Max(Amount{})
 	part := rest.Times(1 / float64(len(v.Nodes)+1))
 	for need := range pending {
 		if !need.fits(part, l.team.Limit) {
@@ -98,15 +98,15 @@
 		if node == v.Leader {
 			extra = rest.Sub(part.Times(float64(len(v.Nodes) - 1)))
 		}
-		shares[node] = ShareOf(v.Held[node][l.team.Name].Add(extra))
+		shares[node] = ShareOf(v.Claimed[node][l.team.Name].Add(extra))
 	}
 	return shares
 }
 
-// NoteShortage notes whether work waits for other shares though the limit is not
+// RecordShortage notes whether work waits for other shares though the limit is not
 // used up. Shares that are about to be shared out count as none: guards against
 // sharing out again what has just been shared out.
-func (l *Ledger) NoteShortage(short bool, now time.Time, token uint64) {
+func (l *Ledger) RecordShortage(short bool, now time.Time, token uint64) {
 	switch {
 	case !short || l.Phase(token) != Shared:
 		l.shortSince = time.Time{}
--- a/internal/quota/summary.go
+++ b/internal/quota/summary.go
@@ -21,19 +21,19 @@
 // NodeShare is one node's part of a team's limit, in the resources that are
 // limited.
 type NodeShare struct {
-	Node  string
-	Share Amount
-	Held  Amount // by the claims on the node's machines
+	Node    string
+	Share   Amount
+	Claimed Amount // by the claims on the node's machines
 }
 
 // Summary describes a team; nil if it is not in the settings. used is what its
 // claims take.
-func (b *Book) Summary(v View, team string, used Amount) *Summary {
+func (b *Manager) Summary(v View, team string, used Amount) *Summary {
 	l := b.byTeam[team]
 	if l == nil {
 		return nil
 	}
-	s := &Summary{Team: l.team, Phase: l.Phase(v.Token), Damage: l.Damage(), Used: used,
+	s := &Summary{Team: l.team, Phase: l.Phase(v.FencingToken), Damage: l.Damage(), Used: used,
 		Borrowed: used.Sub(l.team.Guarantee).Max(Amount{})}
 	s.InFlight, s.InDoubt = l.Pending()
 	if r, ok := b.Reserved(team); ok {
@@ -41,7 +41,7 @@
 	}
 	for _, node := range slices.Sorted(maps.Keys(l.record.Shares)) {
 		share := l.record.Shares[node].Amount().in(l.team.Limit)
-		s.Shares = append(s.Shares, NodeShare{node, share, v.Held[node][team].in(l.team.Limit)})
+		s.Shares = append(s.Shares, NodeShare{node, share, v.Claimed[node][team].in(l.team.Limit)})
 	}
 	return s
 }
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -6,17 +6,17 @@
 	"wheatspur/internal/tuning"
 )
 
-// Offer lets this node give part of its share to one that lacks some: in one
+// Transfer lets this node give part of its share to one that lacks some: in one
 // write, which takes from its own share alone. That is safe by itself, since a
 // node is the only one that admits under its share without writing the record,
 // and admits nothing while the write is under way.
 // unused is what the node's own work leaves of its share. Of all nodes the one
 // that can cover the most gives, so that givers seldom race.
-func (l *Ledger) Offer(now time.Time, v View, taker string, lack, unused Amount) *Write {
-	if l.writing || taker == v.Self || l.Phase(v.Token) != Shared || now.Sub(l.offeredAt) < tuning.TransferPause {
+func (l *Ledger) Transfer(now time.Time, v View, taker string, lack, unused Amount) *Write {
+	if l.writing || taker == v.Self || l.Phase(v.FencingToken) != Shared || now.Sub(l.transferredAt) < tuning.TransferPause {
 		return nil
 	}
-	if l.giver(v, taker, lack) != v.Self {
+	if l.chooseGiver(v, taker, lack) != v.Self {
 		return nil
 	}
 	give := l.left(v, v.Self).Min(unused).Min(lack).Max(Amount{}).in(l.team.Limit)
@@ -27,19 +27,19 @@
 	if err := l.begin(v, Transfer, next); err != nil {
 		return nil
 	}
-	l.offeredAt = now
+	l.transferredAt = now
 	return &Write{Team: l.team.Name, Event: Transfer, Record: next, Given: give}
 }
 
-// giver is the node whose unused share, as far as the stored claims tell, covers
+// chooseGiver is the node whose unused share, as far as the stored claims tell, covers
 // the most of what another lacks; none if that is nothing.
-func (l *Ledger) giver(v View, taker string, lack Amount) string {
+func (l *Ledger) chooseGiver(v View, taker string, lack Amount) string {
 	best, most := "", 0.0
 	for _, node := range v.Nodes {
 		if node == taker {
 			continue
 		}
-		spare := l.record.Shares[node].Amount().Sub(v.Held[node][l.team.Name])
+		spare := l.record.Shares[node].Amount().Sub(v.Claimed[node][l.team.Name])
 		covered := lack.covered(spare, l.team.Limit)
 		if covered > most || covered == most && covered > 0 && node < best {
 			best, most = node, covered
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -41,7 +41,7 @@
 		if *most < 1 {
 			break
 		}
-		if n.busyJob[g.job.ID] || n.quota.Of(g.job.Record.Spec.Team).Writing() {
+		if n.busyJob[g.job.ID] || n.quota.Ledger(g.job.Record.Spec.Team).Writing() {
 			continue
 		}
 		if t := n.claimJob(g); t != nil {
--- a/internal/server/fleetview.go
+++ b/internal/server/fleetview.go
@@ -29,7 +29,7 @@
 	publishedAll time.Time       // when all machines were last compared with that
 
 	claims map[string]hostClaims // what is held on each machine, as it stands in held
-	held   quota.Holdings
+	held   quota.ClaimedByNode
 }
 
 // machineView is one machine and what its openness follows from.
@@ -49,7 +49,7 @@
 func newFleetView() fleetView {
 	return fleetView{machines: map[string]*machineView{}, records: map[string]bool{}, touched: map[string]bool{}, active: map[string]bool{},
 		returned: map[string]bool{}, unpublished: map[string]bool{},
-		claims: map[string]hostClaims{}, held: quota.Holdings{}}
+		claims: map[string]hostClaims{}, held: quota.ClaimedByNode{}}
 }
 
 // touch notes that something has changed on a machine.
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -70,7 +70,7 @@
 	failing       map[string]*fleet.Worker // those whose tasks failed lately
 	siblings      map[string]*sibling
 	busyJob       map[string]bool // a write about the job is under way
-	quota         *quota.Book
+	quota         *quota.Manager
 	recovery      *recovery.Node
 	pacer         *recovery.Pacer      // of starts while this node recovers
 	queuedChanges float64              // changes that wait for the budget, a mean over the last passes
@@ -130,7 +130,7 @@
 		reg:          fleet.NewInventory(),
 		owners:       map[string]string{},
 		published:    map[string]*publishedHost{},
-		quota:        quota.NewBook(quotaTeams(set.Params.Teams), quotaOptions(set)),
+		quota:        quota.NewManager(quotaTeams(set.Params.Teams), quotaOptions(set)),
 		dueSince:     map[string]time.Time{},
 		machineTypes: map[string]wire.MachineType{},
 		imageGB:      map[string]float64{},
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -38,17 +38,17 @@
 // quotaView is what decisions about limits start from; mu is held.
 func (n *Node) quotaView() quota.View {
 	return quota.View{
-		Self:     n.self.Label,
-		Leader:   n.member.Leader.Label,
-		Nodes:    n.memberLabels,
-		Token:    n.member.FencingToken,
-		Held:     n.holdings(),
-		Revision: n.cache.Revision(),
+		Self:         n.self.Label,
+		Leader:       n.member.Leader.Label,
+		Nodes:        n.memberLabels,
+		FencingToken: n.member.FencingToken,
+		Claimed:      n.holdings(),
+		Revision:     n.cache.Revision(),
 	}
 }
 
 // holdings is what the claims on each node's machines take; mu is held.
-func (n *Node) holdings() quota.Holdings {
+func (n *Node) holdings() quota.ClaimedByNode {
 	for host := range n.view.touched {
 		n.sumClaims(host)
 	}
@@ -88,7 +88,7 @@
 	if at, ok := n.unmetAt[j.ID]; ok && now.Sub(at) > tuning.GuaranteePreemptAfter {
 		return true
 	}
-	return n.set.Operator.QuotaReservations && n.quota.Pressed(j.Team, now) &&
+	return n.set.Operator.QuotaReservations && n.quota.MayReclaim(j.Team, now) &&
 		now.UnixMilli()-j.Ready > tuning.GuaranteePreemptAfter.Milliseconds()
 }
 
@@ -115,7 +115,7 @@
 // and, for claims on others' machines, the change that hands their owners that
 // part of this node's share; false if the share does not cover it. mu is held.
 func (n *Node) admit(t *txn, team string, amount quota.Amount, others map[string]quota.Amount) bool {
-	l := n.quota.Of(team)
+	l := n.quota.Ledger(team)
 	if l == nil {
 		return false
 	}
@@ -139,13 +139,13 @@
 // settleQuota tells the team's ledger what became of a write; mu is held.
 func (n *Node) settleQuota(t *txn, err error) {
 	if t.shares != nil {
-		n.quota.Of(t.shares.Team).Written(t.shares, outcomeOf(err), t.guards)
+		n.quota.Ledger(t.shares.Team).ResolveWrite(t.shares, outcomeOf(err), t.guards)
 	}
 	if t.reserves {
 		n.quota.ReservationsWritten()
 	}
 	if t.admission != nil {
-		n.quota.Of(t.admission.Team).Settle(t.admission, outcomeOf(err), t.guards)
+		n.quota.Ledger(t.admission.Team).ResolveAdmission(t.admission, outcomeOf(err), t.guards)
 	}
 }
 
@@ -170,8 +170,8 @@
 	view := n.quotaView()
 	for _, l := range n.quota.Ledgers() {
 		team := l.Team().Name
-		urgent := l.Phase(view.Token) == quota.Unshared
-		w := l.Redistribute(now, view, n.pendingAmounts(team), *most >= 1)
+		urgent := l.Phase(view.FencingToken) == quota.Unshared
+		w := l.Rebalance(now, view, n.pendingAmounts(team), *most >= 1)
 		if w == nil {
 			continue
 		}
@@ -198,7 +198,7 @@
 		if *most < 1 {
 			break
 		}
-		w := n.quota.Of(team).Offer(now, view, view.Leader, lack, teams[team].Left[view.Self])
+		w := n.quota.Ledger(team).Transfer(now, view, view.Leader, lack, teams[team].Left[view.Self])
 		if w == nil {
 			continue
 		}
@@ -238,6 +238,6 @@
 func (n *Node) noteShortages(out place.Output, now time.Time) {
 	for _, l := range n.quota.Ledgers() {
 		_, short := out.ShareShortfall[l.Team().Name]
-		l.NoteShortage(short, now, n.member.FencingToken)
+		l.RecordShortage(short, now, n.member.FencingToken)
 	}
 }
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -125,10 +125,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	held, sum := n.holdings(), 0.0
-	rec := n.quota.Of("x").Record()
+	rec := n.quota.Ledger("x").Record()
 	for label, by := range held {
 		claimed += by["x"].GPUs
-		if g := rec.Shares[label].GPUs; rec.Token == n.member.FencingToken && !rec.Frozen && by["x"].GPUs > g+1e-6 {
+		if g := rec.Shares[label].GPUs; rec.FencingToken == n.member.FencingToken && !rec.Frozen && by["x"].GPUs > g+1e-6 {
 			w.t.Fatalf("%s holds %v, its share is %v", label, by["x"].GPUs, g)
 		}
 	}
@@ -171,7 +171,7 @@
 		want := min(c.limit, float64(c.jobs*c.tasks))
 		if got := w.checkLimit(c.limit); got != want {
 			n := w.leader()
-			t.Errorf("limit %v, %d jobs of %d: %v claimed, want %v; %v %v %v", c.limit, c.jobs, c.tasks, got, want, n.unmet, n.why, n.quota.Of("x").Record())
+			t.Errorf("limit %v, %d jobs of %d: %v claimed, want %v; %v %v %v", c.limit, c.jobs, c.tasks, got, want, n.unmet, n.why, n.quota.Ledger("x").Record())
 		}
 	}
 }
@@ -232,7 +232,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.allowances()
-	if _, inDoubt := n.quota.Of("x").Pending(); !inDoubt.IsZero() {
+	if _, inDoubt := n.quota.Ledger("x").Pending(); !inDoubt.IsZero() {
 		t.Fatal("it stays in doubt after its claim was applied")
 	}
 }
@@ -263,8 +263,8 @@
 			t.Fatalf("%s: %d writes", name, len(txns))
 		}
 		n.mu.Lock()
-		rec := n.quota.Of("x").Record()
-		next.Token = rec.Token
+		rec := n.quota.Ledger("x").Record()
+		next.FencingToken = rec.FencingToken
 		if next.Shares == nil {
 			next.Shares = rec.Shares
 		}
--- a/internal/server/teamstatus.go
+++ b/internal/server/teamstatus.go
@@ -64,7 +64,7 @@
 	for _, s := range n.summaries() {
 		all[s.Team.Name] = s
 	}
-	promised, fleet := n.quota.Promised(), n.fleetAmount()
+	promised, fleet := n.quota.TotalGuarantees(), n.fleetAmount()
 	fmt.Fprintf(b, "guarantees %s machines_hold %s fit %v\n", amountText(promised), amountText(fleet), promised.Sub(fleet).Max(quota.Amount{}).IsZero())
 	rows(b, "team", all, func(team string) string { return n.teamLine(all[team]) })
 }
@@ -77,7 +77,7 @@
 		}
 		fmt.Fprintln(b, n.teamLine(s))
 		for _, share := range s.Shares {
-			fmt.Fprintf(b, "share %s of %s held %s\n", share.Node, amountText(share.Share), amountText(share.Held))
+			fmt.Fprintf(b, "share %s of %s held %s\n", share.Node, amountText(share.Share), amountText(share.Claimed))
 		}
 		return
 	}
@@ -106,7 +106,7 @@
 			gauge(descTeam, amount.GPUs, team, "gpus", kind)
 		}
 		for _, share := range s.Shares {
-			for kind, amount := range map[string]quota.Amount{"share": share.Share, "held": share.Held} {
+			for kind, amount := range map[string]quota.Amount{"share": share.Share, "held": share.Claimed} {
 				gauge(descTeamShare, amount.CPUs, team, share.Node, "cpus", kind)
 				gauge(descTeamShare, amount.GPUs, team, share.Node, "gpus", kind)
 			}
