--- a/internal/fleet/worker.go
+++ b/internal/fleet/worker.go
@@ -439,23 +439,23 @@
 
 // desiredTask is a claim on the machine as package recovery takes it; j is nil if there
 // is none.
-func desiredTask(j *jobs.Job, t jobs.Task) recovery.Claim {
+func desiredTask(j *jobs.Job, t jobs.Task) recovery.DesiredTask {
 	if j == nil {
-		return recovery.Claim{}
+		return recovery.DesiredTask{}
 	}
-	return recovery.Claim{Stored: true, Open: j.Phase == jobs.Open, Cancelled: j.Phase == jobs.Cancelled, Attempt: t.Attempt, Session: t.Session}
+	return recovery.DesiredTask{Claimed: true, Open: j.Phase == jobs.Open, Cancelled: j.Phase == jobs.Cancelled, Attempt: t.Attempt, Incarnation: t.Session}
 }
 
 // observedTask is a task of a report as package recovery takes it.
-func observedTask(s wire.TaskStatus, on bool) recovery.Listed {
-	l := recovery.Listed{Attempt: s.Attempt}
+func observedTask(s wire.TaskStatus, on bool) recovery.ObservedTask {
+	l := recovery.ObservedTask{Attempt: s.Attempt}
 	switch {
 	case !on:
-		return recovery.Listed{}
+		return recovery.ObservedTask{}
 	case s.State == wire.TaskExited:
 		l.State = recovery.Exited
 	case s.State == wire.TaskCheckpointing:
-		l.State = recovery.Saving
+		l.State = recovery.Checkpointing
 	default:
 		l.State = recovery.Alive
 	}
@@ -469,13 +469,13 @@
 }
 
 // observedWorker is the worker's session as package recovery takes it.
-func (w *Worker) observedWorker() recovery.Session {
-	s := recovery.Session{Number: w.Incarnation}
+func (w *Worker) observedWorker() recovery.Worker {
+	s := recovery.Worker{Incarnation: w.Incarnation}
 	switch w.State {
 	case TokenAcknowledged:
-		s.State = recovery.Proven
+		s.State = recovery.TokenAcknowledged
 	case LeaseExpired:
-		s.State = recovery.Ended
+		s.State = recovery.LeaseExpired
 	}
 	return s
 }
@@ -491,8 +491,8 @@
 		t := j.Live[id.Task]
 		s, on := w.Tasks[id]
 		session.NeverRan = j.Phase == jobs.Cancelled && w.neverRan(Attempt{id, t.Attempt})
-		record, reason := recovery.Proof(desiredTask(j, t), observedTask(s, on), session)
-		if record == recovery.NoRecord {
+		record, reason := recovery.ProvenUpdate(desiredTask(j, t), observedTask(s, on), session)
+		if record == recovery.NoUpdate {
 			continue
 		}
 		cause := string(reason)
@@ -506,8 +506,8 @@
 }
 
 // endEvents are the events of a claim's task that the proofs lead to.
-var endEvents = map[recovery.Record]jobs.TaskEventKind{
-	recovery.RecordDone: jobs.Complete, recovery.RecordFailed: jobs.Fail, recovery.RecordFree: jobs.Release,
+var endEvents = map[recovery.TaskUpdate]jobs.TaskEventKind{
+	recovery.UpdateDone: jobs.Complete, recovery.UpdateFailed: jobs.Fail, recovery.UpdateReleased: jobs.Release,
 }
 
 // Channel is a way to tell a worker something.
@@ -546,7 +546,7 @@
 		return nil, false
 	}
 	session := w.observedWorker()
-	session.MayStart = o.AllowStarts
+	session.AllowStarts = o.AllowStarts
 	zero := 0.0
 	for _, id := range w.taskIDs(claims) {
 		if len(out) >= tuning.TasksPerMachine {
@@ -558,13 +558,13 @@
 			t = j.Live[id.Task]
 		}
 		s, on := w.Tasks[id]
-		session.StartHeld = on && w.isStartPending(Attempt{id, s.Attempt})
+		session.StartPending = on && w.isStartPending(Attempt{id, s.Attempt})
 		session.Stopping = w.Stopping[id]
-		d := recovery.Orders(desiredTask(j, t), observedTask(s, on), session)
+		d := recovery.Commands(desiredTask(j, t), observedTask(s, on), session)
 		switch d.Stop {
 		case recovery.Kill:
 			out = append(out, wire.Command{Verb: wire.VerbKill, Task: s.Task, Attempt: s.Attempt, GracePeriodS: &zero})
-		case recovery.KillSaving:
+		case recovery.KillWithCheckpoint:
 			grace := 0.0
 			if spec := j.Record.Spec; spec != nil {
 				grace = spec.CheckpointWriteS
--- a/internal/recovery/pace_test.go
+++ b/internal/recovery/pace_test.go
@@ -80,7 +80,7 @@
 // its membership, and never comes back once it is over.
 func TestPhases(t *testing.T) {
 	now := time.UnixMilli(0)
-	n := NewNode(now)
+	n := NewProgress(now)
 	step := func(e Event, want Phase) {
 		t.Helper()
 		now = now.Add(time.Second)
@@ -99,14 +99,14 @@
 	step(CaughtUp, Reconciling)
 	step(Lost, Loading)
 	step(Loaded, Reconciling)
-	if n.Began == began || !n.Blind() || n.Over() {
+	if n.Began == began || !n.MachinesUnknown() || n.Done() {
 		t.Fatal("a new membership does not begin the time to report anew")
 	}
 	step(Accounted, CatchingUp)
 	step(Lost, Loading)
 	step(Loaded, Reconciling)
 	step(Accounted, CatchingUp)
-	if n.Blind() || n.Over() {
+	if n.MachinesUnknown() || n.Done() {
 		t.Fatal("catching up is blind, or over")
 	}
 	step(CaughtUp, Recovered)
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -28,10 +28,10 @@
 // need. Orders that protect limits and cancellations, kills and reaps, are not
 // paced. The zero value lets everything pass.
 type Pacer struct {
-	rate   float64 // starts a second; 0: no bound
-	tokens float64
-	at     time.Time // of the last refill
-	left   Backlog
+	rate    float64 // starts a second; 0: no bound
+	tokens  float64
+	at      time.Time // of the last refill
+	backlog Backlog
 }
 
 // NewPacer returns a pacer of a rate.
@@ -40,7 +40,7 @@
 }
 
 // SetBacklog tells how many starts wait of each class.
-func (p *Pacer) SetBacklog(b Backlog) { p.left = b }
+func (p *Pacer) SetBacklog(b Backlog) { p.backlog = b }
 
 // Admit takes one start of a class; false if it has to wait.
 func (p *Pacer) Admit(c Class, now time.Time) bool {
@@ -49,14 +49,14 @@
 	}
 	p.refill(now)
 	urgent := 0
-	for _, waiting := range p.left[:c] {
+	for _, waiting := range p.backlog[:c] {
 		urgent += waiting
 	}
 	if p.tokens-float64(urgent) < 1 {
 		return false
 	}
 	p.tokens--
-	p.left[c] = max(0, p.left[c]-1)
+	p.backlog[c] = max(0, p.backlog[c]-1)
 	return true
 }
 
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -77,22 +77,24 @@
 // Accounted reports whether every machine is reconciled or missing.
 func (c Count) Accounted() bool { return c[Unknown] == 0 && c[Reported] == 0 }
 
-// Node is the state of a node's recovery.
-type Node struct {
-	Phase    Phase
-	Since    time.Time // of the phase
-	Began    time.Time // when the node last became a member while it recovered
-	Machines Count
-	Left     Backlog   // starts that wait
-	work     bool      // open jobs have been seen
-	busy     time.Time // when starts last waited
+// Progress is the state of a node's recovery.
+type Progress struct {
+	Phase         Phase
+	Since         time.Time // of the phase
+	Began         time.Time // when the node last became a member while it recovered
+	Machines      Count
+	PendingStarts Backlog   // starts that wait
+	sawOpenJobs   bool      // open jobs have been seen
+	lastPending   time.Time // when starts last waited
 }
 
-// NewNode is the recovery of a node that begins.
-func NewNode(now time.Time) *Node { return &Node{Phase: Loading, Since: now, Machines: Count{}} }
+// NewProgress is the recovery of a node that begins.
+func NewProgress(now time.Time) *Progress {
+	return &Progress{Phase: Loading, Since: now, Machines: Count{}}
+}
 
 // Apply enters an event; true if it has changed the phase.
-func (n *Node) Apply(e Event, now time.Time) bool {
+func (n *Progress) Apply(e Event, now time.Time) bool {
 	next := n.Phase.Next(e)
 	if next == n.Phase {
 		return false
@@ -104,13 +106,13 @@
 	return true
 }
 
-// Count enters how many machines are in each state, how many jobs are open, and
+// RecordCounts enters how many machines are in each state, how many jobs are open, and
 // how many starts wait.
-func (n *Node) Count(machines Count, jobs int, left Backlog, now time.Time) {
-	n.Machines, n.Left = machines, left
-	n.work = n.work || jobs > 0
+func (n *Progress) RecordCounts(machines Count, jobs int, left Backlog, now time.Time) {
+	n.Machines, n.PendingStarts = machines, left
+	n.sawOpenJobs = n.sawOpenJobs || jobs > 0
 	if left.Total() > 0 {
-		n.busy = now
+		n.lastPending = now
 	}
 }
 
@@ -118,12 +120,12 @@
 // node that has seen no open job since it began has nothing to wait for.
 // Guards against an end in the moment between the release of what an outage has
 // ended and its claims.
-func (n *Node) Quiet(now time.Time, d time.Duration) bool {
-	return !n.work || now.Sub(n.busy) >= d && now.Sub(n.Since) >= d
+func (n *Progress) Quiet(now time.Time, d time.Duration) bool {
+	return !n.sawOpenJobs || now.Sub(n.lastPending) >= d && now.Sub(n.Since) >= d
 }
 
-// Over reports whether ordinary operation goes on.
-func (n *Node) Over() bool { return n.Phase == Recovered }
+// Done reports whether ordinary operation goes on.
+func (n *Progress) Done() bool { return n.Phase == Recovered }
 
-// Blind reports whether machines that may hold work are not accounted for.
-func (n *Node) Blind() bool { return n.Phase == Loading || n.Phase == Reconciling }
+// MachinesUnknown reports whether machines that may hold work are not accounted for.
+func (n *Progress) MachinesUnknown() bool { return n.Phase == Loading || n.Phase == Reconciling }
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -7,13 +7,13 @@
 // same. The package is pure.
 package recovery
 
-// Claim is the stored state of a task on a machine.
-type Claim struct {
-	Stored    bool // the task is claimed for this machine
-	Open      bool // and its job is neither done nor cancelled
-	Cancelled bool // its job is cancelled
-	Attempt   uint64
-	Session   uint64 // of the machine's worker that the claim is for
+// DesiredTask is the stored state of a task on a machine.
+type DesiredTask struct {
+	Claimed     bool // the task is claimed for this machine
+	Open        bool // and its job is neither done nor cancelled
+	Cancelled   bool // its job is cancelled
+	Attempt     uint64
+	Incarnation uint64 // of the machine's worker that the claim is for
 }
 
 // TaskState is the state of a task in a worker's report.
@@ -21,9 +21,9 @@
 
 // States of a task in a report.
 const (
-	NotListed TaskState = iota
-	Alive               // it waits for its image, runs or saves
-	Saving              // it was told to stop and saves
+	NotListed     TaskState = iota
+	Alive                   // it waits for its image, runs or saves
+	Checkpointing           // it was told to stop and saves
 	Exited
 )
 
@@ -37,31 +37,31 @@
 	ExitFailed
 )
 
-// Listed is a task in a worker's newest report.
-type Listed struct {
+// ObservedTask is a task in a worker's newest report.
+type ObservedTask struct {
 	State   TaskState
 	Attempt uint64
 	Cause   ExitCause // of Exited
 }
 
-// SessionState is what the owner of a machine knows of its worker's session.
-type SessionState int
+// WorkerState is what the owner of a machine knows of its worker's session.
+type WorkerState int
 
 // States of a session.
 const (
-	Unproven SessionState = iota // commands of former owners may be under way
-	Proven                       // the worker has shown our token
-	Ended                        // its lease has ended for certain
+	TokenUnacknowledged WorkerState = iota // commands of former owners may be under way
+	TokenAcknowledged                      // the worker has shown our token
+	LeaseExpired                           // its lease has ended for certain
 )
 
-// Session is the worker's session, and what may be under way to it.
-type Session struct {
-	Number    uint64
-	State     SessionState
-	MayStart  bool // this node may send starts: it reads the state service
-	StartHeld bool // a direct start of the listed attempt may yet arrive
-	NeverRan  bool // the claimed attempt has not begun, and can't without a new start
-	Stopping  bool // the task is wanted off the machine
+// Worker is the worker's session, and what may be under way to it.
+type Worker struct {
+	Incarnation  uint64
+	State        WorkerState
+	AllowStarts  bool // this node may send starts: it reads the state service
+	StartPending bool // a direct start of the listed attempt may yet arrive
+	NeverRan     bool // the claimed attempt has not begun, and can't without a new start
+	Stopping     bool // the task is wanted off the machine
 }
 
 // Stop is the order that ends something on a machine.
@@ -69,21 +69,21 @@
 
 // Orders that end something.
 const (
-	NoStop     Stop = iota
-	Kill            // the task ends at once
-	KillSaving      // the task may save before it ends
-	Reap            // an exited task leaves the reports
+	NoStop             Stop = iota
+	Kill                    // the task ends at once
+	KillWithCheckpoint      // the task may save before it ends
+	Reap                    // an exited task leaves the reports
 )
 
-// Record is the change of the stored state that the report proves.
-type Record int
+// TaskUpdate is the change of the stored state that the report proves.
+type TaskUpdate int
 
 // Changes of the stored state.
 const (
-	NoRecord     Record = iota
-	RecordDone          // the task is done
-	RecordFailed        // it failed and starts again later
-	RecordFree          // the claim ends; the task starts again
+	NoUpdate       TaskUpdate = iota
+	UpdateDone                // the task is done
+	UpdateFailed              // it failed and starts again later
+	UpdateReleased            // the claim ends; the task starts again
 )
 
 // Reason says why a claim ends.
@@ -91,11 +91,11 @@
 
 // Reasons for the end of a claim.
 const (
-	ReasonNone         Reason = ""
-	ReasonLeaseEnded   Reason = "lease ended"
-	ReasonNewSession   Reason = "new session"
-	ReasonExited       Reason = "exited"
-	ReasonNeverStarted Reason = "never started"
+	ReasonNone           Reason = ""
+	ReasonLeaseExpired   Reason = "lease ended"
+	ReasonNewIncarnation Reason = "new session"
+	ReasonExited         Reason = "exited"
+	ReasonNeverStarted   Reason = "never started"
 )
 
 // Decision is what becomes of one task on one machine. Without any part of it,
@@ -103,36 +103,36 @@
 type Decision struct {
 	Stop   Stop
 	Start  bool
-	Record Record
+	Update TaskUpdate
 	Reason Reason // of Record
 }
 
 // Adopted reports whether a task that is alive is left running.
-func (d Decision) Adopted(l Listed) bool {
-	return (l.State == Alive || l.State == Saving) && d.Stop == NoStop && d.Record == NoRecord
+func (d Decision) Adopted(l ObservedTask) bool {
+	return (l.State == Alive || l.State == Checkpointing) && d.Stop == NoStop && d.Update == NoUpdate
 }
 
 // Reconcile decides what becomes of a task on a machine.
-func Reconcile(c Claim, l Listed, s Session) Decision {
-	d := Orders(c, l, s)
-	d.Record, d.Reason = Proof(c, l, s)
+func Reconcile(c DesiredTask, l ObservedTask, s Worker) Decision {
+	d := Commands(c, l, s)
+	d.Update, d.Reason = ProvenUpdate(c, l, s)
 	return d
 }
 
-// Orders decides what the worker is told.
-func Orders(c Claim, l Listed, s Session) Decision {
-	if s.State == Ended {
+// Commands decides what the worker is told.
+func Commands(c DesiredTask, l ObservedTask, s Worker) Decision {
+	if s.State == LeaseExpired {
 		return Decision{} // nothing that is sent would be carried out
 	}
-	wanted := c.Stored && c.Open && c.Session == s.Number
-	same := c.Stored && l.Attempt == c.Attempt
-	reap := s.State == Proven && !s.StartHeld
+	wanted := c.Claimed && c.Open && c.Incarnation == s.Incarnation
+	same := c.Claimed && l.Attempt == c.Attempt
+	reap := s.State == TokenAcknowledged && !s.StartPending
 	switch {
 	case wanted && (l.State == NotListed || l.Attempt < c.Attempt):
-		d := Decision{Start: s.MayStart}
+		d := Decision{Start: s.AllowStarts}
 		if l.State == Exited && reap {
 			d.Stop = Reap
-		} else if l.State == Alive || l.State == Saving {
+		} else if l.State == Alive || l.State == Checkpointing {
 			d.Stop = Kill
 		}
 		return d
@@ -146,8 +146,8 @@
 		}
 		return Decision{}
 	case wanted && same:
-		if s.Stopping && l.State != Saving {
-			return Decision{Stop: KillSaving}
+		if s.Stopping && l.State != Checkpointing {
+			return Decision{Stop: KillWithCheckpoint}
 		}
 		return Decision{}
 	}
@@ -155,36 +155,36 @@
 	return Decision{Stop: Kill}
 }
 
-// Proof decides what is stored: only what the report, or the end of the session,
+// ProvenUpdate decides what is stored: only what the report, or the end of the session,
 // proves.
-func Proof(c Claim, l Listed, s Session) (Record, Reason) {
+func ProvenUpdate(c DesiredTask, l ObservedTask, s Worker) (TaskUpdate, Reason) {
 	switch {
-	case !c.Stored:
-		return NoRecord, ReasonNone
-	case s.State == Ended && c.Session <= s.Number:
-		return RecordFree, ReasonLeaseEnded
-	case s.State != Proven:
-		return NoRecord, ReasonNone // a former owner's commands may still be under way
-	case c.Session < s.Number:
-		return RecordFree, ReasonNewSession
+	case !c.Claimed:
+		return NoUpdate, ReasonNone
+	case s.State == LeaseExpired && c.Incarnation <= s.Incarnation:
+		return UpdateReleased, ReasonLeaseExpired
+	case s.State != TokenAcknowledged:
+		return NoUpdate, ReasonNone // a former owner's commands may still be under way
+	case c.Incarnation < s.Incarnation:
+		return UpdateReleased, ReasonNewIncarnation
 	case l.State == Exited && l.Attempt == c.Attempt:
-		return recordOf(l.Cause), ReasonExited
+		return updateOf(l.Cause), ReasonExited
 	case c.Cancelled && (l.State == NotListed || l.Attempt < c.Attempt) && s.NeverRan:
 		// Nobody starts a cancelled job's task any more. Guards against a claim
 		// that counted against its team, and filled its machine, for as long as
 		// the machine's session lasted.
-		return RecordFree, ReasonNeverStarted
+		return UpdateReleased, ReasonNeverStarted
 	}
-	return NoRecord, ReasonNone
+	return NoUpdate, ReasonNone
 }
 
-// recordOf is the change that an exit leads to.
-func recordOf(cause ExitCause) Record {
+// updateOf is the change that an exit leads to.
+func updateOf(cause ExitCause) TaskUpdate {
 	switch cause {
 	case ExitDone:
-		return RecordDone
+		return UpdateDone
 	case ExitFailed:
-		return RecordFailed
+		return UpdateFailed
 	}
-	return RecordFree
+	return UpdateReleased
 }
--- a/internal/server/coldstart_test.go
+++ b/internal/server/coldstart_test.go
@@ -94,7 +94,7 @@
 func (x *trial) recovered() bool {
 	for _, n := range x.nodes {
 		n.mu.Lock()
-		over := n.recovery.Over()
+		over := n.recovery.Done()
 		n.mu.Unlock()
 		if !over {
 			return false
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -71,7 +71,7 @@
 	siblings      map[string]*sibling
 	busyJob       map[string]bool // a write about the job is under way
 	quota         *quota.Manager
-	recovery      *recovery.Node
+	recovery      *recovery.Progress
 	pacer         *recovery.Pacer      // of starts while this node recovers
 	queuedChanges float64              // changes that wait for the budget, a mean over the last passes
 	storing       int                  // changes of machine records that the leader has yet to write
@@ -152,7 +152,7 @@
 		intake:       make(chan *submission, set.Operator.IntakeQueue),
 	}
 	n.self.Label = set.Label
-	n.recovery = recovery.NewNode(now())
+	n.recovery = recovery.NewProgress(now())
 	n.pacer = recovery.NewPacer(float64(set.Operator.RecoveryStarts), now())
 	n.open = func() int { return 0 }
 	n.metrics = newMetrics(n)
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -20,7 +20,7 @@
 // machines, and only until recovery is over; mu is held.
 func (n *Node) stepRecovery(now time.Time) {
 	r := n.recovery
-	if r.Over() {
+	if r.Done() {
 		return
 	}
 	if !n.entitled() {
@@ -29,8 +29,8 @@
 	}
 	n.recoveryEvent(recovery.Loaded, now)
 	machines, left := n.countMachines(now)
-	r.Count(machines, len(n.table.Open), left, now)
-	n.pacer.SetBacklog(r.Left)
+	r.RecordCounts(machines, len(n.table.Open), left, now)
+	n.pacer.SetBacklog(r.PendingStarts)
 	if r.Machines.Accounted() {
 		n.recoveryEvent(recovery.Accounted, now)
 	}
@@ -46,7 +46,7 @@
 	before, since := n.recovery.Phase, n.recovery.Since
 	if n.recovery.Apply(e, now) {
 		n.log.Info("recovery", "phase", string(n.recovery.Phase), "after", string(before), "took", now.Sub(since).Round(time.Millisecond),
-			"machines", len(n.reg.Machines), "missing", n.recovery.Machines[recovery.Missing], "starts_left", n.recovery.Left.Total())
+			"machines", len(n.reg.Machines), "missing", n.recovery.Machines[recovery.Missing], "starts_left", n.recovery.PendingStarts.Total())
 	}
 }
 
@@ -90,7 +90,7 @@
 func (n *Node) admitStart(j *jobs.Job) bool {
 	class := startClass(j)
 	switch {
-	case n.recovery.Over():
+	case n.recovery.Done():
 		return true
 	case n.recovery.Phase == recovery.Loading && class != recovery.ServiceStart && n.set.Operator.RecoveryStarts > 0:
 		return false // what is more urgent has not been counted yet
@@ -106,7 +106,7 @@
 	if !n.set.Operator.RecoveryHold {
 		return false
 	}
-	if n.member == nil || n.recovery.Blind() {
+	if n.member == nil || n.recovery.MachinesUnknown() {
 		return true
 	}
 	for _, m := range n.member.Nodes {
@@ -122,7 +122,7 @@
 	r := n.recovery
 	fmt.Fprintf(b, "recovery %q for %.0f s machines unknown %d reported %d reconciled %d missing %d starts_left services %d arrays %d hold %v\n",
 		r.Phase, n.now().Sub(r.Since).Seconds(), r.Machines[recovery.Unknown], r.Machines[recovery.Reported], r.Machines[recovery.Reconciled],
-		r.Machines[recovery.Missing], r.Left[recovery.ServiceStart], r.Left[recovery.ArrayStart], n.blind())
+		r.Machines[recovery.Missing], r.PendingStarts[recovery.ServiceStart], r.PendingStarts[recovery.ArrayStart], n.blind())
 }
 
 var (
@@ -138,6 +138,6 @@
 	for _, state := range []recovery.MachineState{recovery.Unknown, recovery.Reported, recovery.Reconciled, recovery.Missing} {
 		gauge(descRecoveryMachines, float64(r.Machines[state]), string(state))
 	}
-	gauge(descRecoveryStarts, float64(r.Left[recovery.ServiceStart]), "service")
-	gauge(descRecoveryStarts, float64(r.Left[recovery.ArrayStart]), "array")
+	gauge(descRecoveryStarts, float64(r.PendingStarts[recovery.ServiceStart]), "service")
+	gauge(descRecoveryStarts, float64(r.PendingStarts[recovery.ArrayStart]), "array")
 }
--- a/internal/server/siblings.go
+++ b/internal/server/siblings.go
@@ -140,7 +140,7 @@
 		n.viewAt = now
 		n.refreshPublished(now)
 	}
-	st.Recovering = n.recovery.Blind()
+	st.Recovering = n.recovery.MachinesUnknown()
 	st.Counts, st.Cancelled = n.cache.Consistent(), n.cancelled
 	st.QueuedChanges = uint32(math.Ceil(n.queuedChanges))
 	st.View = n.publishedView
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -65,7 +65,7 @@
 		Channel:     fleet.HeartbeatAnswer,
 		AllowStarts: stale < tuning.StateStale && n.startable(r.Machine),
 		Now:         now,
-		AwaitCall:   !n.recovery.Over(),
+		AwaitCall:   !n.recovery.Done(),
 		AdmitStart:  n.admitStart,
 	})
 	if commands == nil {
@@ -208,7 +208,7 @@
 	if w.CallInFlight || w.Address == "" || w.State == fleet.LeaseExpired || !n.hasState() {
 		return
 	}
-	if !n.recovery.Over() && len(n.calls) >= cap(n.calls)*3/4 {
+	if !n.recovery.Done() && len(n.calls) >= cap(n.calls)*3/4 {
 		return // guards against starts that are taken from the rate and can't go
 	}
 	var commands []wire.Command
