--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -163,7 +163,7 @@
 	field := "params.state.value_kb"
 	if least < present {
 		field = "params.state.next.value_kb"
-		if need := jobs.ChunkLeast(present); float64(need) > least*bytesPerKB {
+		if need := jobs.MinValueBytes(present); float64(need) > least*bytesPerKB {
 			return fmt.Errorf("%s: %v does not hold the chunk records that were written under params.state.value_kb (%d bytes)", field, least, need)
 		}
 	}
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -458,7 +458,7 @@
 func (p *planner) lateBootHedge(j *jobs.Job, waiting float64) int {
 	each := 0.0 // tasks a machine, of the type that holds the fewest
 	for _, t := range p.input.Types {
-		if !jobs.Allowed(j.Record.Spec, t.Label) || !j.Need.Fits(total(t)) {
+		if !jobs.AllowsMachineType(j.Record.Spec, t.Label) || !j.Need.Fits(total(t)) {
 			continue
 		}
 		if n := tasksHeld(j, t); each == 0 || n < each {
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -18,7 +18,7 @@
 
 func want(shape string, n int) Demand {
 	w := &wire.JobSpec{ID: "wk-1", Team: "x", Kind: shape, Priority: wire.PriorityNormal, Tasks: n, CPUs: 1, GPUs: 1, RAMGB: 1, Spot: shape == wire.KindArray}
-	return Demand{Job: &jobs.Job{ID: w.ID, Record: jobs.Record{Phase: jobs.Open, Tasks: n, Spec: w}, Need: jobs.Need(w)}, Count: n}
+	return Demand{Job: &jobs.Job{ID: w.ID, Record: jobs.Record{Phase: jobs.Open, Tasks: n, Spec: w}, Need: jobs.ResourcesPerTask(w)}, Count: n}
 }
 
 func input() Input {
@@ -248,7 +248,7 @@
 		w := want(wire.KindArray, 1).Job
 		in.Batch = Load{Need: w.Need, Spec: w.Record.Spec}
 		if plain {
-			in.OnDemand = Load{MinTasks: 5, Need: jobs.Need(small), Spec: small}
+			in.OnDemand = Load{MinTasks: 5, Need: jobs.ResourcesPerTask(small), Spec: small}
 			in.Operator.BatchHeadroom = 0.25
 		}
 		return Plan(in)
--- a/internal/fleet/worker.go
+++ b/internal/fleet/worker.go
@@ -336,7 +336,7 @@
 	}
 	var out []Attempt
 	for id, j := range claims {
-		a := Attempt{id, j.Live[id.Task].Attempt}
+		a := Attempt{id, j.Claims[id.Task].Attempt}
 		if s, on := w.Tasks[id]; j.Phase == jobs.Cancelled && !(on && s.Attempt == a.Number) && w.isStartPending(a) {
 			out = append(out, a)
 		}
@@ -443,7 +443,7 @@
 	if j == nil {
 		return recovery.DesiredTask{}
 	}
-	return recovery.DesiredTask{Claimed: true, Open: j.Phase == jobs.Open, Cancelled: j.Phase == jobs.Cancelled, Attempt: t.Attempt, Incarnation: t.Session}
+	return recovery.DesiredTask{Claimed: true, Open: j.Phase == jobs.Open, Cancelled: j.Phase == jobs.Cancelled, Attempt: t.Attempt, Incarnation: t.Incarnation}
 }
 
 // observedTask is a task of a report as package recovery takes it.
@@ -488,7 +488,7 @@
 	var out []ProvenEnd
 	defer func() { w.nothingToReconcile = len(out) == 0 }()
 	for id, j := range claims {
-		t := j.Live[id.Task]
+		t := j.Claims[id.Task]
 		s, on := w.Tasks[id]
 		session.NeverRan = j.Phase == jobs.Cancelled && w.neverRan(Attempt{id, t.Attempt})
 		record, reason := recovery.ProvenUpdate(desiredTask(j, t), observedTask(s, on), session)
@@ -555,7 +555,7 @@
 		j := claims[id]
 		var t jobs.Task
 		if j != nil {
-			t = j.Live[id.Task]
+			t = j.Claims[id.Task]
 		}
 		s, on := w.Tasks[id]
 		session.StartPending = on && w.isStartPending(Attempt{id, s.Attempt})
--- a/internal/fleet/worker_test.go
+++ b/internal/fleet/worker_test.go
@@ -19,14 +19,14 @@
 	t.Helper()
 	tab := jobs.NewTable(func() time.Time { return t0 })
 	w := wire.JobSpec{ID: "wk-1", Team: "x", Kind: wire.KindArray, Tasks: 1, CPUs: 1}
-	if err := tab.ApplyJob("wk-1", wire.MustMarshal(jobs.Record{Phase: phase, Tasks: 1, Chunk: 8, Spec: &w})); err != nil {
+	if err := tab.ApplyJob("wk-1", wire.MustMarshal(jobs.Record{Phase: phase, Tasks: 1, ChunkSize: 8, Spec: &w})); err != nil {
 		t.Fatal(err)
 	}
-	chunk := jobs.ChunkRecord{Tasks: []jobs.Task{{State: jobs.Claimed, Attempt: attempt, Host: "h", Session: session}}}
+	chunk := jobs.ChunkRecord{Tasks: []jobs.Task{{State: jobs.Claimed, Attempt: attempt, Machine: "h", Incarnation: session}}}
 	if err := tab.ApplyChunk(jobs.ChunkKey("wk-1", 0), wire.MustMarshal(chunk)); err != nil {
 		t.Fatal(err)
 	}
-	return tab.Hosts["h"]
+	return tab.ClaimsByMachine["h"]
 }
 
 func report(session, sequence, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -23,13 +23,13 @@
 // What a node has stored must stay readable to every later version, and to the
 // version that works beside it.
 func TestGoldenRecords(t *testing.T) {
-	record := Record{Phase: Waiting, At: 1_700_000_000_001, Tasks: 17, Chunk: 64, Serial: 71,
-		Spec: goldenSpec(), End: 1_700_000_000_002, Via: "wk-000397"}
-	task := Task{State: Claimed, Attempt: 72, Host: "host-1", Session: 73, Errs: 74}
+	record := Record{Phase: Waiting, AcceptedAtMs: 1_700_000_000_001, Tasks: 17, ChunkSize: 64, ClaimSerial: 71,
+		Spec: goldenSpec(), EndedAtMs: 1_700_000_000_002, CancelledWith: "wk-000397"}
+	task := Task{State: Claimed, Attempt: 72, Machine: "host-1", Incarnation: 73, Failures: 74}
 	golden.Check(t, []golden.Sample{
 		golden.CBOR("job record", record),
 		golden.CBOR("intake record", IntakeRecord{Jobs: map[string]Record{"intake": record}}),
-		golden.CBOR("chunk record", ChunkRecord{Tasks: []Task{task, {State: Completed, Attempt: 75, Host: "host-2", Session: 76, Errs: 77}}}),
+		golden.CBOR("chunk record", ChunkRecord{Tasks: []Task{task, {State: Completed, Attempt: 75, Machine: "host-2", Incarnation: 76, Failures: 77}}}),
 	}, *update)
 }
 
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -18,11 +18,11 @@
 		want State
 		try  uint64
 	}{
-		{TaskEvent{Kind: Claim, Host: "h", Session: 2}, Claimed, 1},
+		{TaskEvent{Kind: Claim, Machine: "h", Incarnation: 2}, Claimed, 1},
 		{TaskEvent{Kind: Fail}, Pending, 1},
-		{TaskEvent{Kind: Claim, Host: "h", Session: 2}, Claimed, 2},
+		{TaskEvent{Kind: Claim, Machine: "h", Incarnation: 2}, Claimed, 2},
 		{TaskEvent{Kind: Release}, Pending, 2},
-		{TaskEvent{Kind: Claim, Host: "h", Session: 2}, Claimed, 3},
+		{TaskEvent{Kind: Claim, Machine: "h", Incarnation: 2}, Claimed, 3},
 		{TaskEvent{Kind: Complete}, Completed, 3},
 	} {
 		if task, err = task.Next(s.e); err != nil || task.State != s.want || task.Attempt != s.try {
@@ -50,7 +50,7 @@
 	t.Helper()
 	tab := NewTable(func() time.Time { return time.Unix(0, 0) })
 	w := &wire.JobSpec{ID: "wk-1", Team: "x", Kind: wire.KindArray, Tasks: tasks, GPUs: 2}
-	if err := tab.ApplyJob("wk-1", wire.MustMarshal(Record{Phase: Open, Tasks: tasks, Chunk: 4, Spec: w})); err != nil {
+	if err := tab.ApplyJob("wk-1", wire.MustMarshal(Record{Phase: Open, Tasks: tasks, ChunkSize: 4, Spec: w})); err != nil {
 		t.Fatal(err)
 	}
 	return tab, w
@@ -70,13 +70,13 @@
 func TestTableKeepsCountsAndQuota(t *testing.T) {
 	tab, _ := table(t, 6)
 	j := tab.Jobs["wk-1"]
-	chunk(t, tab, 1, Task{State: Claimed, Attempt: 1, Host: "h"}, Task{State: Completed, Attempt: 1})
-	if j.Counts != [3]int{4, 1, 1} || tab.Used["x"].GPUs != 2 || len(tab.Hosts["h"]) != 1 {
-		t.Fatalf("counts %v used %v", j.Counts, tab.Used["x"])
+	chunk(t, tab, 1, Task{State: Claimed, Attempt: 1, Machine: "h"}, Task{State: Completed, Attempt: 1})
+	if j.Counts != [3]int{4, 1, 1} || tab.ResourcesByTeam["x"].GPUs != 2 || len(tab.ClaimsByMachine["h"]) != 1 {
+		t.Fatalf("counts %v used %v", j.Counts, tab.ResourcesByTeam["x"])
 	}
 	chunk(t, tab, 1, Task{State: Completed, Attempt: 1}, Task{State: Completed, Attempt: 1})
-	if tab.Used["x"].GPUs != 0 || len(tab.Hosts) != 0 || j.AllDone() {
-		t.Fatalf("used %v after the release", tab.Used["x"])
+	if tab.ResourcesByTeam["x"].GPUs != 0 || len(tab.ClaimsByMachine) != 0 || j.AllDone() {
+		t.Fatalf("used %v after the release", tab.ResourcesByTeam["x"])
 	}
 	done := Task{State: Completed, Attempt: 1}
 	chunk(t, tab, 0, done, done, done, done)
@@ -89,13 +89,13 @@
 // same write: the quota must still be given back to the job's own team.
 func TestQuotaIsGivenBackWhenTheJobEndsInTheSameWrite(t *testing.T) {
 	tab, _ := table(t, 1)
-	chunk(t, tab, 0, Task{State: Claimed, Attempt: 1, Host: "h"})
-	if err := tab.ApplyJob("wk-1", wire.MustMarshal(Record{Phase: Done, Tasks: 1, Chunk: 4})); err != nil {
+	chunk(t, tab, 0, Task{State: Claimed, Attempt: 1, Machine: "h"})
+	if err := tab.ApplyJob("wk-1", wire.MustMarshal(Record{Phase: Done, Tasks: 1, ChunkSize: 4})); err != nil {
 		t.Fatal(err)
 	}
 	chunk(t, tab, 0)
-	if tab.Used["x"].GPUs != 0 || len(tab.Hosts) != 0 || len(tab.Open) != 0 {
-		t.Fatalf("used %v hosts %v", tab.Used, tab.Hosts)
+	if tab.ResourcesByTeam["x"].GPUs != 0 || len(tab.ClaimsByMachine) != 0 || len(tab.Open) != 0 {
+		t.Fatalf("used %v hosts %v", tab.ResourcesByTeam, tab.ClaimsByMachine)
 	}
 	if st := tab.Jobs["wk-1"].Status(); st.State != wire.StateDone || st.Done != 1 {
 		t.Fatalf("%+v", st)
@@ -106,7 +106,7 @@
 	size := func(c ChunkRecord) int {
 		var list []any
 		for _, k := range c.Tasks {
-			list = append(list, []any{k.State, k.Attempt, k.Host, k.Session, k.Errs})
+			list = append(list, []any{k.State, k.Attempt, k.Machine, k.Incarnation, k.Failures})
 		}
 		b, err := json.Marshal(map[string]any{"t": list})
 		if err != nil {
@@ -121,16 +121,16 @@
 		return c
 	}
 	for _, kb := range []float64{1, 2, 4, 16} {
-		c := full(ChunkSize(kb), Task{State: Claimed, Attempt: 99, Host: "host-000231", Session: 99, Errs: 9})
+		c := full(ChunkSize(kb), Task{State: Claimed, Attempt: 99, Machine: "host-000231", Incarnation: 99, Failures: 9})
 		if n := c.Bytes(); float64(n) > kb*1024 || size(c) > n {
 			t.Errorf("%g KiB: %d tasks take %d bytes, by our count %d", kb, len(c.Tasks), size(c), n)
 		}
 	}
 	// With longer names a claim too many is left out: its bound is what the
 	// record grows by.
-	for _, k := range []Task{{}, {Attempt: 9}, {Attempt: 99999, Errs: 20}} {
+	for _, k := range []Task{{}, {Attempt: 9}, {Attempt: 99999, Failures: 20}} {
 		was := full(3, k)
-		e := TaskEvent{Kind: Claim, Host: "a-machine-with-a-long-name", Session: 12345}
+		e := TaskEvent{Kind: Claim, Machine: "a-machine-with-a-long-name", Incarnation: 12345}
 		is := full(3, k)
 		is.Tasks[1], _ = k.Next(e)
 		if grown := is.Bytes() - was.Bytes(); grown > ClaimBytes(e) || size(is) > is.Bytes() {
@@ -159,8 +159,8 @@
 	} {
 		w := &wire.JobSpec{Kind: wire.KindArray, Tasks: 2, CPUs: 1, GPUs: 1, RAMGB: 1}
 		c.edit(w)
-		err := Check(w, Limits{GPUsMax: 3}, c.known, types, 64)
-		var r Refusal
+		err := Validate(w, TeamLimits{GPUsMax: 3}, c.known, types, 64)
+		var r ValidationError
 		if (err == nil) != c.ok || err != nil && !errors.As(err, &r) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -188,7 +188,7 @@
 // be read before or after both. The outcome is the same for every node.
 func TestIntakeRecordsCountTheSameInAnyOrder(t *testing.T) {
 	rec := func(tasks int, p Phase) Record {
-		return Record{Phase: p, Tasks: tasks, Chunk: 4, Spec: &wire.JobSpec{Team: "x"}}
+		return Record{Phase: p, Tasks: tasks, ChunkSize: 4, Spec: &wire.JobSpec{Team: "x"}}
 	}
 	steps := []func(*Table) error{
 		func(t *Table) error {
@@ -212,10 +212,10 @@
 		if j := tab.Jobs["wk-2"]; j.Record.Tasks != 2 || j.Counts[Pending] != 2 {
 			t.Errorf("order %v: %d tasks, %d pending: not those accepted first", order, j.Record.Tasks, j.Counts[Pending])
 		}
-		if tab.Over("w/intake/a") {
+		if tab.IntakeFinished("w/intake/a") {
 			t.Errorf("order %v: over though a job of it is open", order)
 		}
-		if err := tab.ApplyJob("wk-2", wire.MustMarshal(rec(2, Done))); err != nil || !tab.Over("w/intake/a") {
+		if err := tab.ApplyJob("wk-2", wire.MustMarshal(rec(2, Done))); err != nil || !tab.IntakeFinished("w/intake/a") {
 			t.Errorf("order %v: not over though all is (%v)", order, err)
 		}
 	}
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -59,9 +59,9 @@
 
 // TaskEvent changes a task's state.
 type TaskEvent struct {
-	Kind    TaskEventKind
-	Host    string // of a claim
-	Session uint64 // of a claim
+	Kind        TaskEventKind
+	Machine     string // of a claim
+	Incarnation uint64 // of a claim
 }
 
 // TaskEventKind names the events of a task.
@@ -75,20 +75,20 @@
 	Fail     TaskEventKind = "fail"    // ended with an error
 )
 
-// errsCap keeps the stored count of failures short.
-const errsCap = 20
+// failuresCap keeps the stored count of failures short.
+const failuresCap = 20
 
 // Next is the one function that changes a task's state.
 func (t Task) Next(e TaskEvent) (Task, error) {
 	switch {
 	case t.State == Pending && e.Kind == Claim:
-		return Task{State: Claimed, Attempt: t.Attempt + 1, Host: e.Host, Session: e.Session, Errs: t.Errs}, nil
+		return Task{State: Claimed, Attempt: t.Attempt + 1, Machine: e.Machine, Incarnation: e.Incarnation, Failures: t.Failures}, nil
 	case t.State == Claimed && e.Kind == Complete:
 		return Task{State: Completed, Attempt: t.Attempt}, nil
 	case t.State == Claimed && e.Kind == Release:
-		return Task{State: Pending, Attempt: t.Attempt, Errs: t.Errs}, nil
+		return Task{State: Pending, Attempt: t.Attempt, Failures: t.Failures}, nil
 	case t.State == Claimed && e.Kind == Fail:
-		return Task{State: Pending, Attempt: t.Attempt, Errs: min(t.Errs+1, errsCap)}, nil
+		return Task{State: Pending, Attempt: t.Attempt, Failures: min(t.Failures+1, failuresCap)}, nil
 	}
 	return t, fmt.Errorf("task: no %s in state %s", e.Kind, t.State)
 }
--- a/internal/jobs/pipeline.go
+++ b/internal/jobs/pipeline.go
@@ -12,21 +12,21 @@
 // one of them changes, in work lists whose length follows what changes. Done
 // and cancelled are final, so what is derived from them stands for ever.
 
-// CheckDependencies refuses a list that names what can't be depended on; accepted tells of a job whether it is known,
+// ValidateDependencies refuses a list that names what can't be depended on; accepted tells of a job whether it is known,
 // and whether it is a service.
-func CheckDependencies(w *wire.JobSpec, accepted func(jobID string) (known, service bool)) error {
+func ValidateDependencies(w *wire.JobSpec, accepted func(jobID string) (known, service bool)) error {
 	for _, jobID := range w.DependsOn {
 		if !wire.ValidJobID(jobID) {
-			return Refusal("awaits names no job: " + jobID[:min(len(jobID), 40)])
+			return ValidationError("awaits names no job: " + jobID[:min(len(jobID), 40)])
 		}
 		if jobID == w.ID {
-			return Refusal("a job can't await itself")
+			return ValidationError("a job can't await itself")
 		}
 		switch known, service := accepted(jobID); {
 		case !known:
-			return Refusal("awaits names a job that was never accepted: " + jobID)
+			return ValidationError("awaits names a job that was never accepted: " + jobID)
 		case service:
-			return Refusal("awaits names a service, which never ends: " + jobID)
+			return ValidationError("awaits names a service, which never ends: " + jobID)
 		}
 	}
 	return nil
@@ -40,20 +40,20 @@
 	return j.Record.Spec.DependsOn
 }
 
-func (t *Table) link(j *Job) {
+func (t *Table) addDependencies(j *Job) {
 	for _, jobID := range j.dependencies() {
-		if t.after[jobID] == nil {
-			t.after[jobID] = map[string]bool{}
+		if t.dependents[jobID] == nil {
+			t.dependents[jobID] = map[string]bool{}
 		}
-		t.after[jobID][j.ID] = true
+		t.dependents[jobID][j.ID] = true
 	}
 }
 
-func (t *Table) unlink(j *Job) {
+func (t *Table) removeDependencies(j *Job) {
 	for _, jobID := range j.dependencies() {
-		delete(t.after[jobID], j.ID)
-		if len(t.after[jobID]) == 0 {
-			delete(t.after, jobID)
+		delete(t.dependents[jobID], j.ID)
+		if len(t.dependents[jobID]) == 0 {
+			delete(t.dependents, jobID)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 // is not done.
 func (t *Table) phase(j *Job) (p Phase, via string) {
 	if j.Record.Phase != Waiting {
-		return j.Record.Phase, j.Record.Via
+		return j.Record.Phase, j.Record.CancelledWith
 	}
 	event := JobReleased
 	for _, jobID := range j.dependencies() {
@@ -85,20 +85,20 @@
 	return p, via
 }
 
-// derive brings up to date what follows from a job's record, for itself and
+// propagate brings up to date what follows from a job's record, for itself and
 // for all that it reaches; before is what it depended on by its former record.
-func (t *Table) derive(jobID string, before []string) {
+func (t *Table) propagate(jobID string, before []string) {
 	up := append([]string{jobID}, before...) // whose hints may change
 	for list := []string{jobID}; len(list) > 0; {
 		j := t.Jobs[list[0]]
 		list = list[1:]
 		was, first := j.Phase, j.ID == jobID
-		j.Phase, j.Via = t.phase(j)
+		j.Phase, j.CancelledWith = t.phase(j)
 		if was == j.Phase && !first {
 			continue
 		}
-		t.file(j)
-		for next := range t.after[j.ID] {
+		t.index(j)
+		for next := range t.dependents[j.ID] {
 			if t.Jobs[next] != nil {
 				list = append(list, next)
 			}
@@ -107,21 +107,21 @@
 			up = append(up, j.dependencies()...)
 		}
 	}
-	t.hint(up)
+	t.updateUrgency(up)
 }
 
-// file enters a job in the index of its phase.
-func (t *Table) file(j *Job) {
+// index enters a job in the index of its phase.
+func (t *Table) index(j *Job) {
 	delete(t.Open, j.ID)
 	delete(t.Waiting, j.ID)
 	delete(t.Unrecorded, j.ID)
-	j.Ready = j.Record.At
+	j.ReadyAtMs = j.Record.AcceptedAtMs
 	switch {
 	case j.Phase == Open:
 		t.Open[j.ID] = j
 		for _, jobID := range j.dependencies() {
 			if a := t.Jobs[jobID]; a != nil {
-				j.Ready = max(j.Ready, a.Record.End)
+				j.ReadyAtMs = max(j.ReadyAtMs, a.Record.EndedAtMs)
 			}
 		}
 		return
@@ -130,14 +130,14 @@
 	case !j.Record.Phase.Final():
 		t.Unrecorded[j.ID] = j
 	}
-	for _, task := range j.Live {
-		t.Moved(task.Host)
+	for _, task := range j.Claims {
+		t.OnMachineChange(task.Machine)
 	}
 }
 
-// hint works out again the priority and the deadline of jobs, and of those that
+// updateUrgency works out again the priority and the deadline of jobs, and of those that
 // they depend on as far as that changes them.
-func (t *Table) hint(list []string) {
+func (t *Table) updateUrgency(list []string) {
 	for len(list) > 0 {
 		j := t.Jobs[list[0]]
 		list = list[1:]
@@ -145,12 +145,12 @@
 			continue
 		}
 		priority, deadline := t.urgency(j)
-		if priority == j.Priority && deadline == j.Deadline {
+		if priority == j.Priority && deadline == j.DeadlineMs {
 			continue
 		}
-		j.Priority, j.Deadline = priority, deadline
-		for _, task := range j.Live {
-			t.Moved(task.Host)
+		j.Priority, j.DeadlineMs = priority, deadline
+		for _, task := range j.Claims {
+			t.OnMachineChange(task.Machine)
 		}
 		list = append(list, j.dependencies()...)
 	}
@@ -162,15 +162,15 @@
 	spec := j.Record.Spec
 	priority = PriorityOrder(spec.Priority)
 	if spec.DeadlineS != nil {
-		deadline = j.Record.At + int64(*spec.DeadlineS*1000)
+		deadline = j.Record.AcceptedAtMs + int64(*spec.DeadlineS*1000)
 	}
-	for jobID := range t.after[j.ID] {
+	for jobID := range t.dependents[j.ID] {
 		next := t.Jobs[jobID]
 		if next == nil || next.Phase.Final() || next.Record.Spec == nil {
 			continue
 		}
 		priority = min(priority, next.Priority)
-		if next.Deadline <= 0 {
+		if next.DeadlineMs <= 0 {
 			continue
 		}
 		if start := next.latestStart(); deadline == 0 || start < deadline {
@@ -184,7 +184,7 @@
 // what it takes by its owner's estimate is not there for them.
 func (j *Job) latestStart() int64 {
 	estimate := int64(j.Record.Spec.EstimateS * 1000)
-	return j.Deadline - estimate - tuning.StepGap.Milliseconds()
+	return j.DeadlineMs - estimate - tuning.StepGap.Milliseconds()
 }
 
 // Unfinished lists the jobs that a waiting job waits for, as they were named.
--- a/internal/jobs/pipeline_test.go
+++ b/internal/jobs/pipeline_test.go
@@ -31,7 +31,7 @@
 	if edit != nil {
 		edit(w)
 	}
-	r := Record{Phase: Open, At: 1000, Tasks: 1, Chunk: 4, Spec: w}
+	r := Record{Phase: Open, AcceptedAtMs: 1000, Tasks: 1, ChunkSize: 4, Spec: w}
 	if len(dependsOn) > 0 {
 		r.Phase = Waiting
 	}
@@ -39,7 +39,7 @@
 }
 
 func (p *pipe) done(jobID string, end int64) {
-	p.put(jobID, Record{Phase: Done, At: 1000, Tasks: 1, Chunk: 4, End: end})
+	p.put(jobID, Record{Phase: Done, AcceptedAtMs: 1000, Tasks: 1, ChunkSize: 4, EndedAtMs: end})
 }
 
 func (p *pipe) want(what string, phases map[string]Phase) {
@@ -62,7 +62,7 @@
 		func(p *pipe) { p.done("wk-3", 9000) },
 		func(p *pipe) { p.put("wk-4", record("wk-4", nil, "wk-2", "wk-3")) },
 		func(p *pipe) { p.put("wk-5", record("wk-5", nil, "wk-4")) },
-		func(p *pipe) { p.put("wk-6", Record{Phase: Cancelled, Tasks: 1, Chunk: 4}) },
+		func(p *pipe) { p.put("wk-6", Record{Phase: Cancelled, Tasks: 1, ChunkSize: 4}) },
 		func(p *pipe) { p.put("wk-7", record("wk-7", nil, "wk-3", "wk-6")) },
 		func(p *pipe) { p.put("wk-8", record("wk-8", nil, "wk-7", "wk-5")) },
 		func(p *pipe) { p.put("wk-9", record("wk-9", nil, "wk-3", "wk-1")) },
@@ -73,13 +73,13 @@
 			steps[i](p)
 		}
 		p.want(fmt.Sprint("order ", seed), map[string]Phase{"wk-2": Open, "wk-4": Waiting, "wk-5": Waiting, "wk-7": Cancelled, "wk-8": Cancelled, "wk-9": Open})
-		if j := p.tab.Jobs["wk-9"]; j.Ready != 9000 {
-			t.Fatalf("order %d: wk-9 may start from %d", seed, j.Ready)
+		if j := p.tab.Jobs["wk-9"]; j.ReadyAtMs != 9000 {
+			t.Fatalf("order %d: wk-9 may start from %d", seed, j.ReadyAtMs)
 		}
 		if p.tab.Jobs["wk-8"].Status().State != wire.StateCancelled || p.tab.Jobs["wk-4"].Status().State != wire.StateQueued {
 			t.Fatal("users are told otherwise")
 		}
-		if len(p.tab.Unrecorded) != 2 || p.tab.Jobs["wk-7"].Via != "wk-6" || p.tab.Jobs["wk-8"].Via != "wk-7" {
+		if len(p.tab.Unrecorded) != 2 || p.tab.Jobs["wk-7"].CancelledWith != "wk-6" || p.tab.Jobs["wk-8"].CancelledWith != "wk-7" {
 			t.Fatalf("order %d: unsaid %v", seed, p.tab.Unrecorded)
 		}
 	}
@@ -98,7 +98,7 @@
 	if len(p.tab.Waiting) != 2*n {
 		t.Fatalf("%d wait", len(p.tab.Waiting))
 	}
-	r, err := record("wk-0", nil).Cancelled(time.UnixMilli(7000))
+	r, err := record("wk-0", nil).Cancel(time.UnixMilli(7000))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 	q.put("wk-1", record("wk-1", nil))
 	second := record("wk-2", nil, "wk-1")
 	q.put("wk-2", second)
-	if second, err = second.Cancelled(time.UnixMilli(7000)); err != nil {
+	if second, err = second.Cancel(time.UnixMilli(7000)); err != nil {
 		t.Fatal(err)
 	}
 	q.put("wk-2", second)
@@ -129,24 +129,24 @@
 	p.put("wk-1", record("wk-1", nil))
 	p.put("wk-2", record("wk-2", nil, "wk-1"))
 	p.put("wk-3", record("wk-3", func(w *wire.JobSpec) { w.Priority = wire.PriorityNormal }, "wk-1"))
-	if j := p.tab.Jobs["wk-1"]; j.Priority != PriorityOrder(wire.PriorityNormal) || j.Deadline != 0 {
-		t.Fatalf("rank %d due %d before the last job is known", j.Priority, j.Deadline)
+	if j := p.tab.Jobs["wk-1"]; j.Priority != PriorityOrder(wire.PriorityNormal) || j.DeadlineMs != 0 {
+		t.Fatalf("rank %d due %d before the last job is known", j.Priority, j.DeadlineMs)
 	}
 	last := record("wk-4", func(w *wire.JobSpec) { w.Priority, w.DeadlineS = wire.PriorityUrgent, &due }, "wk-2", "wk-3")
 	p.put("wk-4", last)
 	urgent := PriorityOrder(wire.PriorityUrgent)
 	// 101 s, less 10 s for the last job and 3 s for the gap, and once more.
 	for jobID, want := range map[string]int64{"wk-4": 101000, "wk-2": 88000, "wk-3": 88000, "wk-1": 75000} {
-		if j := p.tab.Jobs[jobID]; j.Priority != urgent || j.Deadline != want {
-			t.Errorf("%s: rank %d due %d, want %d", jobID, j.Priority, j.Deadline, want)
+		if j := p.tab.Jobs[jobID]; j.Priority != urgent || j.DeadlineMs != want {
+			t.Errorf("%s: rank %d due %d, want %d", jobID, j.Priority, j.DeadlineMs, want)
 		}
 	}
 	// What no longer needs them lends them nothing.
-	last, _ = last.Cancelled(time.UnixMilli(2000))
+	last, _ = last.Cancel(time.UnixMilli(2000))
 	p.put("wk-4", last)
 	for _, jobID := range []string{"wk-1", "wk-2", "wk-3"} {
-		if j := p.tab.Jobs[jobID]; j.Priority == urgent || j.Deadline != 0 {
-			t.Errorf("%s keeps rank %d due %d", jobID, j.Priority, j.Deadline)
+		if j := p.tab.Jobs[jobID]; j.Priority == urgent || j.DeadlineMs != 0 {
+			t.Errorf("%s keeps rank %d due %d", jobID, j.Priority, j.DeadlineMs)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 func TestWhatCanNotBeAwaited(t *testing.T) {
 	accepted := func(jobID string) (bool, bool) { return jobID != "wk-404", jobID == "wk-9" }
 	for jobID, ok := range map[string]bool{"wk-2": true, "wk-404": false, "wk-9": false, "wk-1": false, "job-2": false, "": false} {
-		if err := CheckDependencies(&wire.JobSpec{ID: "wk-1", DependsOn: []string{jobID}}, accepted); (err == nil) != ok {
+		if err := ValidateDependencies(&wire.JobSpec{ID: "wk-1", DependsOn: []string{jobID}}, accepted); (err == nil) != ok {
 			t.Errorf("%q: %v", jobID, err)
 		}
 	}
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -47,25 +47,25 @@
 // Record is the stored form of a job. Final records drop what is no longer
 // needed and are kept forever.
 type Record struct {
-	Phase  Phase         `cbor:"p"`
-	At     int64         `cbor:"at"` // time of acceptance, Unix milliseconds
-	Tasks  int           `cbor:"n"`
-	Chunk  int           `cbor:"cs"`          // tasks per chunk
-	Serial uint64        `cbor:"s,omitempty"` // raised by claims of jobs whose constraint spans chunks
-	Spec   *wire.JobSpec `cbor:"w,omitempty"`
-	End    int64         `cbor:"e,omitempty"` // of a final record: time of the end, Unix milliseconds
-	Via    string        `cbor:"v,omitempty"` // the job with which it was cancelled
+	Phase         Phase         `cbor:"p"`
+	AcceptedAtMs  int64         `cbor:"at"` // time of acceptance, Unix milliseconds
+	Tasks         int           `cbor:"n"`
+	ChunkSize     int           `cbor:"cs"`          // tasks per chunk
+	ClaimSerial   uint64        `cbor:"s,omitempty"` // raised by claims of jobs whose constraint spans chunks
+	Spec          *wire.JobSpec `cbor:"w,omitempty"`
+	EndedAtMs     int64         `cbor:"e,omitempty"` // of a final record: time of the end, Unix milliseconds
+	CancelledWith string        `cbor:"v,omitempty"` // the job with which it was cancelled
 }
 
-// Cancelled returns the record of the job after its user has cancelled it. Of
+// Cancel returns the record of the job after its user has cancelled it. Of
 // the description only what its claims still need stays: the whole of an old
 // one may be larger than the state service takes now.
-func (r Record) Cancelled(now time.Time) (Record, error) {
+func (r Record) Cancel(now time.Time) (Record, error) {
 	phase, err := r.Phase.Next(JobCancel)
 	if err != nil {
 		return r, err
 	}
-	r.Phase, r.End = phase, now.UnixMilli()
+	r.Phase, r.EndedAtMs = phase, now.UnixMilli()
 	if w := r.Spec; w != nil {
 		r.Spec = &wire.JobSpec{ID: w.ID, Team: w.Team, Kind: w.Kind, Priority: w.Priority, Tasks: w.Tasks,
 			CPUs: w.CPUs, GPUs: w.GPUs, RAMGB: w.RAMGB}
@@ -88,12 +88,12 @@
 
 // Task is the stored form of one task.
 type Task struct {
-	_       struct{} `cbor:",toarray"`
-	State   State
-	Attempt uint64
-	Host    string
-	Session uint64
-	Errs    uint64
+	_           struct{} `cbor:",toarray"`
+	State       State
+	Attempt     uint64
+	Machine     string
+	Incarnation uint64
+	Failures    uint64
 }
 
 // ChunkRecord is the stored form of a run of tasks.
@@ -118,25 +118,25 @@
 	return min(max(1, int(valueKB*1024-chunkBase)/taskBytes), tuning.ChunkMax)
 }
 
-// ChunkLeast is the value limit, in bytes, that full chunk records need which
+// MinValueBytes is the value limit, in bytes, that full chunk records need which
 // were written under a limit, with names of the protocol's form.
-func ChunkLeast(valueKB float64) int { return ChunkSize(valueKB)*taskCompact + chunkBase }
+func MinValueBytes(valueKB float64) int { return ChunkSize(valueKB)*compactTaskBytes + chunkBase }
 
-// taskCompact bounds the JSON form of a task on a machine with a name of the
+// compactTaskBytes bounds the JSON form of a task on a machine with a name of the
 // protocol's form, without spaces.
-const taskCompact = 28
+const compactTaskBytes = 28
 
 // Bytes bounds the JSON form of the record.
 func (c ChunkRecord) Bytes() int {
 	n := chunkBase
 	for _, t := range c.Tasks {
-		n += taskBase + len(t.Host) + digits(t.Attempt) + digits(t.Session) + digits(t.Errs)
+		n += taskBase + len(t.Machine) + digits(t.Attempt) + digits(t.Incarnation) + digits(t.Failures)
 	}
 	return n
 }
 
 // ClaimBytes bounds what a claim adds to the JSON form of its chunk's record.
-func ClaimBytes(e TaskEvent) int { return len(e.Host) + digits(e.Session) + 1 }
+func ClaimBytes(e TaskEvent) int { return len(e.Machine) + digits(e.Incarnation) + 1 }
 
 func digits(v uint64) int {
 	n := 1
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -58,31 +58,31 @@
 // Amount is the part of the resources that teams have limits in.
 func (r Resources) Amount() quota.Amount { return quota.Amount{CPUs: r.CPUs, GPUs: r.GPUs} }
 
-// Need is what one task of the submission takes.
-func Need(w *wire.JobSpec) Resources { return Resources{w.CPUs, w.GPUs, w.RAMGB} }
+// ResourcesPerTask is what one task of the submission takes.
+func ResourcesPerTask(w *wire.JobSpec) Resources { return Resources{w.CPUs, w.GPUs, w.RAMGB} }
 
 // Job is a job as the cache knows it.
 type Job struct {
-	ID     string
-	Record Record
-	Need   Resources
-	Team   string
-	Chunks map[int][]Task // chunks that were ever written
-	Counts [3]int         // tasks per state
-	Live   map[int]Task   // claimed tasks
-	Seen   time.Time      // when this node first saw it
+	ID        string
+	Record    Record
+	Need      Resources
+	Team      string
+	Chunks    map[int][]Task // chunks that were ever written
+	Counts    [3]int         // tasks per state
+	Claims    map[int]Task   // claimed tasks
+	FirstSeen time.Time      // when this node first saw it
 
 	// What follows from the records of the jobs that it depends on and of those
 	// that depend on it (see pipeline.go). Phase is open, for a job that is stored
 	// waiting, once all that it depends on is stored done, and cancelled with any of it.
-	Phase    Phase
-	Via      string // the job with which it is cancelled
-	Ready    int64  // when it might start first, Unix milliseconds
-	Priority int    // the highest of its own and of those that depend on it; see PriorityOrder
-	Deadline int64  // when it should be done, for itself and those that depend on it, Unix milliseconds; 0: no deadline
-
-	own    bool   // its own record is stored
-	intake uint64 // else the version of the intake record that holds it
+	Phase         Phase
+	CancelledWith string // the job with which it is cancelled
+	ReadyAtMs     int64  // when it might start first, Unix milliseconds
+	Priority      int    // the highest of its own and of those that depend on it; see PriorityOrder
+	DeadlineMs    int64  // when it should be done, for itself and those that depend on it, Unix milliseconds; 0: no deadline
+
+	ownRecord     bool   // its own record is stored
+	intakeVersion uint64 // else the version of the intake record that holds it
 }
 
 // Service reports whether the job's tasks run until it is cancelled.
@@ -95,15 +95,15 @@
 
 // Task returns a task's state.
 func (j *Job) Task(i int) Task {
-	if c, ok := j.Chunks[i/j.Record.Chunk]; ok {
-		return c[i%j.Record.Chunk]
+	if c, ok := j.Chunks[i/j.Record.ChunkSize]; ok {
+		return c[i%j.Record.ChunkSize]
 	}
 	return Task{}
 }
 
 // ChunkLen is the number of tasks in a chunk.
 func (j *Job) ChunkLen(chunk int) int {
-	return min(j.Record.Chunk, j.Record.Tasks-chunk*j.Record.Chunk)
+	return min(j.Record.ChunkSize, j.Record.Tasks-chunk*j.Record.ChunkSize)
 }
 
 // ChunkCopy returns the tasks of a chunk for a change.
@@ -118,7 +118,7 @@
 // a claim guarded by it has seen all others.
 func (j *Job) SpansChunks() bool {
 	w := j.Record.Spec
-	return w != nil && (w.SameZone || w.SpreadZones) && j.Record.Tasks > j.Record.Chunk
+	return w != nil && (w.SameZone || w.SpreadZones) && j.Record.Tasks > j.Record.ChunkSize
 }
 
 // AllDone reports whether every task is stored done.
@@ -143,30 +143,30 @@
 // Table is the set of all jobs as stored, with indexes. It is fed by the
 // cache and changed by nothing else.
 type Table struct {
-	Jobs       map[string]*Job
-	Open       map[string]*Job            // jobs whose tasks may run
-	Waiting    map[string]*Job            // jobs that wait for others
-	Unrecorded map[string]*Job            // jobs that are cancelled with others, without a final record
-	Used       map[string]Resources       // claims per team
-	Hosts      map[string]map[TaskID]*Job // claims per machine
-	Needs      map[string]Resources       // what they take
-	Intakes    map[string][]string        // jobs of each intake record
-	early      map[string]map[int][]Task  // chunks whose job is not known yet
-	after      map[string]map[string]bool // jobs that depend on each job
-	now        func() time.Time
+	Jobs               map[string]*Job
+	Open               map[string]*Job            // jobs whose tasks may run
+	Waiting            map[string]*Job            // jobs that wait for others
+	Unrecorded         map[string]*Job            // jobs that are cancelled with others, without a final record
+	ResourcesByTeam    map[string]Resources       // claims per team
+	ClaimsByMachine    map[string]map[TaskID]*Job // claims per machine
+	ResourcesByMachine map[string]Resources       // what they take
+	JobsByIntake       map[string][]string        // jobs of each intake record
+	orphanChunks       map[string]map[int][]Task  // chunks whose job is not known yet
+	dependents         map[string]map[string]bool // jobs that depend on each job
+	now                func() time.Time
 
 	FailedAt map[TaskID]time.Time // when a task's count of failures last rose
 
-	// Moved is told of machines whose claims, or whose claims' jobs, changed.
-	Moved func(host string)
+	// OnMachineChange is told of machines whose claims, or whose claims' jobs, changed.
+	OnMachineChange func(host string)
 }
 
 // NewTable returns an empty table.
 func NewTable(now func() time.Time) *Table {
 	return &Table{Jobs: map[string]*Job{}, Open: map[string]*Job{}, Waiting: map[string]*Job{}, Unrecorded: map[string]*Job{},
-		after: map[string]map[string]bool{}, Used: map[string]Resources{},
-		Hosts: map[string]map[TaskID]*Job{}, Needs: map[string]Resources{},
-		Intakes: map[string][]string{}, early: map[string]map[int][]Task{}, now: now, FailedAt: map[TaskID]time.Time{}, Moved: func(string) {}}
+		dependents: map[string]map[string]bool{}, ResourcesByTeam: map[string]Resources{},
+		ClaimsByMachine: map[string]map[TaskID]*Job{}, ResourcesByMachine: map[string]Resources{},
+		JobsByIntake: map[string][]string{}, orphanChunks: map[string]map[int][]Task{}, now: now, FailedAt: map[TaskID]time.Time{}, OnMachineChange: func(string) {}}
 }
 
 // ApplyJob enters a job record. Job records are never dropped.
@@ -178,7 +178,7 @@
 	if err := wire.Unmarshal(raw, &r); err != nil {
 		return err
 	}
-	t.put(jobID, r).own = true
+	t.put(jobID, r).ownRecord = true
 	return nil
 }
 
@@ -187,7 +187,7 @@
 // a user's repeat, the older counts, whatever the order in which they are read.
 func (t *Table) ApplyIntake(key string, raw wire.Raw, version uint64) error {
 	if raw == nil {
-		delete(t.Intakes, key)
+		delete(t.JobsByIntake, key)
 		return nil
 	}
 	var v IntakeRecord
@@ -197,19 +197,19 @@
 	jobIDs := make([]string, 0, len(v.Jobs))
 	for jobID, r := range v.Jobs {
 		jobIDs = append(jobIDs, jobID)
-		if j := t.Jobs[jobID]; j == nil || !j.own && version < j.intake {
-			t.put(jobID, r).intake = version
+		if j := t.Jobs[jobID]; j == nil || !j.ownRecord && version < j.intakeVersion {
+			t.put(jobID, r).intakeVersion = version
 		}
 	}
-	t.Intakes[key] = jobIDs
+	t.JobsByIntake[key] = jobIDs
 	return nil
 }
 
-// Over reports whether every job of an intake record has a final record of its
+// IntakeFinished reports whether every job of an intake record has a final record of its
 // own, so that nothing needs the intake record any more.
-func (t *Table) Over(key string) bool {
-	for _, jobID := range t.Intakes[key] {
-		if j := t.Jobs[jobID]; j == nil || !j.own || !j.Record.Phase.Final() {
+func (t *Table) IntakeFinished(key string) bool {
+	for _, jobID := range t.JobsByIntake[key] {
+		if j := t.Jobs[jobID]; j == nil || !j.ownRecord || !j.Record.Phase.Final() {
 			return false
 		}
 	}
@@ -220,24 +220,24 @@
 func (t *Table) put(jobID string, r Record) *Job {
 	j := t.Jobs[jobID]
 	if j == nil {
-		j = &Job{ID: jobID, Chunks: map[int][]Task{}, Live: map[int]Task{}, Seen: t.now()}
+		j = &Job{ID: jobID, Chunks: map[int][]Task{}, Claims: map[int]Task{}, FirstSeen: t.now()}
 		t.Jobs[jobID] = j
 	}
 	j.Counts[Pending] += r.Tasks - j.Record.Tasks
 	before := j.dependencies()
-	t.unlink(j)
+	t.removeDependencies(j)
 	j.Record = r
-	t.link(j)
+	t.addDependencies(j)
 	if r.Spec != nil {
 		// Final records carry no description; what is needed to account for
 		// claims that are released later stays.
-		j.Need, j.Team = Need(r.Spec), r.Spec.Team
+		j.Need, j.Team = ResourcesPerTask(r.Spec), r.Spec.Team
 	}
-	t.derive(jobID, before)
-	for c, tasks := range t.early[jobID] {
-		t.replace(j, c, tasks)
+	t.propagate(jobID, before)
+	for c, tasks := range t.orphanChunks[jobID] {
+		t.replaceChunk(j, c, tasks)
 	}
-	delete(t.early, jobID)
+	delete(t.orphanChunks, jobID)
 	return j
 }
 
@@ -255,25 +255,25 @@
 	}
 	j := t.Jobs[jobID]
 	if j == nil {
-		if t.early[jobID] == nil {
-			t.early[jobID] = map[int][]Task{}
+		if t.orphanChunks[jobID] == nil {
+			t.orphanChunks[jobID] = map[int][]Task{}
 		}
-		t.early[jobID][chunk] = r.Tasks
+		t.orphanChunks[jobID][chunk] = r.Tasks
 		return nil
 	}
-	t.replace(j, chunk, r.Tasks)
+	t.replaceChunk(j, chunk, r.Tasks)
 	return nil
 }
 
-// replace enters the tasks of a chunk. Only the tasks that differ are entered
+// replaceChunk enters the tasks of a chunk. Only the tasks that differ are entered
 // anew: a chunk changes a few of its tasks at a time, and every other machine
 // that it names would be looked at again.
-func (t *Table) replace(j *Job, chunk int, tasks []Task) {
+func (t *Table) replaceChunk(j *Job, chunk int, tasks []Task) {
 	old := j.Chunks[chunk]
 	same := func(i int) bool { return i < len(old) && i < len(tasks) && old[i] == tasks[i] }
 	for i, task := range old {
 		if !same(i) {
-			t.removeTask(j, chunk*j.Record.Chunk+i, task)
+			t.removeTask(j, chunk*j.Record.ChunkSize+i, task)
 		}
 	}
 	if len(old) == 0 {
@@ -293,7 +293,7 @@
 		if i < len(old) {
 			before = old[i]
 		}
-		t.addTask(j, chunk*j.Record.Chunk+i, before, task)
+		t.addTask(j, chunk*j.Record.ChunkSize+i, before, task)
 	}
 }
 
@@ -303,78 +303,78 @@
 	if task.State != Claimed {
 		return
 	}
-	id, host := TaskID{j.ID, number}, task.Host
-	delete(j.Live, number)
-	t.Used[j.Team] = t.Used[j.Team].Sub(j.Need)
-	delete(t.Hosts[host], id)
-	t.Moved(host)
-	t.Needs[host] = t.Needs[host].Sub(j.Need)
-	if len(t.Hosts[host]) == 0 {
-		delete(t.Hosts, host)
-		delete(t.Needs, host)
+	id, host := TaskID{j.ID, number}, task.Machine
+	delete(j.Claims, number)
+	t.ResourcesByTeam[j.Team] = t.ResourcesByTeam[j.Team].Sub(j.Need)
+	delete(t.ClaimsByMachine[host], id)
+	t.OnMachineChange(host)
+	t.ResourcesByMachine[host] = t.ResourcesByMachine[host].Sub(j.Need)
+	if len(t.ClaimsByMachine[host]) == 0 {
+		delete(t.ClaimsByMachine, host)
+		delete(t.ResourcesByMachine, host)
 	}
 }
 
 // addTask enters a task, which was before, in the counts and the indexes.
 func (t *Table) addTask(j *Job, number int, before, task Task) {
 	j.Counts[task.State]++
-	id, host := TaskID{j.ID, number}, task.Host
-	if task.Errs > before.Errs {
+	id, host := TaskID{j.ID, number}, task.Machine
+	if task.Failures > before.Failures {
 		t.FailedAt[id] = t.now()
-	} else if task.Errs == 0 && before.Errs > 0 {
+	} else if task.Failures == 0 && before.Failures > 0 {
 		delete(t.FailedAt, id)
 	}
 	if task.State != Claimed {
 		return
 	}
-	j.Live[number] = task
-	t.Used[j.Team] = t.Used[j.Team].Add(j.Need)
-	if t.Hosts[host] == nil {
-		t.Hosts[host] = map[TaskID]*Job{}
+	j.Claims[number] = task
+	t.ResourcesByTeam[j.Team] = t.ResourcesByTeam[j.Team].Add(j.Need)
+	if t.ClaimsByMachine[host] == nil {
+		t.ClaimsByMachine[host] = map[TaskID]*Job{}
 	}
-	t.Hosts[host][id] = j
-	t.Moved(host)
-	t.Needs[host] = t.Needs[host].Add(j.Need)
+	t.ClaimsByMachine[host][id] = j
+	t.OnMachineChange(host)
+	t.ResourcesByMachine[host] = t.ResourcesByMachine[host].Add(j.Need)
 }
 
-// Refusal says why a job can never run.
-type Refusal string
+// ValidationError says why a job can never run.
+type ValidationError string
 
-func (r Refusal) Error() string { return string(r) }
+func (r ValidationError) Error() string { return string(r) }
 
-// Limits is what intake needs to know of a team.
-type Limits struct{ CPUsMax, GPUsMax float64 }
+// TeamLimits is what intake needs to know of a team.
+type TeamLimits struct{ CPUsMax, GPUsMax float64 }
 
-// Check refuses a job that can never run: 422 to its user. oneWrite is the
+// Validate refuses a job that can never run: 422 to its user. oneWrite is the
 // number of tasks that one write can claim.
-func Check(w *wire.JobSpec, lim Limits, known bool, types []wire.MachineType, oneWrite int) error {
+func Validate(w *wire.JobSpec, lim TeamLimits, known bool, types []wire.MachineType, oneWrite int) error {
 	if !known {
-		return Refusal("unknown team")
+		return ValidationError("unknown team")
 	}
 	fits := false
 	for _, r := range types {
-		if Allowed(w, r.Label) && AnyZone(w, r.Zones) && Need(w).Fits(Resources{r.CPUs, r.GPUs, r.RAMGB}) {
+		if AllowsMachineType(w, r.Label) && AllowsAnyZone(w, r.Zones) && ResourcesPerTask(w).Fits(Resources{r.CPUs, r.GPUs, r.RAMGB}) {
 			fits = true
 		}
 	}
 	if !fits {
-		return Refusal("no allowed machine type fits a task")
+		return ValidationError("no allowed machine type fits a task")
 	}
 	if w.Kind == wire.KindGang && w.Tasks > oneWrite {
-		return Refusal("more tasks at once than one write can claim")
+		return ValidationError("more tasks at once than one write can claim")
 	}
 	n := 1.0
 	if w.Kind != wire.KindArray {
 		n = float64(w.Tasks)
 	}
 	if lim.CPUsMax > 0 && w.CPUs*n > lim.CPUsMax+epsilon || lim.GPUsMax > 0 && w.GPUs*n > lim.GPUsMax+epsilon {
-		return Refusal("more than the team's limit")
+		return ValidationError("more than the team's limit")
 	}
 	return nil
 }
 
-// Allowed reports whether the job may use a machine type.
-func Allowed(w *wire.JobSpec, machineType string) bool {
+// AllowsMachineType reports whether the job may use a machine type.
+func AllowsMachineType(w *wire.JobSpec, machineType string) bool {
 	if len(w.MachineTypes) == 0 {
 		return true
 	}
@@ -386,8 +386,8 @@
 	return false
 }
 
-// AnyZone reports whether the job may run in one of the zones.
-func AnyZone(w *wire.JobSpec, zones []string) bool {
+// AllowsAnyZone reports whether the job may run in one of the zones.
+func AllowsAnyZone(w *wire.JobSpec, zones []string) bool {
 	if w.Zone == nil {
 		return len(zones) > 0
 	}
--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -57,7 +57,7 @@
 func Eligible(j *jobs.Job, m *Machine) bool {
 	w := j.Record.Spec
 	switch {
-	case !jobs.Allowed(w, m.Type), w.Zone != nil && *w.Zone != m.Zone:
+	case !jobs.AllowsMachineType(w, m.Type), w.Zone != nil && *w.Zone != m.Zone:
 		return false
 	case m.Spot:
 		return w.Spot && !j.Service()
@@ -227,10 +227,10 @@
 	in := Input{Fleet: fleet}
 	// The task's own claim is released before it starts elsewhere.
 	others := *j
-	others.Live = make(map[int]jobs.Task, len(j.Live))
-	for i, t := range j.Live {
+	others.Claims = make(map[int]jobs.Task, len(j.Claims))
+	for i, t := range j.Claims {
 		if i != task {
-			others.Live[i] = t
+			others.Claims[i] = t
 		}
 	}
 	d := &Demand{Job: &others, Tasks: []int{task}, Avoid: map[string]bool{from: true}}
--- a/internal/place/fleet.go
+++ b/internal/place/fleet.go
@@ -120,9 +120,9 @@
 // counts for the zone "": such a job gets no constrained placement.
 func (f *Fleet) Zones(j *jobs.Job) map[string]int {
 	out := map[string]int{}
-	for _, t := range j.Live {
+	for _, t := range j.Claims {
 		zone := ""
-		if m := f.byName[t.Host]; m != nil {
+		if m := f.byName[t.Machine]; m != nil {
 			zone = m.Zone
 		}
 		out[zone]++
--- a/internal/place/order.go
+++ b/internal/place/order.go
@@ -29,8 +29,8 @@
 		// can't keep its deadline, by an endless stream of others.
 		return a.Starved
 	}
-	if a.Starved && a.Job.Ready != b.Job.Ready {
-		return a.Job.Ready < b.Job.Ready
+	if a.Starved && a.Job.ReadyAtMs != b.Job.ReadyAtMs {
+		return a.Job.ReadyAtMs < b.Job.ReadyAtMs
 	}
 	if a.guaranteed != b.guaranteed {
 		return a.guaranteed
@@ -44,15 +44,15 @@
 // latestStart is when a job's tasks must start to keep its deadline, and those of
 // the jobs that depend on it, in Unix milliseconds.
 func (in *Input) latestStart(j *jobs.Job) int64 {
-	if j.Deadline == 0 {
-		return j.Ready + noDeadline
+	if j.DeadlineMs == 0 {
+		return j.ReadyAtMs + noDeadline
 	}
 	run := int64(j.Record.Spec.EstimateS * 1000)
-	if in.Now.UnixMilli()+run/2 > j.Deadline {
+	if in.Now.UnixMilli()+run/2 > j.DeadlineMs {
 		// Even a run of half the estimate would be late.
-		return j.Ready + noDeadline
+		return j.ReadyAtMs + noDeadline
 	}
-	return j.Deadline - run
+	return j.DeadlineMs - run
 }
 
 // noDeadline puts a job behind all that have a deadline to keep, by age.
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -162,7 +162,7 @@
 			choice.shareShortfall = d.Job.Need.Amount().Times(float64(len(tasks))).Sub(team.Left[in.Leader])
 		}
 	}
-	if d.Job.Gang() && (len(d.Job.Live) > 0 || len(choice.machines) < d.Job.Record.Tasks-d.Job.Counts[jobs.Completed]) {
+	if d.Job.Gang() && (len(d.Job.Claims) > 0 || len(choice.machines) < d.Job.Record.Tasks-d.Job.Counts[jobs.Completed]) {
 		choice.machines = nil // all at once or not at all
 	}
 	return choice
@@ -261,7 +261,7 @@
 	if d.MayReclaim && guaranteed {
 		in.reservedPriority = min(in.reservedPriority, d.priority)
 	}
-	if d.Starved && placed == 0 && len(d.Job.Live) == 0 {
+	if d.Starved && placed == 0 && len(d.Job.Claims) == 0 {
 		in.holdMachine(d)
 	}
 	for range len(tasks) - placed {
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -18,10 +18,10 @@
 	if edit != nil {
 		edit(w)
 	}
-	j := &jobs.Job{ID: jobID, Record: jobs.Record{Phase: jobs.Open, Tasks: tasks, Chunk: 64, Spec: w}, Phase: jobs.Open,
-		Priority: jobs.PriorityOrder(priority), Need: jobs.Need(w), Team: w.Team, Chunks: map[int][]jobs.Task{}, Live: map[int]jobs.Task{}}
+	j := &jobs.Job{ID: jobID, Record: jobs.Record{Phase: jobs.Open, Tasks: tasks, ChunkSize: 64, Spec: w}, Phase: jobs.Open,
+		Priority: jobs.PriorityOrder(priority), Need: jobs.ResourcesPerTask(w), Team: w.Team, Chunks: map[int][]jobs.Task{}, Claims: map[int]jobs.Task{}}
 	if w.DeadlineS != nil {
-		j.Deadline = int64(*w.DeadlineS * 1000)
+		j.DeadlineMs = int64(*w.DeadlineS * 1000)
 	}
 	return j
 }
@@ -122,8 +122,8 @@
 		return []*Machine{machine("m1", "L", "z1", Batch, 8), machine("m2", "L", "z2", Batch, 2)}
 	}
 	apart := job("wk-1", wire.KindArray, wire.PriorityNormal, 5, func(w *wire.JobSpec) { w.SpreadZones = true })
-	apart.Chunks[0] = []jobs.Task{{State: jobs.Claimed, Host: "m1", Session: 3}, {}, {}, {}, {}}
-	apart.Live[0] = apart.Chunks[0][0]
+	apart.Chunks[0] = []jobs.Task{{State: jobs.Claimed, Machine: "m1", Incarnation: 3}, {}, {}, {}, {}}
+	apart.Claims[0] = apart.Chunks[0][0]
 	zones := map[string]int{}
 	for _, c := range Schedule(input("L", ms(), apart)).Claims {
 		zones[c.Machine]++
@@ -132,15 +132,15 @@
 		t.Fatalf("apart: %v beside one live on m1, the cap is 3", zones)
 	}
 	together := job("wk-2", wire.KindArray, wire.PriorityNormal, 4, func(w *wire.JobSpec) { w.SameZone = true })
-	together.Chunks[0] = []jobs.Task{{State: jobs.Claimed, Host: "m2", Session: 3}, {}, {}, {}}
-	together.Live[0] = together.Chunks[0][0]
+	together.Chunks[0] = []jobs.Task{{State: jobs.Claimed, Machine: "m2", Incarnation: 3}, {}, {}, {}}
+	together.Claims[0] = together.Chunks[0][0]
 	for _, c := range Schedule(input("L", ms(), together)).Claims {
 		if c.Machine != "m2" {
 			t.Fatalf("together with a task in z2 but placed on %s", c.Machine)
 		}
 	}
 	// A live claim on a machine that is not known: its zone is not known either.
-	together.Live[0] = jobs.Task{State: jobs.Claimed, Host: "gone"}
+	together.Claims[0] = jobs.Task{State: jobs.Claimed, Machine: "gone"}
 	if out := Schedule(input("L", ms(), together)); len(out.Claims) != 0 {
 		t.Fatal("placed beside a task in an unknown zone")
 	}
@@ -211,8 +211,8 @@
 	m.Free = jobs.Resources{}
 	m.Tasks = []ClaimedTask{{ID: jobs.TaskID{Job: "wk-9"}, Job: low}}
 	j := job("wk-1", wire.KindArray, wire.PriorityUrgent, 2, func(w *wire.JobSpec) { w.SpreadZones = true })
-	j.Chunks[0] = []jobs.Task{{State: jobs.Claimed, Host: "m", Session: 3}, {}}
-	j.Live[0] = j.Chunks[0][0]
+	j.Chunks[0] = []jobs.Task{{State: jobs.Claimed, Machine: "m", Incarnation: 3}, {}}
+	j.Claims[0] = j.Chunks[0][0]
 	if out := Schedule(input("a", []*Machine{m}, j)); len(out.Preemptions) != 0 {
 		t.Fatal("a task was stopped in the zone that the job's other task holds")
 	}
@@ -391,8 +391,8 @@
 		j := job("wk-1", wire.KindArray, wire.PriorityNormal, 4, edit)
 		j.Chunks[0] = make([]jobs.Task, 4)
 		for i, host := range live {
-			j.Chunks[0][i] = jobs.Task{State: jobs.Claimed, Host: host, Session: 3}
-			j.Live[i] = j.Chunks[0][i]
+			j.Chunks[0][i] = jobs.Task{State: jobs.Claimed, Machine: host, Incarnation: 3}
+			j.Claims[i] = j.Chunks[0][i]
 		}
 		return j
 	}
@@ -429,7 +429,7 @@
 	borrowed := job("wk-1", wire.KindArray, wire.PriorityNormal, 4, nil)
 	waiting := job("wk-2", wire.KindArray, wire.PriorityNormal, 4, nil)
 	in := input("a", []*Machine{machine("m", "a", "z", Batch, 4)}, borrowed, waiting)
-	borrowed.Ready, waiting.Ready = 1000, 2000
+	borrowed.ReadyAtMs, waiting.ReadyAtMs = 1000, 2000
 	waiting.Team, waiting.Record.Spec.Team = "y", "y"
 	in.Teams["y"] = &quota.Allowance{Guarantee: quota.Amount{GPUs: 4}}
 	for _, d := range in.Demands {
@@ -457,7 +457,7 @@
 		began := []time.Duration{50 * time.Second, 300 * time.Second, 0, 400 * time.Second}
 		for i, ran := range began {
 			j := job(fmt.Sprintf("wk-%d", 10+i), wire.KindArray, wire.PriorityNormal, 1, nil)
-			j.Ready = int64(1000 * (i + 1))
+			j.ReadyAtMs = int64(1000 * (i + 1))
 			if i == 1 {
 				j.Record.Spec.CheckpointIntervalS, j.Record.Spec.CheckpointWriteS = 30, 4
 			}
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -133,7 +133,7 @@
 
 // startedLater orders the tasks of a rank that could be stopped by the age of their
 // jobs, which every node knows: the youngest first.
-func startedLater(a, b *ClaimedTask) bool { return a.Job.Ready > b.Job.Ready }
+func startedLater(a, b *ClaimedTask) bool { return a.Job.ReadyAtMs > b.Job.ReadyAtMs }
 
 // losesLess orders the tasks of a rank that could be stopped on this node's machines:
 // those that have not begun first, then by what a stop loses.
--- a/internal/place/starve_test.go
+++ b/internal/place/starve_test.go
@@ -30,7 +30,7 @@
 	born, began := map[string]int{}, map[string]int{}
 	add := func(round int, jobID, team string, tasks int, size float64) {
 		j := job(jobID, wire.KindArray, wire.PriorityNormal, tasks, func(w *wire.JobSpec) { w.Team, w.GPUs, w.CPUs = team, size, size })
-		j.Ready = int64(round)
+		j.ReadyAtMs = int64(round)
 		j.Chunks[0] = make([]jobs.Task, tasks)
 		open, born[jobID] = append(open, j), round
 	}
--- a/internal/server/budget_test.go
+++ b/internal/server/budget_test.go
@@ -32,8 +32,8 @@
 	tasks := map[string][]wire.TaskStatus{}
 	for i := range jobsEach {
 		id := fmt.Sprintf("wk-1%d", i)
-		for k, task := range n.table.Jobs[id].Live {
-			tasks[task.Host] = append(tasks[task.Host], wire.TaskStatus{Task: fmt.Sprintf("%s/%d", id, k), Attempt: task.Attempt,
+		for k, task := range n.table.Jobs[id].Claims {
+			tasks[task.Machine] = append(tasks[task.Machine], wire.TaskStatus{Task: fmt.Sprintf("%s/%d", id, k), Attempt: task.Attempt,
 				State: wire.TaskExited, ExitCause: wire.ExitCauseStopped})
 		}
 	}
--- a/internal/server/chunks.go
+++ b/internal/server/chunks.go
@@ -34,7 +34,7 @@
 func (c *chunkChange) apply() ([]jobs.Task, bool) {
 	tasks := c.job.ChunkCopy(c.chunk)
 	for i, e := range c.events {
-		k := i - c.chunk*c.job.Record.Chunk
+		k := i - c.chunk*c.job.Record.ChunkSize
 		t, err := tasks[k].Next(e)
 		if err != nil {
 			return nil, false
@@ -44,7 +44,7 @@
 	return tasks, true
 }
 
-func (n *Node) chunkBytes(j *jobs.Job) int { return min(j.Record.Chunk, j.Record.Tasks)*56 + 600 }
+func (n *Node) chunkBytes(j *jobs.Job) int { return min(j.Record.ChunkSize, j.Record.Tasks)*56 + 600 }
 
 // putChunk stores a chunk; the write that makes a job's last task done also
 // ends the job and drops the chunk.
@@ -83,5 +83,5 @@
 	if err != nil {
 		return j.Record
 	}
-	return jobs.Record{Phase: phase, At: j.Record.At, Tasks: j.Record.Tasks, Chunk: j.Record.Chunk, End: now.UnixMilli(), Via: j.Via}
+	return jobs.Record{Phase: phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: now.UnixMilli(), CancelledWith: j.CancelledWith}
 }
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -68,7 +68,7 @@
 		t.guards[key] = n.cache.Version(key)
 		t.set(key, jobs.ChunkRecord{Tasks: tasks})
 		for id, e := range c.events {
-			t.note("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Host, "role", string(n.reg.Machines[e.Host].Role))
+			t.note("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Machine, "role", string(n.reg.Machines[e.Machine].Role))
 		}
 	}
 	if claimed == 0 || j.Gang() && claimed < len(g.claims) || !n.admit(t, j.Record.Spec.Team, amount, others) {
@@ -76,7 +76,7 @@
 	}
 	if j.SpansChunks() {
 		rec := j.Record
-		rec.Serial++
+		rec.ClaimSerial++
 		t.set(jobKey, rec)
 	}
 	return t
@@ -89,7 +89,7 @@
 	j := g.job
 	changes, others = map[string]*chunkChange{}, map[string]quota.Amount{}
 	for _, claim := range g.claims {
-		chunk := claim.Task / j.Record.Chunk
+		chunk := claim.Task / j.Record.ChunkSize
 		key, machineKey := jobs.ChunkKey(j.ID, chunk), n.reg.KeyOf(claim.Machine)
 		c := changes[key]
 		if c == nil {
@@ -102,7 +102,7 @@
 		if _, ok := t.guards[machineKey]; !ok && !n.room(t, 0, 0, len(changes)+4) {
 			continue // more machines than one write may name
 		}
-		if !c.claim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Host: claim.Machine, Session: claim.Incarnation}, int(n.limits.ValueKB*1024)) {
+		if !c.claim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Machine: claim.Machine, Incarnation: claim.Incarnation}, int(n.limits.ValueKB*1024)) {
 			continue // its turn comes when others of the chunk are over
 		}
 		t.guards[machineKey] = n.cache.Version(machineKey)
--- a/internal/server/fakes_test.go
+++ b/internal/server/fakes_test.go
@@ -367,7 +367,7 @@
 func (n *Node) claimsOn(host string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.table.Hosts[host])
+	return len(n.table.ClaimsByMachine[host])
 }
 
 func (w *world) exchange(from, to *Node) {
--- a/internal/server/fleetview.go
+++ b/internal/server/fleetview.go
@@ -61,7 +61,7 @@
 // mu is held.
 func (n *Node) resetView() {
 	n.view = newFleetView()
-	for host := range n.table.Hosts {
+	for host := range n.table.ClaimsByMachine {
 		n.view.touch(host)
 	}
 	for host := range n.reg.Machines {
@@ -227,9 +227,9 @@
 			m.usable = h.Proven && !h.Silent && h.Notice < 0 && !h.Suspect
 		}
 	}
-	m.Free, m.Freeing = m.Total.Sub(n.table.Needs[m.Name]), jobs.Resources{}
+	m.Free, m.Freeing = m.Total.Sub(n.table.ResourcesByMachine[m.Name]), jobs.Resources{}
 	m.Tasks = m.Tasks[:0]
-	for id, j := range n.table.Hosts[m.Name] {
+	for id, j := range n.table.ClaimsByMachine[m.Name] {
 		stopping := j.Phase != jobs.Open || n.workers[m.Name] != nil && n.workers[m.Name].IsLeaving(id)
 		resident := place.ClaimedTask{ID: id, Job: j, Stopping: stopping}
 		if m.worker != nil {
@@ -252,7 +252,7 @@
 		}
 		delete(v.claims, host)
 	}
-	claims := n.table.Hosts[host]
+	claims := n.table.ClaimsByMachine[host]
 	if len(claims) == 0 {
 		return
 	}
--- a/internal/server/fleetview_test.go
+++ b/internal/server/fleetview_test.go
@@ -76,8 +76,8 @@
 	n.machines(n.now())
 	j := n.table.Jobs["wk-200000"]
 	task := j.Task(0)
-	if len(j.Live) != 60 || len(n.view.touched) != 0 {
-		t.Fatalf("%d tasks are claimed, %d machines are to be entered", len(j.Live), len(n.view.touched))
+	if len(j.Claims) != 60 || len(n.view.touched) != 0 {
+		t.Fatalf("%d tasks are claimed, %d machines are to be entered", len(j.Claims), len(n.view.touched))
 	}
 	// Two copies of a chunk that differ in one task, as a watch brings them.
 	tasks := j.ChunkCopy(0)
@@ -86,8 +86,8 @@
 	if err := n.table.ApplyChunk(jobs.ChunkKey("wk-200000", 0), raw); err != nil {
 		t.Fatal(err)
 	}
-	if len(n.view.touched) != 1 || !n.view.touched[task.Host] {
-		t.Errorf("%d machines are to be entered, only %s has changed", len(n.view.touched), task.Host)
+	if len(n.view.touched) != 1 || !n.view.touched[task.Machine] {
+		t.Errorf("%d machines are to be entered, only %s has changed", len(n.view.touched), task.Machine)
 	}
 	if err := n.table.ApplyChunk(jobs.ChunkKey("wk-200000", 0), raw); err != nil {
 		t.Fatal(err)
--- a/internal/server/intake.go
+++ b/internal/server/intake.go
@@ -32,8 +32,8 @@
 	ctx, stop := context.WithTimeout(context.Background(), tuning.DecisionWait)
 	defer stop()
 	s := &submission{work: w, before: time.Now().Add(tuning.DecisionWait), done: make(chan error, 1),
-		rec: jobs.Record{Phase: phase, At: n.now().UnixMilli(), Tasks: w.Tasks,
-			Chunk: jobs.ChunkSize(n.limits.ValueKB), Spec: w}}
+		rec: jobs.Record{Phase: phase, AcceptedAtMs: n.now().UnixMilli(), Tasks: w.Tasks,
+			ChunkSize: jobs.ChunkSize(n.limits.ValueKB), Spec: w}}
 	select {
 	case n.intake <- s:
 	default: // those whose users have been told to come back are still in it
--- a/internal/server/intake_test.go
+++ b/internal/server/intake_test.go
@@ -83,8 +83,8 @@
 		w.passAll()
 		for _, h := range []string{"h1", "h2", "h3"} {
 			var done []wire.TaskStatus
-			for id, j := range a.table.Hosts[h] {
-				done = append(done, wire.TaskStatus{Task: id.String(), Attempt: j.Live[id.Task].Attempt, State: wire.TaskExited, ExitCause: wire.ExitCauseDone})
+			for id, j := range a.table.ClaimsByMachine[h] {
+				done = append(done, wire.TaskStatus{Task: id.String(), Attempt: j.Claims[id.Task].Attempt, State: wire.TaskExited, ExitCause: wire.ExitCauseDone})
 			}
 			w.prove(h, 1, done...)
 		}
@@ -118,7 +118,7 @@
 	var group []*submission
 	for i := range 3 {
 		wk := work(fmt.Sprintf("wk-%d", i), 1)
-		group = append(group, &submission{work: &wk, rec: jobs.Record{Phase: jobs.Open, Tasks: 1, Chunk: 4, Spec: &wk},
+		group = append(group, &submission{work: &wk, rec: jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 4, Spec: &wk},
 			before: time.Now().Add(time.Minute), done: make(chan error, 1)})
 	}
 	key := jobs.JobKey("wk-1")
@@ -142,7 +142,7 @@
 	n := newNode(settings("z", []string{"z"}), w.nodes["a"].log, w.clk.now, w.st, w.nodes["a"].lim, w.cl, unanswered{})
 	add := func(jobID string) *submission {
 		wk := work(jobID, 1)
-		return &submission{work: &wk, rec: jobs.Record{Phase: jobs.Open, Tasks: 1, Chunk: 70, Spec: &wk}, before: time.Now().Add(time.Minute)}
+		return &submission{work: &wk, rec: jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 70, Spec: &wk}, before: time.Now().Add(time.Minute)}
 	}
 	late := add("wk-late")
 	late.before = time.Now()
--- a/internal/server/machines.go
+++ b/internal/server/machines.go
@@ -129,7 +129,7 @@
 			n.mu.Unlock()
 			return // the rest would fail, and count as changes
 		}
-		if slices.ContainsFunc(idle[w.Key], func(host string) bool { return len(n.table.Hosts[host]) > 0 }) {
+		if slices.ContainsFunc(idle[w.Key], func(host string) bool { return len(n.table.ClaimsByMachine[host]) > 0 }) {
 			n.mu.Unlock()
 			continue // one of them has got work while this waited
 		}
@@ -313,7 +313,7 @@
 				continue // claims stored before the drain may not be seen yet
 			}
 			open := 0
-			for _, j := range n.table.Hosts[host] {
+			for _, j := range n.table.ClaimsByMachine[host] {
 				if j.Phase == jobs.Open {
 					open++
 				}
@@ -322,7 +322,7 @@
 				returns = append(returns, host)
 			}
 		case fleet.Terminated:
-			if len(n.table.Hosts[host]) > 0 {
+			if len(n.table.ClaimsByMachine[host]) > 0 {
 				continue // its owner releases them first
 			}
 			if l.absent[host] >= tuning.GoneLists {
@@ -386,7 +386,7 @@
 		if !ok || rec.Phase == fleet.Terminated {
 			continue
 		}
-		if rec.Phase == fleet.Draining && len(n.table.Hosts[h]) == 0 && n.leads() {
+		if rec.Phase == fleet.Draining && len(n.table.ClaimsByMachine[h]) == 0 && n.leads() {
 			// Drained and empty: there is nothing that its end would prove. A
 			// machine that was not drained may yet get a claim that is under way.
 			l := n.leadMemory()
--- a/internal/server/meetings_test.go
+++ b/internal/server/meetings_test.go
@@ -975,7 +975,7 @@
 			x.run(15 * time.Second)
 			n := x.leader()
 			n.mu.Lock()
-			used := n.table.Used["x"].GPUs
+			used := n.table.ResourcesByTeam["x"].GPUs
 			n.mu.Unlock()
 			running := 0
 			for _, jobID := range []string{"wk-1", "wk-2"} {
@@ -1030,8 +1030,8 @@
 			t.Errorf("wk-%d: %+v, want %s", i, st, want)
 		}
 	}
-	if len(n.table.Hosts) != 0 {
-		t.Errorf("claims are left on %d machines", len(n.table.Hosts))
+	if len(n.table.ClaimsByMachine) != 0 {
+		t.Errorf("claims are left on %d machines", len(n.table.ClaimsByMachine))
 	}
 	if len(cancelled) < seconds/2 {
 		t.Errorf("%d cancelled: nothing is tested", len(cancelled))
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -356,7 +356,7 @@
 		}
 		if now.Sub(w.LastHeard) < silentAfter {
 			heard++
-		} else if len(n.table.Hosts[host]) > 0 && now.Sub(n.raisedAt) > silentAfter {
+		} else if len(n.table.ClaimsByMachine[host]) > 0 && now.Sub(n.raisedAt) > silentAfter {
 			silent++
 		}
 	}
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -159,7 +159,7 @@
 	n.table = jobs.NewTable(now)
 	n.view = newFleetView()
 	n.reg.OnChange = func(host string) { n.view.records[host] = true }
-	n.table.Moved = func(host string) {
+	n.table.OnMachineChange = func(host string) {
 		n.view.touch(host)
 		if w := n.workers[host]; w != nil {
 			w.MarkChanged()
--- a/internal/server/pass.go
+++ b/internal/server/pass.go
@@ -76,7 +76,7 @@
 // is held.
 func (n *Node) forgetOver(workers map[string]*fleet.Worker, now time.Time) {
 	for host, w := range workers {
-		if len(w.Stopping) > 0 && w.PruneStopping(n.table.Hosts[host]) {
+		if len(w.Stopping) > 0 && w.PruneStopping(n.table.ClaimsByMachine[host]) {
 			n.view.touch(host)
 		}
 	}
@@ -167,7 +167,7 @@
 }
 
 // hostOf is the machine that a claimed task is on.
-func (n *Node) hostOf(r place.ClaimedTask) string { return r.Job.Live[r.ID.Task].Host }
+func (n *Node) hostOf(r place.ClaimedTask) string { return r.Job.Claims[r.ID.Task].Machine }
 
 // noteUnmet notes the tasks without a place, why, and since when; mu is held.
 func (n *Node) noteUnmet(out place.Output, now time.Time) {
@@ -209,7 +209,7 @@
 		// The cloud may still bring room for a guarantee; work that is stopped
 		// for it is lost.
 		d.MayReclaim = n.pressed(j, now)
-		d.Starved = j.Counts[jobs.Pending] == j.Record.Tasks && now.UnixMilli()-j.Ready > tuning.AgedAfter.Milliseconds()
+		d.Starved = j.Counts[jobs.Pending] == j.Record.Tasks && now.UnixMilli()-j.ReadyAtMs > tuning.AgedAfter.Milliseconds()
 		d.PreemptedFor = now.Sub(n.preemptedFor[jobID]) < tuning.PreemptPause
 		d.WriteInFlight = n.busyJob[jobID] || now.Before(n.notUntil[jobID])
 		if len(d.Tasks) > 0 {
@@ -222,10 +222,10 @@
 // pending lists up to most pending tasks of a job that may be tried now.
 func (n *Node) pending(j *jobs.Job, most int, now time.Time) []int {
 	var out []int
-	for c := 0; c*j.Record.Chunk < j.Record.Tasks && len(out) < most; c++ {
+	for c := 0; c*j.Record.ChunkSize < j.Record.Tasks && len(out) < most; c++ {
 		tasks := j.Chunks[c] // nil: all pending
 		for k := 0; k < j.ChunkLen(c) && len(out) < most; k++ {
-			i := c*j.Record.Chunk + k
+			i := c*j.Record.ChunkSize + k
 			if tasks == nil {
 				out = append(out, i)
 				continue
@@ -233,7 +233,7 @@
 			if tasks[k].State != jobs.Pending {
 				continue
 			}
-			if errs := tasks[k].Errs; errs > 0 {
+			if errs := tasks[k].Failures; errs > 0 {
 				pause := min(tuning.RetryBase<<min(errs-1, 10), tuning.RetryCap)
 				if now.Sub(n.table.FailedAt[jobs.TaskID{Job: j.ID, Task: i}]) < pause {
 					continue
--- a/internal/server/pipeline_test.go
+++ b/internal/server/pipeline_test.go
@@ -59,8 +59,8 @@
 	w.submit(a, after(work("wk-3", 2), "wk-1", "wk-2", "wk-1"))
 	w.passAll()
 	for _, n := range w.nodes {
-		if c := n.table.Jobs["wk-3"].Counts; c[jobs.Claimed] != 0 || n.table.Used["x"].GPUs != 2 || n.unmet["wk-3"] != 0 {
-			t.Fatalf("a waiting job has claims %v, its team holds %v, unmet %d", c, n.table.Used["x"], n.unmet["wk-3"])
+		if c := n.table.Jobs["wk-3"].Counts; c[jobs.Claimed] != 0 || n.table.ResourcesByTeam["x"].GPUs != 2 || n.unmet["wk-3"] != 0 {
+			t.Fatalf("a waiting job has claims %v, its team holds %v, unmet %d", c, n.table.ResourcesByTeam["x"], n.unmet["wk-3"])
 		}
 		if len(n.table.Jobs["wk-3"].Record.Spec.DependsOn) != 2 {
 			t.Fatal("repeated names count twice")
@@ -80,8 +80,8 @@
 	end := w.clk.now()
 	w.finish("h1", "wk-2/0")
 	fresh := w.start("c", []string{"a", "b", "c"})
-	if j := fresh.table.Jobs["wk-3"]; j.Phase != jobs.Open || j.Ready < end.UnixMilli() {
-		t.Fatalf("after a restart: %s, ready %d, ended %d", j.Phase, j.Ready, end.UnixMilli())
+	if j := fresh.table.Jobs["wk-3"]; j.Phase != jobs.Open || j.ReadyAtMs < end.UnixMilli() {
+		t.Fatalf("after a restart: %s, ready %d, ended %d", j.Phase, j.ReadyAtMs, end.UnixMilli())
 	}
 	delete(w.nodes, "c")
 	w.passAll()
@@ -121,7 +121,7 @@
 	w.passAll()
 	w.passAll()
 	for _, jobID := range []string{"wk-2", "wk-3", "wk-6"} {
-		if r := a.job(jobID); r.Phase != jobs.Cancelled || r.Via == "" {
+		if r := a.job(jobID); r.Phase != jobs.Cancelled || r.CancelledWith == "" {
 			t.Errorf("%s is stored %s", jobID, r.Phase)
 		}
 	}
@@ -375,7 +375,7 @@
 func TestOldShapesReadWhatIsWrittenNow(t *testing.T) {
 	wk := after(work("wk-2", 3), "wk-1")
 	var r oldRecord
-	if err := wire.Unmarshal(wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, At: 5, Tasks: 3, Chunk: 64, Spec: &wk, End: 9, Via: "wk-1"}), &r); err != nil {
+	if err := wire.Unmarshal(wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, AcceptedAtMs: 5, Tasks: 3, ChunkSize: 64, Spec: &wk, EndedAtMs: 9, CancelledWith: "wk-1"}), &r); err != nil {
 		t.Fatal(err)
 	}
 	// Neither open nor final: production answers "queued" and never places it.
@@ -537,7 +537,7 @@
 			for _, a := range dependsOn {
 				wk.DependsOn = append(wk.DependsOn, jobID(p, a))
 			}
-			r := jobs.Record{Phase: jobs.Open, Tasks: 1, Chunk: 64, Spec: &wk}
+			r := jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 64, Spec: &wk}
 			if step > 0 {
 				r.Phase = jobs.Waiting
 			}
@@ -550,7 +550,7 @@
 	}
 	before := w.st.Revision
 	for p := range pipelines {
-		w.st.Put(jobs.JobKey(jobID(p, 0)), wire.MustMarshal(jobs.Record{Phase: jobs.Done, Tasks: 1, Chunk: 64, End: 1}))
+		w.st.Put(jobs.JobKey(jobID(p, 0)), wire.MustMarshal(jobs.Record{Phase: jobs.Done, Tasks: 1, ChunkSize: 64, EndedAtMs: 1}))
 	}
 	w.sync()
 	w.pass(n)
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -63,7 +63,7 @@
 	for _, l := range n.quota.Ledgers() {
 		l.Forget(n.cache)
 		name := l.Team().Name
-		out[name] = l.Allowance(view, n.table.Used[name].Amount(), scale)
+		out[name] = l.Allowance(view, n.table.ResourcesByTeam[name].Amount(), scale)
 	}
 	return out
 }
@@ -89,7 +89,7 @@
 		return true
 	}
 	return n.set.Operator.QuotaReservations && n.quota.MayReclaim(j.Team, now) &&
-		now.UnixMilli()-j.Ready > tuning.GuaranteePreemptAfter.Milliseconds()
+		now.UnixMilli()-j.ReadyAtMs > tuning.GuaranteePreemptAfter.Milliseconds()
 }
 
 // reserve lets the leader store which teams wait for room within their
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -67,9 +67,9 @@
 		if !heard {
 			continue
 		}
-		for id, j := range n.table.Hosts[host] {
-			t := j.Live[id.Task]
-			if s, on := w.Tasks[id]; j.Phase == jobs.Open && t.Session == w.Incarnation && (!on || s.Attempt < t.Attempt) {
+		for id, j := range n.table.ClaimsByMachine[host] {
+			t := j.Claims[id.Task]
+			if s, on := w.Tasks[id]; j.Phase == jobs.Open && t.Incarnation == w.Incarnation && (!on || s.Attempt < t.Attempt) {
 				left[startClass(j)]++
 			}
 		}
--- a/internal/server/releases.go
+++ b/internal/server/releases.go
@@ -70,7 +70,7 @@
 	changes := map[string]*chunkChange{}
 	add := func(id jobs.TaskID, kind jobs.TaskEventKind) {
 		j := n.table.Jobs[id.Job]
-		chunk := id.Task / j.Record.Chunk
+		chunk := id.Task / j.Record.ChunkSize
 		key := jobs.ChunkKey(id.Job, chunk)
 		if changes[key] == nil {
 			changes[key] = &chunkChange{job: j, chunk: chunk, events: map[int]jobs.TaskEvent{}}
@@ -81,7 +81,7 @@
 	for host := range n.view.returned {
 		// The proof is stored, so any node may release: the job's first
 		// does, in one write for the machines of all owners.
-		for id := range n.table.Hosts[host] {
+		for id := range n.table.ClaimsByMachine[host] {
 			mine, ok := first[id.Job]
 			if !ok {
 				mine = n.member.RankNodes(id.Job)[0] == n.self.Label
@@ -97,7 +97,7 @@
 		if w.NothingToReconcile(now, lease) || n.ownerOf(host) != n.self.Label || n.reg.Machines[host].Phase == fleet.Terminated {
 			continue
 		}
-		for _, r := range w.ProvenEnds(n.table.Hosts[host], now, lease) {
+		for _, r := range w.ProvenEnds(n.table.ClaimsByMachine[host], now, lease) {
 			add(r.Task, r.Kind)
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 	j := c.job
 	last := j.Counts[jobs.Completed]+over == j.Record.Tasks
-	if n.busyJob[j.ID] || n.now().Before(n.notUntil[j.ID]) || !last && len(c.events) < len(j.Live) && wait < tuning.ReleaseGather {
+	if n.busyJob[j.ID] || n.now().Before(n.notUntil[j.ID]) || !last && len(c.events) < len(j.Claims) && wait < tuning.ReleaseGather {
 		return releaseRoutine, false
 	}
 	switch {
@@ -152,11 +152,11 @@
 	if j.Counts[jobs.Pending] > 0 {
 		return false
 	}
-	for i, t := range j.Live {
-		if n.ownerOf(t.Host) != n.self.Label {
+	for i, t := range j.Claims {
+		if n.ownerOf(t.Machine) != n.self.Label {
 			continue
 		}
-		c := due[jobs.ChunkKey(j.ID, i/j.Record.Chunk)]
+		c := due[jobs.ChunkKey(j.ID, i/j.Record.ChunkSize)]
 		if c == nil {
 			return false
 		}
@@ -181,7 +181,7 @@
 	t.guards[jobs.JobKey(d.job.ID)] = n.cache.Version(jobs.JobKey(d.job.ID))
 	n.putChunk(t, d.chunkChange, d.key, tasks)
 	for id, e := range d.events {
-		t.note("task released", "task", jobs.TaskID{Job: d.job.ID, Task: id}, "as", string(e.Kind), "host", d.job.Live[id].Host)
+		t.note("task released", "task", jobs.TaskID{Job: d.job.ID, Task: id}, "as", string(e.Kind), "host", d.job.Claims[id].Machine)
 	}
 	return n.under(txns, t, d.job.ID, most)
 }
@@ -205,12 +205,12 @@
 		}
 		t := n.newTxn("cancelled with another")
 		t.guards[jobs.JobKey(jobID)] = n.cache.Version(jobs.JobKey(jobID))
-		t.set(jobs.JobKey(jobID), jobs.Record{Phase: j.Phase, At: j.Record.At, Tasks: j.Record.Tasks, Chunk: j.Record.Chunk, End: n.now().UnixMilli(), Via: j.Via})
+		t.set(jobs.JobKey(jobID), jobs.Record{Phase: j.Phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: n.now().UnixMilli(), CancelledWith: j.CancelledWith})
 		txns = n.under(txns, t, jobID, most)
 	}
-	for key := range n.table.Intakes {
+	for key := range n.table.JobsByIntake {
 		// Nothing needs it any more: guards against reading it for ever.
-		if *most >= 1 && !n.busyJob[key] && n.table.Over(key) && n.member.RankNodes(key)[0] == n.self.Label {
+		if *most >= 1 && !n.busyJob[key] && n.table.IntakeFinished(key) && n.member.RankNodes(key)[0] == n.self.Label {
 			t := n.newTxn("intake over")
 			t.guards[key] = n.cache.Version(key)
 			t.drop(key)
--- a/internal/server/rolemoves.go
+++ b/internal/server/rolemoves.go
@@ -29,7 +29,7 @@
 		l.seenJobs[jobID] = true
 		if !j.Service() {
 			l.noteBatchArrival(j, now)
-		} else if now.Sub(j.Seen) <= tuning.RoleStep {
+		} else if now.Sub(j.FirstSeen) <= tuning.RoleStep {
 			n.noteServiceArrival(l, j, now)
 		}
 	}
@@ -56,7 +56,7 @@
 // job may use; mu is held.
 func (n *Node) noteServiceArrival(l *leading, j *jobs.Job, now time.Time) {
 	for _, t := range n.types {
-		if !jobs.Allowed(j.Record.Spec, t.Label) {
+		if !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
 			continue
 		}
 		total := jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}
@@ -115,7 +115,7 @@
 	tot := jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}
 	for jobID, k := range n.unmet {
 		j := n.table.Jobs[jobID]
-		if j == nil || j.Record.Spec == nil || !jobs.Allowed(j.Record.Spec, t.Label) {
+		if j == nil || j.Record.Spec == nil || !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
 			continue
 		}
 		for i := 0; !j.Service() && k > 0 && i < len(coming); {
@@ -128,7 +128,7 @@
 		}
 		all := 0
 		for label, c := range count {
-			if jobs.Allowed(j.Record.Spec, label) {
+			if jobs.AllowsMachineType(j.Record.Spec, label) {
 				all += c
 			}
 		}
--- a/internal/server/scale_test.go
+++ b/internal/server/scale_test.go
@@ -119,7 +119,7 @@
 	w.submit(n, work("wk-1", 60))
 	tasks := make([]jobs.Task, 60)
 	for i := range tasks {
-		tasks[i] = jobs.Task{State: jobs.Claimed, Attempt: 1, Host: fmt.Sprintf("host-%06d", i/8), Session: 1}
+		tasks[i] = jobs.Task{State: jobs.Claimed, Attempt: 1, Machine: fmt.Sprintf("host-%06d", i/8), Incarnation: 1}
 	}
 	v := wire.MustMarshal(jobs.ChunkRecord{Tasks: tasks})
 	b.ReportAllocs()
@@ -179,12 +179,12 @@
 	// owner stores its part of a chunk at once, or gathers it.
 	tasks := map[string][]wire.TaskStatus{}
 	for _, j := range l.table.Open {
-		for i, task := range j.Live {
+		for i, task := range j.Claims {
 			s := wire.TaskStatus{Task: jobs.TaskName(j.ID, i), Attempt: task.Attempt, State: wire.TaskRunning}
 			if !j.Service() {
 				s.State, s.ExitCause = wire.TaskExited, wire.ExitCauseDone
 			}
-			tasks[task.Host] = append(tasks[task.Host], s)
+			tasks[task.Machine] = append(tasks[task.Machine], s)
 		}
 	}
 	revisions("3600 tasks end", 4*arrays, func() {
@@ -395,7 +395,7 @@
 		used := func() (least, most, sum float64) {
 			least = limit
 			for i := range teams {
-				gpus := l.table.Used[fmt.Sprintf("team-%d", i)].GPUs
+				gpus := l.table.ResourcesByTeam[fmt.Sprintf("team-%d", i)].GPUs
 				least, most, sum = min(least, gpus), max(most, gpus), sum+gpus
 			}
 			return least, most, sum
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -83,7 +83,7 @@
 		return fmt.Sprintf("awaits %s: %s", jobID, strings.Join(n.table.Unfinished(n.table.Waiting[jobID]), " "))
 	})
 	rows(&b, "cancelled with others", n.table.Unrecorded, func(jobID string) string {
-		return fmt.Sprintf("cancelled %s with %s", jobID, n.table.Unrecorded[jobID].Via)
+		return fmt.Sprintf("cancelled %s with %s", jobID, n.table.Unrecorded[jobID].CancelledWith)
 	})
 	c.SetBodyString(b.String())
 }
@@ -112,8 +112,8 @@
 	switch {
 	case j.Phase == jobs.Waiting:
 		fmt.Fprintf(b, "awaits %s\n", strings.Join(n.table.Unfinished(j), " "))
-	case j.Phase == jobs.Cancelled && j.Via != "":
-		fmt.Fprintf(b, "cancelled with %s\n", j.Via)
+	case j.Phase == jobs.Cancelled && j.CancelledWith != "":
+		fmt.Fprintf(b, "cancelled with %s\n", j.CancelledWith)
 	case n.unmet[jobID] > 0:
 		fmt.Fprintf(b, "waiting tasks %d because %s\n", n.unmet[jobID], n.why[jobID])
 	}
--- a/internal/server/teamstatus.go
+++ b/internal/server/teamstatus.go
@@ -22,7 +22,7 @@
 	var out []*quota.Summary
 	for _, l := range n.quota.Ledgers() {
 		name := l.Team().Name
-		out = append(out, n.quota.Summary(view, name, n.table.Used[name].Amount()))
+		out = append(out, n.quota.Summary(view, name, n.table.ResourcesByTeam[name].Amount()))
 	}
 	return out
 }
--- a/internal/server/trouble_test.go
+++ b/internal/server/trouble_test.go
@@ -311,7 +311,7 @@
 	n := w.nodes["a"]
 	const known = 600
 	for i := range known {
-		v := wire.MustMarshal(jobs.Record{Phase: jobs.Open, Tasks: 1, Chunk: 70, Spec: ptr(work(fmt.Sprintf("wk-%d", i), 1))})
+		v := wire.MustMarshal(jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 70, Spec: ptr(work(fmt.Sprintf("wk-%d", i), 1))})
 		if _, err := w.st.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: jobs.JobKey(fmt.Sprintf("wk-%d", i)), Value: v}}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/server/users.go
+++ b/internal/server/users.go
@@ -287,7 +287,7 @@
 		}
 		team, ok := n.set.Team(w.Team)
 		status = 422
-		err = jobs.Check(&w, jobs.Limits{CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}, ok, types,
+		err = jobs.Validate(&w, jobs.TeamLimits{CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}, ok, types,
 			jobs.ChunkSize(n.limits.ValueKB))
 	}
 	if err != nil {
@@ -343,7 +343,7 @@
 	n.mu.Lock()
 	all := n.pipelines()
 	done := true
-	err := jobs.CheckDependencies(w, func(jobID string) (known, service bool) {
+	err := jobs.ValidateDependencies(w, func(jobID string) (known, service bool) {
 		j := n.table.Jobs[jobID]
 		if j == nil {
 			return false, false
@@ -404,7 +404,7 @@
 		}
 		n.mu.Lock()
 		j := n.table.Jobs[jobID]
-		rec, err := j.Record.Cancelled(n.now())
+		rec, err := j.Record.Cancel(n.now())
 		guards := []wire.Compare{n.cache.Compare(member.Key), n.cache.Compare(jobs.JobKey(jobID))}
 		n.mu.Unlock()
 		if err != nil {
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -61,7 +61,7 @@
 		return 503, wire.ErrorResponse{Error: "session has ended"}
 	}
 	n.observe(w, r, now)
-	commands, _ := w.Commands(n.table.Hosts[r.Machine], fleet.CommandOptions{
+	commands, _ := w.Commands(n.table.ClaimsByMachine[r.Machine], fleet.CommandOptions{
 		Channel:     fleet.HeartbeatAnswer,
 		AllowStarts: stale < tuning.StateStale && n.startable(r.Machine),
 		Now:         now,
@@ -146,7 +146,7 @@
 	if !w.TerminationAt.IsZero() {
 		// The cloud takes the machine: what can't end in time starts elsewhere.
 		left := time.Duration(float64(w.TerminationAt.Sub(now)) * tuning.NoticeKillFactor)
-		for id, j := range n.table.Hosts[w.Machine] {
+		for id, j := range n.table.ClaimsByMachine[w.Machine] {
 			if wk := j.Record.Spec; wk != nil && (j.Service() || wk.EstimateS > left.Seconds()) {
 				n.stopTask(w, id)
 			}
@@ -215,7 +215,7 @@
 	silent := now.Sub(w.LastHeard) >= n.silentAfter()
 	if !w.NoPendingCommands && w.Incarnation > 0 {
 		w.NoPendingCommands = true
-		due, postponed := w.Commands(n.table.Hosts[w.Machine], fleet.CommandOptions{
+		due, postponed := w.Commands(n.table.ClaimsByMachine[w.Machine], fleet.CommandOptions{
 			Channel:     fleet.DirectCall,
 			AllowStarts: n.startable(w.Machine) && !silent,
 			Now:         now,
@@ -306,7 +306,7 @@
 	if w.CallInFlight {
 		return // its answer may come yet
 	}
-	for _, a := range w.ClaimsBlockedByStarts(n.table.Hosts[w.Machine]) {
+	for _, a := range w.ClaimsBlockedByStarts(n.table.ClaimsByMachine[w.Machine]) {
 		if w.FencePendingStarts(n.member.LastToken()) {
 			n.log.Debug("start made void", "task", a.ID, "try", a.Number, "host", w.Machine, "token", w.FencingToken)
 		}
