--- a/internal/server/wants.go
+++ b/internal/server/wants.go
@@ -16,11 +16,11 @@
 // only when the last free machine is taken: with hundreds of jobs that took half
 // a minute.
 func (b *planBuilder) addUntried() {
-	for jobID, j := range b.node.table.Open {
-		why := b.node.why[jobID]
+	for jobID, j := range b.controller.table.Open {
+		why := b.controller.pendingReasons[jobID]
 		count := j.Counts[jobs.Pending]
 		if why != place.ReasonNoTurn {
-			count -= b.node.unmet[jobID]
+			count -= b.controller.unplaced[jobID]
 		}
 		if count > 0 && (why == "" || why == place.ReasonNoTurn || why == place.ReasonNoRoom) {
 			b.input.Demands = append(b.input.Demands, fleet.Demand{Job: j, Count: count, NotScheduledYet: true})
@@ -33,30 +33,30 @@
 // addUnmet enters the tasks that the pass found no room for, those that have
 // waited longest first.
 func (b *planBuilder) addUnmet() {
-	for _, jobID := range b.node.unmetByAge() {
-		j := b.node.table.Open[jobID]
-		if j == nil || b.node.why[jobID] != place.ReasonNoRoom {
+	for _, jobID := range b.controller.unplacedByAge() {
+		j := b.controller.table.Open[jobID]
+		if j == nil || b.controller.pendingReasons[jobID] != place.ReasonNoRoom {
 			continue
 		}
-		count := b.node.unmet[jobID]
+		count := b.controller.unplaced[jobID]
 		if j.Service() {
 			// The headroom is for what will run too.
 			b.input.Service.Tasks += float64(count)
 			b.input.Service.AwaitingBoot += float64(count)
 			b.input.Service.Need, b.input.Service.Spec = j.Need, j.Record.Spec
 		}
-		b.input.Demands = append(b.input.Demands, fleet.Demand{Job: j, Count: count, Waiting: b.now.Sub(b.node.unmetAt[jobID])})
+		b.input.Demands = append(b.input.Demands, fleet.Demand{Job: j, Count: count, Waiting: b.now.Sub(b.controller.unplacedSince[jobID])})
 	}
 }
 
-// unmetByAge lists the jobs with tasks without a place, the oldest wait first; mu
+// unplacedByAge lists the jobs with tasks without a place, the oldest wait first; mu
 // is held.
-func (n *Node) unmetByAge() []string {
-	jobIDs := make([]string, 0, len(n.unmet))
-	for jobID := range n.unmet {
+func (n *Controller) unplacedByAge() []string {
+	jobIDs := make([]string, 0, len(n.unplaced))
+	for jobID := range n.unplaced {
 		jobIDs = append(jobIDs, jobID)
 	}
-	sort.Slice(jobIDs, func(i, k int) bool { return n.unmetAt[jobIDs[i]].Before(n.unmetAt[jobIDs[k]]) })
+	sort.Slice(jobIDs, func(i, k int) bool { return n.unplacedSince[jobIDs[i]].Before(n.unplacedSince[jobIDs[k]]) })
 	return jobIDs
 }
 
@@ -66,14 +66,14 @@
 // machines had died, services waited for their replacements for 45 s. A node
 // that hears hardly any of its machines has trouble of its own. up is how long
 // ago each machine was heard; mu is held.
-func (n *Node) tasksAtRisk(machines *place.Fleet, up map[string]time.Duration, now time.Time) []fleet.Demand {
+func (n *Controller) tasksAtRisk(machines *place.Fleet, up map[string]time.Duration, now time.Time) []fleet.Demand {
 	heard, quiet := map[string]int{}, map[string]int{}
 	var list []*place.Machine
 	for _, m := range machines.Machines {
 		age, ok := up[m.Name]
-		if ok && age < n.silentAfter() {
+		if ok && age < n.silenceTimeout() {
 			heard[m.Owner]++
-		} else if at, wasUp := n.leading.heard[m.Name]; wasUp && now.Sub(at) > n.silentAfter() {
+		} else if at, wasUp := n.leaderState.lastHeard[m.Name]; wasUp && now.Sub(at) > n.silenceTimeout() {
 			quiet[m.Owner]++
 			if m.Role == place.Service {
 				list = append(list, m)
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -14,43 +14,43 @@
 	"wheatspur/wire"
 )
 
-// handleReport answers a worker's report.
-func (n *Node) handleReport(c *fasthttp.RequestCtx) {
+// handleHeartbeat answers a worker's report.
+func (n *Controller) handleHeartbeat(c *fasthttp.RequestCtx) {
 	var r wire.Heartbeat
 	if err := wire.Unmarshal(c.PostBody(), &r); err != nil || r.Machine == "" || r.Incarnation == 0 {
-		refuse(c, 400, "malformed report")
+		respondError(c, 400, "malformed report")
 		return
 	}
 	n.mu.Lock()
-	status, body := n.report(&r)
+	status, body := n.answerHeartbeat(&r)
 	n.mu.Unlock()
-	if float64(n.open()) > float64(n.userConns())*tuning.CrowdedConnShare {
+	if float64(n.openConnections()) > float64(n.maxConnections())*tuning.CrowdedConnShare {
 		// Guards against the workers of nodes that are down holding all
 		// connections between their reports: users and health checks need some.
 		c.SetConnectionClose()
 	}
-	reply(c, status, body)
+	respond(c, status, body)
 }
 
-// report decides the answer to a report; mu is held.
-func (n *Node) report(r *wire.Heartbeat) (int, any) {
+// answerHeartbeat decides the answer to a report; mu is held.
+func (n *Controller) answerHeartbeat(r *wire.Heartbeat) (int, any) {
 	now := n.now()
-	if !n.entitled() {
+	if !n.isMember() {
 		return 503, wire.ErrorResponse{Error: "not a member"}
 	}
-	if r.FencingToken > n.token(r.Machine) {
+	if r.FencingToken > n.workerToken(r.Machine) {
 		// Somebody newer is entitled; a 200 of ours would hold the worker here
 		// while its lease runs out.
-		wake(n.memberWake)
+		wake(n.membershipWake)
 		return 503, wire.ErrorResponse{Error: "superseded"}
 	}
-	stale := now.Sub(n.sync.LastReadAt())
-	if now.Sub(n.knownUntil()) > n.set.AnswerBound() || stale > tuning.StoreStaleAfter && n.superseded() {
+	stale := now.Sub(n.syncer.LastReadAt())
+	if now.Sub(n.cancellationsKnownUntil()) > n.settings.AnswerBound() || stale > tuning.StoreStaleAfter && n.isFencedOut() {
 		// Leases that this node renews must end before a cancellation that it
 		// can't read is due.
 		return 421, wire.Redirect{}
 	}
-	if owner := n.ownerOf(r.Machine); owner != n.self.Label {
+	if owner := n.shardOwner(r.Machine); owner != n.self.Label {
 		return 421, wire.Redirect{Node: owner}
 	}
 	w := n.worker(r.Machine)
@@ -60,12 +60,12 @@
 	if w.State == fleet.LeaseExpired && r.Incarnation <= w.Incarnation {
 		return 503, wire.ErrorResponse{Error: "session has ended"}
 	}
-	n.observe(w, r, now)
+	n.applyHeartbeat(w, r, now)
 	commands, _ := w.Commands(n.table.ClaimsByMachine[r.Machine], fleet.CommandOptions{
 		Channel:     fleet.HeartbeatAnswer,
-		AllowStarts: stale < tuning.StoreStaleAfter && n.startable(r.Machine),
+		AllowStarts: stale < tuning.StoreStaleAfter && n.mayStartOn(r.Machine),
 		Now:         now,
-		AwaitCall:   !n.recovery.Done(),
+		AwaitCall:   !n.recoveryProgress.Done(),
 		AdmitStart:  n.admitStart,
 	})
 	if commands == nil {
@@ -79,42 +79,42 @@
 	return 200, wire.HeartbeatResponse{FencingToken: w.FencingToken, Commands: commands}
 }
 
-// token is the highest token that this node has used for a machine; mu is held.
-func (n *Node) token(host string) uint64 {
+// workerToken is the highest token that this node has used for a machine; mu is held.
+func (n *Controller) workerToken(host string) uint64 {
 	if w := n.workers[host]; w != nil {
-		return max(w.FencingToken, n.member.FencingToken)
+		return max(w.FencingToken, n.membership.FencingToken)
 	}
-	return n.member.FencingToken
+	return n.membership.FencingToken
 }
 
-// startable reports whether stored claims on a machine may be started: it is
+// mayStartOn reports whether stored claims on a machine may be started: it is
 // not known to be gone; mu is held.
-func (n *Node) startable(host string) bool {
-	rec, ok := n.reg.Machines[host]
+func (n *Controller) mayStartOn(host string) bool {
+	rec, ok := n.inventory.Machines[host]
 	return ok && rec.Phase != fleet.Terminated
 }
 
-func (n *Node) worker(host string) *fleet.Worker {
+func (n *Controller) worker(host string) *fleet.Worker {
 	w := n.workers[host]
 	if w == nil {
 		w = fleet.NewWorker(host)
-		w.Images = n.held[host]
+		w.Images = n.inheritedImages[host]
 		n.workers[host] = w
-		n.view.touch(host)
+		n.machineIndex.markChanged(host)
 	}
 	return w
 }
 
-// observe enters a report and what follows from it; mu is held.
-func (n *Node) observe(w *fleet.Worker, r *wire.Heartbeat, now time.Time) {
+// applyHeartbeat enters a report and what follows from it; mu is held.
+func (n *Controller) applyHeartbeat(w *fleet.Worker, r *wire.Heartbeat, now time.Time) {
 	before := make(map[jobs.TaskID]string, len(w.Tasks))
 	for id, s := range w.Tasks {
 		before[id] = s.State
 	}
-	if !w.ApplyHeartbeat(r, n.member.FencingToken, now) {
+	if !w.ApplyHeartbeat(r, n.membership.FencingToken, now) {
 		return
 	}
-	n.view.touch(w.Machine)
+	n.machineIndex.markChanged(w.Machine)
 	for id, s := range w.Tasks {
 		j := n.table.Jobs[id.Job]
 		if before[id] != s.State {
@@ -128,7 +128,7 @@
 			if before[id] != s.State {
 				// Once a start. Guards against an order of use that changes with
 				// each report: siblings were told of every machine all the time.
-				n.imageGB[j.Record.Spec.Image] = j.Record.Spec.ImageGB
+				n.imageSizes[j.Record.Spec.Image] = j.Record.Spec.ImageGB
 				w.RecordImage(j.Record.Spec.Image, n.imageSize, n.machineTypes[w.MachineType].LocalGB)
 			}
 		case wire.TaskExited:
@@ -137,7 +137,7 @@
 				clear(w.FailedJobs)
 			case wire.ExitCauseError:
 				w.FailedJobs[id.Job] = true
-				n.failing[w.Machine] = w
+				n.failingWorkers[w.Machine] = w
 			case wire.ExitCauseNoRoom:
 				w.LastRefusal = now
 			}
@@ -157,26 +157,28 @@
 
 // stopTask notes that a task is wanted off one of this node's machines; mu is
 // held.
-func (n *Node) stopTask(w *fleet.Worker, id jobs.TaskID) {
+func (n *Controller) stopTask(w *fleet.Worker, id jobs.TaskID) {
 	w.RequestStop(id)
-	n.view.touch(w.Machine)
+	n.machineIndex.markChanged(w.Machine)
 }
 
 // imageSize is the size of an image in GB, as the last job that uses it says;
 // mu is held.
-func (n *Node) imageSize(image string) float64 { return n.imageGB[image] }
+func (n *Controller) imageSize(image string) float64 { return n.imageSizes[image] }
 
-// caller sends direct commands to workers.
-type caller interface {
-	commands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error)
-	show(address string) error
+// workerClient sends direct commands to workers.
+type workerClient interface {
+	sendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error)
+	probe(address string) error
 }
 
-type workerCaller struct{ hc *fasthttp.Client }
+type httpWorkerClient struct{ hc *fasthttp.Client }
 
-func newWorkerCaller() *workerCaller { return &workerCaller{httpc.Many(tuning.WorkerConns)} }
+func newHTTPWorkerClient() *httpWorkerClient {
+	return &httpWorkerClient{httpc.Many(tuning.WorkerConns)}
+}
 
-func (w *workerCaller) commands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error) {
+func (w *httpWorkerClient) sendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error) {
 	status, body, err := httpc.Do(w.hc, "POST", address, "/commands", wire.MustMarshal(cmd), tuning.WorkerCallTimeout)
 	if err != nil {
 		return 0, nil, err
@@ -191,7 +193,7 @@
 	return status, &r, nil
 }
 
-func (w *workerCaller) show(address string) error {
+func (w *httpWorkerClient) probe(address string) error {
 	status, _, err := httpc.Do(w.hc, "GET", address, "/show", nil, tuning.WorkerCallTimeout)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("worker answered %d", status)
@@ -199,28 +201,28 @@
 	return err
 }
 
-// direct sends a worker what it should not wait a report interval for: starts,
+// sendDirectCommands sends a worker what it should not wait a report interval for: starts,
 // kills, and our token if it has not shown it; mu is held.
-func (n *Node) direct(w *fleet.Worker, now time.Time) {
-	if w.NoPendingCommands && w.State == fleet.TokenAcknowledged && !w.Unresponsive && w.FencingToken <= max(w.AcknowledgedToken, n.member.FencingToken) {
+func (n *Controller) sendDirectCommands(w *fleet.Worker, now time.Time) {
+	if w.NoPendingCommands && w.State == fleet.TokenAcknowledged && !w.Unresponsive && w.FencingToken <= max(w.AcknowledgedToken, n.membership.FencingToken) {
 		return // nothing has changed, and there is nothing to ask
 	}
-	if w.CallInFlight || w.Address == "" || w.State == fleet.LeaseExpired || !n.hasState() {
+	if w.CallInFlight || w.Address == "" || w.State == fleet.LeaseExpired || !n.hasStore() {
 		return
 	}
-	if !n.recovery.Done() && len(n.calls) >= cap(n.calls)*3/4 {
+	if !n.recoveryProgress.Done() && len(n.callSlots) >= cap(n.callSlots)*3/4 {
 		return // guards against starts that are taken from the rate and can't go
 	}
 	var commands []wire.Command
-	silent := now.Sub(w.LastHeard) >= n.silentAfter()
+	silent := now.Sub(w.LastHeard) >= n.silenceTimeout()
 	if !w.NoPendingCommands && w.Incarnation > 0 {
 		w.NoPendingCommands = true
 		due, postponed := w.Commands(n.table.ClaimsByMachine[w.Machine], fleet.CommandOptions{
 			Channel:     fleet.DirectCall,
-			AllowStarts: n.startable(w.Machine) && !silent,
+			AllowStarts: n.mayStartOn(w.Machine) && !silent,
 			Now:         now,
-			ResendAfter: n.set.Report(),
-			RepeatAfter: n.set.Report() * 3 / 2,
+			ResendAfter: n.settings.Report(),
+			RepeatAfter: n.settings.Report() * 3 / 2,
 			AdmitStart:  n.admitStart,
 		})
 		if postponed {
@@ -234,34 +236,34 @@
 				continue // it may only be unable to reach us, and run what was cancelled
 			}
 			w.NoPendingCommands = false
-			if now.Sub(w.SentCommands[fleet.KeyOf(o)]) > n.set.Report() {
+			if now.Sub(w.SentCommands[fleet.KeyOf(o)]) > n.settings.Report() {
 				commands = append(commands, o)
 			}
 		}
 	}
-	greet := w.State == fleet.TokenUnacknowledged && now.Sub(w.LastHeard) > n.set.Report()*5/4 && now.Sub(n.raisedAt) > time.Second/2
+	greet := w.State == fleet.TokenUnacknowledged && now.Sub(w.LastHeard) > n.settings.Report()*5/4 && now.Sub(n.membershipChangedAt) > time.Second/2
 	greet = greet || w.Unresponsive && now.Sub(w.LastCall) > tuning.UnresponsivePause
 	// A raised token that the worker has not seen: the sooner it shows it, the
 	// sooner the starts below it are void.
-	greet = greet || w.State == fleet.TokenAcknowledged && w.FencingToken > max(w.AcknowledgedToken, n.member.FencingToken)
+	greet = greet || w.State == fleet.TokenAcknowledged && w.FencingToken > max(w.AcknowledgedToken, n.membership.FencingToken)
 	if len(commands) == 0 && !greet || len(commands) == 0 && now.Sub(w.LastCall) < tuning.TokenAnnouncePause {
 		return
 	}
 	// Kills go before starts, and those before calls that only ask: each call to
 	// a machine that hangs holds its place for two seconds.
-	room := cap(n.calls)
+	room := cap(n.callSlots)
 	switch {
 	case len(commands) == 0, silent:
 		room /= 2
 	case !slices.ContainsFunc(commands, func(o wire.Command) bool { return o.Verb == wire.VerbKill }):
 		room -= room / 4
 	}
-	if len(n.calls) >= room {
+	if len(n.callSlots) >= room {
 		return // the buffer of direct calls is full; the next report carries them
 	}
-	n.calls <- struct{}{} // filled with mu held only
+	n.callSlots <- struct{}{} // filled with mu held only
 	for c, at := range w.SentCommands {
-		if now.Sub(at) > 10*n.set.Report() {
+		if now.Sub(at) > 10*n.settings.Report() {
 			delete(w.SentCommands, c)
 		}
 	}
@@ -269,7 +271,7 @@
 		w.SentCommands[fleet.KeyOf(o)] = now
 	}
 	starts := fleet.StartedAttempts(commands)
-	w.FencingToken = max(w.FencingToken, n.member.FencingToken)
+	w.FencingToken = max(w.FencingToken, n.membership.FencingToken)
 	w.StartsSent(starts, w.FencingToken)
 	w.LastCall, w.CallInFlight = now, true
 	if commands == nil {
@@ -278,9 +280,9 @@
 	go n.callWorker(w, w.Address, wire.CommandRequest{FencingToken: w.FencingToken, Incarnation: max(w.Incarnation, 1), Commands: commands}, starts)
 }
 
-func (n *Node) callWorker(w *fleet.Worker, address string, cmd wire.CommandRequest, starts []fleet.Attempt) {
-	defer func() { <-n.calls }()
-	_, r, err := n.call.commands(address, cmd)
+func (n *Controller) callWorker(w *fleet.Worker, address string, cmd wire.CommandRequest, starts []fleet.Attempt) {
+	defer func() { <-n.callSlots }()
+	_, r, err := n.workerClient.sendCommands(address, cmd)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	w.CallInFlight = false
@@ -291,23 +293,23 @@
 	}
 	w.StartsAnswered(starts, cmd.FencingToken, r.Incarnation, r.Sequence)
 	w.CallAnswered()
-	if n.workers[w.Machine] == w && r.Machine == w.Machine && n.entitled() && r.FencingToken <= n.token(w.Machine) {
-		n.observe(w, r, n.now())
+	if n.workers[w.Machine] == w && r.Machine == w.Machine && n.isMember() && r.FencingToken <= n.workerToken(w.Machine) {
+		n.applyHeartbeat(w, r, n.now())
 	}
 	wake(n.passWake)
 }
 
-// invalidateHeldStarts makes void what may yet start tasks of cancelled jobs on
+// fencePendingStarts makes void what may yet start tasks of cancelled jobs on
 // a machine: a start whose call was not answered may be held in the network or
 // by a machine that hangs. The machine's token is raised, which costs nobody
 // else anything; once the machine shows it, the start is dead and its claim is
 // released. mu is held.
-func (n *Node) invalidateHeldStarts(w *fleet.Worker) {
+func (n *Controller) fencePendingStarts(w *fleet.Worker) {
 	if w.CallInFlight {
 		return // its answer may come yet
 	}
 	for _, a := range w.ClaimsBlockedByStarts(n.table.ClaimsByMachine[w.Machine]) {
-		if w.FencePendingStarts(n.member.LastToken()) {
+		if w.FencePendingStarts(n.membership.LastToken()) {
 			n.log.Debug("start made void", "task", a.ID, "try", a.Number, "host", w.Machine, "token", w.FencingToken)
 		}
 	}
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -63,7 +63,7 @@
 }
 
 // process is a node as the daemon runs it.
-type process struct{ *server.Node }
+type process struct{ *server.Controller }
 
 // Reload does nothing: a test's settings do not change.
 func (process) Reload() error { return nil }
