--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -220,15 +220,15 @@
 	return l
 }
 
-// Lease returns the workers' lease.
-func (s *Settings) Lease() time.Duration { return Seconds(s.Params.Workers.LeaseS) }
+// WorkerLease returns the workers' lease.
+func (s *Settings) WorkerLease() time.Duration { return Seconds(s.Params.Workers.LeaseS) }
 
-// Report returns the workers' report interval.
-func (s *Settings) Report() time.Duration { return Seconds(s.Params.Workers.ReportS) }
+// HeartbeatInterval returns the workers' report interval.
+func (s *Settings) HeartbeatInterval() time.Duration { return Seconds(s.Params.Workers.ReportS) }
 
-// AnswerBound is how long after its last fresh read a node may go on answering
+// RenewalBound is how long after its last fresh read a node may go on answering
 // workers with 200: the leases that it renews must end before cancel_s.
-func (s *Settings) AnswerBound() time.Duration {
+func (s *Settings) RenewalBound() time.Duration {
 	d := Seconds(s.Params.Workers.CancelS-s.Params.Workers.LeaseS*tuning.DriftFactor) - tuning.CancelMargin
 	return max(d, 0)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -43,7 +43,7 @@
 
 func TestSettingsAreCheckedAndTheFieldIsNamed(t *testing.T) {
 	s, err := Parse([]byte(good))
-	if err != nil || s.Siblings[0].Label != "n1" || s.Lease() != 30*time.Second {
+	if err != nil || s.Siblings[0].Label != "n1" || s.WorkerLease() != 30*time.Second {
 		t.Fatalf("%+v %v", s, err)
 	}
 	for from, c := range map[string][2]string{
@@ -122,11 +122,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b := s.AnswerBound(); b <= 0 || b+s.Lease() >= 60*time.Second {
+	if b := s.RenewalBound(); b <= 0 || b+s.WorkerLease() >= 60*time.Second {
 		t.Fatalf("bound %v", b)
 	}
 	s.Params.Workers.CancelS = 31
-	if s.AnswerBound() != 0 {
+	if s.RenewalBound() != 0 {
 		t.Fatal("a bound below zero")
 	}
 }
--- a/internal/server/fakes_test.go
+++ b/internal/server/fakes_test.go
@@ -77,7 +77,7 @@
 	return a.Store.List(ctx, prefix, after)
 }
 
-func (a *access) Multi(ctx context.Context, c store.Class, guards []wire.Compare, then []wire.Operation) (uint64, error) {
+func (a *access) CompareAndSwap(ctx context.Context, c store.Class, guards []wire.Compare, then []wire.Operation) (uint64, error) {
 	a.mu.Lock()
 	if a.refuse {
 		a.mu.Unlock()
--- a/internal/server/meetings_test.go
+++ b/internal/server/meetings_test.go
@@ -142,7 +142,7 @@
 					}
 					// Not later than if all had attested up to the confirmation, not
 					// long before what its own node's last read allows.
-					bound := owner.settings.AnswerBound() + lease
+					bound := owner.settings.RenewalBound() + lease
 					if over := m.sessions[0].at.Sub(x.confirmed["wk-1"]); over > bound+2*time.Second {
 						t.Errorf("the lease of %s ended %v after the confirmation, its bound is %v", m.Host, over, bound)
 					}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -392,7 +392,7 @@
 // runProbes asks workers, while this node is unreachable, whether they reach it again.
 func (n *Controller) runProbes(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, n.settings.Report())
+		sleep(ctx, n.settings.HeartbeatInterval())
 		n.mu.Lock()
 		var ask []string
 		if n.unreachable[n.self.Label] {
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -300,7 +300,7 @@
 
 // silenceTimeout is how long after its last message a machine counts as silent.
 func (n *Controller) silenceTimeout() time.Duration {
-	return time.Duration(tuning.SilentHeartbeats * float64(n.settings.Report()))
+	return time.Duration(tuning.SilentHeartbeats * float64(n.settings.HeartbeatInterval()))
 }
 
 // isQuarantined reports whether a machine should get no tasks for now.
--- a/internal/server/pass.go
+++ b/internal/server/pass.go
@@ -160,7 +160,7 @@
 		if n.shardOwner(host) == n.self.Label {
 			n.fencePendingStarts(w)
 			n.sendDirectCommands(w, now)
-		} else if n.inventory.KeyOf(host) == "" && now.Sub(w.LastHeard) > 2*n.settings.Lease() {
+		} else if n.inventory.KeyOf(host) == "" && now.Sub(w.LastHeard) > 2*n.settings.WorkerLease() {
 			delete(n.workers, host)
 		}
 	}
--- a/internal/server/planinput.go
+++ b/internal/server/planinput.go
@@ -69,7 +69,7 @@
 		controller:  n,
 		leaderState: l,
 		now:         now,
-		lease:       time.Duration(float64(n.settings.Lease())*tuning.DriftFactor) + tuning.LeaseMargin,
+		lease:       time.Duration(float64(n.settings.WorkerLease())*tuning.DriftFactor) + tuning.LeaseMargin,
 		sinceHeard:  n.lastHeardByOwners(now),
 		drainable:   n.drainable(machines),
 		batch:       map[string]*batchClassLoad{},
@@ -123,7 +123,7 @@
 func (b *planBuilder) describeMachine(m *place.Machine, phase fleet.Phase) fleet.Machine {
 	_, wasUp := b.leaderState.lastHeard[m.Name]
 	quiet := b.silentFor(m.Name)
-	missing := time.Duration(tuning.MissingHeartbeats * float64(b.controller.settings.Report()))
+	missing := time.Duration(tuning.MissingHeartbeats * float64(b.controller.settings.HeartbeatInterval()))
 	unit := fleet.Machine{
 		Name:             m.Name,
 		Kind:             fleet.MachineKind{MachineType: m.Type, Zone: m.Zone, Spot: m.Spot},
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -35,8 +35,8 @@
 		n.recoveryEvent(recovery.Accounted, now)
 	}
 	// Starts that can't be sent for a lease are none that a rate would help.
-	late := r.Phase == recovery.CatchingUp && now.Sub(r.Since) > n.settings.Lease()
-	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietHeartbeats*float64(n.settings.Report()))) {
+	late := r.Phase == recovery.CatchingUp && now.Sub(r.Since) > n.settings.WorkerLease()
+	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietHeartbeats*float64(n.settings.HeartbeatInterval()))) {
 		n.recoveryEvent(recovery.CaughtUp, now)
 	}
 }
@@ -55,7 +55,7 @@
 func (n *Controller) countMachines(now time.Time) (count recovery.Count, left recovery.Backlog) {
 	count = recovery.Count{}
 	waited := now.Sub(n.recoveryProgress.Began)
-	patience := time.Duration(tuning.RecoveryHeartbeats * float64(n.settings.Report()))
+	patience := time.Duration(tuning.RecoveryHeartbeats * float64(n.settings.HeartbeatInterval()))
 	for host, rec := range n.inventory.Machines {
 		if rec.Phase == fleet.Terminated || n.shardOwner(host) != n.self.Label {
 			continue
--- a/internal/server/releases.go
+++ b/internal/server/releases.go
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	lease := n.settings.Lease()
+	lease := n.settings.WorkerLease()
 	for host, w := range workers {
 		if w.NothingToReconcile(now, lease) || n.shardOwner(host) != n.self.Label || n.inventory.Machines[host].Phase == fleet.Terminated {
 			continue
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -237,11 +237,11 @@
 	if o := commandsOf(t, 200, body); len(o) != 0 {
 		t.Fatalf("orders without the state service: %v", o)
 	}
-	w.clk.add(n.settings.AnswerBound() - tuning.StoreStaleAfter)
+	w.clk.add(n.settings.RenewalBound() - tuning.StoreStaleAfter)
 	if code, _ := n.take(w.report("h1", 1, n.membershipToken())); code == 200 {
 		t.Fatal("200 after the bound")
 	}
-	if last := n.settings.AnswerBound() + lease; last >= cancel {
+	if last := n.settings.RenewalBound() + lease; last >= cancel {
 		t.Fatalf("a lease may last %v after the last read, a cancellation has %v", last, cancel)
 	}
 }
--- a/internal/server/session_test.go
+++ b/internal/server/session_test.go
@@ -20,16 +20,16 @@
 	release chan struct{}
 }
 
-func (s *stuck) Multi(ctx context.Context, class store.Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
+func (s *stuck) CompareAndSwap(ctx context.Context, class store.Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
 	s.writes.Add(1)
 	select {
 	case <-s.release:
 	case <-ctx.Done():
 	}
-	return s.access.Multi(ctx, class, guards, changes)
+	return s.access.CompareAndSwap(ctx, class, guards, changes)
 }
 
-func (s *stuck) Touch(ctx context.Context, id uint64) error {
+func (s *stuck) RenewLease(ctx context.Context, id uint64) error {
 	s.renewed.Add(1)
 	return s.access.RenewLease(ctx, id)
 }
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -39,7 +39,7 @@
 	fmt.Fprintf(&b, "node %s version %s session %s state_service %v\n", n.self.Label, tuning.Version, n.session, n.hasStore())
 	if at := n.cancellationsKnownUntil(); !at.IsZero() {
 		// What an outage is survived by: it stays short while all siblings attest.
-		fmt.Fprintf(&b, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", n.now().Sub(at).Seconds(), n.settings.AnswerBound().Seconds())
+		fmt.Fprintf(&b, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", n.now().Sub(at).Seconds(), n.settings.RenewalBound().Seconds())
 	}
 	if n.membership != nil {
 		fmt.Fprintf(&b, "membership token %d leader %s nodes", n.membership.FencingToken, n.membership.Leader.Label)
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -45,7 +45,7 @@
 		return 503, wire.ErrorResponse{Error: "superseded"}
 	}
 	stale := now.Sub(n.syncer.LastReadAt())
-	if now.Sub(n.cancellationsKnownUntil()) > n.settings.AnswerBound() || stale > tuning.StoreStaleAfter && n.isFencedOut() {
+	if now.Sub(n.cancellationsKnownUntil()) > n.settings.RenewalBound() || stale > tuning.StoreStaleAfter && n.isFencedOut() {
 		// Leases that this node renews must end before a cancellation that it
 		// can't read is due.
 		return 421, wire.Redirect{}
@@ -221,8 +221,8 @@
 			Channel:     fleet.DirectCall,
 			AllowStarts: n.mayStartOn(w.Machine) && !silent,
 			Now:         now,
-			ResendAfter: n.settings.Report(),
-			RepeatAfter: n.settings.Report() * 3 / 2,
+			ResendAfter: n.settings.HeartbeatInterval(),
+			RepeatAfter: n.settings.HeartbeatInterval() * 3 / 2,
 			AdmitStart:  n.admitStart,
 		})
 		if postponed {
@@ -236,12 +236,12 @@
 				continue // it may only be unable to reach us, and run what was cancelled
 			}
 			w.NoPendingCommands = false
-			if now.Sub(w.SentCommands[fleet.KeyOf(o)]) > n.settings.Report() {
+			if now.Sub(w.SentCommands[fleet.KeyOf(o)]) > n.settings.HeartbeatInterval() {
 				commands = append(commands, o)
 			}
 		}
 	}
-	greet := w.State == fleet.TokenUnacknowledged && now.Sub(w.LastHeard) > n.settings.Report()*5/4 && now.Sub(n.membershipChangedAt) > time.Second/2
+	greet := w.State == fleet.TokenUnacknowledged && now.Sub(w.LastHeard) > n.settings.HeartbeatInterval()*5/4 && now.Sub(n.membershipChangedAt) > time.Second/2
 	greet = greet || w.Unresponsive && now.Sub(w.LastCall) > tuning.UnresponsivePause
 	// A raised token that the worker has not seen: the sooner it shows it, the
 	// sooner the starts below it are void.
@@ -263,7 +263,7 @@
 	}
 	n.callSlots <- struct{}{} // filled with mu held only
 	for c, at := range w.SentCommands {
-		if now.Sub(at) > 10*n.settings.Report() {
+		if now.Sub(at) > 10*n.settings.HeartbeatInterval() {
 			delete(w.SentCommands, c)
 		}
 	}
