--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/cobra"
 
 	"wheatspur/internal/config"
+	"wheatspur/internal/controller"
 	"wheatspur/internal/daemon"
-	"wheatspur/internal/server"
 	"wheatspur/internal/tuning"
 )
 
@@ -69,16 +69,16 @@
 	return cmd
 }
 
-// controller is a node as the daemon runs it.
-type controller struct {
-	*server.Controller
+// process is a controller as the daemon runs it.
+type process struct {
+	*controller.Controller
 	set   *config.Settings
 	props string         // the operators' properties file
 	level *slog.LevelVar // of the log
 }
 
 // Reload takes over what a running process can of a changed properties file.
-func (c *controller) Reload() error {
+func (c *process) Reload() error {
 	next, err := config.LoadOperator(c.props)
 	if err != nil {
 		return err
@@ -110,7 +110,7 @@
 	// With that limit, garbage may pile up to several times the live memory
 	// before it is collected: processor time is scarcer than memory here.
 	debug.SetGCPercent(tuning.GCPercent)
-	node := &controller{server.New(set, log), set, props, &level}
+	node := &process{controller.New(set, log), set, props, &level}
 	return daemon.Run(node, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.HostManager{Log: log}})
 }
 
--- a/internal/fleet/plan.go
+++ b/internal/autoscale/plan.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscale
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 
 	"wheatspur/internal/config"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -39,7 +39,7 @@
 type Machine struct {
 	Name             string
 	Kind             MachineKind
-	Role             place.Role
+	Role             placement.Role
 	Schedulable      bool          // takes tasks now
 	Booting          bool          // not up yet
 	Age              time.Duration // since it was rented or first listed
@@ -99,13 +99,13 @@
 
 	// ActiveRoles says which roles have had work lately; the others need neither
 	// floor nor headroom.
-	ActiveRoles map[place.Role]bool
+	ActiveRoles map[placement.Role]bool
 }
 
 // ScaleOut is a number of machines to rent for a role.
 type ScaleOut struct {
 	Kind   MachineKind
-	Role   place.Role
+	Role   placement.Role
 	Count  int
 	Reason string
 }
@@ -130,7 +130,7 @@
 // bin is the room of a machine, one that there is or a planned one.
 type bin struct {
 	kind        MachineKind
-	role        place.Role
+	role        placement.Role
 	free        jobs.Resources
 	schedulable bool   // takes tasks now
 	name        string // "" for a planned one
@@ -150,7 +150,7 @@
 // zoneRole is what machines are spread over zones by.
 type zoneRole struct {
 	zone string
-	role place.Role
+	role placement.Role
 }
 
 // Plan decides what to rent and what to give back. It is pure, but for
@@ -158,9 +158,9 @@
 func Plan(in Input) Output {
 	p := newPlanner(in)
 	unmet := p.coverDemands()
-	p.headroom(place.Service, in.Service, in.Operator.ServiceHeadroom)
-	p.headroom(place.Batch, in.Batch, in.Operator.BatchHeadroom)
-	p.headroom(place.Batch, in.OnDemand, in.Operator.BatchHeadroom)
+	p.headroom(placement.Service, in.Service, in.Operator.ServiceHeadroom)
+	p.headroom(placement.Batch, in.Batch, in.Operator.BatchHeadroom)
+	p.headroom(placement.Batch, in.OnDemand, in.Operator.BatchHeadroom)
 	return Output{
 		ScaleOut: p.sortedScaleOut(),
 		ScaleIn:  p.scaleIn(unmet),
@@ -196,8 +196,8 @@
 
 // coverDemands plans room for the tasks without a place, and returns the roles
 // of those for which a place was looked for.
-func (p *planner) coverDemands() map[place.Role]bool {
-	unmet := map[place.Role]bool{}
+func (p *planner) coverDemands() map[placement.Role]bool {
+	unmet := map[placement.Role]bool{}
 	for _, w := range p.input.Demands {
 		p.cover(w.Job, w.Count, !w.NotScheduledYet, w.Waiting, reasonUnplaced)
 		if !w.NotScheduledYet {
@@ -218,7 +218,7 @@
 	sort.Slice(rentals, func(a, b int) bool {
 		x, y := rentals[a], rentals[b]
 		if x.Role != y.Role {
-			return x.Role == place.Service
+			return x.Role == placement.Service
 		}
 		if x.Kind.Zone != y.Kind.Zone {
 			return x.Kind.Zone < y.Kind.Zone
@@ -270,16 +270,16 @@
 }
 
 // eligible reports whether the job may use machines of the kind in the role.
-func eligible(j *jobs.Job, k MachineKind, role place.Role) bool {
-	return place.Eligible(j, &place.Machine{Type: k.MachineType, Zone: k.Zone, Spot: k.Spot, Role: role})
+func eligible(j *jobs.Job, k MachineKind, role placement.Role) bool {
+	return placement.Eligible(j, &placement.Machine{Type: k.MachineType, Zone: k.Zone, Spot: k.Spot, Role: role})
 }
 
 // roleOf is the role of the machines that run the job's tasks.
-func roleOf(j *jobs.Job) place.Role {
+func roleOf(j *jobs.Job) placement.Role {
 	if j.Service() {
-		return place.Service
+		return placement.Service
 	}
-	return place.Batch
+	return placement.Batch
 }
 
 func (p *planner) addBin(b *bin) {
@@ -394,15 +394,15 @@
 	if at, refused := p.input.NoCapacitySince[kind]; refused && p.input.Now.Sub(at) < tuning.NoCapacityPause {
 		return false
 	}
-	spotFirst := role == place.Batch && j.Record.Spec.Spot && waiting < tuning.OnDemandBatchAfter
+	spotFirst := role == placement.Batch && j.Record.Spec.Spot && waiting < tuning.OnDemandBatchAfter
 	return kind.Spot || !spotFirst
 }
 
 // zoneCount is the number of machines of the role in the kind's zone. Batch
 // work fills one call before the next, so a call that has begun goes first.
-func (p *planner) zoneCount(kind MachineKind, role place.Role) int {
+func (p *planner) zoneCount(kind MachineKind, role placement.Role) int {
 	planned := p.scaleOut[ScaleOut{Kind: kind, Role: role}]
-	if role == place.Batch && planned%tuning.ScaleOutMax > 0 {
+	if role == placement.Batch && planned%tuning.ScaleOutMax > 0 {
 		return -1
 	}
 	return p.zoneCounts[zoneRole{kind.Zone, role}]
@@ -438,7 +438,7 @@
 
 // headroom plans room for tasks that are yet to come, and for some of the
 // machines that are booting to come late.
-func (p *planner) headroom(role place.Role, l Load, share float64) {
+func (p *planner) headroom(role placement.Role, l Load, share float64) {
 	if !p.input.ActiveRoles[role] {
 		return
 	}
@@ -511,7 +511,7 @@
 // the service tasks that would have to move. Batch tasks end where they are.
 func (r *rooms) spares(u Machine) bool {
 	need := r.need
-	if u.Role == place.Service {
+	if u.Role == placement.Service {
 		need += u.Claims
 	}
 	if need == 0 {
@@ -523,7 +523,7 @@
 // leave takes a machine that is given back out of the room.
 func (r *rooms) leave(u Machine) {
 	r.all -= r.of[u.Name]
-	if u.Role == place.Service {
+	if u.Role == placement.Service {
 		r.need += u.Claims
 	}
 	r.of[u.Name] = 0
--- a/internal/fleet/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscale
 
 import (
 	"testing"
@@ -6,11 +6,13 @@
 
 	"wheatspur/internal/config"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
 
+var t0 = time.Unix(1000, 0)
+
 var types = []wire.MachineType{
 	{Label: "big", CPUs: 16, GPUs: 8, RAMGB: 128, Price: 8, SpotPrice: 2, StartupS: 40, Zones: []string{"z1", "z2"}},
 	{Label: "dear", CPUs: 16, GPUs: 8, RAMGB: 128, Price: 16, SpotPrice: 6, StartupS: 40, Zones: []string{"z1"}},
@@ -25,10 +27,10 @@
 	op := config.DefaultOperator()
 	op.ServiceHeadroom, op.BatchHeadroom = 0, 0
 	return Input{Now: t0, Operator: op, Types: types, NoCapacitySince: map[MachineKind]time.Time{}, SurplusSince: map[string]time.Time{},
-		ActiveRoles: map[place.Role]bool{place.Batch: true, place.Service: true}}
+		ActiveRoles: map[placement.Role]bool{placement.Batch: true, placement.Service: true}}
 }
 
-func unit(name string, role place.Role, spot bool) Machine {
+func unit(name string, role placement.Role, spot bool) Machine {
 	return Machine{Name: name, Kind: MachineKind{"big", "z1", spot}, Role: role, Schedulable: true, Free: total(types[0]), Idle: time.Hour}
 }
 
@@ -39,7 +41,7 @@
 	n := 0
 	for _, h := range out.ScaleOut {
 		n += h.Count
-		if !h.Kind.Spot || h.Kind.MachineType != "big" || h.Role != place.Batch {
+		if !h.Kind.Spot || h.Kind.MachineType != "big" || h.Role != placement.Batch {
 			t.Fatalf("rented %+v", h)
 		}
 	}
@@ -66,14 +68,14 @@
 func TestServicesGetOrdinaryMachinesOfTheirRole(t *testing.T) {
 	in := input()
 	in.Demands = []Demand{want(wire.KindService, 3)}
-	boot := unit("b", place.Batch, false)
+	boot := unit("b", placement.Batch, false)
 	boot.Schedulable, boot.Booting = false, true
 	in.Machines = []Machine{boot}
 	out := Plan(in)
-	if len(out.ScaleOut) != 1 || out.ScaleOut[0].Kind.Spot || out.ScaleOut[0].Role != place.Service {
+	if len(out.ScaleOut) != 1 || out.ScaleOut[0].Kind.Spot || out.ScaleOut[0].Role != placement.Service {
 		t.Fatalf("%+v", out.ScaleOut)
 	}
-	boot.Role = place.Service
+	boot.Role = placement.Service
 	in.Machines = []Machine{boot}
 	if out = Plan(in); len(out.ScaleOut) != 0 {
 		t.Fatalf("rented beside a machine that boots for it: %+v", out.ScaleOut)
@@ -84,7 +86,7 @@
 func TestALateBootIsReplacedBeforeItIsGivenUp(t *testing.T) {
 	in := input()
 	in.Demands = []Demand{want(wire.KindService, 3)}
-	late := unit("late", place.Service, false)
+	late := unit("late", placement.Service, false)
 	late.Schedulable, late.Booting, late.Age = false, true, 59*time.Second
 	in.Machines = []Machine{late}
 	if out := Plan(in); len(out.ScaleOut) != 0 {
@@ -98,10 +100,10 @@
 
 func TestReturnsWhatIsOfNoUseAndKeepsFloorsAndHeadroom(t *testing.T) {
 	in := input()
-	slow := Machine{Name: "slow", Kind: MachineKind{"big", "z1", true}, Role: place.Batch, Booting: true, Age: 101 * time.Second}
-	missing, silent, suspect := unit("missing", place.Batch, true), unit("silent", place.Batch, true), unit("suspect", place.Batch, true)
+	slow := Machine{Name: "slow", Kind: MachineKind{"big", "z1", true}, Role: placement.Batch, Booting: true, Age: 101 * time.Second}
+	missing, silent, suspect := unit("missing", placement.Batch, true), unit("silent", placement.Batch, true), unit("suspect", placement.Batch, true)
 	missing.Missing, silent.Silent, suspect.Quarantined = true, true, true
-	in.Machines = []Machine{slow, missing, silent, suspect, unit("s1", place.Service, false), unit("b1", place.Batch, false)}
+	in.Machines = []Machine{slow, missing, silent, suspect, unit("s1", placement.Service, false), unit("b1", placement.Batch, false)}
 	got := map[string]string{}
 	for _, d := range Plan(in).ScaleIn {
 		got[d.Machine] = d.Reason
@@ -111,7 +113,7 @@
 	}
 
 	in = input()
-	in.Machines = []Machine{unit("s1", place.Service, false), unit("s2", place.Service, false)}
+	in.Machines = []Machine{unit("s1", placement.Service, false), unit("s2", placement.Service, false)}
 	w := want(wire.KindService, 1)
 	in.Service = Load{Tasks: 4, Need: w.Job.Need, Spec: w.Job.Record.Spec}
 	if d := Plan(in).ScaleIn; len(d) != 1 || d[0].Reason != ReasonIdle {
@@ -126,7 +128,7 @@
 // Half-empty machines stayed to the end of the day.
 func TestABusyMachineIsSparedOnlyAfterAWhileAndOneAtATime(t *testing.T) {
 	in := input()
-	a, b, c := unit("a", place.Service, false), unit("b", place.Service, false), unit("c", place.Service, false)
+	a, b, c := unit("a", placement.Service, false), unit("b", placement.Service, false), unit("c", placement.Service, false)
 	for _, u := range []*Machine{&a, &b, &c} {
 		u.Claims, u.Movable, u.Free.GPUs = 2, true, 6
 	}
@@ -150,7 +152,7 @@
 func TestRolesWithoutWorkKeepNothing(t *testing.T) {
 	in := input()
 	in.Operator.BatchHeadroom = 0.25
-	in.Machines = []Machine{unit("s1", place.Service, false), unit("b1", place.Batch, false)}
+	in.Machines = []Machine{unit("s1", placement.Service, false), unit("b1", placement.Batch, false)}
 	w := want(wire.KindArray, 1)
 	in.Batch = Load{Tasks: 0.01, Need: w.Job.Need, Spec: w.Job.Record.Spec}
 	if d := Plan(in).ScaleIn; len(d) != 0 {
@@ -177,7 +179,7 @@
 // rented for what they hold, and the rest is not left for later.
 func TestWorkWithoutATurnIsRentedForBeyondTheFreeRoom(t *testing.T) {
 	in := input()
-	in.Machines = []Machine{unit("a", place.Batch, true), unit("b", place.Batch, true)}
+	in.Machines = []Machine{unit("a", placement.Batch, true), unit("b", placement.Batch, true)}
 	w := want(wire.KindArray, 20)
 	w.NotScheduledYet = true
 	in.Demands = []Demand{w}
@@ -195,7 +197,7 @@
 func TestOrdinaryMachinesAreNotKeptForTheHeadroomOfWorkThatMayUseSpot(t *testing.T) {
 	in := input()
 	in.Operator.BatchHeadroom = 0.5
-	in.Machines = []Machine{unit("a", place.Batch, false), unit("b", place.Batch, false)}
+	in.Machines = []Machine{unit("a", placement.Batch, false), unit("b", placement.Batch, false)}
 	in.Batch = Load{Tasks: 100, Need: want(wire.KindArray, 1).Job.Need, Spec: want(wire.KindArray, 1).Job.Record.Spec}
 	for _, z := range []string{"z1", "z2"} {
 		in.NoCapacitySince[MachineKind{"big", z, true}] = t0
@@ -216,7 +218,7 @@
 	in := input()
 	in.Demands = []Demand{want(wire.KindService, 24)}
 	for i := range 4 {
-		u := unit(string(rune('a'+i)), place.Service, false)
+		u := unit(string(rune('a'+i)), placement.Service, false)
 		u.Schedulable, u.HeartbeatOverdue = i > 2, i <= 2
 		u.Free = jobs.Resources{}
 		in.Machines = append(in.Machines, u)
@@ -241,7 +243,7 @@
 // use them waited for an ordinary machine to boot.
 func TestRoomIsKeptForBatchWorkThatMayNotUseSpotMachines(t *testing.T) {
 	small := &wire.JobSpec{ID: "wk-7", Team: "x", Kind: wire.KindArray, Tasks: 3, CPUs: 2, RAMGB: 4}
-	spot, ordinary := unit("s", place.Batch, true), unit("o", place.Batch, false)
+	spot, ordinary := unit("s", placement.Batch, true), unit("o", placement.Batch, false)
 	run := func(plain bool, units ...Machine) Output {
 		in := input()
 		in.Machines = units
@@ -259,7 +261,7 @@
 	if out := run(true, ordinary, spot, spot); len(out.ScaleOut) != 0 || len(out.ScaleIn) != 0 && out.ScaleIn[0].Machine == "o" {
 		t.Fatalf("with room: rented %+v, given back %+v", out.ScaleOut, out.ScaleIn)
 	}
-	if out := run(false, ordinary, unit("s2", place.Batch, true), spot); len(out.ScaleOut) != 0 || len(out.ScaleIn) == 0 || out.ScaleIn[0].Machine != "o" {
+	if out := run(false, ordinary, unit("s2", placement.Batch, true), spot); len(out.ScaleOut) != 0 || len(out.ScaleIn) == 0 || out.ScaleIn[0].Machine != "o" {
 		t.Fatalf("without such work: rented %+v, given back %+v", out.ScaleOut, out.ScaleIn)
 	}
 }
--- a/internal/fleet/drains.go
+++ b/internal/autoscale/scalein.go
@@ -1,16 +1,16 @@
-package fleet
+package autoscale
 
 import (
 	"sort"
 	"time"
 
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
 )
 
 // scaleIn chooses machines to give back: those that are of no use, and idle
 // ones whose loss leaves the headroom and the role floors.
-func (p *planner) scaleIn(unmet map[place.Role]bool) []ScaleIn {
+func (p *planner) scaleIn(unmet map[placement.Role]bool) []ScaleIn {
 	useless, spare := p.scaleInCandidates()
 	p.sortSurplus(spare)
 	choice := p.newScaleInChoice(unmet)
@@ -59,10 +59,10 @@
 	if u.Claims == 0 {
 		return true
 	}
-	if u.Role == place.Batch {
+	if u.Role == placement.Batch {
 		return !u.Kind.Spot
 	}
-	return u.Role == place.Service && u.Movable && p.input.Draining < max(p.input.MaxDraining, 1)
+	return u.Role == placement.Service && u.Movable && p.input.Draining < max(p.input.MaxDraining, 1)
 }
 
 // sortSurplus puts idle machines first, then the emptiest of the dearest.
@@ -94,7 +94,7 @@
 // roleOfType is what a role's floor is kept of: machines of one type.
 type roleOfType struct {
 	machineType string
-	role        place.Role
+	role        placement.Role
 }
 
 func (u Machine) roleOfType() roleOfType {
@@ -105,28 +105,28 @@
 // those that were chosen before.
 type scaleInChoice struct {
 	planner *planner
-	unmet   map[place.Role]bool   // roles with tasks without a place
-	holds   map[roleOfType]int    // machines that keep a role's floor
-	rooms   map[place.Role]*rooms // room for the headroom of each role
-	plain   *rooms                // room for batch work that may not use spot machines
-	surplus map[string]bool       // machines that the plan could do without
-	emptied map[place.Role]bool   // roles of which a busy machine was chosen
-	busy    []ScaleIn             // chosen, to be emptied
-	idle    map[string][]Machine  // chosen, empty, by group
+	unmet   map[placement.Role]bool   // roles with tasks without a place
+	holds   map[roleOfType]int        // machines that keep a role's floor
+	rooms   map[placement.Role]*rooms // room for the headroom of each role
+	plain   *rooms                    // room for batch work that may not use spot machines
+	surplus map[string]bool           // machines that the plan could do without
+	emptied map[placement.Role]bool   // roles of which a busy machine was chosen
+	busy    []ScaleIn                 // chosen, to be emptied
+	idle    map[string][]Machine      // chosen, empty, by group
 }
 
-func (p *planner) newScaleInChoice(unmet map[place.Role]bool) *scaleInChoice {
+func (p *planner) newScaleInChoice(unmet map[placement.Role]bool) *scaleInChoice {
 	c := &scaleInChoice{
 		planner: p,
 		unmet:   unmet,
 		holds:   map[roleOfType]int{},
-		rooms: map[place.Role]*rooms{
-			place.Batch:   p.rooms(p.input.Batch, p.input.Operator.BatchHeadroom),
-			place.Service: p.rooms(p.input.Service, p.input.Operator.ServiceHeadroom),
+		rooms: map[placement.Role]*rooms{
+			placement.Batch:   p.rooms(p.input.Batch, p.input.Operator.BatchHeadroom),
+			placement.Service: p.rooms(p.input.Service, p.input.Operator.ServiceHeadroom),
 		},
 		plain:   p.rooms(p.input.OnDemand, p.input.Operator.BatchHeadroom),
 		surplus: map[string]bool{},
-		emptied: map[place.Role]bool{},
+		emptied: map[placement.Role]bool{},
 		idle:    map[string][]Machine{},
 	}
 	for _, u := range p.input.Machines {
@@ -157,7 +157,7 @@
 func (c *scaleInChoice) needed(u Machine) bool {
 	// Guards against short work that may not use spot machines waiting for a
 	// boot each time, since spot machines hold the role's floor.
-	if u.Role == place.Batch && !u.Kind.Spot && !c.plain.spares(u) {
+	if u.Role == placement.Batch && !u.Kind.Spot && !c.plain.spares(u) {
 		return true
 	}
 	active := c.planner.input.ActiveRoles[u.Role]
@@ -177,7 +177,7 @@
 // the typical batch work may use spot machines.
 func (c *scaleInChoice) replacesSpot(u Machine) bool {
 	typical := c.planner.input.Batch.Spec
-	return u.Claims == 0 && u.Role == place.Batch && !u.Kind.Spot && typical != nil && typical.Spot
+	return u.Claims == 0 && u.Role == placement.Batch && !u.Kind.Spot && typical != nil && typical.Spot
 }
 
 // rested reports whether the machine has been idle for long enough to go. A
--- a/internal/fleet/cloud.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,4 @@
-package fleet
+package cloud
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatspur/internal/httpc"
+	"wheatspur/internal/httpclient"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -45,7 +45,7 @@
 
 // NewClient returns a client that keeps to its share of the cloud's rate.
 func NewClient(addr string, rps float64, now func() time.Time) *Client {
-	return &Client{addr: addr, callsPerSecond: rps, now: now, budget: rps, refilledAt: now(), http: httpc.Host(addr, tuning.CloudConns)}
+	return &Client{addr: addr, callsPerSecond: rps, now: now, budget: rps, refilledAt: now(), http: httpclient.Host(addr, tuning.CloudConns)}
 }
 
 // takeCall takes one call from the budget, or refuses at once.
@@ -70,7 +70,7 @@
 	if in != nil {
 		body = wire.MustMarshal(in)
 	}
-	status, answer, err := httpc.Do(c.http, method, c.addr, path, body, tuning.CloudCallTimeout)
+	status, answer, err := httpclient.Do(c.http, method, c.addr, path, body, tuning.CloudCallTimeout)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
--- a/internal/server/budget.go
+++ b/internal/controller/budget.go
@@ -1,6 +1,6 @@
 // This file divides the state service's budget of requests between the nodes.
 
-package server
+package controller
 
 import (
 	"wheatspur/internal/tuning"
--- a/internal/server/chunks.go
+++ b/internal/controller/chunks.go
@@ -1,6 +1,6 @@
 // This file changes the chunk records of jobs.
 
-package server
+package controller
 
 import (
 	"time"
--- a/internal/server/claims.go
+++ b/internal/controller/claims.go
@@ -1,21 +1,21 @@
 // This file stores claims.
 
-package server
+package controller
 
 import (
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/quota"
 )
 
 // jobClaims are the claims of one job that a pass has placed.
 type jobClaims struct {
 	job    *jobs.Job
-	claims []place.Claim
+	claims []placement.Claim
 }
 
 // groupByJob groups claims by job, in the order of the first of each.
-func groupByJob(list []place.Claim) []*jobClaims {
+func groupByJob(list []placement.Claim) []*jobClaims {
 	var groups []*jobClaims
 	known := map[string]*jobClaims{}
 	for _, c := range list {
@@ -36,7 +36,7 @@
 // the team's limit; the leader, which also claims on others' machines, hands
 // their owners the part of the limit that the claims take in the same write.
 // mu is held.
-func (n *Controller) planClaims(txns []*pendingWrite, list []place.Claim, most *float64) []*pendingWrite {
+func (n *Controller) planClaims(txns []*pendingWrite, list []placement.Claim, most *float64) []*pendingWrite {
 	for _, g := range groupByJob(list) {
 		if *most < 1 {
 			break
--- a/internal/server/coldstart_test.go
+++ b/internal/controller/coldstart_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"time"
 
 	"wheatspur/internal/config"
+	"wheatspur/internal/fake"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/recovery"
-	"wheatspur/internal/standin"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -42,8 +42,8 @@
 }
 
 // log lets what the workers are told from here on be noted.
-func (x *trial) log() *standin.OrderLog {
-	log := standin.NewOrderLog()
+func (x *trial) log() *fake.OrderLog {
+	log := fake.NewOrderLog()
 	x.each(func(m *machine) { m.Orders = log })
 	return log
 }
@@ -382,7 +382,7 @@
 // could run does, starts that were repeated, the most starts in a second, and
 // changes of the state service; in real time, what the nodes' passes take.
 //
-//	go test -run xxx -bench ColdStart -benchtime 1x ./internal/server
+//	go test -run xxx -bench ColdStart -benchtime 1x ./internal/controller
 func BenchmarkColdStart(b *testing.B) {
 	for _, machines := range []int{200, 1000, 4000} {
 		for _, rate := range []int{0, 100} {
--- a/internal/server/displace.go
+++ b/internal/controller/displace.go
@@ -1,16 +1,16 @@
 // This file moves service tasks off machines that are to lose them.
 
-package server
+package controller
 
 import (
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 )
 
 // evictMisplacedServices moves service tasks off machines that are to lose them, one at a
 // time, each once another machine has room; mu is held.
-func (n *Controller) evictMisplacedServices(f *place.Fleet) {
+func (n *Controller) evictMisplacedServices(f *placement.Fleet) {
 	machines, tries := f.Machines, 0
 	for _, m := range machines {
 		for _, r := range m.Tasks {
@@ -30,7 +30,7 @@
 		}
 		rec := n.inventory.Machines[m.Name]
 		w := n.workers[m.Name]
-		if w == nil || m.Role == place.Service && rec.Phase == fleet.Active && w.TerminationAt.IsZero() {
+		if w == nil || m.Role == placement.Service && rec.Phase == inventory.Active && w.TerminationAt.IsZero() {
 			continue
 		}
 		for _, r := range m.Tasks {
@@ -40,7 +40,7 @@
 			if tries++; tries > evictionTries {
 				return
 			}
-			if place.FitElsewhere(f, r.Job, r.ID.Task, m.Name) != nil {
+			if placement.FitElsewhere(f, r.Job, r.ID.Task, m.Name) != nil {
 				n.stopTask(w, r.ID)
 				n.log.Info("service task moves", "task", r.ID, "host", m.Name, "role", string(m.Role), "phase", string(rec.Phase))
 				return
--- a/internal/server/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatspur/internal/config"
+	"wheatspur/internal/fake"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/peer"
-	"wheatspur/internal/standin"
 	"wheatspur/internal/store"
 	"wheatspur/wire"
 )
@@ -55,7 +55,7 @@
 
 // access is one node's way to the state service.
 type access struct {
-	*standin.Store
+	*fake.Store
 	mu     sync.Mutex
 	refuse bool     // it alone is refused, or all are in an outage
 	cut    bool     // it is refused after the last of these
@@ -124,10 +124,10 @@
 type world struct {
 	t        testing.TB
 	clk      *clock
-	st       *standin.Store
+	st       *fake.Store
 	way      map[string]*access // of each node to the state service
 	call     workerClient       // the workers' side
-	cl       *standin.Cloud
+	cl       *fake.Cloud
 	nodes    map[string]*Controller
 	sequence uint64
 	// Nodes that exchange nothing with their siblings.
@@ -155,7 +155,7 @@
 // newWorldWith is a world with a workers' side of its own.
 func newWorldWith(t testing.TB, call workerClient, labels ...string) *world {
 	t.Helper()
-	w := &world{t: t, clk: &clock{t: time.Unix(100000, 0)}, st: standin.NewStore(), way: map[string]*access{}, cl: standin.NewCloud(machineTypes, true), nodes: map[string]*Controller{}, silent: map[string]bool{}}
+	w := &world{t: t, clk: &clock{t: time.Unix(100000, 0)}, st: fake.NewStore(), way: map[string]*access{}, cl: fake.NewCloud(machineTypes, true), nodes: map[string]*Controller{}, silent: map[string]bool{}}
 	w.call = call
 	for _, l := range labels {
 		w.start(l, labels)
@@ -220,7 +220,7 @@
 	go func() { _ = n.runIntake(ctx) }()
 	w.nodes[label] = n
 	n.self.Incarnation, _ = w.st.GrantLease(ctx, time.Second)
-	n.session = n.session.Next(member.LeaseGranted)
+	n.session = n.session.Next(membership.LeaseGranted)
 	if err := n.syncer.Load(ctx); err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/server/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -1,13 +1,14 @@
-package server
+package controller
 
 import (
 	"time"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/quota"
 	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
 )
 
 // machineIndex is the picture of all machines that passes, plans and role decisions
@@ -15,7 +16,7 @@
 // next: only the machines that something has changed on are entered anew. With
 // thousands of machines, entering all of them took most of a pass.
 type machineIndex struct {
-	fleet                *place.Fleet
+	fleet                *placement.Fleet
 	ordered              []*indexedMachine // in the order of fleet.Machines
 	machines             map[string]*indexedMachine
 	rebuild              bool            // the machines are not those that fleet was built of
@@ -34,10 +35,10 @@
 
 // indexedMachine is one machine and what its openness follows from.
 type indexedMachine struct {
-	*place.Machine
-	worker        *fleet.Worker // nil: another node's, or never heard
-	inService     bool          // its record lets it take tasks
-	usableByOwner bool          // another node's: so does what its owner tells
+	*placement.Machine
+	worker        *worker.Worker // nil: another node's, or never heard
+	inService     bool           // its record lets it take tasks
+	usableByOwner bool           // another node's: so does what its owner tells
 }
 
 // machineClaims is what the claims on one machine take, by team.
@@ -72,13 +73,13 @@
 // workersToScan lists the workers of this node that a pass looks at: those that
 // something has changed for or is due for, and every so often all, for what
 // follows from time alone, such as the end of a lease; mu is held.
-func (n *Controller) workersToScan(now time.Time) (workers map[string]*fleet.Worker, all bool) {
+func (n *Controller) workersToScan(now time.Time) (workers map[string]*worker.Worker, all bool) {
 	v := &n.machineIndex
 	if now.Sub(v.fullScanAt) >= tuning.SweepEvery || now.Before(v.fullScanAt) {
 		v.fullScanAt = now
 		return n.workers, true
 	}
-	some := make(map[string]*fleet.Worker, len(v.due))
+	some := make(map[string]*worker.Worker, len(v.due))
 	for host := range v.due {
 		if w := n.workers[host]; w != nil {
 			some[host] = w
@@ -98,7 +99,7 @@
 }
 
 // refreshMachines brings the picture of the fleet up to date; mu is held.
-func (n *Controller) refreshMachines(now time.Time) *place.Fleet {
+func (n *Controller) refreshMachines(now time.Time) *placement.Fleet {
 	v := &n.machineIndex
 	n.applyRecordChanges()
 	if v.fleet == nil || v.rebuild {
@@ -129,8 +130,8 @@
 // that has shown our token, which guards against a late copy of a report of a
 // machine that is gone. And only one whose reports come: one that answers calls
 // and can't report ends with its lease. mu is held.
-func (n *Controller) isSchedulable(w *fleet.Worker, now time.Time, silent time.Duration) bool {
-	return w != nil && w.State == fleet.TokenAcknowledged && now.Sub(w.LastHeard) < silent && now.Sub(w.LeaseRenewedAt()) < silent &&
+func (n *Controller) isSchedulable(w *worker.Worker, now time.Time, silent time.Duration) bool {
+	return w != nil && w.State == worker.TokenAcknowledged && now.Sub(w.LastHeard) < silent && now.Sub(w.LeaseRenewedAt()) < silent &&
 		w.TerminationAt.IsZero() && !n.isQuarantined(w, now)
 }
 
@@ -144,7 +145,7 @@
 		if stored != (m != nil) || stored && !sameMachine(m.Machine, n.placementMachine(host, rec)) {
 			v.rebuild = true
 		}
-		if stored && rec.Phase == fleet.Terminated {
+		if stored && rec.Phase == inventory.Terminated {
 			v.terminated[host] = true
 		} else {
 			delete(v.terminated, host)
@@ -155,9 +156,9 @@
 }
 
 // placementMachine is the picture of an empty machine; mu is held.
-func (n *Controller) placementMachine(host string, rec fleet.Record) *place.Machine {
+func (n *Controller) placementMachine(host string, rec inventory.Record) *placement.Machine {
 	t := n.machineTypes[rec.MachineType]
-	return &place.Machine{Name: host, Type: rec.MachineType, Zone: rec.Zone, Spot: rec.Spot, Role: rec.Role,
+	return &placement.Machine{Name: host, Type: rec.MachineType, Zone: rec.Zone, Spot: rec.Spot, Role: rec.Role,
 		Owner: n.shardOwner(host), FetchGBPerS: t.FetchGBPerS,
 		Total: jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}}
 }
@@ -171,7 +172,7 @@
 	}
 	kept := v.machines
 	v.machines = make(map[string]*indexedMachine, len(n.inventory.Machines))
-	list := make([]*place.Machine, 0, len(n.inventory.Machines))
+	list := make([]*placement.Machine, 0, len(n.inventory.Machines))
 	for host, rec := range n.inventory.Machines {
 		next, m := n.placementMachine(host, rec), kept[host]
 		if m == nil || !sameMachine(m.Machine, next) {
@@ -181,7 +182,7 @@
 		v.machines[host] = m
 		list = append(list, m.Machine)
 	}
-	v.fleet = place.NewFleet(list)
+	v.fleet = placement.NewFleet(list)
 	v.ordered = v.ordered[:0]
 	for _, m := range v.fleet.Machines {
 		v.ordered = append(v.ordered, v.machines[m.Name])
@@ -191,7 +192,7 @@
 
 // sameMachine reports whether two pictures are of the same machine in the same
 // place, leaving aside what is on it.
-func sameMachine(a, b *place.Machine) bool {
+func sameMachine(a, b *placement.Machine) bool {
 	return a.Type == b.Type && a.Zone == b.Zone && a.Spot == b.Spot && a.Role == b.Role && a.Owner == b.Owner &&
 		a.FetchGBPerS == b.FetchGBPerS && a.Total == b.Total
 }
@@ -215,7 +216,7 @@
 // applyMachine enters a machine's claims, and what its owner knows of it; mu is
 // held.
 func (n *Controller) applyMachine(m *indexedMachine) {
-	m.inService = n.inventory.Machines[m.Name].Phase == fleet.Active
+	m.inService = n.inventory.Machines[m.Name].Phase == inventory.Active
 	m.worker, m.usableByOwner, m.Incarnation, m.Images = nil, false, 0, nil
 	if m.Owner == n.self.Label {
 		if m.worker = n.workers[m.Name]; m.worker != nil {
@@ -231,7 +232,7 @@
 	m.Tasks = m.Tasks[:0]
 	for id, j := range n.table.ClaimsByMachine[m.Name] {
 		stopping := j.Phase != jobs.Open || n.workers[m.Name] != nil && n.workers[m.Name].IsLeaving(id)
-		resident := place.ClaimedTask{ID: id, Job: j, Stopping: stopping}
+		resident := placement.ClaimedTask{ID: id, Job: j, Stopping: stopping}
 		if m.worker != nil {
 			resident.RunningSince = m.worker.RunningSince[id]
 		}
--- a/internal/server/fleetview_test.go
+++ b/internal/controller/fleetview_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"cmp"
@@ -8,16 +8,16 @@
 	"testing"
 
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/wire"
 )
 
 // picture is what a pass sees of the machines, in a form that can be compared.
-func picture(f *place.Fleet) []string {
+func picture(f *placement.Fleet) []string {
 	var out []string
 	for _, m := range f.Machines {
 		tasks := slices.Clone(m.Tasks)
-		slices.SortFunc(tasks, func(a, b place.ClaimedTask) int {
+		slices.SortFunc(tasks, func(a, b placement.ClaimedTask) int {
 			return cmp.Or(cmp.Compare(a.ID.Job, b.ID.Job), cmp.Compare(a.ID.Task, b.ID.Task))
 		})
 		line := fmt.Sprintf("%s %s %s %s %v %s open %v session %d images %v free %.3f freeing %.3f tasks", m.Name, m.Type, m.Zone, m.Owner,
@@ -125,10 +125,10 @@
 		n.mu.Lock()
 		now := n.now()
 		before := picture(n.refreshMachines(now))
-		out := place.Schedule(n.placeInput(n.refreshMachines(now), now))
+		out := placement.Schedule(n.placeInput(n.refreshMachines(now), now))
 		during := picture(n.machineIndex.fleet)
 		after := picture(n.refreshMachines(now))
-		place.Schedule(n.placeInput(n.machineIndex.fleet, now))
+		placement.Schedule(n.placeInput(n.machineIndex.fleet, now))
 		n.machineIndex.rebuild = true // a machine has come: all are indexed anew
 		rebuilt := picture(n.refreshMachines(now))
 		n.mu.Unlock()
--- a/internal/server/headroom.go
+++ b/internal/controller/headroom.go
@@ -1,20 +1,20 @@
 // This file holds the part of the capacity plan's input that headroom is kept for:
 // what the roles hold, which of them are active and what is typical of batch work.
 
-package server
+package controller
 
 import (
 	"math"
 	"time"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/autoscale"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
 )
 
 // addClaimed enters what the tasks on a machine hold, for the headroom.
-func (b *planBuilder) addClaimed(m *place.Machine) {
+func (b *planBuilder) addClaimed(m *placement.Machine) {
 	for _, r := range m.Tasks {
 		spec := r.Job.Record.Spec
 		if spec == nil || r.Job.Phase != jobs.Open {
@@ -62,13 +62,13 @@
 	active := b.leaderState.roleActiveAt
 	for _, j := range b.controller.table.Open {
 		if j.Service() {
-			active[place.Service] = b.now
+			active[placement.Service] = b.now
 		} else {
-			active[place.Batch] = b.now
+			active[placement.Batch] = b.now
 		}
 	}
-	b.input.ActiveRoles = map[place.Role]bool{}
-	for _, role := range []place.Role{place.Batch, place.Service} {
+	b.input.ActiveRoles = map[placement.Role]bool{}
+	for _, role := range []placement.Role{placement.Batch, placement.Service} {
 		if _, ok := active[role]; !ok {
 			active[role] = b.now // a new leader does not know
 		}
@@ -79,7 +79,7 @@
 // onDemandLoad is the batch work that may not use spot machines: room for one and a
 // half of its arrays is kept on ordinary machines while any is open or waits for
 // others, and for a minute after; mu is held.
-func (n *Controller) onDemandLoad(l *leaderState, now time.Time) fleet.Load {
+func (n *Controller) onDemandLoad(l *leaderState, now time.Time) autoscale.Load {
 	var typical *jobs.Job
 	arrays, tasks := 0, 0.0
 	for _, list := range []map[string]*jobs.Job{n.table.Open, n.table.Waiting} {
@@ -95,10 +95,10 @@
 		}
 	}
 	if typical != nil {
-		l.onDemandLoad = fleet.Load{Need: typical.Need, Spec: typical.Record.Spec, MinTasks: int(math.Ceil(tasks / float64(arrays) * tuning.BatchHeadroomJobs))}
+		l.onDemandLoad = autoscale.Load{Need: typical.Need, Spec: typical.Record.Spec, MinTasks: int(math.Ceil(tasks / float64(arrays) * tuning.BatchHeadroomJobs))}
 		l.onDemandSeenAt = now
 	} else if now.Sub(l.onDemandSeenAt) > tuning.BatchHeadroomHold {
-		l.onDemandLoad = fleet.Load{}
+		l.onDemandLoad = autoscale.Load{}
 	}
 	return l.onDemandLoad
 }
--- a/internal/server/lead.go
+++ b/internal/controller/lead.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"context"
@@ -8,7 +8,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/autoscale"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
@@ -57,15 +58,15 @@
 		machines := n.refreshMachines(now)
 		n.recordArrivals(l, now)
 		free := len(storing) == 0
-		var moves []fleet.RecordChange
+		var moves []inventory.RecordChange
 		if free && now.Sub(stepped) >= tuning.RoleStep {
 			stepped = now
 			moves = n.moveRoles(l, machines, now)
 		}
 		listed := !l.listedAt.IsZero() && now.Sub(l.listedAt) < 5*tuning.ListEvery
-		var out fleet.Output
+		var out autoscale.Output
 		if listed {
-			out = fleet.Plan(n.planInput(l, machines, now))
+			out = autoscale.Plan(n.planInput(l, machines, now))
 		}
 		if !free {
 			n.mu.Unlock()
--- a/internal/server/leading.go
+++ b/internal/controller/leading.go
@@ -1,12 +1,12 @@
 // This file holds the leader's memory.
 
-package server
+package controller
 
 import (
 	"time"
 
-	"wheatspur/internal/fleet"
-	"wheatspur/internal/place"
+	"wheatspur/internal/autoscale"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/roles"
 	"wheatspur/wire"
 )
@@ -20,31 +20,31 @@
 	listedAt          time.Time
 	missingLists      map[string]int // lists in a row that omitted a machine listed before
 	scalingOut        map[string]scaleOutRecord
-	noCapacityAt      map[fleet.MachineKind]time.Time
+	noCapacityAt      map[autoscale.MachineKind]time.Time
 	roleControllers   map[string]*roles.Controller
 	roleDecisions     map[string]roles.Decision
 	seenJobs          map[string]bool
-	idleSince         map[string]time.Time     // since when a machine has no claims
-	surplusSince      map[string]time.Time     // see fleet.PlanInput
-	terminatedAt      map[string]time.Time     // machines given back, which late lists still show
-	lostWhileDraining []string                 // machines that went away while they were drained, with claims on them
-	quarantinedSince  map[string]time.Time     // since when a machine reports but takes no tasks
-	lastHeard         map[string]time.Time     // when a machine was last heard by anybody
-	firstListed       map[string]time.Time     // when a machine was first listed
-	roleActiveAt      map[place.Role]time.Time // when a role last had an open job
+	idleSince         map[string]time.Time         // since when a machine has no claims
+	surplusSince      map[string]time.Time         // see fleet.PlanInput
+	terminatedAt      map[string]time.Time         // machines given back, which late lists still show
+	lostWhileDraining []string                     // machines that went away while they were drained, with claims on them
+	quarantinedSince  map[string]time.Time         // since when a machine reports but takes no tasks
+	lastHeard         map[string]time.Time         // when a machine was last heard by anybody
+	firstListed       map[string]time.Time         // when a machine was first listed
+	roleActiveAt      map[placement.Role]time.Time // when a role last had an open job
 	meanBatchTasks    float64
 	meanArraySize     float64   // mean number of tasks of arriving arrays
 	lastArrayAt       time.Time // when the last one arrived
 	meanUpdatedAt     time.Time
-	onDemandLoad      fleet.Load // batch work that may not use spot machines
-	onDemandSeenAt    time.Time  // when there last was any
-	batchLoad         fleet.Load // last typical loads
-	serviceLoad       fleet.Load
+	onDemandLoad      autoscale.Load // batch work that may not use spot machines
+	onDemandSeenAt    time.Time      // when there last was any
+	batchLoad         autoscale.Load // last typical loads
+	serviceLoad       autoscale.Load
 }
 
 type scaleOutRecord struct {
-	kind        fleet.MachineKind
-	role        place.Role
+	kind        autoscale.MachineKind
+	role        placement.Role
 	requestedAt time.Time
 }
 
@@ -69,7 +69,7 @@
 		listed:           map[string]wire.Machine{},
 		missingLists:     map[string]int{},
 		scalingOut:       map[string]scaleOutRecord{},
-		noCapacityAt:     map[fleet.MachineKind]time.Time{},
+		noCapacityAt:     map[autoscale.MachineKind]time.Time{},
 		roleControllers:  map[string]*roles.Controller{},
 		roleDecisions:    map[string]roles.Decision{},
 		seenJobs:         map[string]bool{},
@@ -79,7 +79,7 @@
 		quarantinedSince: map[string]time.Time{},
 		lastHeard:        map[string]time.Time{},
 		firstListed:      map[string]time.Time{},
-		roleActiveAt:     map[place.Role]time.Time{},
+		roleActiveAt:     map[placement.Role]time.Time{},
 	}
 }
 
--- a/internal/server/listen_test.go
+++ b/internal/controller/listen_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"bufio"
--- a/internal/server/machines.go
+++ b/internal/controller/machines.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"cmp"
@@ -12,11 +12,13 @@
 	"strings"
 	"time"
 
+	"wheatspur/internal/autoscale"
+	"wheatspur/internal/cloud"
 	"wheatspur/internal/config"
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
-	"wheatspur/internal/place"
+	"wheatspur/internal/membership"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -47,7 +49,7 @@
 		}
 		// A list of many pages takes as many calls of the cloud's budget.
 		n.mu.Lock()
-		pages := len(n.leaderState.listed)/fleet.ListPageSize + 1
+		pages := len(n.leaderState.listed)/cloud.ListPageSize + 1
 		n.mu.Unlock()
 		sleep(ctx, tuning.ListEvery*time.Duration(max(1, pages/2)))
 	}
@@ -68,7 +70,7 @@
 		a.SpotPrice = b.SpotPrice // moves all the time
 		same = fmt.Sprint(a) == fmt.Sprint(b)
 	}
-	guards := []wire.Compare{n.cache.Compare(member.Key), n.cache.Compare(typesKey)}
+	guards := []wire.Compare{n.cache.Compare(membership.Key), n.cache.Compare(typesKey)}
 	n.mu.Unlock()
 	if same {
 		return nil
@@ -79,12 +81,12 @@
 // storeMachines stores changes of machine records, each guarded by the version of
 // its group's key. Several go in one change, and one call at a time, so that
 // the leader's own writes don't race for a group.
-func (n *Controller) storeMachines(ctx context.Context, list []fleet.RecordChange, cut ...string) {
+func (n *Controller) storeMachines(ctx context.Context, list []inventory.RecordChange, cut ...string) {
 	n.storeMachineGroups(ctx, list, cut, math.MaxInt)
 }
 
 // storeMachineGroups stores the changes of at most most groups.
-func (n *Controller) storeMachineGroups(ctx context.Context, list []fleet.RecordChange, cut []string, most int) {
+func (n *Controller) storeMachineGroups(ctx context.Context, list []inventory.RecordChange, cut []string, most int) {
 	if len(list) == 0 && len(cut) == 0 {
 		return
 	}
@@ -96,13 +98,13 @@
 		return
 	}
 	writes := n.inventory.PlanWrites(list, cut, n.maxGroupBytes(), n.limits.TxnOps)
-	if len(writes) > most && !slices.ContainsFunc(writes, func(w fleet.GroupWrite) bool { return strings.HasPrefix(w.Key, fleet.SingleMachinePrefix) }) {
+	if len(writes) > most && !slices.ContainsFunc(writes, func(w inventory.GroupWrite) bool { return strings.HasPrefix(w.Key, inventory.SingleMachinePrefix) }) {
 		writes = writes[:most]
 	}
 	// The versions of what the writes were computed from. Guards against a node
 	// that has lost the lead and got it back, or not, and stores over what
 	// another leader has changed meanwhile.
-	seen := n.cache.Compare(member.Key)
+	seen := n.cache.Compare(membership.Key)
 	guards := make([][]wire.Compare, len(writes))
 	for i, w := range writes {
 		guards[i] = []wire.Compare{seen, n.cache.Compare(w.Key)}
@@ -113,7 +115,7 @@
 	n.mu.Unlock()
 	idle := map[string][]string{} // machines to go because they are idle, by group
 	for _, c := range list {
-		if c.After != nil && c.After.Phase == fleet.Draining && c.After.Reason == fleet.ReasonIdle {
+		if c.After != nil && c.After.Phase == inventory.Draining && c.After.Reason == autoscale.ReasonIdle {
 			idle[n.groupKeyOf(c.Machine)] = append(idle[n.groupKeyOf(c.Machine)], c.Machine)
 		}
 	}
@@ -125,7 +127,7 @@
 	for i, w := range writes {
 		n.mu.Lock()
 		n.machineWritesLeft = len(writes) - i
-		if n.cache.Version(member.Key) != seen.Version {
+		if n.cache.Version(membership.Key) != seen.Version {
 			n.mu.Unlock()
 			return // the rest would fail, and count as changes
 		}
@@ -168,7 +170,7 @@
 	now := n.now()
 	l.listedAt = now
 	seen := map[string]bool{}
-	var changes []fleet.RecordChange
+	var changes []inventory.RecordChange
 	for host, at := range l.terminatedAt {
 		if now.Sub(at) > tuning.TerminatedKept {
 			delete(l.terminatedAt, host)
@@ -190,17 +192,17 @@
 			was := &rec
 			if !known {
 				// Its record is dropped already; the entry stays until deleted.
-				was, rec = nil, fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Role: place.Batch}
+				was, rec = nil, inventory.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Role: placement.Batch}
 			}
-			if next, err := rec.Phase.Next(fleet.EventTerminated); err == nil && rec.Phase != fleet.Terminated {
+			if next, err := rec.Phase.Next(inventory.EventTerminated); err == nil && rec.Phase != inventory.Terminated {
 				gone := rec
 				gone.Phase, gone.Reason = next, "listed as failed"
-				changes = append(changes, fleet.RecordChange{Machine: h.Name, Before: was, After: &gone})
+				changes = append(changes, inventory.RecordChange{Machine: h.Name, Before: was, After: &gone})
 				n.log.Info("machine failed", "host", h.Name)
 			}
 		case !known:
-			rec = fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Phase: fleet.Active, Role: n.initialRole(l, h, changes)}
-			changes = append(changes, fleet.RecordChange{Machine: h.Name, After: &rec})
+			rec = inventory.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Phase: inventory.Active, Role: n.initialRole(l, h, changes)}
+			changes = append(changes, inventory.RecordChange{Machine: h.Name, After: &rec})
 			n.log.Info("machine joins", "host", h.Name, "type", h.MachineType, "zone", h.Zone, "spot", h.Spot, "role", string(rec.Role))
 		}
 		if n.shardOwner(h.Name) == n.self.Label && h.State == wire.MachineRunning {
@@ -224,7 +226,7 @@
 		if _, ok := l.firstListed[host]; !ok {
 			l.firstListed[host] = now
 		}
-		if rec.Phase == fleet.Terminated || host < newest || now.Sub(l.firstListed[host]) > tuning.ListLagFactor*lag {
+		if rec.Phase == inventory.Terminated || host < newest || now.Sub(l.firstListed[host]) > tuning.ListLagFactor*lag {
 			l.missingLists[host]++
 		}
 	}
@@ -239,16 +241,16 @@
 
 // initialRole is the role of a machine that is new to the store: what it was
 // rented for; else the role floors, then what waits, then services.
-func (n *Controller) initialRole(l *leaderState, h wire.Machine, joining []fleet.RecordChange) place.Role {
+func (n *Controller) initialRole(l *leaderState, h wire.Machine, joining []inventory.RecordChange) placement.Role {
 	if h.Spot {
-		return place.Batch
+		return placement.Batch
 	}
 	if r, ok := l.scalingOut[h.Name]; ok {
 		return r.role
 	}
-	count := map[place.Role]int{}
-	add := func(r fleet.Record) {
-		if r.MachineType == h.MachineType && !r.Spot && r.Phase == fleet.Active {
+	count := map[placement.Role]int{}
+	add := func(r inventory.Record) {
+		if r.MachineType == h.MachineType && !r.Spot && r.Phase == inventory.Active {
 			count[r.Role]++
 		}
 	}
@@ -267,26 +269,26 @@
 		}
 	}
 	switch {
-	case count[place.Service] < tuning.RoleFloor:
-		return place.Service
-	case count[place.Batch] < tuning.RoleFloor, arrays && !services && count[place.Batch] < count[place.Service]:
-		return place.Batch
+	case count[placement.Service] < tuning.RoleFloor:
+		return placement.Service
+	case count[placement.Batch] < tuning.RoleFloor, arrays && !services && count[placement.Batch] < count[placement.Service]:
+		return placement.Batch
 	}
 	// Services have ordinary machines only, and people wait for them; most
 	// batch work may use spot machines, which are rented when it comes.
-	return place.Service
+	return placement.Service
 }
 
 // planDrains stores that machines take no more tasks; mu is held.
 // Machines that are dead go back at once, by name: what would drain them is
 // over, and their tasks wait for the proof of their return.
-func (n *Controller) planDrains(drains []fleet.ScaleIn) (changes []fleet.RecordChange, dead []string) {
+func (n *Controller) planDrains(drains []autoscale.ScaleIn) (changes []inventory.RecordChange, dead []string) {
 	for _, d := range drains {
 		rec, ok := n.inventory.Machines[d.Machine]
 		if !ok {
 			continue
 		}
-		next, err := rec.Phase.Next(fleet.EventDrain)
+		next, err := rec.Phase.Next(inventory.EventDrain)
 		if err != nil {
 			continue
 		}
@@ -297,18 +299,18 @@
 		}
 		drained := rec
 		drained.Phase, drained.Reason = next, d.Reason
-		changes = append(changes, fleet.RecordChange{Machine: d.Machine, Before: &rec, After: &drained})
+		changes = append(changes, inventory.RecordChange{Machine: d.Machine, Before: &rec, After: &drained})
 	}
 	return changes, dead
 }
 
 // planTerminations lists drained machines to give back, and records to drop; mu is
 // held. A drained machine goes back when it is empty.
-func (n *Controller) planTerminations(l *leaderState, now time.Time) (returns []string, drops []fleet.RecordChange) {
-	over := map[string][]fleet.RecordChange{} // by group
+func (n *Controller) planTerminations(l *leaderState, now time.Time) (returns []string, drops []inventory.RecordChange) {
+	over := map[string][]inventory.RecordChange{} // by group
 	for host, rec := range n.inventory.Machines {
 		switch rec.Phase {
-		case fleet.Draining:
+		case inventory.Draining:
 			if n.cache.Revision() < n.cache.Version(n.inventory.KeyOf(host)) {
 				continue // claims stored before the drain may not be seen yet
 			}
@@ -321,12 +323,12 @@
 			if open == 0 {
 				returns = append(returns, host)
 			}
-		case fleet.Terminated:
+		case inventory.Terminated:
 			if len(n.table.ClaimsByMachine[host]) > 0 {
 				continue // its owner releases them first
 			}
 			if l.missingLists[host] >= tuning.MissingLists {
-				over[n.inventory.KeyOf(host)] = append(over[n.inventory.KeyOf(host)], fleet.RecordChange{Machine: host, Before: &rec})
+				over[n.inventory.KeyOf(host)] = append(over[n.inventory.KeyOf(host)], inventory.RecordChange{Machine: host, Before: &rec})
 			} else if l.listed[host].State == wire.MachineFailed && l.missingLists[host] == 0 {
 				returns = append(returns, host) // stays listed until deleted
 			}
@@ -380,25 +382,25 @@
 		hosts = append(hosts, some...)
 	}
 	n.mu.Lock()
-	var changes []fleet.RecordChange
+	var changes []inventory.RecordChange
 	for _, h := range hosts {
 		rec, ok := n.inventory.Machines[h]
-		if !ok || rec.Phase == fleet.Terminated {
+		if !ok || rec.Phase == inventory.Terminated {
 			continue
 		}
-		if rec.Phase == fleet.Draining && len(n.table.ClaimsByMachine[h]) == 0 && n.isLeader() {
+		if rec.Phase == inventory.Draining && len(n.table.ClaimsByMachine[h]) == 0 && n.isLeader() {
 			// Drained and empty: there is nothing that its end would prove. A
 			// machine that was not drained may yet get a claim that is under way.
 			l := n.currentLeaderState()
 			l.terminatedAt[h] = n.now()
 			l.forget(h)
-			changes = append(changes, fleet.RecordChange{Machine: h, Before: &rec})
+			changes = append(changes, inventory.RecordChange{Machine: h, Before: &rec})
 			continue
 		}
-		if next, err := rec.Phase.Next(fleet.EventTerminated); err == nil {
+		if next, err := rec.Phase.Next(inventory.EventTerminated); err == nil {
 			gone := rec
 			gone.Phase = next
-			changes = append(changes, fleet.RecordChange{Machine: h, Before: &rec, After: &gone})
+			changes = append(changes, inventory.RecordChange{Machine: h, Before: &rec, After: &gone})
 		}
 	}
 	n.mu.Unlock()
@@ -410,7 +412,7 @@
 
 // scaleOut rents machines. A request's name holds the token, which only one leader
 // ever has, and a counter: no name is used twice.
-func (n *Controller) scaleOut(ctx context.Context, h fleet.ScaleOut) {
+func (n *Controller) scaleOut(ctx context.Context, h autoscale.ScaleOut) {
 	n.mu.Lock()
 	if !n.isLeader() || ctx.Err() != nil {
 		n.mu.Unlock()
@@ -426,7 +428,7 @@
 	defer n.mu.Unlock()
 	l = n.currentLeaderState()
 	now := n.now()
-	if errors.Is(err, fleet.ErrNoCapacity) || err == nil && len(names) < count {
+	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(names) < count {
 		l.noCapacityAt[h.Kind] = now
 	}
 	n.log.Info("machines rented", "request", name, "type", h.Kind.MachineType, "zone", h.Kind.Zone, "spot", h.Kind.Spot,
--- a/internal/server/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"wheatspur/internal/fleet"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
+	"wheatspur/internal/worker"
 	"wheatspur/wire"
 )
 
@@ -188,7 +188,7 @@
 		{"one was never heard", func(x *trial) { x.away(x.nodes["b"]); x.restart("b"); x.silent["b"] = true; x.run(8 * time.Second) }, nil, 2},
 		{"one is of an older version", nil, map[int]func(*trial){0: func(x *trial) {
 			for _, n := range x.others(x.nodes["b"]) {
-				n.siblings["b"].attestation = member.Attestation{} // it says nothing of cancellations
+				n.siblings["b"].attestation = membership.Attestation{} // it says nothing of cancellations
 			}
 			x.silent["b"] = true
 		}}, 2},
@@ -560,7 +560,7 @@
 				}
 				n.mu.Lock()
 				for host, w := range n.workers {
-					if w.State == fleet.TokenAcknowledged {
+					if w.State == worker.TokenAcknowledged {
 						x.t.Errorf("%s is %s by an old report", host, w.State)
 					}
 				}
--- a/internal/server/membership.go
+++ b/internal/controller/membership.go
@@ -1,14 +1,14 @@
 // This file holds the session, the leadership and the membership of a node, and
 // what follows from them: what it owns and whether it reaches its workers.
 
-package server
+package controller
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
@@ -19,7 +19,7 @@
 		n.membership = nil
 		return nil
 	}
-	var r member.Record
+	var r membership.Record
 	if err := wire.Unmarshal(v, &r); err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 // isMember reports whether this node is a member of the newest membership it
 // knows; mu is held.
 func (n *Controller) isMember() bool {
-	return n.membership != nil && n.session == member.Registered && n.membership.Contains(n.self) && n.cache.Consistent()
+	return n.membership != nil && n.session == membership.Registered && n.membership.Contains(n.self) && n.cache.Consistent()
 }
 
 // isLeader reports whether this node is the leader; mu is held.
@@ -84,14 +84,14 @@
 // is held. A node that does not would run such a job at once if it took it in,
 // and would stop its tasks on its machines.
 func (n *Controller) dependenciesSupported() bool {
-	return n.membership != nil && n.membership.AllSupport(member.FormatDependencies, n.storedSessions)
+	return n.membership != nil && n.membership.AllSupport(membership.FormatDependencies, n.storedSessions)
 }
 
 // tokenRangesSupported reports whether every node with a session knows of memberships that
 // span several tokens; mu is held.
 func (n *Controller) tokenRangesSupported() bool {
 	for label, s := range n.sessions {
-		if v := n.storedSessions[label]; v.Node != s || v.Format < member.FormatTokenRanges {
+		if v := n.storedSessions[label]; v.Node != s || v.Format < membership.FormatTokenRanges {
 			return false
 		}
 	}
@@ -122,7 +122,7 @@
 		n.mu.Lock()
 		state, leaseID := n.session, n.self.Incarnation
 		n.mu.Unlock()
-		if state == member.NoLease {
+		if state == membership.NoLease {
 			if n.draining() {
 				return nil // ended for good
 			}
@@ -153,7 +153,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.self.Incarnation = id
-	n.session = n.session.Next(member.LeaseGranted)
+	n.session = n.session.Next(membership.LeaseGranted)
 	wake(n.membershipWake)
 }
 
@@ -161,10 +161,10 @@
 func (n *Controller) endSession(leaseID uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.self.Incarnation != leaseID || n.session == member.NoLease {
+	if n.self.Incarnation != leaseID || n.session == membership.NoLease {
 		return
 	}
-	n.session = n.session.Next(member.LeaseExpired)
+	n.session = n.session.Next(membership.LeaseExpired)
 	n.log.Info("session ended")
 }
 
@@ -175,7 +175,7 @@
 		n.recordProgress(memberLoop)
 		n.mu.Lock()
 		leaseID := n.self.Incarnation
-		ready := n.session != member.NoLease && n.cache.Consistent()
+		ready := n.session != membership.NoLease && n.cache.Consistent()
 		n.mu.Unlock()
 		if ready {
 			n.tryMembershipStep(ctx, leaseID)
@@ -231,13 +231,13 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if write.operation.Put != member.Key {
+	if write.operation.Put != membership.Key {
 		// The membership comes by watch only: everything stored before it must
 		// be in the cache before it counts.
 		n.cache.ApplyOwnWrite(changes, revision)
 	}
-	if write.operation.Put == member.SessionKey(n.self.Label) && self == n.self {
-		n.session = n.session.Next(member.SessionStored)
+	if write.operation.Put == membership.SessionKey(n.self.Label) && self == n.self {
+		n.session = n.session.Next(membership.SessionStored)
 	}
 	wake(n.membershipWake)
 	return nil
@@ -246,16 +246,16 @@
 // nextMembershipWrite chooses what this node should write about the membership now,
 // nil for nothing; mu is held.
 func (n *Controller) nextMembershipWrite() *membershipWrite {
-	if n.session == member.NoLease {
+	if n.session == membership.NoLease {
 		return nil
 	}
 	n.reconcileSession()
-	if n.session == member.Leased {
+	if n.session == membership.Leased {
 		return n.sessionWrite()
 	}
 	now := n.now()
 	unreachable := n.reachability(now).NextUnreachable()
-	action := member.Decide(member.View{
+	action := membership.Decide(membership.View{
 		Self:                 n.self,
 		Sessions:             n.sessions,
 		Unreachable:          n.unreachable,
@@ -278,19 +278,19 @@
 // stored; mu is held.
 func (n *Controller) reconcileSession() {
 	stored := n.sessions[n.self.Label] == n.self
-	if n.session == member.Registered && !stored {
+	if n.session == membership.Registered && !stored {
 		// Guards against a late write of a former process of this node.
-		n.session = member.Leased
+		n.session = membership.Leased
 	}
-	if n.session == member.Leased && stored {
-		n.session = n.session.Next(member.SessionStored)
+	if n.session == membership.Leased && stored {
+		n.session = n.session.Next(membership.SessionStored)
 	}
 }
 
 // sessionWrite stores this node's session key; mu is held.
 func (n *Controller) sessionWrite() *membershipWrite {
-	key := member.SessionKey(n.self.Label)
-	session := member.Session{Node: n.self, Format: member.CurrentFormat, ProgramVersion: tuning.Version}
+	key := membership.SessionKey(n.self.Label)
+	session := membership.Session{Node: n.self, Format: membership.CurrentFormat, ProgramVersion: tuning.Version}
 	return &membershipWrite{
 		compares:  []wire.Compare{n.cache.Compare(key)},
 		operation: wire.Operation{Put: key, Value: wire.MustMarshal(session), LeaseID: n.self.Incarnation},
@@ -300,14 +300,14 @@
 // reachabilityWrite stores whether this node reaches its workers, and chooses
 // those to ask when it does not; mu is held.
 func (n *Controller) reachabilityWrite(unreachable bool, now time.Time) *membershipWrite {
-	key := member.UnreachableKey(n.self.Label)
+	key := membership.UnreachableKey(n.self.Label)
 	change := wire.Operation{Delete: key}
 	if unreachable {
 		change = wire.Operation{Put: key, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation}
 		n.chooseProbes(now)
 	}
 	return &membershipWrite{
-		compares:     []wire.Compare{n.cache.Compare(member.SessionKey(n.self.Label))},
+		compares:     []wire.Compare{n.cache.Compare(membership.SessionKey(n.self.Label))},
 		operation:    change,
 		reachability: true,
 	}
@@ -316,22 +316,22 @@
 // leaderWrite takes the lead; mu is held.
 func (n *Controller) leaderWrite() *membershipWrite {
 	return &membershipWrite{
-		compares:  []wire.Compare{n.cache.Compare(member.LeaderKey), n.cache.Compare(member.SessionKey(n.self.Label))},
-		operation: wire.Operation{Put: member.LeaderKey, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation},
+		compares:  []wire.Compare{n.cache.Compare(membership.LeaderKey), n.cache.Compare(membership.SessionKey(n.self.Label))},
+		operation: wire.Operation{Put: membership.LeaderKey, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation},
 	}
 }
 
 // membershipRecordWrite stores the next membership; mu is held.
-func (n *Controller) membershipRecordWrite(next *member.Record) *membershipWrite {
+func (n *Controller) membershipRecordWrite(next *membership.Record) *membershipWrite {
 	return &membershipWrite{
-		compares:  []wire.Compare{n.cache.Compare(member.LeaderKey), n.cache.Compare(member.Key)},
-		operation: wire.Operation{Put: member.Key, Value: wire.MustMarshal(next)},
+		compares:  []wire.Compare{n.cache.Compare(membership.LeaderKey), n.cache.Compare(membership.Key)},
+		operation: wire.Operation{Put: membership.Key, Value: wire.MustMarshal(next)},
 	}
 }
 
 // reachability sums up whether this node hears its workers; mu is held.
-func (n *Controller) reachability(now time.Time) member.Reachability {
-	e := member.Reachability{Unreachable: n.unreachable[n.self.Label]}
+func (n *Controller) reachability(now time.Time) membership.Reachability {
+	e := membership.Reachability{Unreachable: n.unreachable[n.self.Label]}
 	if n.membership == nil || !n.isMember() {
 		return e
 	}
--- a/internal/server/metrics.go
+++ b/internal/controller/metrics.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"github.com/prometheus/common/expfmt"
 	"github.com/valyala/fasthttp"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
@@ -104,7 +104,7 @@
 	gauge(descUnmet, float64(unmet))
 	type group struct {
 		machineType, kind, role string
-		phase                   fleet.Phase
+		phase                   inventory.Phase
 	}
 	hosts := map[group]int{}
 	for _, h := range n.inventory.Machines {
--- a/internal/server/node.go
+++ b/internal/controller/node.go
@@ -1,6 +1,6 @@
 // Package server runs a controller node: it ties the decision packages to the
 // state service, the cloud, the workers, the users and the sibling nodes.
-package server
+package controller
 
 import (
 	"context"
@@ -16,15 +16,17 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
+	"wheatspur/internal/cloud"
 	"wheatspur/internal/config"
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/peer"
 	"wheatspur/internal/quota"
 	"wheatspur/internal/recovery"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
 	"wheatspur/wire"
 )
 
@@ -36,7 +38,7 @@
 	now          func() time.Time
 	store        store.KeyValueStore
 	limiter      *store.Limiter
-	cloud        fleet.Provider
+	cloud        cloud.Provider
 	workerClient workerClient
 
 	metrics *metrics
@@ -45,18 +47,18 @@
 	cache               *store.Cache
 	table               *jobs.Table
 	syncer              *store.Syncer
-	session             member.SessionState
-	self                member.Node
-	sessions            map[string]member.Node
-	storedSessions      map[string]member.Session // the same, with what they say of their programs
-	unreachable         map[string]bool           // nodes that say that they hear no worker
-	probes              []string                  // workers' addresses to ask while we are unreachable
-	probeAnsweredAt     time.Time                 // when one of them last answered
+	session             membership.SessionState
+	self                membership.Node
+	sessions            map[string]membership.Node
+	storedSessions      map[string]membership.Session // the same, with what they say of their programs
+	unreachable         map[string]bool               // nodes that say that they hear no worker
+	probes              []string                      // workers' addresses to ask while we are unreachable
+	probeAnsweredAt     time.Time                     // when one of them last answered
 	unreachableSince    time.Time
-	leader              *member.Node
-	membership          *member.Record
+	leader              *membership.Node
+	membership          *membership.Record
 	memberLabels        []string // of its nodes
-	inventory           *fleet.Inventory
+	inventory           *inventory.Inventory
 	shardOwners         map[string]string // of machines under the present membership
 	machineIndex        machineIndex
 	publishedMachines   map[string]*publishedMachine
@@ -66,8 +68,8 @@
 	machineTypes        map[string]wire.MachineType
 	imageSizes          map[string]float64  // sizes of images
 	inheritedImages     map[string][]string // images of machines, as their former owners knew them
-	workers             map[string]*fleet.Worker
-	failingWorkers      map[string]*fleet.Worker // those whose tasks failed lately
+	workers             map[string]*worker.Worker
+	failingWorkers      map[string]*worker.Worker // those whose tasks failed lately
 	siblings            map[string]*sibling
 	writesInFlight      map[string]bool // a write about the job is under way
 	quota               *quota.Manager
@@ -110,11 +112,11 @@
 	share := tuning.BudgetShare / float64(max(1, len(set.Siblings)+1))
 	limits := set.StateLimits()
 	lim := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.BudgetQueue, now)
-	cloud := fleet.NewClient(set.Endpoints.Cloud, set.Params.Cloud.RPS*tuning.BudgetShare, now)
+	cloud := cloud.NewClient(set.Endpoints.Cloud, set.Params.Cloud.RPS*tuning.BudgetShare, now)
 	return newNode(set, log, now, store.NewClient(set.Endpoints.State, lim), lim, cloud, newHTTPWorkerClient())
 }
 
-func newNode(set *config.Settings, log *slog.Logger, now func() time.Time, svc store.KeyValueStore, lim *store.Limiter, cloud fleet.Provider, call workerClient) *Controller {
+func newNode(set *config.Settings, log *slog.Logger, now func() time.Time, svc store.KeyValueStore, lim *store.Limiter, cloud cloud.Provider, call workerClient) *Controller {
 	n := &Controller{
 		settings:          set,
 		limits:            set.StateLimits(),
@@ -124,10 +126,10 @@
 		limiter:           lim,
 		cloud:             cloud,
 		workerClient:      call,
-		session:           member.NoLease,
-		sessions:          map[string]member.Node{},
-		storedSessions:    map[string]member.Session{},
-		inventory:         fleet.NewInventory(),
+		session:           membership.NoLease,
+		sessions:          map[string]membership.Node{},
+		storedSessions:    map[string]membership.Session{},
+		inventory:         inventory.NewInventory(),
 		shardOwners:       map[string]string{},
 		publishedMachines: map[string]*publishedMachine{},
 		quota:             quota.NewManager(quotaTeams(set.Params.Teams), quotaOptions(set)),
@@ -135,8 +137,8 @@
 		machineTypes:      map[string]wire.MachineType{},
 		imageSizes:        map[string]float64{},
 		inheritedImages:   map[string][]string{},
-		workers:           map[string]*fleet.Worker{},
-		failingWorkers:    map[string]*fleet.Worker{},
+		workers:           map[string]*worker.Worker{},
+		failingWorkers:    map[string]*worker.Worker{},
 		siblings:          map[string]*sibling{},
 		writesInFlight:    map[string]bool{},
 		backoffUntil:      map[string]time.Time{},
@@ -304,6 +306,6 @@
 }
 
 // isQuarantined reports whether a machine should get no tasks for now.
-func (n *Controller) isQuarantined(w *fleet.Worker, now time.Time) bool {
+func (n *Controller) isQuarantined(w *worker.Worker, now time.Time) bool {
 	return w.Unresponsive || len(w.FailedJobs) >= tuning.MachineFailuresMax || now.Sub(w.LastRefusal) < tuning.RefusalPause
 }
--- a/internal/server/pass.go
+++ b/internal/controller/pass.go
@@ -1,13 +1,13 @@
-package server
+package controller
 
 import (
 	"context"
 	"time"
 
-	"wheatspur/internal/fleet"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
 )
 
 // runScheduler runs the owner's part whenever something has changed.
@@ -53,7 +53,7 @@
 	due := n.dueReleases(workers, now)
 	fleet := n.refreshMachines(now)
 	in := n.placeInput(fleet, now)
-	out := place.Schedule(in)
+	out := placement.Schedule(in)
 	n.recordUnplaced(out, now)
 	if !n.machinesUnknown() {
 		n.preempt(out.Preemptions, now)
@@ -74,7 +74,7 @@
 
 // pruneFinished drops what is remembered of tasks, machines and jobs and is over; mu
 // is held.
-func (n *Controller) pruneFinished(workers map[string]*fleet.Worker, now time.Time) {
+func (n *Controller) pruneFinished(workers map[string]*worker.Worker, now time.Time) {
 	for host, w := range workers {
 		if len(w.Stopping) > 0 && w.PruneStopping(n.table.ClaimsByMachine[host]) {
 			n.machineIndex.markChanged(host)
@@ -98,7 +98,7 @@
 }
 
 // preempt stops tasks whose room others need; mu is held.
-func (n *Controller) preempt(list []place.Preemption, now time.Time) {
+func (n *Controller) preempt(list []placement.Preemption, now time.Time) {
 	for _, r := range list {
 		w := n.workers[n.machineOf(r.ClaimedTask)]
 		if w == nil {
@@ -116,7 +116,7 @@
 // which is not short while there are claims. Guards against a half-empty fleet
 // beside a queue: the ends of hundreds of tasks took the budget from the claims.
 // mu is held.
-func (n *Controller) planReleasesAndClaims(txns []*pendingWrite, due []pendingRelease, claims []place.Claim, most *float64) []*pendingWrite {
+func (n *Controller) planReleasesAndClaims(txns []*pendingWrite, due []pendingRelease, claims []placement.Claim, most *float64) []*pendingWrite {
 	early := *most
 	if len(claims) > 0 {
 		early = n.earlyReleaseBudget(*most)
@@ -138,7 +138,7 @@
 }
 
 // countJobs is how many jobs the claims are of.
-func countJobs(claims []place.Claim) int {
+func countJobs(claims []placement.Claim) int {
 	seen := map[string]bool{}
 	for _, c := range claims {
 		seen[c.Job.ID] = true
@@ -155,7 +155,7 @@
 
 // commandWorkers sends workers what is due, and forgets those of machines that are
 // gone; mu is held.
-func (n *Controller) commandWorkers(workers map[string]*fleet.Worker, now time.Time) {
+func (n *Controller) commandWorkers(workers map[string]*worker.Worker, now time.Time) {
 	for host, w := range workers {
 		if n.shardOwner(host) == n.self.Label {
 			n.fencePendingStarts(w)
@@ -167,10 +167,12 @@
 }
 
 // machineOf is the machine that a claimed task is on.
-func (n *Controller) machineOf(r place.ClaimedTask) string { return r.Job.Claims[r.ID.Task].Machine }
+func (n *Controller) machineOf(r placement.ClaimedTask) string {
+	return r.Job.Claims[r.ID.Task].Machine
+}
 
 // recordUnplaced notes the tasks without a place, why, and since when; mu is held.
-func (n *Controller) recordUnplaced(out place.Output, now time.Time) {
+func (n *Controller) recordUnplaced(out placement.Output, now time.Time) {
 	n.unplaced, n.pendingReasons = out.Unplaced, out.Reasons
 	n.recordShortages(out, now)
 	for jobID := range n.unplacedSince {
@@ -186,8 +188,8 @@
 }
 
 // placeInput builds the pass's input; mu is held.
-func (n *Controller) placeInput(fleet *place.Fleet, now time.Time) place.Input {
-	in := place.Input{Self: n.self.Label, Leader: n.membership.Leader.Label, RankNodes: n.membership.RankNodes,
+func (n *Controller) placeInput(fleet *placement.Fleet, now time.Time) placement.Input {
+	in := placement.Input{Self: n.self.Label, Leader: n.membership.Leader.Label, RankNodes: n.membership.RankNodes,
 		Fleet: fleet, Teams: n.allowances(), Now: now, MaxJobs: tuning.JobsPerPass,
 		MinimizeLoss: n.settings.Operator.QuotaReservations}
 	avoid := map[string]map[string]bool{}
@@ -204,7 +206,7 @@
 		if j.Counts[jobs.Pending] == 0 || j.Record.Phase == jobs.Waiting && !pipelines {
 			continue // an old member would stop what starts on its machines
 		}
-		d := &place.Demand{Job: j, Avoid: avoid[jobID]}
+		d := &placement.Demand{Job: j, Avoid: avoid[jobID]}
 		d.Tasks = n.pendingTasks(j, tuning.TasksPerJob, now)
 		// The cloud may still bring room for a guarantee; work that is stopped
 		// for it is lost.
--- a/internal/server/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"time"
 
 	"wheatspur/internal/config"
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/peer"
 	"wheatspur/internal/store"
 	"wheatspur/wire"
@@ -209,9 +209,9 @@
 	n := w.nodes[label]
 	s := any(n.self)
 	if !old {
-		s = member.Session{Node: n.self, Format: member.CurrentFormat, ProgramVersion: "x"}
+		s = membership.Session{Node: n.self, Format: membership.CurrentFormat, ProgramVersion: "x"}
 	}
-	key := member.SessionKey(label)
+	key := membership.SessionKey(label)
 	if _, err := w.st.CompareAndSwap(context.Background(), store.ClassLease, nil, []wire.Operation{{Put: key, Value: wire.MustMarshal(s), LeaseID: n.self.Incarnation}}); err != nil {
 		w.t.Fatal(err)
 	}
@@ -299,7 +299,7 @@
 	n := w.nodes["a"]
 	w.st.ValueLimit, w.st.OpsLimit = 2048, 4
 	for key, v := range data {
-		if key == member.Key || key == member.LeaderKey || key == jobs.TeamKey("x") || strings.HasPrefix(key, member.SessionPrefix) {
+		if key == membership.Key || key == membership.LeaderKey || key == jobs.TeamKey("x") || strings.HasPrefix(key, membership.SessionPrefix) {
 			if err := n.applyRecord(key, v, 0); err != nil {
 				t.Errorf("%s: %v", key, err)
 			}
@@ -329,17 +329,17 @@
 		}
 	}
 	w.phases("cancelled", map[string]string{"wk-1": wire.StateCancelled, "wk-10": wire.StateCancelled, "wk-11": wire.StateCancelled})
-	var changes []fleet.RecordChange
+	var changes []inventory.RecordChange
 	for _, host := range []string{"host-000000", "host-000017", "host-000031", "host-000099"} {
 		was := n.inventory.Machines[host]
 		is := was
-		is.Phase, is.Reason = fleet.Draining, "a long reason for which there may be no room in the record"
-		changes = append(changes, fleet.RecordChange{Machine: host, Before: &was, After: &is})
+		is.Phase, is.Reason = inventory.Draining, "a long reason for which there may be no room in the record"
+		changes = append(changes, inventory.RecordChange{Machine: host, Before: &was, After: &is})
 	}
 	n.storeMachines(context.Background(), changes)
 	w.sync()
 	for _, c := range changes {
-		if n.inventory.Machines[c.Machine].Phase != fleet.Draining {
+		if n.inventory.Machines[c.Machine].Phase != inventory.Draining {
 			t.Errorf("%s is %s", c.Machine, n.inventory.Machines[c.Machine].Phase)
 		}
 	}
@@ -383,7 +383,7 @@
 		t.Fatalf("%+v", r)
 	}
 	var s oldNode
-	if err := wire.Unmarshal(wire.MustMarshal(member.Session{Node: member.Node{Label: "a", Incarnation: 7}, Format: 1, ProgramVersion: "x"}), &s); err != nil || s != (oldNode{"a", 7}) {
+	if err := wire.Unmarshal(wire.MustMarshal(membership.Session{Node: membership.Node{Label: "a", Incarnation: 7}, Format: 1, ProgramVersion: "x"}), &s); err != nil || s != (oldNode{"a", 7}) {
 		t.Fatalf("%+v %v", s, err)
 	}
 }
@@ -394,15 +394,15 @@
 	data := production(t)
 	w := newWorld(t, "a")
 	for i := range 3 {
-		var g fleet.Group
+		var g inventory.Group
 		if err := wire.Unmarshal(data["w/fleet/000000"], &g); err != nil {
 			t.Fatal(err)
 		}
-		named := fleet.Group{Machines: map[string]fleet.Record{}}
+		named := inventory.Group{Machines: map[string]inventory.Record{}}
 		for host, r := range g.Machines {
 			named.Machines[strings.Replace(host, "host-0", fmt.Sprintf("host-%d", i+1), 1)] = r
 		}
-		w.st.Put(fleet.GroupKey(i), wire.MustMarshal(named))
+		w.st.Put(inventory.GroupKey(i), wire.MustMarshal(named))
 	}
 	w.st.ValueLimit, w.st.OpsLimit = 2048, 4
 	machines := 96
@@ -416,16 +416,16 @@
 		n.storeMachines(context.Background(), nil, n.inventory.OversizeGroups(n.maxGroupBytes(), 1)...)
 		if step == 1 {
 			// An old leader fills up a group that was cut.
-			big := fleet.Group{Machines: map[string]fleet.Record{}}
+			big := inventory.Group{Machines: map[string]inventory.Record{}}
 			for host, r := range n.inventory.Machines {
-				if n.inventory.KeyOf(host) == fleet.GroupKey(0) {
+				if n.inventory.KeyOf(host) == inventory.GroupKey(0) {
 					big.Machines[host] = r
 				}
 			}
 			for ; len(big.Machines) < 32; machines++ {
-				big.Machines[fmt.Sprintf("host-9%05d", machines)] = fleet.Record{MachineType: "a-large-type", Zone: "a-far-away-zone", Role: "batch", Phase: fleet.Active, Reason: "joins"}
+				big.Machines[fmt.Sprintf("host-9%05d", machines)] = inventory.Record{MachineType: "a-large-type", Zone: "a-far-away-zone", Role: "batch", Phase: inventory.Active, Reason: "joins"}
 			}
-			w.st.Put(fleet.GroupKey(0), wire.MustMarshal(big))
+			w.st.Put(inventory.GroupKey(0), wire.MustMarshal(big))
 		}
 	}
 	n := w.nodes["a"]
@@ -434,8 +434,8 @@
 	}
 	seen := map[string]string{}
 	for key, e := range w.st.Keys {
-		var g fleet.Group
-		if !strings.HasPrefix(key, fleet.GroupPrefix) {
+		var g inventory.Group
+		if !strings.HasPrefix(key, inventory.GroupPrefix) {
 			continue
 		}
 		if err := wire.Unmarshal(e.Value, &g); err != nil {
--- a/internal/server/planinput.go
+++ b/internal/controller/planinput.go
@@ -1,24 +1,25 @@
 // This file builds the input of the capacity plan.
 
-package server
+package controller
 
 import (
 	"sort"
 	"time"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/autoscale"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
 
 // drainable finds the service machines, the emptiest first, whose tasks have
 // room elsewhere; only a few are looked at.
-func (n *Controller) drainable(f *place.Fleet) map[string]bool {
-	var list []*place.Machine
+func (n *Controller) drainable(f *placement.Fleet) map[string]bool {
+	var list []*placement.Machine
 	for _, m := range f.Machines {
-		if m.Schedulable && m.Role == place.Service && len(m.Tasks) > 0 {
+		if m.Schedulable && m.Role == placement.Service && len(m.Tasks) > 0 {
 			list = append(list, m)
 		}
 	}
@@ -33,7 +34,7 @@
 }
 
 // planInput builds the capacity plan's input; mu is held.
-func (n *Controller) planInput(l *leaderState, machines *place.Fleet, now time.Time) fleet.Input {
+func (n *Controller) planInput(l *leaderState, machines *placement.Fleet, now time.Time) autoscale.Input {
 	b := n.newPlanBuilder(l, machines, now)
 	l.lostWhileDraining = nil
 	for _, m := range machines.Machines {
@@ -61,10 +62,10 @@
 	drainable       map[string]bool            // service machines whose tasks have room elsewhere
 	batch           map[string]*batchClassLoad // what batch tasks hold, by class
 	serviceMachines int                        // service machines that take tasks
-	input           fleet.Input
+	input           autoscale.Input
 }
 
-func (n *Controller) newPlanBuilder(l *leaderState, machines *place.Fleet, now time.Time) *planBuilder {
+func (n *Controller) newPlanBuilder(l *leaderState, machines *placement.Fleet, now time.Time) *planBuilder {
 	return &planBuilder{
 		controller:  n,
 		leaderState: l,
@@ -73,7 +74,7 @@
 		sinceHeard:  n.lastHeardByOwners(now),
 		drainable:   n.drainable(machines),
 		batch:       map[string]*batchClassLoad{},
-		input: fleet.Input{
+		input: autoscale.Input{
 			Now:             now,
 			Operator:        n.settings.Operator,
 			Types:           n.machineTypeList,
@@ -85,28 +86,28 @@
 
 // addMachine enters a machine that has a record: what its tasks hold, and itself
 // if it is neither drained nor given back.
-func (b *planBuilder) addMachine(m *place.Machine) {
+func (b *planBuilder) addMachine(m *placement.Machine) {
 	phase := b.controller.inventory.Machines[m.Name].Phase
 	b.recordHeard(m)
 	unit := b.describeMachine(m, phase)
 	b.addClaimed(m)
-	if m.Schedulable && m.Role == place.Service {
+	if m.Schedulable && m.Role == placement.Service {
 		b.serviceMachines++
 	}
-	draining := phase == fleet.Draining && len(m.Tasks) > 0
-	if draining && m.Role == place.Service {
+	draining := phase == inventory.Draining && len(m.Tasks) > 0
+	if draining && m.Role == placement.Service {
 		b.input.Draining++
 	}
 	if draining && (unit.Missing || unit.Silent) {
 		b.leaderState.lostWhileDraining = append(b.leaderState.lostWhileDraining, m.Name)
 	}
-	if phase == fleet.Active {
+	if phase == inventory.Active {
 		b.input.Machines = append(b.input.Machines, unit)
 	}
 }
 
 // recordHeard notes when a machine was last heard.
-func (b *planBuilder) recordHeard(m *place.Machine) {
+func (b *planBuilder) recordHeard(m *placement.Machine) {
 	if age, ok := b.sinceHeard[m.Name]; ok {
 		b.leaderState.recordHeard(m.Name, b.now.Add(-age))
 		return
@@ -120,16 +121,16 @@
 }
 
 // describeMachine describes a machine to the plan, and notes since when it is idle or unfit.
-func (b *planBuilder) describeMachine(m *place.Machine, phase fleet.Phase) fleet.Machine {
+func (b *planBuilder) describeMachine(m *placement.Machine, phase inventory.Phase) autoscale.Machine {
 	_, wasUp := b.leaderState.lastHeard[m.Name]
 	quiet := b.silentFor(m.Name)
 	missing := time.Duration(tuning.MissingHeartbeats * float64(b.controller.settings.HeartbeatInterval()))
-	unit := fleet.Machine{
+	unit := autoscale.Machine{
 		Name:             m.Name,
-		Kind:             fleet.MachineKind{MachineType: m.Type, Zone: m.Zone, Spot: m.Spot},
+		Kind:             autoscale.MachineKind{MachineType: m.Type, Zone: m.Zone, Spot: m.Spot},
 		Role:             m.Role,
 		Schedulable:      m.Schedulable,
-		Booting:          !wasUp && phase == fleet.Active,
+		Booting:          !wasUp && phase == inventory.Active,
 		Age:              b.age(m.Name),
 		Idle:             b.idleFor(m, phase),
 		Movable:          b.drainable[m.Name],
@@ -159,8 +160,8 @@
 }
 
 // idleFor is how long a machine has had no claims, and notes when that began.
-func (b *planBuilder) idleFor(m *place.Machine, phase fleet.Phase) time.Duration {
-	if len(m.Tasks) > 0 || phase != fleet.Active {
+func (b *planBuilder) idleFor(m *placement.Machine, phase inventory.Phase) time.Duration {
+	if len(m.Tasks) > 0 || phase != inventory.Active {
 		delete(b.leaderState.idleSince, m.Name)
 		return 0
 	}
@@ -175,8 +176,8 @@
 // quarantinedTooLong reports whether a machine has long reported and taken no tasks,
 // for instance because it does not hear: another takes its place. It notes when
 // that began.
-func (b *planBuilder) quarantinedTooLong(m *place.Machine, phase fleet.Phase, booting bool) bool {
-	if m.Schedulable || booting || phase != fleet.Active || b.silentFor(m.Name) > b.controller.silenceTimeout() {
+func (b *planBuilder) quarantinedTooLong(m *placement.Machine, phase inventory.Phase, booting bool) bool {
+	if m.Schedulable || booting || phase != inventory.Active || b.silentFor(m.Name) > b.controller.silenceTimeout() {
 		delete(b.leaderState.quarantinedSince, m.Name)
 		return false
 	}
@@ -189,7 +190,7 @@
 }
 
 // hasFailingTasks reports whether too many tasks failed lately on a machine of this node.
-func (b *planBuilder) hasFailingTasks(m *place.Machine) bool {
+func (b *planBuilder) hasFailingTasks(m *placement.Machine) bool {
 	w := b.controller.workers[m.Name]
 	return m.Owner == b.controller.self.Label && w != nil && len(w.FailedJobs) >= tuning.MachineFailuresMax
 }
@@ -202,7 +203,7 @@
 			continue
 		}
 		t := b.controller.machineTypes[rented.kind.MachineType]
-		b.input.Machines = append(b.input.Machines, fleet.Machine{
+		b.input.Machines = append(b.input.Machines, autoscale.Machine{
 			Name:    host,
 			Kind:    rented.kind,
 			Role:    rented.role,
--- a/internal/server/quota.go
+++ b/internal/controller/quota.go
@@ -1,7 +1,7 @@
 // This file carries out what package quota decides: it enters the stored shares
 // and claims, guards the writes of claims and stores the leader's new shares.
 
-package server
+package controller
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"time"
 
 	"wheatspur/internal/config"
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/quota"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
@@ -72,7 +72,7 @@
 func (n *Controller) totalCapacity() quota.Amount {
 	var sum quota.Amount
 	for _, r := range n.inventory.Machines {
-		if r.Phase == fleet.Active {
+		if r.Phase == inventory.Active {
 			t := n.machineTypes[r.MachineType]
 			sum = sum.Add(quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs})
 		}
@@ -235,7 +235,7 @@
 }
 
 // recordShortages notes which teams' work waits for other shares; mu is held.
-func (n *Controller) recordShortages(out place.Output, now time.Time) {
+func (n *Controller) recordShortages(out placement.Output, now time.Time) {
 	for _, l := range n.quota.Ledgers() {
 		_, short := out.ShareShortfall[l.Team().Name]
 		l.RecordShortage(short, now, n.membership.FencingToken)
--- a/internal/server/records.go
+++ b/internal/controller/records.go
@@ -1,13 +1,13 @@
 // This file takes the records of the state service from the cache into the node.
 
-package server
+package controller
 
 import (
 	"strings"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/quota"
 	"wheatspur/wire"
 )
@@ -37,15 +37,15 @@
 		return n.quota.Apply(strings.TrimPrefix(key, jobs.TeamPrefix), v, version)
 	case key == quota.ReservationsKey:
 		return n.quota.ApplyReservations(v)
-	case strings.HasPrefix(key, fleet.GroupPrefix), strings.HasPrefix(key, fleet.SingleMachinePrefix):
+	case strings.HasPrefix(key, inventory.GroupPrefix), strings.HasPrefix(key, inventory.SingleMachinePrefix):
 		return n.inventory.Apply(key, v)
-	case strings.HasPrefix(key, member.SessionPrefix):
-		return n.applySession(strings.TrimPrefix(key, member.SessionPrefix), v)
-	case strings.HasPrefix(key, member.UnreachablePrefix):
-		n.applyUnreachable(strings.TrimPrefix(key, member.UnreachablePrefix), v)
-	case key == member.LeaderKey:
+	case strings.HasPrefix(key, membership.SessionPrefix):
+		return n.applySession(strings.TrimPrefix(key, membership.SessionPrefix), v)
+	case strings.HasPrefix(key, membership.UnreachablePrefix):
+		n.applyUnreachable(strings.TrimPrefix(key, membership.UnreachablePrefix), v)
+	case key == membership.LeaderKey:
 		return n.applyLeader(v)
-	case key == member.Key:
+	case key == membership.Key:
 		return n.applyMembership(v)
 	case key == typesKey:
 		return n.applyTypes(v)
@@ -69,7 +69,7 @@
 		delete(n.storedSessions, label)
 		return nil
 	}
-	s, err := member.DecodeSession(v)
+	s, err := membership.DecodeSession(v)
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 	if v == nil {
 		return nil
 	}
-	m, err := member.DecodeNode(v)
+	m, err := membership.DecodeNode(v)
 	n.leader = m
 	return err
 }
--- a/internal/server/recovery.go
+++ b/internal/controller/recovery.go
@@ -1,7 +1,7 @@
 // This file carries out what package recovery decides: how far this node is in
 // knowing its machines, and which starts may go now.
 
-package server
+package controller
 
 import (
 	"fmt"
@@ -10,10 +10,11 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/recovery"
 	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
 )
 
 // advanceRecovery takes the node's recovery a step on. It looks at all of the node's
@@ -57,12 +58,12 @@
 	waited := now.Sub(n.recoveryProgress.Began)
 	patience := time.Duration(tuning.RecoveryHeartbeats * float64(n.settings.HeartbeatInterval()))
 	for host, rec := range n.inventory.Machines {
-		if rec.Phase == fleet.Terminated || n.shardOwner(host) != n.self.Label {
+		if rec.Phase == inventory.Terminated || n.shardOwner(host) != n.self.Label {
 			continue
 		}
 		w := n.workers[host]
 		heard := w != nil && !w.LastHeard.IsZero()
-		state := recovery.StateOf(heard, heard && w.State == fleet.TokenAcknowledged, waited, patience)
+		state := recovery.StateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, patience)
 		count[state]++
 		if !heard {
 			continue
--- a/internal/server/releases.go
+++ b/internal/controller/releases.go
@@ -1,14 +1,15 @@
 // This file stores the ends of tasks and of jobs.
 
-package server
+package controller
 
 import (
 	"sort"
 	"time"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
 )
 
 // earlyReleaseBudget is the part of the changes that may be written now which ends may
@@ -42,7 +43,7 @@
 // dueReleases lists the ends of tasks on this node's machines that may be stored now,
 // by chunk; what matters most comes first. workers are those that may have any.
 // mu is held.
-func (n *Controller) dueReleases(workers map[string]*fleet.Worker, now time.Time) []pendingRelease {
+func (n *Controller) dueReleases(workers map[string]*worker.Worker, now time.Time) []pendingRelease {
 	changes := n.provenEnds(workers, now)
 	for key := range n.releaseDueSince {
 		if changes[key] == nil {
@@ -66,7 +67,7 @@
 
 // provenEnds collects the claims whose end is proven on this node's machines, by
 // chunk.
-func (n *Controller) provenEnds(workers map[string]*fleet.Worker, now time.Time) map[string]*chunkChange {
+func (n *Controller) provenEnds(workers map[string]*worker.Worker, now time.Time) map[string]*chunkChange {
 	changes := map[string]*chunkChange{}
 	add := func(id jobs.TaskID, kind jobs.TaskEventKind) {
 		j := n.table.Jobs[id.Job]
@@ -94,7 +95,7 @@
 	}
 	lease := n.settings.WorkerLease()
 	for host, w := range workers {
-		if w.NothingToReconcile(now, lease) || n.shardOwner(host) != n.self.Label || n.inventory.Machines[host].Phase == fleet.Terminated {
+		if w.NothingToReconcile(now, lease) || n.shardOwner(host) != n.self.Label || n.inventory.Machines[host].Phase == inventory.Terminated {
 			continue
 		}
 		for _, r := range w.ProvenEnds(n.table.ClaimsByMachine[host], now, lease) {
--- a/internal/server/rolemoves.go
+++ b/internal/controller/rolemoves.go
@@ -1,14 +1,14 @@
 // This file holds the leader's moves of machines between the roles.
 
-package server
+package controller
 
 import (
 	"time"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
-	"wheatspur/internal/place"
+	"wheatspur/internal/membership"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/roles"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
@@ -65,28 +65,28 @@
 }
 
 // describeSplit describes one type's ordinary machines and demand; mu is held.
-func (n *Controller) describeSplit(t wire.MachineType, machines *place.Fleet) roles.Split {
+func (n *Controller) describeSplit(t wire.MachineType, machines *placement.Fleet) roles.Split {
 	s := roles.Split{Type: t.Label, Complete: true}
 	for _, sib := range n.siblings {
-		if n.membership.Contains(member.Node{Label: sib.settings.Label, Incarnation: sib.status.Incarnation}) && !n.isFresh(sib) {
+		if n.membership.Contains(membership.Node{Label: sib.settings.Label, Incarnation: sib.status.Incarnation}) && !n.isFresh(sib) {
 			s.Complete = false
 		}
 	}
 	count := map[string]int{}    // machines that take tasks, by type
 	coming := []jobs.Resources{} // room on batch machines of the type that still boot
 	for _, m := range machines.Machines {
-		if n.inventory.Machines[m.Name].Phase != fleet.Active {
+		if n.inventory.Machines[m.Name].Phase != inventory.Active {
 			continue
 		}
 		if !m.Schedulable && len(m.Tasks) == 0 {
 			// Only machines that are up count, and only they move. Counting
 			// those that boot made queued work that waits for them look like a
 			// lack of batch machines.
-			if m.Type == t.Label && m.Role == place.Batch {
+			if m.Type == t.Label && m.Role == placement.Batch {
 				coming = append(coming, m.Free)
 			}
 			if m.Type == t.Label && !m.Spot {
-				if m.Role == place.Batch {
+				if m.Role == placement.Batch {
 					s.BatchComing++
 				} else {
 					s.ServiceComing++
@@ -101,7 +101,7 @@
 		switch {
 		case m.Spot:
 			s.Spot++
-		case m.Role == place.Service:
+		case m.Role == placement.Service:
 			s.Service++
 		default:
 			s.Batch++
@@ -146,17 +146,17 @@
 }
 
 // moveRoles evaluates every type's split and returns the moves; mu is held.
-func (n *Controller) moveRoles(l *leaderState, machines *place.Fleet, now time.Time) []fleet.RecordChange {
-	var out []fleet.RecordChange
+func (n *Controller) moveRoles(l *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
+	var out []inventory.RecordChange
 	for _, t := range n.machineTypeList {
 		c := l.roleControllers[t.Label]
 		if c == nil {
 			continue
 		}
-		var service, batch []*place.Machine
+		var service, batch []*placement.Machine
 		for _, m := range machines.Machines {
-			if m.Type == t.Label && !m.Spot && n.inventory.Machines[m.Name].Phase == fleet.Active && (m.Schedulable || len(m.Tasks) > 0) {
-				if m.Role == place.Service {
+			if m.Type == t.Label && !m.Spot && n.inventory.Machines[m.Name].Phase == inventory.Active && (m.Schedulable || len(m.Tasks) > 0) {
+				if m.Role == placement.Service {
 					service = append(service, m)
 				} else {
 					batch = append(batch, m)
@@ -166,13 +166,13 @@
 		victim := roles.Victim(service)
 		d := c.Evaluate(now, n.describeSplit(t, machines), func() bool { return victim != nil && tasksFitElsewhere(machines, victim, false) })
 		l.roleDecisions[t.Label] = d
-		var m *place.Machine
-		role := place.Batch
+		var m *placement.Machine
+		role := placement.Batch
 		switch d.Move {
 		case roles.ToBatch:
 			m = victim
 		case roles.ToService:
-			m, role = roles.Emptiest(batch), place.Service
+			m, role = roles.Emptiest(batch), placement.Service
 		}
 		n.log.Debug("roles evaluated", "type", t.Label, "batch", d.Batch, "service", d.Service, "batch_load", d.BatchLoad,
 			"service_load", d.ServiceLoad, "proposal", string(d.Proposal.Direction), "rule", string(d.Proposal.Rule),
@@ -183,7 +183,7 @@
 		rec := n.inventory.Machines[m.Name]
 		moved := rec
 		moved.Role, moved.Reason = role, string(d.Proposal.Rule)
-		out = append(out, fleet.RecordChange{Machine: m.Name, Before: &rec, After: &moved})
+		out = append(out, inventory.RecordChange{Machine: m.Name, Before: &rec, After: &moved})
 		n.log.Info("role move", "host", m.Name, "type", t.Label, "to", string(role), "rule", string(d.Proposal.Rule),
 			"batch_load", d.BatchLoad, "service_load", d.ServiceLoad)
 	}
@@ -192,9 +192,9 @@
 
 // tasksFitElsewhere reports whether all service tasks of a machine have room on the
 // others at once; held: on machines that hold their images.
-func tasksFitElsewhere(f *place.Fleet, victim *place.Machine, held bool) bool {
+func tasksFitElsewhere(f *placement.Fleet, victim *placement.Machine, held bool) bool {
 	type booked struct {
-		m    *place.Machine
+		m    *placement.Machine
 		need jobs.Resources
 	}
 	var taken []booked
@@ -207,7 +207,7 @@
 		if !r.Job.Service() || r.Job.Phase != jobs.Open {
 			continue
 		}
-		to := place.FitElsewhere(f, r.Job, r.ID.Task, victim.Name)
+		to := placement.FitElsewhere(f, r.Job, r.ID.Task, victim.Name)
 		if to == nil || held && !to.HasImage(r.Job.Record.Spec.Image) {
 			return false
 		}
--- a/internal/server/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -1,16 +1,18 @@
-package server
+package controller
 
 import (
 	"context"
 	"fmt"
 	"testing"
 
+	"wheatspur/internal/autoscale"
 	"wheatspur/internal/config"
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
-	"wheatspur/internal/place"
+	"wheatspur/internal/membership"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
 	"wheatspur/wire"
 )
 
@@ -32,9 +34,9 @@
 	for i := range machines {
 		host := fmt.Sprintf("host-%06d", i)
 		w.cl.Listed = append(w.cl.Listed, wire.Machine{Name: host, Address: "10.9.9.9:1", MachineType: "g", Zone: "z", State: wire.MachineRunning, AgeS: 100})
-		role := place.Batch
+		role := placement.Batch
 		if i%2 == 0 {
-			role = place.Service
+			role = placement.Service
 		}
 		l.mu.Lock()
 		l.currentLeaderState().scalingOut[host] = scaleOutRecord{role: role}
@@ -140,7 +142,7 @@
 	for b.Loop() {
 		n.mu.Lock()
 		now := n.now()
-		fleet.Plan(n.planInput(n.currentLeaderState(), n.refreshMachines(now), now))
+		autoscale.Plan(n.planInput(n.currentLeaderState(), n.refreshMachines(now), now))
 		n.mu.Unlock()
 	}
 }
@@ -269,7 +271,7 @@
 	}
 	written := 0
 	for _, e := range w.st.Events {
-		if e.Version > revision && e.Put == member.Key {
+		if e.Version > revision && e.Put == membership.Key {
 			written++
 		}
 	}
@@ -278,7 +280,7 @@
 	}
 	proven := 0
 	for _, m := range l.workers {
-		if m.State == fleet.TokenAcknowledged {
+		if m.State == worker.TokenAcknowledged {
 			proven++
 		}
 	}
@@ -360,10 +362,10 @@
 	}
 }
 
-func joins(list []wire.Machine) []fleet.RecordChange {
-	var out []fleet.RecordChange
+func joins(list []wire.Machine) []inventory.RecordChange {
+	var out []inventory.RecordChange
 	for _, h := range list {
-		out = append(out, fleet.RecordChange{Machine: h.Name, After: &fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Role: place.Batch, Phase: fleet.Active}})
+		out = append(out, inventory.RecordChange{Machine: h.Name, After: &inventory.Record{MachineType: h.MachineType, Zone: h.Zone, Role: placement.Batch, Phase: inventory.Active}})
 	}
 	return out
 }
--- a/internal/server/scripted_test.go
+++ b/internal/controller/scripted_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"context"
@@ -11,15 +11,15 @@
 	"testing"
 	"time"
 
-	"wheatspur/internal/member"
-	"wheatspur/internal/standin"
+	"wheatspur/internal/fake"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/store"
 	"wheatspur/wire"
 )
 
 // machine is a scripted worker with what stands between it and the nodes.
 type machine struct {
-	standin.Worker
+	fake.Worker
 	due  time.Time // of the next report
 	node string    // it reports to
 
@@ -85,8 +85,8 @@
 // joinAs adds a machine of a role that is up.
 func (x *trial) joinAs(host, role string) *machine {
 	x.t.Helper()
-	m := &machine{due: x.clk.now(), node: "a", cut: map[string]bool{}, Worker: standin.Worker{Host: host, Address: host, Type: "g", Zone: "z",
-		Session: 1, Tasks: map[string]*standin.Task{}, Renewed: x.clk.now(), Begins: x.begins}}
+	m := &machine{due: x.clk.now(), node: "a", cut: map[string]bool{}, Worker: fake.Worker{Host: host, Address: host, Type: "g", Zone: "z",
+		Session: 1, Tasks: map[string]*fake.Task{}, Renewed: x.clk.now(), Begins: x.begins}}
 	x.mu.Lock()
 	x.machines = append(x.machines, m)
 	x.mu.Unlock()
@@ -106,7 +106,7 @@
 }
 
 // begins watches the start of a task and says how long it runs; mu is held.
-func (x *trial) begins(w *standin.Worker, t *standin.Task) time.Duration {
+func (x *trial) begins(w *fake.Worker, t *fake.Task) time.Duration {
 	now := x.clk.now()
 	for _, o := range x.machines {
 		for _, u := range o.Tasks {
@@ -309,7 +309,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.self.Incarnation, _ = x.st.GrantLease(context.Background(), time.Second)
-	n.session = n.session.Next(member.LeaseGranted)
+	n.session = n.session.Next(membership.LeaseGranted)
 }
 
 // restart replaces a node's process by a new one.
--- a/internal/server/server_test.go
+++ b/internal/controller/server_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"context"
@@ -8,16 +8,17 @@
 	"testing"
 	"time"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/autoscale"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/peer"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
 	"wheatspur/wire"
 )
 
-func placeRole(s string) place.Role { return place.Role(s) }
+func placeRole(s string) placement.Role { return placement.Role(s) }
 
 func TestUsersGetTheProtocolsAnswers(t *testing.T) {
 	w := newWorld(t, "a")
@@ -152,7 +153,7 @@
 	}
 	// Direct calls of the pass were not answered: a start may be under way.
 	n.mu.Lock()
-	n.workers["h1"].StartsAnswered([]fleet.Attempt{{ID: jobs.TaskID{Job: "wk-1"}, Number: 1}}, b, 1, 1)
+	n.workers["h1"].StartsAnswered([]worker.Attempt{{ID: jobs.TaskID{Job: "wk-1"}, Number: 1}}, b, 1, 1)
 	n.mu.Unlock()
 	_, body = n.take(w.report("h1", 1, b, exited))
 	if o := commandsOf(t, 200, body); len(o) != 1 || o[0].Verb != wire.VerbReap {
@@ -277,7 +278,7 @@
 	w.submit(n, work("wk-1", 1))
 	n.mu.Lock()
 	claim := n.schedule()
-	drains, _ := n.planDrains([]fleet.ScaleIn{{Machine: "h1", Reason: fleet.ReasonIdle}})
+	drains, _ := n.planDrains([]autoscale.ScaleIn{{Machine: "h1", Reason: autoscale.ReasonIdle}})
 	n.mu.Unlock()
 	n.storeMachines(ctx, drains)
 	n.mu.Lock()
@@ -326,7 +327,7 @@
 	l := n.currentLeaderState()
 	n.planInput(l, n.refreshMachines(w.clk.now()), w.clk.now())
 	l.lastHeard["h1"] = w.clk.now().Add(-time.Minute)
-	out := fleet.Plan(n.planInput(l, n.refreshMachines(w.clk.now()), w.clk.now()))
+	out := autoscale.Plan(n.planInput(l, n.refreshMachines(w.clk.now()), w.clk.now()))
 	_, returns := n.planDrains(out.ScaleIn)
 	n.mu.Unlock()
 	if len(returns) != 1 {
@@ -358,7 +359,7 @@
 		}
 	}
 	w.addHost(host, "batch")
-	units := func() fleet.Machine {
+	units := func() autoscale.Machine {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for _, u := range l.planInput(l.currentLeaderState(), l.refreshMachines(w.clk.now()), w.clk.now()).Machines {
@@ -366,7 +367,7 @@
 				return u
 			}
 		}
-		return fleet.Machine{}
+		return autoscale.Machine{}
 	}
 	for range 40 { // heard for a long time
 		w.clk.add(5 * time.Second)
@@ -389,9 +390,9 @@
 func TestASessionIsStoredAgainAfterALateWriteOfAFormerProcess(t *testing.T) {
 	w := newWorld(t, "a")
 	n := w.nodes["a"]
-	old := member.Node{Label: "a", Incarnation: 777}
+	old := membership.Node{Label: "a", Incarnation: 777}
 	w.st.Leases[777] = true
-	_, err := w.st.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: member.SessionKey("a"), Value: wire.MustMarshal(old), LeaseID: 777}})
+	_, err := w.st.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: membership.SessionKey("a"), Value: wire.MustMarshal(old), LeaseID: 777}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -440,7 +441,7 @@
 	w.submit(n, service("wk-1", 1))
 	w.passAll()
 	_, _, c := ask(n, "GET", "/status", nil)
-	if body := string(c.Response.Body()); !strings.Contains(body, "leader a") || !strings.Contains(body, "waiting wk-1 tasks 1 because "+place.ReasonNoRoom) {
+	if body := string(c.Response.Body()); !strings.Contains(body, "leader a") || !strings.Contains(body, "waiting wk-1 tasks 1 because "+placement.ReasonNoRoom) {
 		t.Fatalf("status:\n%s", body)
 	}
 	_, _, c = ask(n, "GET", "/metrics", nil)
--- a/internal/server/session_test.go
+++ b/internal/controller/session_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/store"
 	"wheatspur/wire"
 )
@@ -42,7 +42,7 @@
 	service := &stuck{access: w.way["b"], release: make(chan struct{})}
 	n.store = service
 	n.mu.Lock()
-	n.session, n.sessions = member.NoLease, map[string]member.Node{}
+	n.session, n.sessions = membership.NoLease, map[string]membership.Node{}
 	n.mu.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
 	var loops sync.WaitGroup
@@ -67,12 +67,12 @@
 	n := w.nodes["a"]
 	former := n.self.Incarnation
 	n.endSession(former)
-	if n.session != member.NoLease {
+	if n.session != membership.NoLease {
 		t.Fatalf("session %s after its lease has ended", n.session)
 	}
 	n.openSession(context.Background())
 	n.endSession(former)
-	if n.session != member.Leased {
+	if n.session != membership.Leased {
 		t.Errorf("session %s: the end of a former lease ended it", n.session)
 	}
 }
--- a/internal/server/siblings.go
+++ b/internal/controller/siblings.go
@@ -1,7 +1,7 @@
 // This file holds what a node exchanges with the other nodes: statuses, the
 // machines of each and what they attest about cancellations.
 
-package server
+package controller
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"time"
 
 	"wheatspur/internal/config"
-	"wheatspur/internal/fleet"
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/peer"
 	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
 )
 
 // sibling is what is known of another node.
@@ -26,7 +26,7 @@
 	machinesConfirmedAt time.Time                     // when that was last confirmed
 	machines            map[string]peer.MachineStatus // its machines
 	// what it attests about cancellations
-	attestation member.Attestation
+	attestation membership.Attestation
 }
 
 // publishedMachine is what siblings are told of one of this node's machines.
@@ -106,15 +106,15 @@
 // are known by it; mu is held.
 func (n *Controller) applyAttestation(s *sibling, st peer.Status, asked, now time.Time) {
 	if !st.ReportsCancellations || st.Incarnation == 0 {
-		s.attestation = member.Attestation{}
+		s.attestation = membership.Attestation{}
 		return
 	}
 	s.attestation = s.attestation.Update(st.Incarnation, st.LastCancellation, asked, now)
-	all := make([]member.Attestation, 0, len(n.siblings))
+	all := make([]membership.Attestation, 0, len(n.siblings))
 	for _, o := range n.siblings {
 		all = append(all, o.attestation)
 	}
-	if at := member.CancellationsKnownUntil(n.syncer.LastReadAt(), n.cache.Revision(), all); at.After(n.attestedUntil) {
+	if at := membership.CancellationsKnownUntil(n.syncer.LastReadAt(), n.cache.Revision(), all); at.After(n.attestedUntil) {
 		n.attestedUntil = at
 	}
 }
@@ -162,7 +162,7 @@
 		if w.LastHeard.IsZero() {
 			continue
 		}
-		h := peer.MachineStatus{Name: host, Incarnation: w.Incarnation, Silent: now.Sub(w.LastHeard) > silent, TokenAcknowledged: w.State == fleet.TokenAcknowledged,
+		h := peer.MachineStatus{Name: host, Incarnation: w.Incarnation, Silent: now.Sub(w.LastHeard) > silent, TokenAcknowledged: w.State == worker.TokenAcknowledged,
 			TerminationNotice: -1, Quarantined: n.isQuarantined(w, now)}
 		if !w.TerminationAt.IsZero() {
 			h.TerminationNotice = 0
@@ -185,11 +185,11 @@
 // unpublished lists the workers whose machines may differ from what siblings are
 // told of them: those that something has changed for, and every so often all, for
 // those that have fallen silent; mu is held.
-func (n *Controller) unpublished(now time.Time) map[string]*fleet.Worker {
+func (n *Controller) unpublished(now time.Time) map[string]*worker.Worker {
 	v := &n.machineIndex
 	some := n.workers
 	if now.Sub(v.fullPublishAt) < tuning.SweepEvery && !now.Before(v.fullPublishAt) {
-		some = make(map[string]*fleet.Worker, len(v.unpublished))
+		some = make(map[string]*worker.Worker, len(v.unpublished))
 		for host := range v.unpublished {
 			if w := n.workers[host]; w != nil {
 				some[host] = w
--- a/internal/server/status.go
+++ b/internal/controller/status.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/tuning"
 )
@@ -60,11 +60,11 @@
 		pending += j.Counts[jobs.Pending]
 	}
 	fmt.Fprintf(&b, "jobs open %d waiting_for_others %d tasks_pending %d\n", len(n.table.Open), len(n.table.Waiting), pending)
-	phases := map[fleet.Phase]int{}
+	phases := map[inventory.Phase]int{}
 	for _, h := range n.inventory.Machines {
 		phases[h.Phase]++
 	}
-	fmt.Fprintf(&b, "machines in %d draining %d returned %d\n", phases[fleet.Active], phases[fleet.Draining], phases[fleet.Terminated])
+	fmt.Fprintf(&b, "machines in %d draining %d returned %d\n", phases[inventory.Active], phases[inventory.Draining], phases[inventory.Terminated])
 	if n.isMember() && n.isLeader() {
 		for _, t := range n.machineTypeList {
 			if d, ok := n.leaderState.roleDecisions[t.Label]; ok {
--- a/internal/server/stop.go
+++ b/internal/controller/stop.go
@@ -1,6 +1,6 @@
 // This file stops a node cleanly, and tells whether its loops go on.
 
-package server
+package controller
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
 )
@@ -77,9 +77,9 @@
 	}
 	n.mu.Lock()
 	leaseID, session := n.self.Incarnation, n.session
-	n.session = member.NoLease // this node answers no report any more
+	n.session = membership.NoLease // this node answers no report any more
 	n.mu.Unlock()
-	if session != member.NoLease {
+	if session != membership.NoLease {
 		end, stop := context.WithTimeout(context.Background(), tuning.StoreCallTimeout)
 		defer stop()
 		if err := n.store.RevokeLease(end, leaseID); err != nil && !errors.Is(err, store.ErrLeaseExpired) {
--- a/internal/server/stop_test.go
+++ b/internal/controller/stop_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/tuning"
 )
 
@@ -44,7 +44,7 @@
 	if w.leader() != staying || len(staying.membership.Nodes) != 1 {
 		t.Fatalf("membership %+v after the stop", staying.membership)
 	}
-	if leaving.session != member.NoLease {
+	if leaving.session != membership.NoLease {
 		t.Fatalf("session %s", leaving.session)
 	}
 	if err := leaving.runSession(context.Background()); err != nil {
--- a/internal/server/teamstatus.go
+++ b/internal/controller/teamstatus.go
@@ -1,7 +1,7 @@
 // This file shows operators the limits and guarantees of teams: on the status
 // page and in the metrics.
 
-package server
+package controller
 
 import (
 	"fmt"
--- a/internal/server/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"context"
@@ -9,10 +9,12 @@
 	"testing"
 	"time"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/autoscale"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
 	"wheatspur/wire"
 )
 
@@ -86,7 +88,7 @@
 	w.addHost("h1", "service")
 	w.prove("h1", 1)
 	n.workers["h1"].Unresponsive = true
-	var out fleet.Output
+	var out autoscale.Output
 	for range 4 {
 		w.clk.add(lease)
 		w.sync()
@@ -94,10 +96,10 @@
 		n.mu.Lock()
 		n.workers["h1"].Unresponsive = true
 		n.currentLeaderState().listedAt = w.clk.now()
-		out = fleet.Plan(n.planInput(n.currentLeaderState(), n.refreshMachines(w.clk.now()), w.clk.now()))
+		out = autoscale.Plan(n.planInput(n.currentLeaderState(), n.refreshMachines(w.clk.now()), w.clk.now()))
 		n.mu.Unlock()
 	}
-	if len(out.ScaleIn) != 1 || out.ScaleIn[0].Reason != fleet.ReasonQuarantined {
+	if len(out.ScaleIn) != 1 || out.ScaleIn[0].Reason != autoscale.ReasonQuarantined {
 		t.Fatalf("%+v", out.ScaleIn)
 	}
 }
@@ -232,7 +234,7 @@
 	for range 3 {
 		// On return it registers again, once, and asks for nothing more.
 		n.mu.Lock()
-		n.session, n.self.Incarnation = n.session.Next(member.LeaseGranted), 0
+		n.session, n.self.Incarnation = n.session.Next(membership.LeaseGranted), 0
 		n.mu.Unlock()
 		n.self.Incarnation, _ = w.st.GrantLease(context.Background(), time.Second)
 		break
@@ -261,7 +263,7 @@
 	w.addHost("h1", "batch")
 	// A write of the old process that is still under way.
 	old.mu.Lock()
-	held := w.st.Keys[member.Key].Version
+	held := w.st.Keys[membership.Key].Version
 	stale := *old.membership
 	stale.FencingToken++
 	old.mu.Unlock()
@@ -277,8 +279,8 @@
 		t.Fatalf("members %+v", lead.membership.Nodes)
 	}
 	// The old process's write arrives late and changes nothing.
-	if _, err := w.st.CompareAndSwap(context.Background(), 0, []wire.Compare{{Key: member.Key, Version: held}},
-		[]wire.Operation{{Put: member.Key, Value: wire.MustMarshal(stale)}}); err == nil {
+	if _, err := w.st.CompareAndSwap(context.Background(), 0, []wire.Compare{{Key: membership.Key, Version: held}},
+		[]wire.Operation{{Put: membership.Key, Value: wire.MustMarshal(stale)}}); err == nil {
 		t.Fatal("a membership of the old process was stored")
 	}
 	// A membership write whose answer is lost is not written twice.
@@ -506,16 +508,16 @@
 	w.prove("h1", 1)
 	for _, c := range []struct {
 		name string
-		next func(*member.Record) uint64
-		want fleet.TokenState
+		next func(*membership.Record) uint64
+		want worker.TokenState
 	}{
-		{"the next", func(r *member.Record) uint64 { return r.LastToken() + 1 }, fleet.TokenAcknowledged},
-		{"the one after it", func(r *member.Record) uint64 { return r.LastToken() + 2 }, fleet.TokenUnacknowledged},
-		{"an older version's, which takes a token of the one before", func(r *member.Record) uint64 { return r.FencingToken + 1 }, fleet.TokenUnacknowledged},
+		{"the next", func(r *membership.Record) uint64 { return r.LastToken() + 1 }, worker.TokenAcknowledged},
+		{"the one after it", func(r *membership.Record) uint64 { return r.LastToken() + 2 }, worker.TokenUnacknowledged},
+		{"an older version's, which takes a token of the one before", func(r *membership.Record) uint64 { return r.FencingToken + 1 }, worker.TokenUnacknowledged},
 	} {
 		n.mu.Lock()
 		r := *n.membership
-		n.workers["h1"].State = fleet.TokenAcknowledged
+		n.workers["h1"].State = worker.TokenAcknowledged
 		r.FencingToken, r.TokenRange = c.next(n.membership), tuning.TokenSpan
 		err := n.applyMembership(wire.MustMarshal(r))
 		got := n.workers["h1"].State
@@ -569,8 +571,8 @@
 	n := w.leader()
 	was := n.inventory.Machines[host]
 	is := was
-	is.Phase, is.Reason = fleet.Draining, why
-	n.storeMachines(context.Background(), []fleet.RecordChange{{Machine: host, Before: &was, After: &is}})
+	is.Phase, is.Reason = inventory.Draining, why
+	n.storeMachines(context.Background(), []inventory.RecordChange{{Machine: host, Before: &was, After: &is}})
 	w.sync()
 }
 
@@ -583,9 +585,9 @@
 	w.prove("h1", 1)
 	w.submit(w.nodes["a"], work("wk-1", 1))
 	w.passAll()
-	w.drain("h1", fleet.ReasonSurplus)
+	w.drain("h1", autoscale.ReasonSurplus)
 	owner, other := w.owner("h1")
-	if owner.claimsOn("h1") != 1 || owner.inventory.Machines["h1"].Phase != fleet.Draining {
+	if owner.claimsOn("h1") != 1 || owner.inventory.Machines["h1"].Phase != inventory.Draining {
 		t.Fatalf("%d claims, %s", owner.claimsOn("h1"), owner.inventory.Machines["h1"].Phase)
 	}
 	// Its owner ends and never hears it again.
@@ -631,18 +633,18 @@
 	w.prove("h1", 1)
 	w.submit(n, work("wk-1", 1))
 	w.passAll()
-	w.drain("h1", fleet.ReasonIdle)
-	if n.inventory.Machines["h1"].Phase != fleet.Active {
+	w.drain("h1", autoscale.ReasonIdle)
+	if n.inventory.Machines["h1"].Phase != inventory.Active {
 		t.Fatal("a machine that has work again goes because it was idle")
 	}
-	w.drain("h1", fleet.ReasonSurplus)
-	if n.inventory.Machines["h1"].Phase != fleet.Draining {
+	w.drain("h1", autoscale.ReasonSurplus)
+	if n.inventory.Machines["h1"].Phase != inventory.Draining {
 		t.Fatal("a machine is not drained")
 	}
 	n.mu.Lock()
 	n.leader = nil
 	n.mu.Unlock()
-	n.storeMachines(context.Background(), []fleet.RecordChange{{Machine: "h9", After: &fleet.Record{MachineType: "g", Zone: "z", Role: "batch", Phase: fleet.Active}}})
+	n.storeMachines(context.Background(), []inventory.RecordChange{{Machine: "h9", After: &inventory.Record{MachineType: "g", Zone: "z", Role: "batch", Phase: inventory.Active}}})
 	w.sync()
 	if n.inventory.KeyOf("h9") != "" {
 		t.Fatal("a node that does not lead stores machine records")
--- a/internal/server/txn.go
+++ b/internal/controller/txn.go
@@ -1,13 +1,13 @@
 // This file holds guarded writes: how they are put together, carried out and entered.
 
-package server
+package controller
 
 import (
 	"context"
 	"errors"
 	"sort"
 
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/quota"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
@@ -34,7 +34,7 @@
 }
 
 func (n *Controller) newWrite(what string) *pendingWrite {
-	return &pendingWrite{class: store.ClassClaim, kind: what, compares: map[string]uint64{member.Key: n.cache.Version(member.Key)}}
+	return &pendingWrite{class: store.ClassClaim, kind: what, compares: map[string]uint64{membership.Key: n.cache.Version(membership.Key)}}
 }
 
 // fits reports whether n more changes of the given size fit.
--- a/internal/server/users.go
+++ b/internal/controller/users.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/member"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/peer"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
@@ -405,7 +405,7 @@
 		n.mu.Lock()
 		j := n.table.Jobs[jobID]
 		rec, err := j.Record.Cancel(n.now())
-		guards := []wire.Compare{n.cache.Compare(member.Key), n.cache.Compare(jobs.JobKey(jobID))}
+		guards := []wire.Compare{n.cache.Compare(membership.Key), n.cache.Compare(jobs.JobKey(jobID))}
 		n.mu.Unlock()
 		if err != nil {
 			continue
--- a/internal/server/wants.go
+++ b/internal/controller/wants.go
@@ -1,14 +1,14 @@
 // This file holds the part of the capacity plan's input that says which tasks need room.
 
-package server
+package controller
 
 import (
 	"sort"
 	"time"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/autoscale"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 )
 
 // addUntried enters the tasks that have a place that is not stored yet, and those
@@ -19,11 +19,11 @@
 	for jobID, j := range b.controller.table.Open {
 		why := b.controller.pendingReasons[jobID]
 		count := j.Counts[jobs.Pending]
-		if why != place.ReasonNoTurn {
+		if why != placement.ReasonNoTurn {
 			count -= b.controller.unplaced[jobID]
 		}
-		if count > 0 && (why == "" || why == place.ReasonNoTurn || why == place.ReasonNoRoom) {
-			b.input.Demands = append(b.input.Demands, fleet.Demand{Job: j, Count: count, NotScheduledYet: true})
+		if count > 0 && (why == "" || why == placement.ReasonNoTurn || why == placement.ReasonNoRoom) {
+			b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: j, Count: count, NotScheduledYet: true})
 		}
 	}
 	wants := b.input.Demands
@@ -35,7 +35,7 @@
 func (b *planBuilder) addUnmet() {
 	for _, jobID := range b.controller.unplacedByAge() {
 		j := b.controller.table.Open[jobID]
-		if j == nil || b.controller.pendingReasons[jobID] != place.ReasonNoRoom {
+		if j == nil || b.controller.pendingReasons[jobID] != placement.ReasonNoRoom {
 			continue
 		}
 		count := b.controller.unplaced[jobID]
@@ -45,7 +45,7 @@
 			b.input.Service.AwaitingBoot += float64(count)
 			b.input.Service.Need, b.input.Service.Spec = j.Need, j.Record.Spec
 		}
-		b.input.Demands = append(b.input.Demands, fleet.Demand{Job: j, Count: count, Waiting: b.now.Sub(b.controller.unplacedSince[jobID])})
+		b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: j, Count: count, Waiting: b.now.Sub(b.controller.unplacedSince[jobID])})
 	}
 }
 
@@ -66,16 +66,16 @@
 // machines had died, services waited for their replacements for 45 s. A node
 // that hears hardly any of its machines has trouble of its own. up is how long
 // ago each machine was heard; mu is held.
-func (n *Controller) tasksAtRisk(machines *place.Fleet, up map[string]time.Duration, now time.Time) []fleet.Demand {
+func (n *Controller) tasksAtRisk(machines *placement.Fleet, up map[string]time.Duration, now time.Time) []autoscale.Demand {
 	heard, quiet := map[string]int{}, map[string]int{}
-	var list []*place.Machine
+	var list []*placement.Machine
 	for _, m := range machines.Machines {
 		age, ok := up[m.Name]
 		if ok && age < n.silenceTimeout() {
 			heard[m.Owner]++
 		} else if at, wasUp := n.leaderState.lastHeard[m.Name]; wasUp && now.Sub(at) > n.silenceTimeout() {
 			quiet[m.Owner]++
-			if m.Role == place.Service {
+			if m.Role == placement.Service {
 				list = append(list, m)
 			}
 		}
@@ -91,9 +91,9 @@
 			}
 		}
 	}
-	out := make([]fleet.Demand, 0, len(count))
+	out := make([]autoscale.Demand, 0, len(count))
 	for j, k := range count {
-		out = append(out, fleet.Demand{Job: j, Count: k, NotScheduledYet: true})
+		out = append(out, autoscale.Demand{Job: j, Count: k, NotScheduledYet: true})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Job.ID < out[b].Job.ID })
 	return out
--- a/internal/server/workers.go
+++ b/internal/controller/workers.go
@@ -1,4 +1,4 @@
-package server
+package controller
 
 import (
 	"fmt"
@@ -7,10 +7,11 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatspur/internal/fleet"
-	"wheatspur/internal/httpc"
+	"wheatspur/internal/httpclient"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
 	"wheatspur/wire"
 )
 
@@ -57,12 +58,12 @@
 	if w.IsStale(r) {
 		return 503, wire.ErrorResponse{Error: "a newer report has been seen"}
 	}
-	if w.State == fleet.LeaseExpired && r.Incarnation <= w.Incarnation {
+	if w.State == worker.LeaseExpired && r.Incarnation <= w.Incarnation {
 		return 503, wire.ErrorResponse{Error: "session has ended"}
 	}
 	n.applyHeartbeat(w, r, now)
-	commands, _ := w.Commands(n.table.ClaimsByMachine[r.Machine], fleet.CommandOptions{
-		Channel:     fleet.HeartbeatAnswer,
+	commands, _ := w.Commands(n.table.ClaimsByMachine[r.Machine], worker.CommandOptions{
+		Channel:     worker.HeartbeatAnswer,
 		AllowStarts: stale < tuning.StoreStaleAfter && n.mayStartOn(r.Machine),
 		Now:         now,
 		AwaitCall:   !n.recoveryProgress.Done(),
@@ -91,13 +92,13 @@
 // not known to be gone; mu is held.
 func (n *Controller) mayStartOn(host string) bool {
 	rec, ok := n.inventory.Machines[host]
-	return ok && rec.Phase != fleet.Terminated
+	return ok && rec.Phase != inventory.Terminated
 }
 
-func (n *Controller) worker(host string) *fleet.Worker {
+func (n *Controller) worker(host string) *worker.Worker {
 	w := n.workers[host]
 	if w == nil {
-		w = fleet.NewWorker(host)
+		w = worker.NewWorker(host)
 		w.Images = n.inheritedImages[host]
 		n.workers[host] = w
 		n.machineIndex.markChanged(host)
@@ -106,7 +107,7 @@
 }
 
 // applyHeartbeat enters a report and what follows from it; mu is held.
-func (n *Controller) applyHeartbeat(w *fleet.Worker, r *wire.Heartbeat, now time.Time) {
+func (n *Controller) applyHeartbeat(w *worker.Worker, r *wire.Heartbeat, now time.Time) {
 	before := make(map[jobs.TaskID]string, len(w.Tasks))
 	for id, s := range w.Tasks {
 		before[id] = s.State
@@ -157,7 +158,7 @@
 
 // stopTask notes that a task is wanted off one of this node's machines; mu is
 // held.
-func (n *Controller) stopTask(w *fleet.Worker, id jobs.TaskID) {
+func (n *Controller) stopTask(w *worker.Worker, id jobs.TaskID) {
 	w.RequestStop(id)
 	n.machineIndex.markChanged(w.Machine)
 }
@@ -175,11 +176,11 @@
 type httpWorkerClient struct{ hc *fasthttp.Client }
 
 func newHTTPWorkerClient() *httpWorkerClient {
-	return &httpWorkerClient{httpc.Many(tuning.WorkerConns)}
+	return &httpWorkerClient{httpclient.Many(tuning.WorkerConns)}
 }
 
 func (w *httpWorkerClient) sendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error) {
-	status, body, err := httpc.Do(w.hc, "POST", address, "/commands", wire.MustMarshal(cmd), tuning.WorkerCallTimeout)
+	status, body, err := httpclient.Do(w.hc, "POST", address, "/commands", wire.MustMarshal(cmd), tuning.WorkerCallTimeout)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -194,7 +195,7 @@
 }
 
 func (w *httpWorkerClient) probe(address string) error {
-	status, _, err := httpc.Do(w.hc, "GET", address, "/show", nil, tuning.WorkerCallTimeout)
+	status, _, err := httpclient.Do(w.hc, "GET", address, "/show", nil, tuning.WorkerCallTimeout)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("worker answered %d", status)
 	}
@@ -203,11 +204,11 @@
 
 // sendDirectCommands sends a worker what it should not wait a report interval for: starts,
 // kills, and our token if it has not shown it; mu is held.
-func (n *Controller) sendDirectCommands(w *fleet.Worker, now time.Time) {
-	if w.NoPendingCommands && w.State == fleet.TokenAcknowledged && !w.Unresponsive && w.FencingToken <= max(w.AcknowledgedToken, n.membership.FencingToken) {
+func (n *Controller) sendDirectCommands(w *worker.Worker, now time.Time) {
+	if w.NoPendingCommands && w.State == worker.TokenAcknowledged && !w.Unresponsive && w.FencingToken <= max(w.AcknowledgedToken, n.membership.FencingToken) {
 		return // nothing has changed, and there is nothing to ask
 	}
-	if w.CallInFlight || w.Address == "" || w.State == fleet.LeaseExpired || !n.hasStore() {
+	if w.CallInFlight || w.Address == "" || w.State == worker.LeaseExpired || !n.hasStore() {
 		return
 	}
 	if !n.recoveryProgress.Done() && len(n.callSlots) >= cap(n.callSlots)*3/4 {
@@ -217,8 +218,8 @@
 	silent := now.Sub(w.LastHeard) >= n.silenceTimeout()
 	if !w.NoPendingCommands && w.Incarnation > 0 {
 		w.NoPendingCommands = true
-		due, postponed := w.Commands(n.table.ClaimsByMachine[w.Machine], fleet.CommandOptions{
-			Channel:     fleet.DirectCall,
+		due, postponed := w.Commands(n.table.ClaimsByMachine[w.Machine], worker.CommandOptions{
+			Channel:     worker.DirectCall,
 			AllowStarts: n.mayStartOn(w.Machine) && !silent,
 			Now:         now,
 			ResendAfter: n.settings.HeartbeatInterval(),
@@ -230,22 +231,22 @@
 		}
 		for _, o := range due {
 			if o.Verb == wire.VerbReap {
-				continue // see fleet.Worker.Commands
+				continue // see worker.Worker.Commands
 			}
 			if silent && o.Verb != wire.VerbKill {
 				continue // it may only be unable to reach us, and run what was cancelled
 			}
 			w.NoPendingCommands = false
-			if now.Sub(w.SentCommands[fleet.KeyOf(o)]) > n.settings.HeartbeatInterval() {
+			if now.Sub(w.SentCommands[worker.KeyOf(o)]) > n.settings.HeartbeatInterval() {
 				commands = append(commands, o)
 			}
 		}
 	}
-	greet := w.State == fleet.TokenUnacknowledged && now.Sub(w.LastHeard) > n.settings.HeartbeatInterval()*5/4 && now.Sub(n.membershipChangedAt) > time.Second/2
+	greet := w.State == worker.TokenUnacknowledged && now.Sub(w.LastHeard) > n.settings.HeartbeatInterval()*5/4 && now.Sub(n.membershipChangedAt) > time.Second/2
 	greet = greet || w.Unresponsive && now.Sub(w.LastCall) > tuning.UnresponsivePause
 	// A raised token that the worker has not seen: the sooner it shows it, the
 	// sooner the starts below it are void.
-	greet = greet || w.State == fleet.TokenAcknowledged && w.FencingToken > max(w.AcknowledgedToken, n.membership.FencingToken)
+	greet = greet || w.State == worker.TokenAcknowledged && w.FencingToken > max(w.AcknowledgedToken, n.membership.FencingToken)
 	if len(commands) == 0 && !greet || len(commands) == 0 && now.Sub(w.LastCall) < tuning.TokenAnnouncePause {
 		return
 	}
@@ -268,9 +269,9 @@
 		}
 	}
 	for _, o := range commands {
-		w.SentCommands[fleet.KeyOf(o)] = now
+		w.SentCommands[worker.KeyOf(o)] = now
 	}
-	starts := fleet.StartedAttempts(commands)
+	starts := worker.StartedAttempts(commands)
 	w.FencingToken = max(w.FencingToken, n.membership.FencingToken)
 	w.StartsSent(starts, w.FencingToken)
 	w.LastCall, w.CallInFlight = now, true
@@ -280,7 +281,7 @@
 	go n.callWorker(w, w.Address, wire.CommandRequest{FencingToken: w.FencingToken, Incarnation: max(w.Incarnation, 1), Commands: commands}, starts)
 }
 
-func (n *Controller) callWorker(w *fleet.Worker, address string, cmd wire.CommandRequest, starts []fleet.Attempt) {
+func (n *Controller) callWorker(w *worker.Worker, address string, cmd wire.CommandRequest, starts []worker.Attempt) {
 	defer func() { <-n.callSlots }()
 	_, r, err := n.workerClient.sendCommands(address, cmd)
 	n.mu.Lock()
@@ -304,7 +305,7 @@
 // by a machine that hangs. The machine's token is raised, which costs nobody
 // else anything; once the machine shows it, the start is dead and its claim is
 // released. mu is held.
-func (n *Controller) fencePendingStarts(w *fleet.Worker) {
+func (n *Controller) fencePendingStarts(w *worker.Worker) {
 	if w.CallInFlight {
 		return // its answer may come yet
 	}
--- a/internal/standin/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,9 +1,9 @@
-package standin
+package fake
 
 import (
 	"sync"
 
-	"wheatspur/internal/fleet"
+	"wheatspur/internal/cloud"
 	"wheatspur/wire"
 )
 
@@ -33,7 +33,7 @@
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
 	c.Rentals = append(c.Rentals, r)
-	return nil, fleet.ErrNoCapacity
+	return nil, cloud.ErrNoCapacity
 }
 
 // Terminate takes machines back.
--- a/internal/standin/machine.go
+++ b/internal/fake/machine.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
--- a/internal/standin/store.go
+++ b/internal/fake/store.go
@@ -2,7 +2,7 @@
 // service, the cloud and the workers, after the protocol's page. They are for
 // tests: in one process with a fake clock, or over HTTP on loopback with links
 // that fail.
-package standin
+package fake
 
 import (
 	"context"
--- a/internal/httpc/httpc.go
+++ b/internal/httpclient/httpclient.go
@@ -2,7 +2,7 @@
 // deadline on every call, bounded connections, and no repeats by the library:
 // a repeat must be a decision of the caller, who knows what a lost answer
 // means.
-package httpc
+package httpclient
 
 import (
 	"net"
--- a/internal/fleet/golden_test.go
+++ b/internal/inventory/golden_test.go
@@ -1,11 +1,11 @@
-package fleet
+package inventory
 
 import (
 	"flag"
 	"testing"
 
 	"wheatspur/internal/golden"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 )
 
 var update = flag.Bool("update", false, "rewrite the golden bytes")
@@ -13,7 +13,7 @@
 // What a node has stored must stay readable to every later version, and to the
 // version that works beside it.
 func TestGoldenRecords(t *testing.T) {
-	record := Record{MachineType: "g8", Zone: "zone-1", Spot: true, Role: place.Batch, Phase: Draining, Reason: "no work"}
+	record := Record{MachineType: "g8", Zone: "zone-1", Spot: true, Role: placement.Batch, Phase: Draining, Reason: "no work"}
 	golden.Check(t, []golden.Sample{
 		golden.CBOR("machine record", record),
 		golden.CBOR("group record", Group{Machines: map[string]Record{"host-1": record}}),
--- a/internal/fleet/record.go
+++ b/internal/inventory/inventory.go
@@ -1,4 +1,4 @@
-package fleet
+package inventory
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"strings"
 
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -59,12 +59,12 @@
 
 // Record is the stored form of a machine.
 type Record struct {
-	MachineType string     `cbor:"r"`
-	Zone        string     `cbor:"z"`
-	Spot        bool       `cbor:"s,omitempty"`
-	Role        place.Role `cbor:"o"`
-	Phase       Phase      `cbor:"p"`
-	Reason      string     `cbor:"w,omitempty"` // of the last change, for operators
+	MachineType string         `cbor:"r"`
+	Zone        string         `cbor:"z"`
+	Spot        bool           `cbor:"s,omitempty"`
+	Role        placement.Role `cbor:"o"`
+	Phase       Phase          `cbor:"p"`
+	Reason      string         `cbor:"w,omitempty"` // of the last change, for operators
 }
 
 // bytes bounds the JSON form of the record in its group, whatever becomes of
--- a/internal/fleet/record_test.go
+++ b/internal/inventory/inventory_test.go
@@ -1,11 +1,11 @@
-package fleet
+package inventory
 
 import (
 	"encoding/json"
 	"fmt"
 	"testing"
 
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -25,7 +25,7 @@
 }
 
 func rec(machineType string) Record {
-	return Record{MachineType: machineType, Zone: "a-zone-with-a-long-name", Role: place.Batch, Phase: Active}
+	return Record{MachineType: machineType, Zone: "a-zone-with-a-long-name", Role: placement.Batch, Phase: Active}
 }
 
 func TestMachinesShareKeysAndStayBelowTheValueLimit(t *testing.T) {
@@ -48,7 +48,7 @@
 	var drains []RecordChange
 	for host, r := range g.Machines {
 		d := r
-		d.Phase, d.Role = Terminated, place.Service
+		d.Phase, d.Role = Terminated, placement.Service
 		for len(d.Reason) < 3*reasonMax {
 			d.Reason += "because "
 		}
@@ -92,7 +92,7 @@
 	r := rec("g")
 	apply(t, g, g.PlanWrites([]RecordChange{{Machine: "h1", After: &r}}, nil, 4096, 12))
 	returned, moved := r, r
-	returned.Phase, moved.Role = Terminated, place.Service
+	returned.Phase, moved.Role = Terminated, placement.Service
 	apply(t, g, g.PlanWrites([]RecordChange{{Machine: "h1", Before: &r, After: &returned}}, nil, 4096, 12))
 	if w := g.PlanWrites([]RecordChange{{Machine: "h1", Before: &r, After: &moved}, {Machine: "h1", After: &r}}, nil, 4096, 12); len(w) != 0 {
 		t.Fatalf("an old decision is written: %+v", w)
--- a/internal/member/member.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,6 @@
 // Package member decides sessions, leadership, the membership record and
 // which node owns which machine. It is pure: state in, actions out.
-package member
+package membership
 
 import (
 	"hash/fnv"
--- a/internal/member/member_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"fmt"
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -14,7 +14,7 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 	"github.com/valyala/fasthttp"
 
-	"wheatspur/internal/httpc"
+	"wheatspur/internal/httpclient"
 	"wheatspur/internal/peer/fb"
 	"wheatspur/internal/tuning"
 )
@@ -167,7 +167,7 @@
 
 // NewClient returns a client of the sibling at addr.
 func NewClient(addr string) *Client {
-	return &Client{addr: addr, hc: httpc.Host(addr, tuning.PeerConns)}
+	return &Client{addr: addr, hc: httpclient.Host(addr, tuning.PeerConns)}
 }
 
 // ForwardRequest is a user's request that is passed on.
@@ -254,7 +254,7 @@
 }
 
 func (c *Client) post(path string, body []byte, timeout time.Duration) ([]byte, error) {
-	status, answer, err := httpc.Do(c.hc, "POST", c.addr, path, body, timeout)
+	status, answer, err := httpclient.Do(c.hc, "POST", c.addr, path, body, timeout)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("sibling: status %d", status)
 	}
--- a/internal/place/choose.go
+++ b/internal/placement/choose.go
@@ -1,7 +1,7 @@
 // This file chooses the machines for a demand: which of them hold its tasks, and
 // which are best.
 
-package place
+package placement
 
 import (
 	"sort"
--- a/internal/place/machine.go
+++ b/internal/placement/machine.go
@@ -1,6 +1,6 @@
 // This file holds a machine as the pass sees it, and what it would cost a task to start there.
 
-package place
+package placement
 
 import (
 	"math"
--- a/internal/place/order.go
+++ b/internal/placement/order.go
@@ -1,6 +1,6 @@
 // This file orders the demands of a pass.
 
-package place
+package placement
 
 import (
 	"wheatspur/internal/jobs"
--- a/internal/place/place.go
+++ b/internal/placement/placement.go
@@ -4,7 +4,7 @@
 // hold all its pending tasks; jobs too large for one node belong to the
 // leader. Guards in the store settle what differing views leave. The package
 // is pure.
-package place
+package placement
 
 import (
 	"sort"
--- a/internal/place/place_test.go
+++ b/internal/placement/placement_test.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"fmt"
--- a/internal/place/preempt.go
+++ b/internal/placement/preempt.go
@@ -1,7 +1,7 @@
 // This file finds room for tasks without a place: room that is being freed, or
 // that of tasks which the protocol lets it stop.
 
-package place
+package placement
 
 import (
 	"sort"
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"wheatspur/internal/config"
-	"wheatspur/internal/place"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/tuning"
 )
 
@@ -321,17 +321,17 @@
 
 // Victim chooses the service machine to flip: the one with the fewest service
 // tasks (ours); names break ties.
-func Victim(machines []*place.Machine) *place.Machine {
-	return fewest(machines, func(r place.ClaimedTask) bool { return r.Job.Service() })
+func Victim(machines []*placement.Machine) *placement.Machine {
+	return fewest(machines, func(r placement.ClaimedTask) bool { return r.Job.Service() })
 }
 
 // Emptiest chooses the batch machine to flip: the one with the fewest tasks.
-func Emptiest(machines []*place.Machine) *place.Machine {
-	return fewest(machines, func(place.ClaimedTask) bool { return true })
+func Emptiest(machines []*placement.Machine) *placement.Machine {
+	return fewest(machines, func(placement.ClaimedTask) bool { return true })
 }
 
-func fewest(machines []*place.Machine, counts func(place.ClaimedTask) bool) *place.Machine {
-	var best *place.Machine
+func fewest(machines []*placement.Machine, counts func(placement.ClaimedTask) bool) *placement.Machine {
+	var best *placement.Machine
 	n := 0
 	for _, m := range machines {
 		k := 0
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatspur/internal/httpc"
+	"wheatspur/internal/httpclient"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -52,7 +52,7 @@
 
 // NewClient returns a client of the service at addr.
 func NewClient(addr string, lim *Limiter) *Client {
-	return &Client{addr: addr, limiter: lim, http: httpc.Host(addr, tuning.StoreConns)}
+	return &Client{addr: addr, limiter: lim, http: httpclient.Host(addr, tuning.StoreConns)}
 }
 
 // call sends one request; out may be nil.
@@ -64,7 +64,7 @@
 			return 0, fmt.Errorf("%w: %v", ErrMalformed, err)
 		}
 	}
-	status, answer, err := httpc.Do(c.http, method, c.addr, path, body, timeout)
+	status, answer, err := httpclient.Do(c.http, method, c.addr, path, body, timeout)
 	if errors.Is(err, fasthttp.ErrNoFreeConns) {
 		return 0, ErrRejected
 	} else if err != nil {
--- a/internal/standin/cluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -2,7 +2,7 @@
 // stand-ins for the state service, the cloud and the workers. Processes are
 // killed and started, and each link can be cut by itself. It is for tests: the
 // test's own program is started again as a controller (Main).
-package cluster
+package testcluster
 
 import (
 	"context"
@@ -23,9 +23,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"wheatspur/internal/config"
+	"wheatspur/internal/controller"
 	"wheatspur/internal/daemon"
-	"wheatspur/internal/server"
-	"wheatspur/internal/standin"
+	"wheatspur/internal/fake"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -54,7 +54,7 @@
 		os.Exit(0)
 	}()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", set.Label)
-	node := process{server.New(set, log)}
+	node := process{controller.New(set, log)}
 	if err := daemon.Run(node, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.HostManager{Log: log}}); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -63,7 +63,7 @@
 }
 
 // process is a node as the daemon runs it.
-type process struct{ *server.Controller }
+type process struct{ *controller.Controller }
 
 // Reload does nothing: a test's settings do not change.
 func (process) Reload() error { return nil }
@@ -76,12 +76,12 @@
 	Types       []wire.MachineType // machines are of the first
 	Properties  string             // text of the operators' properties file
 	Seed        uint64
-	Lease       time.Duration     // of the workers
-	Log         io.Writer         // of the controllers; nil: nowhere
-	Orders      *standin.OrderLog // what the workers are told; nil: not noted
-	// Begins and Ended watch the tasks (see standin.Worker).
-	Begins func(w *standin.Worker, t *standin.Task) time.Duration
-	Ended  func(w *standin.Worker, t *standin.Task)
+	Lease       time.Duration  // of the workers
+	Log         io.Writer      // of the controllers; nil: nowhere
+	Orders      *fake.OrderLog // what the workers are told; nil: not noted
+	// Begins and Ended watch the tasks (see fake.Worker).
+	Begins func(w *fake.Worker, t *fake.Task) time.Duration
+	Ended  func(w *fake.Worker, t *fake.Task)
 }
 
 // reportEvery is how often workers report.
@@ -89,25 +89,25 @@
 
 // Cluster is controllers with their surroundings.
 type Cluster struct {
-	Store    *standin.Store
-	Cloud    *standin.Cloud
-	Machines []*standin.Machine
+	Store    *fake.Store
+	Cloud    *fake.Cloud
+	Machines []*fake.Machine
 
 	users       fasthttp.Client
 	options     Options
 	dir         string
-	controllers []*controller
+	controllers []*controllerProcess
 	group       *errgroup.Group
 	stop        context.CancelFunc
 	listeners   []net.Listener
 	workers     sync.Mutex // guards the workers of all machines
 }
 
-// controller is one controller's process and its links.
-type controller struct {
+// controllerProcess is one controller's process and its links.
+type controllerProcess struct {
 	settings   config.Settings
 	configPath string
-	state      *standin.Link // to the state service
+	state      *fake.Link // to the state service
 
 	mu      sync.Mutex
 	command *exec.Cmd // nil: not running
@@ -119,7 +119,7 @@
 // state service applies.
 func Start(dir string, o Options, applied func([]wire.Operation)) (*Cluster, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	c := &Cluster{Store: standin.NewStore(), Cloud: standin.NewCloud(o.Types, false), options: o, dir: dir, stop: stop, group: &errgroup.Group{}}
+	c := &Cluster{Store: fake.NewStore(), Cloud: fake.NewCloud(o.Types, false), options: o, dir: dir, stop: stop, group: &errgroup.Group{}}
 	c.Store.Applied = applied
 	if err := c.begin(ctx); err != nil {
 		c.Close()
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	server := standin.NewStoreServer(c.Store)
+	server := fake.NewStoreServer(c.Store)
 	for i := range c.options.Controllers {
 		stateListener, err := c.listen()
 		if err != nil {
@@ -190,9 +190,9 @@
 		if err != nil {
 			return err
 		}
-		node := &controller{state: standin.NewLink(c.options.Seed + uint64(i))}
+		node := &controllerProcess{state: fake.NewLink(c.options.Seed + uint64(i))}
 		c.group.Go(func() error { return server.Serve(stateListener, node.state) })
-		c.group.Go(func() error { return standin.ServeCloud(cloudListener, standin.NewLink(0), c.Cloud) })
+		c.group.Go(func() error { return fake.ServeCloud(cloudListener, fake.NewLink(0), c.Cloud) })
 		node.settings = c.settings(i, addresses, stateListener.Addr().String(), cloudListener.Addr().String())
 		node.configPath = filepath.Join(c.dir, node.settings.Label+".toml")
 		text, err := toml.Marshal(node.settings)
@@ -232,9 +232,9 @@
 }
 
 // nodes are where controllers take reports.
-func (c *Cluster) nodes() (out []standin.Node) {
+func (c *Cluster) nodes() (out []fake.Node) {
 	for _, n := range c.controllers {
-		out = append(out, standin.Node{Label: n.settings.Label, Address: n.settings.Bind})
+		out = append(out, fake.Node{Label: n.settings.Label, Address: n.settings.Bind})
 	}
 	return out
 }
@@ -245,11 +245,11 @@
 	if err != nil {
 		return err
 	}
-	w := &standin.Worker{Host: fmt.Sprintf("host-%06d", i), Address: l.Addr().String(), Type: c.options.Types[0].Label, Zone: "z", Spot: true,
+	w := &fake.Worker{Host: fmt.Sprintf("host-%06d", i), Address: l.Addr().String(), Type: c.options.Types[0].Label, Zone: "z", Spot: true,
 		Begins: c.options.Begins, Ended: c.options.Ended, Orders: c.options.Orders}
 	c.Cloud.Listed = append(c.Cloud.Listed, wire.Machine{Name: w.Host, Address: w.Address, MachineType: w.Type, Zone: w.Zone, Spot: true,
 		State: wire.MachineRunning, AgeS: 100})
-	m := standin.NewMachine(w, &c.workers, c.nodes(), c.options.Seed+uint64(1000*(i+1)), reportEvery, c.options.Lease)
+	m := fake.NewMachine(w, &c.workers, c.nodes(), c.options.Seed+uint64(1000*(i+1)), reportEvery, c.options.Lease)
 	c.Machines = append(c.Machines, m)
 	c.group.Go(func() error { return m.Serve(l) })
 	c.group.Go(func() error { return m.Run(ctx) })
@@ -324,7 +324,7 @@
 }
 
 // State is a controller's link to the state service.
-func (c *Cluster) State(i int) *standin.Link { return c.controllers[i].state }
+func (c *Cluster) State(i int) *fake.Link { return c.controllers[i].state }
 
 // Ask sends a user's request to a controller; the status is 0 if there is no
 // answer.
--- a/internal/standin/cluster/coldstart_test.go
+++ b/internal/testcluster/coldstart_test.go
@@ -1,4 +1,4 @@
-package cluster
+package testcluster
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"wheatspur/internal/config"
-	"wheatspur/internal/standin"
+	"wheatspur/internal/fake"
 	"wheatspur/wire"
 )
 
@@ -16,7 +16,7 @@
 type cold struct {
 	*Cluster
 	t      *testing.T
-	orders *standin.OrderLog
+	orders *fake.OrderLog
 
 	mu      sync.Mutex
 	running map[string]bool
@@ -25,17 +25,17 @@
 
 func newCold(t *testing.T) *cold {
 	t.Helper()
-	c := &cold{t: t, orders: standin.NewOrderLog(), running: map[string]bool{}}
+	c := &cold{t: t, orders: fake.NewOrderLog(), running: map[string]bool{}}
 	cluster, err := Start(t.TempDir(), Options{Controllers: 5, Machines: 20, Teams: []config.Team{{Name: "x"}}, Seed: 1, Lease: time.Minute, Orders: c.orders,
 		Types:      []wire.MachineType{{Label: "g", CPUs: 64, GPUs: 8, RAMGB: 64, FetchGBPerS: 10, Price: 1, SpotPrice: 1, StartupS: 30, Zones: []string{"z"}}},
 		Properties: "recovery.hold=true\nrecovery.starts=50\n",
-		Begins: func(_ *standin.Worker, task *standin.Task) time.Duration {
+		Begins: func(_ *fake.Worker, task *fake.Task) time.Duration {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.running[task.TaskStatus.Task] = true
 			return 0
 		},
-		Ended: func(_ *standin.Worker, task *standin.Task) {
+		Ended: func(_ *fake.Worker, task *fake.Task) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			delete(c.running, task.TaskStatus.Task)
--- a/internal/standin/cluster/quota_race_test.go
+++ b/internal/testcluster/quota_race_test.go
@@ -1,4 +1,4 @@
-package cluster
+package testcluster
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"wheatspur/internal/config"
-	"wheatspur/internal/standin"
+	"wheatspur/internal/fake"
 	"wheatspur/wire"
 )
 
@@ -25,7 +25,7 @@
 // Variables that make the race longer than in CI, choose its seed, and leave the
 // troubles out:
 //
-//	WHEATSPUR_RACE_FOR=1h WHEATSPUR_RACE_SEED=7 go test -run TestRaceOfAdmissions/transfers -timeout 90m -v ./internal/standin/cluster
+//	WHEATSPUR_RACE_FOR=1h WHEATSPUR_RACE_SEED=7 go test -run TestRaceOfAdmissions/transfers -timeout 90m -v ./internal/testcluster
 const (
 	raceFor  = "WHEATSPUR_RACE_FOR"
 	raceSeed = "WHEATSPUR_RACE_SEED"
@@ -40,7 +40,7 @@
 type race struct {
 	*Cluster
 	t       *testing.T
-	checker *standin.UsageChecker
+	checker *fake.UsageChecker
 	random  *rand.Rand
 
 	mu       sync.Mutex
@@ -58,7 +58,7 @@
 
 func newRace(t *testing.T, seed uint64, properties string) *race {
 	t.Helper()
-	r := &race{t: t, checker: standin.NewUsageChecker(raceLimits), random: rand.New(rand.NewPCG(seed, 1)), runs: map[string]time.Duration{},
+	r := &race{t: t, checker: fake.NewUsageChecker(raceLimits), random: rand.New(rand.NewPCG(seed, 1)), runs: map[string]time.Duration{},
 		accepted: map[string]time.Time{}, begun: map[string]bool{}, waiting: map[string]int{}, teams: map[string]string{}, waits: hdrhistogram.New(1, 600_000, 3), regained: hdrhistogram.New(1, 600_000, 3)}
 	var teams []config.Team
 	for _, name := range []string{"x", "y", "z"} {
@@ -67,7 +67,7 @@
 	cluster, err := Start(t.TempDir(), Options{Controllers: 5, Machines: 8, Teams: teams, Properties: properties, Seed: seed, Lease: 6 * time.Second,
 		Types:  []wire.MachineType{{Label: "g", CPUs: 64, GPUs: 8, RAMGB: 64, FetchGBPerS: 10, Price: 1, SpotPrice: 1, StartupS: 30, Zones: []string{"z"}}},
 		Begins: r.begins,
-		Ended:  func(_ *standin.Worker, t *standin.Task) { r.checker.Ends(t.TaskStatus.Task, t.JobID) },
+		Ended:  func(_ *fake.Worker, t *fake.Task) { r.checker.Ends(t.TaskStatus.Task, t.JobID) },
 	}, r.checker.Applied)
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 }
 
 // begins takes the start of a task and says how long it runs.
-func (r *race) begins(w *standin.Worker, t *standin.Task) time.Duration {
+func (r *race) begins(w *fake.Worker, t *fake.Task) time.Duration {
 	r.checker.Starts(w.Host, t.TaskStatus.Task, t.JobID)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -207,13 +207,13 @@
 
 // cutStore lets the link of one controller to the state service fail at a time.
 func (r *race) cutStore(ctx context.Context, random *rand.Rand) {
-	faults := []standin.Faults{{Refuse: true}, {Cut: true}, {Lost: 0.5}, {Late: 0.5}, {Lost: 0.2, Late: 0.2, Delay: 30 * time.Millisecond}}
+	faults := []fake.Faults{{Refuse: true}, {Cut: true}, {Lost: 0.5}, {Late: 0.5}, {Lost: 0.2, Late: 0.2, Delay: 30 * time.Millisecond}}
 	for pause(ctx, random, 300*time.Millisecond, 2*time.Second); ctx.Err() == nil; pause(ctx, random, 300*time.Millisecond, 2*time.Second) {
 		link := r.State(random.IntN(len(r.controllers)))
 		link.Set(faults[random.IntN(len(faults))])
 		r.count(&r.cuts)
 		pause(ctx, random, 500*time.Millisecond, 4*time.Second)
-		link.Set(standin.Faults{})
+		link.Set(fake.Faults{})
 	}
 }
 
@@ -221,10 +221,10 @@
 func (r *race) cutMachines(ctx context.Context, random *rand.Rand) {
 	for pause(ctx, random, 300*time.Millisecond, 2*time.Second); ctx.Err() == nil; pause(ctx, random, 300*time.Millisecond, 2*time.Second) {
 		link := r.Machines[random.IntN(len(r.Machines))].Link(r.Label(random.IntN(len(r.controllers))))
-		link.Set(standin.Faults{Cut: true})
+		link.Set(fake.Faults{Cut: true})
 		r.count(&r.cuts)
 		pause(ctx, random, 500*time.Millisecond, 8*time.Second)
-		link.Set(standin.Faults{})
+		link.Set(fake.Faults{})
 	}
 }
 
@@ -339,22 +339,22 @@
 		}
 		return []wire.Operation{{Put: "w/task/wk-1/0", Value: wire.MustMarshal(map[string]any{"t": tasks})}}
 	}
-	for name, plant := range map[string]func(*standin.UsageChecker){
-		"claims beyond the limit": func(u *standin.UsageChecker) { u.Applied(chunk(4)) },
-		"a task on two machines": func(u *standin.UsageChecker) {
+	for name, plant := range map[string]func(*fake.UsageChecker){
+		"claims beyond the limit": func(u *fake.UsageChecker) { u.Applied(chunk(4)) },
+		"a task on two machines": func(u *fake.UsageChecker) {
 			u.Starts("h1", "wk-1/0", "wk-1")
 			u.Starts("h2", "wk-1/0", "wk-1")
 		},
-		"tasks beyond the limit": func(u *standin.UsageChecker) {
+		"tasks beyond the limit": func(u *fake.UsageChecker) {
 			for i := range 4 {
 				u.Starts("h1", fmt.Sprintf("wk-1/%d", i), "wk-1")
 			}
 		},
-		"a job that nobody submitted": func(u *standin.UsageChecker) {
+		"a job that nobody submitted": func(u *fake.UsageChecker) {
 			u.Applied([]wire.Operation{{Put: "w/task/wk-2/0", Value: wire.MustMarshal(map[string]any{"t": []any{}})}})
 		},
 	} {
-		checker := standin.NewUsageChecker(map[string]float64{"x": 7})
+		checker := fake.NewUsageChecker(map[string]float64{"x": 7})
 		checker.Submitted(spec)
 		checker.Applied(chunk(3))
 		checker.Starts("h1", "wk-1/7", "wk-1")
--- a/internal/standin/cluster/stop_test.go
+++ b/internal/testcluster/stop_test.go
@@ -1,4 +1,4 @@
-package cluster
+package testcluster
 
 import (
 	"context"
--- a/internal/fleet/worker.go
+++ b/internal/worker/worker.go
@@ -1,6 +1,6 @@
 // Package fleet holds machines: the sessions of their workers, their stored
 // records, the cloud's client and the leader's capacity plan.
-package fleet
+package worker
 
 import (
 	"sort"
--- a/internal/fleet/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -1,4 +1,4 @@
-package fleet
+package worker
 
 import (
 	"strings"
