--- a/internal/controller/budget.go
+++ b/internal/controller/budget.go
@@ -10,7 +10,7 @@
 // equal parts; of the changes one half in equal parts, two of them to the
 // leader, which also stores machines, roles and limits, and the other half by
 // what waits at each node, while every member tells it. Guards against most of
-// the budget lying idle at nodes that have little to store. mu is held.
+// the budget lying idle at nodes that have little to store. The lock is held.
 func (px *peerExchange) updateBudgetShare() {
 	live := float64(max(1, len(px.membership.Nodes)))
 	parts := 1 / (live + 1)
--- a/internal/controller/budget_test.go
+++ b/internal/controller/budget_test.go
@@ -46,14 +46,14 @@
 	// Room for one change in each pass, not for two.
 	n.limits.WriteRPS = 2.5 / tuning.BudgetShare
 	n.limiter = store.NewLimiter(1000, 2.5, 64, w.clk.now)
-	n.mu.Lock()
+	n.Lock()
 	n.peers.updateBudgetShare()
-	n.mu.Unlock()
+	n.Unlock()
 	wrote := map[string]int{}
 	for range jobsEach {
-		n.mu.Lock()
+		n.Lock()
 		txns := n.scheduler.schedule()
-		n.mu.Unlock()
+		n.Unlock()
 		if len(txns) != 1 {
 			t.Fatalf("%d writes in a pass with room for one", len(txns))
 		}
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -35,7 +35,7 @@
 // loses a race, the others stand. A claim stays within this node's share of
 // the team's limit; the leader, which also claims on others' machines, hands
 // their owners the part of the limit that the claims take in the same write.
-// mu is held.
+// The lock is held.
 func (sc *scheduler) planClaims(txns []*pendingWrite, list []placement.Claim, most *float64) []*pendingWrite {
 	for _, g := range groupByJob(list) {
 		if *most < 1 {
--- a/internal/controller/coldstart_test.go
+++ b/internal/controller/coldstart_test.go
@@ -93,9 +93,9 @@
 // recovered reports whether every node is in ordinary operation.
 func (x *trial) recovered() bool {
 	for _, n := range x.nodes {
-		n.mu.Lock()
+		n.Lock()
 		over := n.recovery.progress.Done()
-		n.mu.Unlock()
+		n.Unlock()
 		if !over {
 			return false
 		}
@@ -188,8 +188,8 @@
 func (x *trial) checkDone() {
 	x.t.Helper()
 	n := x.leader()
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	for jobID, j := range n.table.Jobs {
 		if j.Phase != jobs.Done {
 			x.t.Errorf("%s is %s at the end", jobID, j.Phase)
@@ -363,8 +363,8 @@
 			}
 			x.run(600 * time.Second)
 			n := x.leader()
-			n.mu.Lock()
-			defer n.mu.Unlock()
+			n.Lock()
+			defer n.Unlock()
 			for jobID, j := range n.table.Jobs {
 				if !j.Phase.Final() {
 					t.Errorf("%s is %s at the end", jobID, j.Phase)
--- /dev/null
+++ b/internal/controller/directcalls.go
@@ -0,0 +1,124 @@
+package controller
+
+import (
+	"slices"
+	"time"
+
+	"wheatspur/internal/tuning"
+	"wheatspur/internal/worker"
+	"wheatspur/wire"
+)
+
+// sendDirectCommands sends a worker what it should not wait a report interval for: starts,
+// kills, and our token if it has not shown it; the lock is held.
+func (wm *workerManager) sendDirectCommands(w *worker.Worker, now time.Time) {
+	if w.NoPendingCommands && w.State == worker.TokenAcknowledged && !w.Unresponsive && w.FencingToken <= max(w.AcknowledgedToken, wm.membership.FencingToken) {
+		return // nothing has changed, and there is nothing to ask
+	}
+	if w.CallInFlight || w.Address == "" || w.State == worker.LeaseExpired || !wm.hasStore() {
+		return
+	}
+	if !wm.recovery.progress.Done() && len(wm.callSlots) >= cap(wm.callSlots)*3/4 {
+		return // guards against starts that are taken from the rate and can't go
+	}
+	var commands []wire.Command
+	silent := now.Sub(w.LastHeard) >= wm.silenceTimeout()
+	if !w.NoPendingCommands && w.Incarnation > 0 {
+		w.NoPendingCommands = true
+		due, postponed := w.Commands(wm.table.ClaimsByMachine[w.Machine], worker.CommandOptions{
+			Channel:     worker.DirectCall,
+			AllowStarts: wm.mayStartOn(w.Machine) && !silent,
+			Now:         now,
+			ResendAfter: wm.settings.HeartbeatInterval(),
+			RepeatAfter: wm.settings.HeartbeatInterval() * 3 / 2,
+			AdmitStart:  wm.recovery.admitStart,
+		})
+		if postponed {
+			w.NoPendingCommands = false
+		}
+		for _, o := range due {
+			if o.Verb == wire.VerbReap {
+				continue // see worker.Worker.Commands
+			}
+			if silent && o.Verb != wire.VerbKill {
+				continue // it may only be unable to reach us, and run what was cancelled
+			}
+			w.NoPendingCommands = false
+			if now.Sub(w.SentCommands[worker.KeyOf(o)]) > wm.settings.HeartbeatInterval() {
+				commands = append(commands, o)
+			}
+		}
+	}
+	greet := w.State == worker.TokenUnacknowledged && now.Sub(w.LastHeard) > wm.settings.HeartbeatInterval()*5/4 && now.Sub(wm.membershipChangedAt) > time.Second/2
+	greet = greet || w.Unresponsive && now.Sub(w.LastCall) > tuning.UnresponsivePause
+	// A raised token that the worker has not seen: the sooner it shows it, the
+	// sooner the starts below it are void.
+	greet = greet || w.State == worker.TokenAcknowledged && w.FencingToken > max(w.AcknowledgedToken, wm.membership.FencingToken)
+	if len(commands) == 0 && !greet || len(commands) == 0 && now.Sub(w.LastCall) < tuning.TokenAnnouncePause {
+		return
+	}
+	// Kills go before starts, and those before calls that only ask: each call to
+	// a machine that hangs holds its place for two seconds.
+	room := cap(wm.callSlots)
+	switch {
+	case len(commands) == 0, silent:
+		room /= 2
+	case !slices.ContainsFunc(commands, func(o wire.Command) bool { return o.Verb == wire.VerbKill }):
+		room -= room / 4
+	}
+	if len(wm.callSlots) >= room {
+		return // the buffer of direct calls is full; the next report carries them
+	}
+	wm.callSlots <- struct{}{} // filled with the lock held only
+	for c, at := range w.SentCommands {
+		if now.Sub(at) > 10*wm.settings.HeartbeatInterval() {
+			delete(w.SentCommands, c)
+		}
+	}
+	for _, o := range commands {
+		w.SentCommands[worker.KeyOf(o)] = now
+	}
+	starts := worker.StartedAttempts(commands)
+	w.FencingToken = max(w.FencingToken, wm.membership.FencingToken)
+	w.StartsSent(starts, w.FencingToken)
+	w.LastCall, w.CallInFlight = now, true
+	if commands == nil {
+		commands = []wire.Command{}
+	}
+	go wm.callWorker(w, w.Address, wire.CommandRequest{FencingToken: w.FencingToken, Incarnation: max(w.Incarnation, 1), Commands: commands}, starts)
+}
+
+func (wm *workerManager) callWorker(w *worker.Worker, address string, cmd wire.CommandRequest, starts []worker.Attempt) {
+	defer func() { <-wm.callSlots }()
+	_, r, err := wm.client.sendCommands(address, cmd)
+	wm.Lock()
+	defer wm.Unlock()
+	w.CallInFlight = false
+	if err != nil {
+		// The starts may yet be carried out: they stay unanswered.
+		wm.log.Debug("direct call failed", "host", w.Machine, "err", err)
+		return
+	}
+	w.StartsAnswered(starts, cmd.FencingToken, r.Incarnation, r.Sequence)
+	w.CallAnswered()
+	if wm.byMachine[w.Machine] == w && r.Machine == w.Machine && wm.isMember() && r.FencingToken <= wm.workerToken(w.Machine) {
+		wm.applyHeartbeat(w, r, wm.now())
+	}
+	wake(wm.passWake)
+}
+
+// fencePendingStarts makes void what may yet start tasks of cancelled jobs on
+// a machine: a start whose call was not answered may be held in the network or
+// by a machine that hangs. The machine's token is raised, which costs nobody
+// else anything; once the machine shows it, the start is dead and its claim is
+// released. The lock is held.
+func (wm *workerManager) fencePendingStarts(w *worker.Worker) {
+	if w.CallInFlight {
+		return // its answer may come yet
+	}
+	for _, a := range w.ClaimsBlockedByStarts(wm.table.ClaimsByMachine[w.Machine]) {
+		if w.FencePendingStarts(wm.membership.LastToken()) {
+			wm.log.Debug("start made void", "task", a.ID, "try", a.Number, "host", w.Machine, "token", w.FencingToken)
+		}
+	}
+}
--- a/internal/controller/displace.go
+++ b/internal/controller/displace.go
@@ -9,7 +9,7 @@
 )
 
 // evictMisplacedServices moves service tasks off machines that are to lose them, one at a
-// time, each once another machine has room; mu is held.
+// time, each once another machine has room; the lock is held.
 func (sc *scheduler) evictMisplacedServices(f *placement.Fleet) {
 	machines, tries := f.Machines, 0
 	for _, m := range machines {
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -248,9 +248,9 @@
 
 func (w *world) leader() *Controller {
 	for _, n := range w.nodes {
-		n.mu.Lock()
+		n.Lock()
 		ok := n.isLeader()
-		n.mu.Unlock()
+		n.Unlock()
 		if ok {
 			return n
 		}
@@ -264,9 +264,9 @@
 	w.t.Helper()
 	l := w.leader()
 	w.cl.Listed = append(w.cl.Listed, wire.Machine{Name: host, Address: "10.9.9.9:1", MachineType: "g", Zone: "z", State: wire.MachineRunning, AgeS: 100})
-	l.mu.Lock()
+	l.Lock()
 	l.leaderLoop.currentLeaderState().scalingOut[host] = scaleOutRecord{role: placeRole(role)}
-	l.mu.Unlock()
+	l.Unlock()
 	l.leaderLoop.reconcileCloudList(context.Background(), w.cl.Listed)
 	w.sync()
 }
@@ -274,9 +274,9 @@
 // owner is the node that a machine is hashed to, and another node if any.
 func (w *world) owner(host string) (owner, other *Controller) {
 	l := w.leader()
-	l.mu.Lock()
+	l.Lock()
 	label := l.membership.Owner(host)
-	l.mu.Unlock()
+	l.Unlock()
 	for name, n := range w.nodes {
 		if name != label {
 			other = n
@@ -291,16 +291,16 @@
 }
 
 func (n *Controller) take(r *wire.Heartbeat) (int, any) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	return n.workers.answerHeartbeat(r)
 }
 
 // passes runs a node's pass and its writes.
 func (w *world) pass(n *Controller) {
-	n.mu.Lock()
+	n.Lock()
 	txns := n.scheduler.schedule()
-	n.mu.Unlock()
+	n.Unlock()
 	for _, t := range txns {
 		n.scheduler.commit(context.Background(), t)
 	}
@@ -353,28 +353,28 @@
 }
 
 func (n *Controller) membershipToken() uint64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	return n.membership.FencingToken
 }
 
 func (n *Controller) job(jobID string) jobs.Record {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	return n.table.Jobs[jobID].Record
 }
 
 func (n *Controller) claimsOn(host string) int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	return len(n.table.ClaimsByMachine[host])
 }
 
 func (w *world) exchange(from, to *Controller) {
-	from.mu.Lock()
+	from.Lock()
 	from.peers.publishedAt = time.Time{}
 	own := from.peers.ownStatus(to.peers.siblings[from.self.Label].machinesVersion)
-	from.mu.Unlock()
+	from.Unlock()
 	st, err := peer.DecodeStatus(own.Encode())
 	if err != nil {
 		w.t.Fatal(err)
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -9,6 +9,7 @@
 	"wheatspur/internal/quota"
 	"wheatspur/internal/tuning"
 	"wheatspur/internal/worker"
+	"wheatspur/wire"
 )
 
 // machineIndex is the picture of all machines that passes, plans and role decisions
@@ -79,9 +80,9 @@
 	mi.changed[host], mi.due[host], mi.unpublished[host] = true, true, true
 }
 
-// resetMachineIndex starts the picture anew: the owners of the machines have changed.
-// mu is held.
-func (mi *machineIndex) resetMachineIndex() {
+// reset starts the picture anew: the owners of the machines have changed.
+// The lock is held.
+func (mi *machineIndex) reset() {
 	mi.clear()
 	for host := range mi.table.ClaimsByMachine {
 		mi.markChanged(host)
@@ -93,7 +94,7 @@
 
 // workersToScan lists the workers of this node that a pass looks at: those that
 // something has changed for or is due for, and every so often all, for what
-// follows from time alone, such as the end of a lease; mu is held.
+// follows from time alone, such as the end of a lease; the lock is held.
 func (mi *machineIndex) workersToScan(now time.Time) (workers map[string]*worker.Worker, all bool) {
 	if now.Sub(mi.fullScanAt) >= tuning.SweepEvery || now.Before(mi.fullScanAt) {
 		mi.fullScanAt = now
@@ -109,7 +110,7 @@
 }
 
 // removeQuiescent takes the machines that nothing is due for out of what the next pass
-// looks at; mu is held.
+// looks at; the lock is held.
 func (mi *machineIndex) removeQuiescent() {
 	for host := range mi.due {
 		if w := mi.workers.byMachine[host]; w == nil || w.Quiescent() {
@@ -118,7 +119,7 @@
 	}
 }
 
-// refreshMachines brings the picture of the fleet up to date; mu is held.
+// refreshMachines brings the picture of the fleet up to date; the lock is held.
 func (mi *machineIndex) refreshMachines(now time.Time) *placement.Fleet {
 	mi.applyRecordChanges()
 	if mi.fleet == nil || mi.rebuild {
@@ -148,14 +149,14 @@
 // isSchedulable reports whether a machine of this node takes new tasks: only one
 // that has shown our token, which guards against a late copy of a report of a
 // machine that is gone. And only one whose reports come: one that answers calls
-// and can't report ends with its lease. mu is held.
+// and can't report ends with its lease. The lock is held.
 func (mi *machineIndex) isSchedulable(w *worker.Worker, now time.Time, silent time.Duration) bool {
 	return w != nil && w.State == worker.TokenAcknowledged && now.Sub(w.LastHeard) < silent && now.Sub(w.LeaseRenewedAt()) < silent &&
 		w.TerminationAt.IsZero() && !mi.workers.isQuarantined(w, now)
 }
 
 // applyRecordChanges looks at the machine records that have changed: most of them only
-// in their phase, which needs no new index; mu is held.
+// in their phase, which needs no new index; the lock is held.
 func (mi *machineIndex) applyRecordChanges() {
 	for host := range mi.changedRecords {
 		rec, stored := mi.inventory.Machines[host]
@@ -173,7 +174,7 @@
 	clear(mi.changedRecords)
 }
 
-// placementMachine is the picture of an empty machine; mu is held.
+// placementMachine is the picture of an empty machine; the lock is held.
 func (mi *machineIndex) placementMachine(host string, rec inventory.Record) *placement.Machine {
 	t := mi.machineTypes[rec.MachineType]
 	return &placement.Machine{Name: host, Type: rec.MachineType, Zone: rec.Zone, Spot: rec.Spot, Role: rec.Role,
@@ -182,7 +183,7 @@
 }
 
 // rebuildMachineIndex indexes the machines as stored, and keeps the pictures of those
-// that are what they were; mu is held.
+// that are what they were; the lock is held.
 func (mi *machineIndex) rebuildMachineIndex() {
 	if mi.fleet != nil {
 		mi.fleet.Rollback() // the machines that are kept hold what the last pass placed
@@ -215,7 +216,7 @@
 }
 
 // applyChangedMachines enters anew the machines that something has changed on, and
-// returns them; mu is held.
+// returns them; the lock is held.
 func (mi *machineIndex) applyChangedMachines() []*indexedMachine {
 	var entered []*indexedMachine
 	for host := range mi.changed {
@@ -229,7 +230,7 @@
 	return entered
 }
 
-// applyMachine enters a machine's claims, and what its owner knows of it; mu is
+// applyMachine enters a machine's claims, and what its owner knows of it; the lock is
 // held.
 func (mi *machineIndex) applyMachine(m *indexedMachine) {
 	m.inService = mi.inventory.Machines[m.Name].Phase == inventory.Active
@@ -260,7 +261,7 @@
 	m.Snapshot()
 }
 
-// sumClaims enters the claims on a machine in the sums by owner; mu is held.
+// sumClaims enters the claims on a machine in the sums by owner; the lock is held.
 func (mi *machineIndex) sumClaims(host string) {
 	if old, ok := mi.claims[host]; ok {
 		for team, r := range old.teams {
@@ -286,3 +287,29 @@
 		by[team] = by[team].Add(r)
 	}
 }
+
+// claimedByNode is what the claims on each node's machines take; the lock is held.
+func (mi *machineIndex) claimedByNode() quota.ClaimedByNode {
+	for host := range mi.changed {
+		mi.sumClaims(host)
+	}
+	return mi.claimedTotals
+}
+
+// applyTypes enters the machine types; without a record the known ones stay.
+func (mi *machineIndex) applyTypes(v wire.Raw) error {
+	if v == nil {
+		return nil
+	}
+	var r wire.MachineTypes
+	if err := wire.Unmarshal(v, &r); err != nil {
+		return err
+	}
+	mi.machineTypeList = r.Types
+	mi.rebuild = true
+	clear(mi.machineTypes)
+	for _, t := range r.Types {
+		mi.machineTypes[t.Label] = t
+	}
+	return nil
+}
--- a/internal/controller/fleetview_test.go
+++ b/internal/controller/fleetview_test.go
@@ -34,14 +34,14 @@
 // with ones that are made anew.
 func checkView(t testing.TB, n *Controller) {
 	t.Helper()
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	if n.membership == nil || !n.isMember() {
 		return
 	}
 	now := n.now()
 	kept, held, view := picture(n.machineIndex.refreshMachines(now)), n.machineIndex.claimedByNode(), n.machineIndex
-	n.machineIndex.resetMachineIndex()
+	n.machineIndex.reset()
 	anew, sums := picture(n.machineIndex.refreshMachines(now)), n.machineIndex.claimedByNode()
 	n.machineIndex = view // goes on, so that what it misses adds up
 	if !slices.Equal(kept, anew) {
@@ -72,7 +72,7 @@
 	for range 6 {
 		w.passAll()
 	}
-	n.mu.Lock()
+	n.Lock()
 	n.machineIndex.refreshMachines(n.now())
 	j := n.table.Jobs["wk-200000"]
 	task := j.Task(0)
@@ -95,7 +95,7 @@
 	if len(n.machineIndex.changed) != 1 {
 		t.Errorf("%d machines are to be entered after the same chunk came once more", len(n.machineIndex.changed))
 	}
-	n.mu.Unlock()
+	n.Unlock()
 	checkView(t, n)
 }
 
@@ -122,7 +122,7 @@
 	w.submit(w.leader(), service("wk-2", 12))
 	evicted := 0
 	for _, n := range w.nodes {
-		n.mu.Lock()
+		n.Lock()
 		now := n.now()
 		before := picture(n.machineIndex.refreshMachines(now))
 		out := placement.Schedule(n.scheduler.placeInput(n.machineIndex.refreshMachines(now), now))
@@ -131,7 +131,7 @@
 		placement.Schedule(n.scheduler.placeInput(n.machineIndex.fleet, now))
 		n.machineIndex.rebuild = true // a machine has come: all are indexed anew
 		rebuilt := picture(n.machineIndex.refreshMachines(now))
-		n.mu.Unlock()
+		n.Unlock()
 		if !slices.Equal(before, rebuilt) {
 			t.Errorf("%s: before a pass and in a new index:\n%v\n%v", n.self.Label, before, rebuilt)
 		}
@@ -156,9 +156,9 @@
 	n, other := w.owner("h1")
 	n.take(w.report("h1", 1, n.membershipToken()))
 	w.tell()
-	n.mu.Lock()
+	n.Lock()
 	n.peers.ownStatus(other.peers.siblings[n.self.Label].machinesVersion) // the clock stands: all were compared now
-	n.mu.Unlock()
+	n.Unlock()
 	notice := 10.0
 	r := w.report("h1", 1, n.membershipToken())
 	r.TerminationNoticeS = &notice
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -78,7 +78,7 @@
 
 // onDemandLoad is the batch work that may not use spot machines: room for one and a
 // half of its arrays is kept on ordinary machines while any is open or waits for
-// others, and for a minute after; mu is held.
+// others, and for a minute after; the lock is held.
 func (ld *leaderLoop) onDemandLoad(l *leaderState, now time.Time) autoscale.Load {
 	var typical *jobs.Job
 	arrays, tasks := 0, 0.0
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -37,7 +37,7 @@
 	select {
 	case api.intake <- s:
 	default: // those whose users have been told to come back are still in it
-		api.replyRetry(c, 429, "too many submissions under way")
+		api.respondRetry(c, 429, "too many submissions under way")
 		return
 	}
 	var err error
@@ -57,7 +57,7 @@
 		// A lost answer is settled by reading again.
 		api.replyKnownJob(c, w.ID)
 	default:
-		api.replyRetry(c, 503, "the job can't be stored now")
+		api.respondRetry(c, 503, "the job can't be stored now")
 	}
 }
 
@@ -126,9 +126,9 @@
 // storeGroup stores several jobs in one intake record, guarded by the absence
 // of every job's own record. Its key is never used again.
 func (api *userAPI) storeGroup(ctx context.Context, group []*submission) {
-	api.mu.Lock()
+	api.Lock()
 	incarnation := api.self.Incarnation
-	api.mu.Unlock()
+	api.Unlock()
 	key := fmt.Sprintf("%s%s.%d.%d", jobs.IntakePrefix, api.self.Label, incarnation, api.intakeCounter.Add(1))
 	guards := []wire.Compare{{Key: key}}
 	v := jobs.IntakeRecord{Jobs: map[string]jobs.Record{}}
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"slices"
 	"sync"
 	"time"
@@ -12,34 +11,9 @@
 	"wheatspur/internal/autoscale"
 	"wheatspur/internal/cloud"
 	"wheatspur/internal/inventory"
-	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
-	"wheatspur/wire"
 )
 
-// storeDecision runs a guarded write of the leader and enters it.
-func (cs *clusterState) storeDecision(ctx context.Context, guards []wire.Compare, changes []wire.Operation) error {
-	cctx, stop := context.WithTimeout(ctx, tuning.DecisionWait)
-	defer stop()
-	revision, err := cs.store.CompareAndSwap(cctx, store.ClassRecords, guards, changes)
-	if err != nil {
-		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
-			_ = cs.syncer.ReadBarrier(tuning.BarrierWait)
-		}
-		return err
-	}
-	cs.applyWrite(changes, revision)
-	return nil
-}
-
-// applyWrite enters a write of this node.
-func (cs *clusterState) applyWrite(changes []wire.Operation, revision uint64) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.cache.ApplyOwnWrite(changes, revision)
-	wake(cs.passWake)
-}
-
 // leaderLoop is what the leader alone does: it plans capacity, moves machines
 // between the roles and stores the machine records.
 type leaderLoop struct {
@@ -52,7 +26,7 @@
 
 	cloud          cloud.Provider
 	leaderState    leaderState
-	machineWriteMu sync.Mutex // held while the leader stores machine records; taken before mu
+	machineWriteMu sync.Mutex // held while the leader stores machine records; taken before the lock
 }
 
 func newLeaderLoop(state *clusterState, provider cloud.Provider) *leaderLoop {
@@ -70,9 +44,9 @@
 	defer func() { _ = background.Wait() }()
 	for ctx.Err() == nil {
 		sleep(ctx, tuning.PlanEvery)
-		ld.mu.Lock()
+		ld.Lock()
 		if !ld.isLeader() || !ld.hasStore() || len(ld.machineTypeList) == 0 || ld.recovery.machinesUnknown() {
-			ld.mu.Unlock()
+			ld.Unlock()
 			continue
 		}
 		l, now := ld.currentLeaderState(), ld.now()
@@ -90,7 +64,7 @@
 			out = autoscale.Plan(ld.planInput(l, machines, now))
 		}
 		if !free {
-			ld.mu.Unlock()
+			ld.Unlock()
 			for _, h := range out.ScaleOut {
 				ld.scaleOut(ctx, h)
 			}
@@ -103,7 +77,7 @@
 		if ld.limiter.AvailableWrites(tuning.WriteReserve) >= 2 {
 			cut = ld.inventory.OversizeGroups(ld.maxGroupBytes(), tuning.GroupSplitsPerPlan)
 		}
-		ld.mu.Unlock()
+		ld.Unlock()
 
 		// Rentals don't wait for the budget of changes.
 		storing <- struct{}{}
--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -48,7 +48,7 @@
 	requestedAt time.Time
 }
 
-// currentLeaderState returns the leader's memory for the present token; mu is held.
+// currentLeaderState returns the leader's memory for the present token; the lock is held.
 func (ld *leaderLoop) currentLeaderState() *leaderState {
 	if ld.leaderState.fencingToken == ld.membership.FencingToken {
 		return &ld.leaderState
@@ -103,3 +103,11 @@
 		l.lastHeard[host] = at
 	}
 }
+
+// recordSilent notes when a machine that has fallen silent was last heard; the
+// lock is held.
+func (ld *leaderLoop) recordSilent(machine string, heardAt time.Time) {
+	if ld.leaderState.lastHeard != nil {
+		ld.leaderState.recordHeard(machine, heardAt)
+	}
+}
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -130,9 +130,9 @@
 				}
 				for _, m := range x.machines {
 					owner, _ := x.owner(m.Host)
-					owner.mu.Lock()
+					owner.Lock()
 					knows := owner.table.Jobs["wk-1"].Phase == jobs.Cancelled
-					owner.mu.Unlock()
+					owner.Unlock()
 					if knows {
 						continue // it kills them, and the others attest that there is nothing else
 					}
@@ -558,13 +558,13 @@
 				for _, r := range held {
 					n.take(&r)
 				}
-				n.mu.Lock()
+				n.Lock()
 				for host, w := range n.workers.byMachine {
 					if w.State == worker.TokenAcknowledged {
 						x.t.Errorf("%s is %s by an old report", host, w.State)
 					}
 				}
-				n.mu.Unlock()
+				n.Unlock()
 			}
 			x.each(func(m *machine) { m.outboundCut, m.holding = false, false })
 			x.run(20 * time.Second)
@@ -826,9 +826,9 @@
 			x.each(func(m *machine) { m.due = x.clk.now(); x.live(m) })
 			var writes []func()
 			for _, n := range x.others(nil) {
-				n.mu.Lock()
+				n.Lock()
 				txns := n.scheduler.schedule()
-				n.mu.Unlock()
+				n.Unlock()
 				for _, t := range txns {
 					writes = append(writes, func() { n.scheduler.commit(context.Background(), t) })
 				}
@@ -974,9 +974,9 @@
 			})
 			x.run(15 * time.Second)
 			n := x.leader()
-			n.mu.Lock()
+			n.Lock()
 			used := n.table.ResourcesByTeam["x"].GPUs
-			n.mu.Unlock()
+			n.Unlock()
 			running := 0
 			for _, jobID := range []string{"wk-1", "wk-2"} {
 				running += x.everywhere(jobID)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -26,104 +26,6 @@
 	unreachableSince time.Time
 }
 
-func (n *Controller) applyMembership(v wire.Raw) error {
-	if v == nil {
-		n.membership = nil
-		return nil
-	}
-	var r membership.Record
-	if err := wire.Unmarshal(v, &r); err != nil {
-		return err
-	}
-	last := n.membership
-	n.membership = &r
-	n.memberLabels = r.Labels()
-	n.membershipChangedAt = n.now()
-	clear(n.shardOwners)
-	clear(n.peers.publishedMachines)
-	// Who takes a machine over knows its images from what its former owner
-	// told. Guards against fetches beside machines that hold the image.
-	clear(n.workers.inheritedImages)
-	for _, s := range n.peers.siblings {
-		for host, h := range s.machines {
-			n.workers.inheritedImages[host] = h.Images
-		}
-	}
-	// A machine that was ours under the last membership and is under this one
-	// has had no other owner: what it has proven stands. Guards against a
-	// fleet that takes nothing until each machine has reported, with every node
-	// that comes or goes, and against tasks behind a cut that nobody may release.
-	next := last != nil && r.Follows(last) && last.Contains(n.self) && r.Contains(n.self)
-	for host, w := range n.workers.byMachine {
-		n.workers.inheritedImages[host] = w.Images
-		if n.shardOwner(host) != n.self.Label {
-			// What another owner does meanwhile makes this view worthless.
-			delete(n.workers.byMachine, host)
-		} else if !next || last.Owner(host) != n.self.Label {
-			w.RaiseToken()
-		}
-	}
-	n.machineIndex.resetMachineIndex()
-	n.peers.updateBudgetShare()
-	n.log.Info("membership", "token", r.FencingToken, "leader", r.Leader.Label, "nodes", len(r.Nodes))
-	return nil
-}
-
-// shardOwner is the member that a machine is hashed to; mu is held.
-func (cs *clusterState) shardOwner(host string) string {
-	o, ok := cs.shardOwners[host]
-	if !ok {
-		o = cs.membership.Owner(host)
-		if cs.inventory.KeyOf(host) != "" {
-			cs.shardOwners[host] = o // bounded by what is stored
-		}
-	}
-	return o
-}
-
-// isMember reports whether this node is a member of the newest membership it
-// knows; mu is held.
-func (cs *clusterState) isMember() bool {
-	return cs.membership != nil && cs.session == membership.Registered && cs.membership.Contains(cs.self) && cs.cache.Consistent()
-}
-
-// isLeader reports whether this node is the leader; mu is held.
-func (cs *clusterState) isLeader() bool {
-	return cs.isMember() && cs.membership.Leader == cs.self && cs.leader != nil && *cs.leader == cs.self
-}
-
-// dependenciesSupported reports whether every member reads jobs that are stored waiting; mu
-// is held. A node that does not would run such a job at once if it took it in,
-// and would stop its tasks on its machines.
-func (cs *clusterState) dependenciesSupported() bool {
-	return cs.membership != nil && cs.membership.AllSupport(membership.FormatDependencies, cs.storedSessions)
-}
-
-// tokenRangesSupported reports whether every node with a session knows of memberships that
-// span several tokens; mu is held.
-func (cs *clusterState) tokenRangesSupported() bool {
-	for label, s := range cs.sessions {
-		if v := cs.storedSessions[label]; v.Node != s || v.Format < membership.FormatTokenRanges {
-			return false
-		}
-	}
-	return true
-}
-
-// isFencedOut reports whether a sibling that reads the state service knows a
-// newer membership, so that this node should hand its workers over; mu is held.
-func (px *peerExchange) isFencedOut() bool {
-	if px.membership == nil {
-		return false
-	}
-	for _, s := range px.siblings {
-		if px.isFresh(s) && s.status.HasStore && s.status.FencingToken > px.membership.FencingToken {
-			return true
-		}
-	}
-	return false
-}
-
 // runSession keeps this node's lease in the state service, and does nothing
 // else: a write of the membership that waits, or a busy processor, must not cost
 // the session.
@@ -131,9 +33,9 @@
 	var due time.Time // of the next renewal
 	for ctx.Err() == nil {
 		el.recordProgress(sessionLoop)
-		el.mu.Lock()
+		el.Lock()
 		state, leaseID := el.session, el.self.Incarnation
-		el.mu.Unlock()
+		el.Unlock()
 		if state == membership.NoLease {
 			if el.draining() {
 				return nil // ended for good
@@ -162,8 +64,8 @@
 		sleep(ctx, tuning.RetryPause)
 		return
 	}
-	el.mu.Lock()
-	defer el.mu.Unlock()
+	el.Lock()
+	defer el.Unlock()
 	el.self.Incarnation = id
 	el.session = el.session.Next(membership.LeaseGranted)
 	wake(el.membershipWake)
@@ -171,8 +73,8 @@
 
 // endSession notes that a lease has ended, unless another has been got since.
 func (el *election) endSession(leaseID uint64) {
-	el.mu.Lock()
-	defer el.mu.Unlock()
+	el.Lock()
+	defer el.Unlock()
 	if el.self.Incarnation != leaseID || el.session == membership.NoLease {
 		return
 	}
@@ -185,10 +87,10 @@
 func (el *election) runMembership(ctx context.Context) error {
 	for ctx.Err() == nil {
 		el.recordProgress(memberLoop)
-		el.mu.Lock()
+		el.Lock()
 		leaseID := el.self.Incarnation
 		ready := el.session != membership.NoLease && el.cache.Consistent()
-		el.mu.Unlock()
+		el.Unlock()
 		if ready {
 			el.tryMembershipStep(ctx, leaseID)
 		}
@@ -226,9 +128,9 @@
 
 // membershipStep stores the session key, takes the lead or writes the membership.
 func (el *election) membershipStep(ctx context.Context) error {
-	el.mu.Lock()
+	el.Lock()
 	write, self := el.nextMembershipWrite(), el.self
-	el.mu.Unlock()
+	el.Unlock()
 	if write == nil {
 		return nil
 	}
@@ -241,8 +143,8 @@
 		// Not before: a node that is cut off tries again and again.
 		el.log.Info("reachability of workers changes", "unreachable", write.operation.Put != "")
 	}
-	el.mu.Lock()
-	defer el.mu.Unlock()
+	el.Lock()
+	defer el.Unlock()
 	if write.operation.Put != membership.Key {
 		// The membership comes by watch only: everything stored before it must
 		// be in the cache before it counts.
@@ -256,7 +158,7 @@
 }
 
 // nextMembershipWrite chooses what this node should write about the membership now,
-// nil for nothing; mu is held.
+// nil for nothing; the lock is held.
 func (el *election) nextMembershipWrite() *membershipWrite {
 	if el.session == membership.NoLease {
 		return nil
@@ -287,7 +189,7 @@
 }
 
 // reconcileSession brings the session's state in line with the key that is
-// stored; mu is held.
+// stored; the lock is held.
 func (el *election) reconcileSession() {
 	stored := el.sessions[el.self.Label] == el.self
 	if el.session == membership.Registered && !stored {
@@ -299,7 +201,7 @@
 	}
 }
 
-// sessionWrite stores this node's session key; mu is held.
+// sessionWrite stores this node's session key; the lock is held.
 func (el *election) sessionWrite() *membershipWrite {
 	key := membership.SessionKey(el.self.Label)
 	session := membership.Session{Node: el.self, Format: membership.CurrentFormat, ProgramVersion: tuning.Version}
@@ -310,7 +212,7 @@
 }
 
 // reachabilityWrite stores whether this node reaches its workers, and chooses
-// those to ask when it does not; mu is held.
+// those to ask when it does not; the lock is held.
 func (el *election) reachabilityWrite(unreachable bool, now time.Time) *membershipWrite {
 	key := membership.UnreachableKey(el.self.Label)
 	change := wire.Operation{Delete: key}
@@ -325,7 +227,7 @@
 	}
 }
 
-// leaderWrite takes the lead; mu is held.
+// leaderWrite takes the lead; the lock is held.
 func (el *election) leaderWrite() *membershipWrite {
 	return &membershipWrite{
 		compares:  []wire.Compare{el.cache.Compare(membership.LeaderKey), el.cache.Compare(membership.SessionKey(el.self.Label))},
@@ -333,7 +235,7 @@
 	}
 }
 
-// membershipRecordWrite stores the next membership; mu is held.
+// membershipRecordWrite stores the next membership; the lock is held.
 func (el *election) membershipRecordWrite(next *membership.Record) *membershipWrite {
 	return &membershipWrite{
 		compares:  []wire.Compare{el.cache.Compare(membership.LeaderKey), el.cache.Compare(membership.Key)},
@@ -341,7 +243,7 @@
 	}
 }
 
-// reachability sums up whether this node hears its workers; mu is held.
+// reachability sums up whether this node hears its workers; the lock is held.
 func (el *election) reachability(now time.Time) membership.Reachability {
 	e := membership.Reachability{Unreachable: el.unreachable[el.self.Label]}
 	if el.membership == nil || !el.isMember() {
@@ -359,7 +261,7 @@
 }
 
 // countHeard counts this node's machines that are heard, and those with tasks that
-// are silent though they had time to report under this membership; mu is held.
+// are silent though they had time to report under this membership; the lock is held.
 func (el *election) countHeard(now time.Time) (heard, silent int) {
 	silentAfter := el.silenceTimeout()
 	for host, w := range el.workers.byMachine {
@@ -375,23 +277,7 @@
 	return heard, silent
 }
 
-// siblingHearsWorkers reports whether any sibling hears a machine of its own; mu
-// is held.
-func (px *peerExchange) siblingHearsWorkers() bool {
-	for _, s := range px.siblings {
-		if !px.isFresh(s) {
-			continue
-		}
-		for _, h := range s.machines {
-			if !h.Silent {
-				return true
-			}
-		}
-	}
-	return false
-}
-
-// chooseProbes remembers workers to ask until one answers; mu is held.
+// chooseProbes remembers workers to ask until one answers; the lock is held.
 func (el *election) chooseProbes(now time.Time) {
 	el.probes, el.unreachableSince, el.probeAnsweredAt = nil, now, time.Time{}
 	for _, w := range el.workers.byMachine {
@@ -405,19 +291,19 @@
 func (el *election) runProbes(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, el.settings.HeartbeatInterval())
-		el.mu.Lock()
+		el.Lock()
 		var ask []string
 		if el.unreachable[el.self.Label] {
 			ask = el.probes
 		}
-		el.mu.Unlock()
+		el.Unlock()
 		for _, address := range ask {
 			if el.workers.client.probe(address) != nil {
 				continue
 			}
-			el.mu.Lock()
+			el.Lock()
 			el.probeAnsweredAt = el.now()
-			el.mu.Unlock()
+			el.Unlock()
 			wake(el.membershipWake)
 			break
 		}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"strconv"
 
 	"github.com/prometheus/client_golang/prometheus"
@@ -11,18 +10,9 @@
 
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
 )
 
-// metrics are gathered when they are asked for; only the counts of answers
-// are kept on the way.
-type metrics struct {
-	reg     *prometheus.Registry
-	answers *prometheus.CounterVec
-	writes  *prometheus.CounterVec
-}
-
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("wheatspur_"+name, help, labels, nil)
 }
@@ -42,15 +32,6 @@
 	descEvidence = desc("split_evidence_open", "1 while the evidence window is open.", "type")
 )
 
-func newMetrics(ob *observer) *metrics {
-	m := &metrics{reg: prometheus.NewRegistry(), answers: prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "wheatspur_answers_total", Help: "Answers by kind of request and status."}, []string{"request", "status"}),
-		writes: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "wheatspur_writes_total", Help: "Decision writes by kind and outcome."}, []string{"kind", "outcome"})}
-	m.reg.MustRegister(m.answers, m.writes, stateCollector{ob})
-	return m
-}
-
 // stateCollector reads a controller's state when metrics are gathered.
 type stateCollector struct{ observer *observer }
 
@@ -63,8 +44,8 @@
 
 func (c stateCollector) Collect(ch chan<- prometheus.Metric) {
 	ob := c.observer
-	ob.mu.Lock()
-	defer ob.mu.Unlock()
+	ob.Lock()
+	defer ob.Unlock()
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
@@ -133,27 +114,8 @@
 	return 0
 }
 
-// countAnswer notes an answer.
-func (m *metrics) countAnswer(request string, status int) {
-	m.answers.WithLabelValues(request, strconv.Itoa(status)).Inc()
-}
-
-// countWrite notes the outcome of a decision write.
-func (m *metrics) countWrite(kind string, err error) {
-	outcome := "stored"
-	switch {
-	case errors.Is(err, store.ErrConflict):
-		outcome = "conflict"
-	case errors.Is(err, store.ErrRejected), errors.Is(err, store.ErrQueueFull):
-		outcome = "refused"
-	case err != nil:
-		outcome = "lost"
-	}
-	m.writes.WithLabelValues(kind, outcome).Inc()
-}
-
 func (ob *observer) serveMetrics(c *fasthttp.RequestCtx) {
-	families, err := ob.metrics.reg.Gather()
+	families, err := ob.metrics.registry.Gather()
 	if err != nil {
 		respondError(c, 500, "metrics can't be gathered")
 		ob.log.Error("metrics can't be gathered", "err", err)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"time"
 
@@ -19,7 +18,6 @@
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
-	"wheatspur/internal/worker"
 	"wheatspur/wire"
 )
 
@@ -77,7 +75,8 @@
 	scheduler := newScheduler(state)
 	leader := newLeaderLoop(state, d.cloud)
 	workers.peers, workers.machineIndex, workers.recovery = peers, index, tracker
-	peers.workers, peers.machineIndex, peers.recovery, peers.leaderLoop = workers, index, tracker, leader
+	peers.workers, peers.machineIndex, peers.recovery = workers, index, tracker
+	peers.onSilent = leader.recordSilent
 	index.workers, index.peers = workers, peers
 	tracker.workers, tracker.peers = workers, peers
 	scheduler.workers, scheduler.peers, scheduler.machineIndex, scheduler.recovery = workers, peers, index, tracker
@@ -94,7 +93,7 @@
 		api:          newUserAPI(state, peers),
 	}
 	c.observer = &observer{clusterState: state, peers: peers, recovery: tracker, scheduler: scheduler, leaderLoop: leader}
-	state.metrics = newMetrics(c.observer)
+	state.metrics.registry.MustRegister(stateCollector{c.observer})
 	state.inventory.OnChange = func(machine string) { index.changedRecords[machine] = true }
 	state.table.OnMachineChange = func(machine string) {
 		index.markChanged(machine)
@@ -103,7 +102,7 @@
 		}
 	}
 	state.cache = store.NewCache(c.applyStored)
-	state.syncer = store.NewSyncer(d.store, jobs.Root, &state.mu, state.cache, state.onStoreChange, d.settings.Operator.PollQueue, d.now, d.log)
+	state.syncer = store.NewSyncer(d.store, jobs.Root, state, state.cache, state.onStoreChange, d.settings.Operator.PollQueue, d.now, d.log)
 	return c
 }
 
@@ -152,11 +151,6 @@
 	return nil // what the closed listeners say
 }
 
-// maxConnections is how many connections of users and workers this node takes.
-func (cs *clusterState) maxConnections() int {
-	return int(float64(cs.settings.Params.Limits.MaxConnections) * tuning.ConnectionShare)
-}
-
 func (n *Controller) httpServer(h fasthttp.RequestHandler, conns int) *fasthttp.Server {
 	return &fasthttp.Server{
 		// fasthttp counts a connection until a little after its end.
@@ -172,72 +166,3 @@
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
-
-// wake signals without waiting.
-func wake(c chan struct{}) {
-	select {
-	case c <- struct{}{}:
-	default:
-	}
-}
-
-// onStoreChange runs with mu held after each watch response.
-func (cs *clusterState) onStoreChange() {
-	wake(cs.passWake)
-	wake(cs.membershipWake)
-}
-
-// hasStore reports whether the state service was read lately.
-func (cs *clusterState) hasStore() bool {
-	return cs.now().Sub(cs.syncer.LastReadAt()) < tuning.StoreStaleAfter
-}
-
-// healthy decides GET /up: a node without the state service passes users on
-// while a sibling has it; if none has, there is nobody better. A node that
-// hears no sibling either can't tell, and holds that it alone is cut off.
-// Guards against a cut-off node, which refuses every request and closes its
-// connections, drawing all users as the one with the fewest.
-func (n *Controller) healthy() bool {
-	if n.draining() {
-		return false
-	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.hasStore() {
-		return n.cache.Consistent()
-	}
-	alone := len(n.peers.siblings) > 0
-	for _, s := range n.peers.siblings {
-		if n.peers.isFresh(s) {
-			if s.status.HasStore {
-				return false
-			}
-			alone = false
-		}
-	}
-	return !alone && n.cache.Consistent()
-}
-
-func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
-	}
-}
-
-// jitter spreads d between half and one and a half.
-func jitter(d time.Duration) time.Duration {
-	return d/2 + rand.N(d)
-}
-
-// silenceTimeout is how long after its last message a machine counts as silent.
-func (cs *clusterState) silenceTimeout() time.Duration {
-	return time.Duration(tuning.SilentHeartbeats * float64(cs.settings.HeartbeatInterval()))
-}
-
-// isQuarantined reports whether a machine should get no tasks for now.
-func (wm *workerManager) isQuarantined(w *worker.Worker, now time.Time) bool {
-	return w.Unresponsive || len(w.FailedJobs) >= tuning.MachineFailuresMax || now.Sub(w.LastRefusal) < tuning.RefusalPause
-}
--- a/internal/controller/pass.go
+++ b/internal/controller/pass.go
@@ -52,9 +52,9 @@
 		}
 		sc.recordProgress(passLoop)
 		start := time.Now()
-		sc.mu.Lock()
+		sc.Lock()
 		txns := sc.schedule()
-		sc.mu.Unlock()
+		sc.Unlock()
 		took := time.Since(start)
 		for _, t := range txns {
 			go sc.commit(ctx, t)
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// schedule computes the writes of this node and sends what is due to workers; mu
-// is held.
+// schedule computes the writes of this node and sends what is due to workers; the
+// lock is held.
 func (sc *scheduler) schedule() []*pendingWrite {
 	if !sc.isMember() || !sc.hasStore() || sc.draining() {
 		return nil
@@ -104,8 +104,8 @@
 	return txns
 }
 
-// pruneFinished drops what is remembered of tasks, machines and jobs and is over; mu
-// is held.
+// pruneFinished drops what is remembered of tasks, machines and jobs and is over; the
+// lock is held.
 func (sc *scheduler) pruneFinished(workers map[string]*worker.Worker, now time.Time) {
 	for host, w := range workers {
 		if len(w.Stopping) > 0 && w.PruneStopping(sc.table.ClaimsByMachine[host]) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// preempt stops tasks whose room others need; mu is held.
+// preempt stops tasks whose room others need; the lock is held.
 func (sc *scheduler) preempt(list []placement.Preemption, now time.Time) {
 	for _, r := range list {
 		w := sc.workers.byMachine[sc.machineOf(r.ClaimedTask)]
@@ -147,7 +147,7 @@
 // written while tasks wait for their claims. The other ends only free room,
 // which is not short while there are claims. Guards against a half-empty fleet
 // beside a queue: the ends of hundreds of tasks took the budget from the claims.
-// mu is held.
+// The lock is held.
 func (sc *scheduler) planReleasesAndClaims(txns []*pendingWrite, due []pendingRelease, claims []placement.Claim, most *float64) []*pendingWrite {
 	early := *most
 	if len(claims) > 0 {
@@ -179,14 +179,14 @@
 }
 
 // updateQueuedWrites enters how many writes were due and had no room in the budget in the
-// mean of what waits for it; mu is held.
+// mean of what waits for it; the lock is held.
 func (sc *scheduler) updateQueuedWrites(left int) {
 	waits := sc.limiter.QueuedWrites() + float64(sc.machineWritesLeft+max(0, left))
 	sc.queuedWrites += (waits - sc.queuedWrites) / 2
 }
 
 // commandWorkers sends workers what is due, and forgets those of machines that are
-// gone; mu is held.
+// gone; the lock is held.
 func (wm *workerManager) commandWorkers(workers map[string]*worker.Worker, now time.Time) {
 	for host, w := range workers {
 		if wm.shardOwner(host) == wm.self.Label {
@@ -203,7 +203,7 @@
 	return r.Job.Claims[r.ID.Task].Machine
 }
 
-// recordUnplaced notes the tasks without a place, why, and since when; mu is held.
+// recordUnplaced notes the tasks without a place, why, and since when; the lock is held.
 func (sc *scheduler) recordUnplaced(out placement.Output, now time.Time) {
 	sc.unplaced, sc.pendingReasons = out.Unplaced, out.Reasons
 	sc.recordShortages(out, now)
@@ -219,7 +219,7 @@
 	}
 }
 
-// placeInput builds the pass's input; mu is held.
+// placeInput builds the pass's input; the lock is held.
 func (sc *scheduler) placeInput(fleet *placement.Fleet, now time.Time) placement.Input {
 	in := placement.Input{Self: sc.self.Label, Leader: sc.membership.Leader.Label, RankNodes: sc.membership.RankNodes,
 		Fleet: fleet, Teams: sc.allowances(), Now: now, MaxJobs: tuning.JobsPerPass,
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -489,9 +489,9 @@
 	taken := func(want bool) {
 		t.Helper()
 		for label, n := range w.nodes {
-			n.mu.Lock()
+			n.Lock()
 			got := n.dependenciesSupported()
-			n.mu.Unlock()
+			n.Unlock()
 			if got != want {
 				t.Fatalf("%s: pipelines %v, want %v", label, got, want)
 			}
--- a/internal/controller/planinput.go
+++ b/internal/controller/planinput.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-// planInput builds the capacity plan's input; mu is held.
+// planInput builds the capacity plan's input; the lock is held.
 func (ld *leaderLoop) planInput(l *leaderState, machines *placement.Fleet, now time.Time) autoscale.Input {
 	b := ld.newPlanBuilder(l, machines, now)
 	l.lostWhileDraining = nil
@@ -51,7 +51,7 @@
 	return b.input
 }
 
-// planBuilder puts the input of one capacity plan together. It lives while mu
+// planBuilder puts the input of one capacity plan together. It lives while the lock
 // is held, and so do all of its methods run.
 type planBuilder struct {
 	leader          *leaderLoop
@@ -213,28 +213,3 @@
 		})
 	}
 }
-
-// lastHeardByOwners is how long ago each machine was heard by its owner.
-func (px *peerExchange) lastHeardByOwners(now time.Time) map[string]time.Duration {
-	out := map[string]time.Duration{}
-	for host, w := range px.workers.byMachine {
-		if !w.LastHeard.IsZero() {
-			out[host] = now.Sub(w.LastHeard)
-		}
-	}
-	for _, s := range px.siblings {
-		if s.machinesConfirmedAt.IsZero() || now.Sub(s.machinesConfirmedAt) > 5*tuning.PeerFresh {
-			continue
-		}
-		for name, h := range s.machines {
-			if h.Silent {
-				continue // entered when it was told
-			}
-			age := now.Sub(s.machinesConfirmedAt)
-			if old, ok := out[name]; !ok || age < old {
-				out[name] = age
-			}
-		}
-	}
-	return out
-}
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -8,7 +8,6 @@
 	"iter"
 	"time"
 
-	"wheatspur/internal/config"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/placement"
@@ -17,25 +16,7 @@
 	"wheatspur/internal/tuning"
 )
 
-// quotaTeams are the teams of the settings.
-func quotaTeams(teams []config.Team) []quota.Team {
-	out := make([]quota.Team, len(teams))
-	for i, t := range teams {
-		out[i] = quota.Team{
-			Name:      t.Name,
-			Limit:     quota.Amount{CPUs: t.CPUsMax, GPUs: t.GPUsMax},
-			Guarantee: quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs},
-		}
-	}
-	return out
-}
-
-// quotaOptions are what operators have switched on.
-func quotaOptions(set *config.Settings) quota.Options {
-	return quota.Options{Transfers: set.Operator.QuotaTransfers, Reservations: set.Operator.QuotaReservations}
-}
-
-// quotaView is what decisions about limits start from; mu is held.
+// quotaView is what decisions about limits start from; the lock is held.
 func (sc *scheduler) quotaView() quota.View {
 	return quota.View{
 		Self:         sc.self.Label,
@@ -47,15 +28,7 @@
 	}
 }
 
-// claimedByNode is what the claims on each node's machines take; mu is held.
-func (mi *machineIndex) claimedByNode() quota.ClaimedByNode {
-	for host := range mi.changed {
-		mi.sumClaims(host)
-	}
-	return mi.claimedTotals
-}
-
-// allowances are what a pass may still give to each team; mu is held.
+// allowances are what a pass may still give to each team; the lock is held.
 func (sc *scheduler) allowances() map[string]*quota.Allowance {
 	view := sc.quotaView()
 	scale := sc.quota.Scale(sc.totalCapacity, sc.now())
@@ -68,7 +41,7 @@
 	return out
 }
 
-// totalCapacity is what all machines that take tasks hold together; mu is held.
+// totalCapacity is what all machines that take tasks hold together; the lock is held.
 func (sc *scheduler) totalCapacity() quota.Amount {
 	var sum quota.Amount
 	for _, r := range sc.inventory.Machines {
@@ -83,7 +56,7 @@
 // mayReclaim reports whether a job within its team's guarantee has waited so long
 // for room that others' borrowed work is stopped for it. The team's wait is
 // stored, and so is the time since when the job could start, so all nodes come to
-// the same answer, also after a restart. mu is held.
+// the same answer, also after a restart. The lock is held.
 func (sc *scheduler) mayReclaim(j *jobs.Job, now time.Time) bool {
 	if at, ok := sc.unplacedSince[j.ID]; ok && now.Sub(at) > tuning.GuaranteePreemptAfter {
 		return true
@@ -93,7 +66,7 @@
 }
 
 // planReservations lets the leader store which teams wait for room within their
-// guarantees; mu is held.
+// guarantees; the lock is held.
 func (sc *scheduler) planReservations(short map[string]quota.Amount, now time.Time, most *float64) []*pendingWrite {
 	if !sc.isLeader() || *most < 1 {
 		return nil
@@ -113,7 +86,7 @@
 
 // admit adds to a write of claims the guard on the shares of the team's limit
 // and, for claims on others' machines, the change that hands their owners that
-// part of this node's share; false if the share does not cover it. mu is held.
+// part of this node's share; false if the share does not cover it. The lock is held.
 func (sc *scheduler) admit(t *pendingWrite, team string, amount quota.Amount, others map[string]quota.Amount) bool {
 	l := sc.quota.Ledger(team)
 	if l == nil {
@@ -136,7 +109,7 @@
 	return true
 }
 
-// resolveQuota tells the team's ledger what became of a write; mu is held.
+// resolveQuota tells the team's ledger what became of a write; the lock is held.
 func (sc *scheduler) resolveQuota(t *pendingWrite, err error) {
 	if t.shares != nil {
 		sc.quota.Ledger(t.shares.Team).ResolveWrite(t.shares, outcomeOf(err), t.compares)
@@ -161,7 +134,7 @@
 }
 
 // planRebalances lets the leader share the teams' limits out; most is what the budget
-// of changes has room for. mu is held.
+// of changes has room for. The lock is held.
 func (sc *scheduler) planRebalances(now time.Time, most *float64) []*pendingWrite {
 	if !sc.isLeader() {
 		return nil
@@ -186,7 +159,7 @@
 }
 
 // planTransfers gives what this node does not need of the teams' limits to the
-// leader, where that is short; teams are what the pass has left of each. mu is
+// leader, where that is short; teams are what the pass has left of each. the lock is
 // held.
 func (sc *scheduler) planTransfers(teams map[string]*quota.Allowance, short map[string]quota.Amount, now time.Time, most *float64) []*pendingWrite {
 	if !sc.settings.Operator.QuotaTransfers || sc.isLeader() {
@@ -208,7 +181,7 @@
 	return out
 }
 
-// shareWrite is the write of a team's shares; mu is held.
+// shareWrite is the write of a team's shares; the lock is held.
 func (sc *scheduler) shareWrite(w *quota.Write) *pendingWrite {
 	sc.log.Info("team's shares change", "team", w.Team, "event", string(w.Event))
 	t := sc.newWrite(string(w.Event))
@@ -219,7 +192,7 @@
 	return t
 }
 
-// pendingAmounts is what each waiting job of a team takes; mu is held.
+// pendingAmounts is what each waiting job of a team takes; the lock is held.
 func (sc *scheduler) pendingAmounts(team string) iter.Seq[quota.Amount] {
 	return func(yield func(quota.Amount) bool) {
 		for _, j := range sc.table.Open {
@@ -234,7 +207,7 @@
 	}
 }
 
-// recordShortages notes which teams' work waits for other shares; mu is held.
+// recordShortages notes which teams' work waits for other shares; the lock is held.
 func (sc *scheduler) recordShortages(out placement.Output, now time.Time) {
 	for _, l := range sc.quota.Ledgers() {
 		_, short := out.ShareShortfall[l.Team().Name]
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -45,10 +45,10 @@
 // transfers switches transfers of shares on at all nodes.
 func (w *world) transfers() {
 	for _, n := range w.nodes {
-		n.mu.Lock()
+		n.Lock()
 		n.settings.Operator.QuotaTransfers = true
 		n.quota.Configure(quotaTeams(n.settings.Params.Teams), quotaOptions(n.settings))
-		n.mu.Unlock()
+		n.Unlock()
 	}
 }
 
@@ -122,8 +122,8 @@
 	w.t.Helper()
 	n := w.leader()
 	w.sync()
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	held, sum := n.machineIndex.claimedByNode(), 0.0
 	rec := n.quota.Ledger("x").Record()
 	for label, by := range held {
@@ -155,11 +155,11 @@
 			var all []*pendingWrite
 			var by []*Controller
 			for _, n := range w.nodes {
-				n.mu.Lock()
+				n.Lock()
 				for _, x := range n.scheduler.schedule() {
 					all, by = append(all, x), append(by, n)
 				}
-				n.mu.Unlock()
+				n.Unlock()
 			}
 			for i, x := range all {
 				by[i].scheduler.commit(context.Background(), x)
@@ -196,19 +196,19 @@
 		n.take(w.report(fmt.Sprintf("h%d", i), 1, n.membershipToken()))
 	}
 	w.submit(n, work("wk-9", 8)) // the team's whole limit
-	n.mu.Lock()
+	n.Lock()
 	txns := n.scheduler.schedule()
-	n.mu.Unlock()
+	n.Unlock()
 	if len(txns) != 1 {
 		t.Fatalf("%d writes", len(txns))
 	}
 	late := txns[0]
 	w.st.Down = true // never applied so far, and no answer
-	n.mu.Lock()
+	n.Lock()
 	n.scheduler.resolveQuota(late, context.DeadlineExceeded)
 	delete(n.scheduler.writesInFlight, "wk-9")
 	n.scheduler.backoffUntil["wk-9"] = w.clk.now().Add(time.Second)
-	n.mu.Unlock()
+	n.Unlock()
 	w.st.Down = false
 	w.submit(n, work("wk-2", 8))
 	w.passAll()
@@ -229,8 +229,8 @@
 	if got := w.checkLimit(8); got != 8 {
 		t.Fatalf("%v claimed", got)
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	n.scheduler.allowances()
 	if _, inDoubt := n.quota.Ledger("x").Pending(); !inDoubt.IsZero() {
 		t.Fatal("it stays in doubt after its claim was applied")
@@ -252,9 +252,9 @@
 		w.tell()
 		var txns []*pendingWrite
 		for _, o := range []*Controller{w.nodes["a"], w.nodes["b"]} {
-			o.mu.Lock()
+			o.Lock()
 			mine := o.scheduler.schedule()
-			o.mu.Unlock()
+			o.Unlock()
 			if len(mine) > 0 && txns == nil {
 				n, txns = o, mine
 			}
@@ -262,13 +262,13 @@
 		if len(txns) != 1 || txns[0].admission == nil || txns[0].admission.Team != "x" {
 			t.Fatalf("%s: %d writes", name, len(txns))
 		}
-		n.mu.Lock()
+		n.Lock()
 		rec := n.quota.Ledger("x").Record()
 		next.FencingToken = rec.FencingToken
 		if next.Shares == nil {
 			next.Shares = rec.Shares
 		}
-		n.mu.Unlock()
+		n.Unlock()
 		w.st.Put(jobs.TeamKey("x"), wire.MustMarshal(next))
 		n.scheduler.commit(context.Background(), txns[0])
 		w.sync()
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -4,12 +4,8 @@
 package controller
 
 import (
-	"fmt"
-	"strings"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/recovery"
@@ -37,7 +33,7 @@
 }
 
 // advanceRecovery takes the node's recovery a step on. It looks at all of the node's
-// machines, and only until recovery is over; mu is held.
+// machines, and only until recovery is over; the lock is held.
 func (rt *recoveryTracker) advanceRecovery(now time.Time) {
 	r := rt.progress
 	if r.Done() {
@@ -61,7 +57,7 @@
 	}
 }
 
-// recoveryEvent enters an event and logs what it changes; mu is held.
+// recoveryEvent enters an event and logs what it changes; the lock is held.
 func (rt *recoveryTracker) recoveryEvent(e recovery.Event, now time.Time) {
 	before, since := rt.progress.Phase, rt.progress.Since
 	if rt.progress.Apply(e, now) {
@@ -71,7 +67,7 @@
 }
 
 // countMachines counts this node's machines by what is known of them, and the
-// starts that are due on those that have been heard; mu is held.
+// starts that are due on those that have been heard; the lock is held.
 func (rt *recoveryTracker) countMachines(now time.Time) (count recovery.Count, left recovery.Backlog) {
 	count = recovery.Count{}
 	waited := now.Sub(rt.progress.Began)
@@ -106,7 +102,7 @@
 }
 
 // admitStart takes a start from this node's rate of starts while it recovers, if
-// operators have set one; mu is held.
+// operators have set one; the lock is held.
 func (rt *recoveryTracker) admitStart(j *jobs.Job) bool {
 	class := startClass(j)
 	switch {
@@ -121,7 +117,7 @@
 // machinesUnknown reports whether decisions that need a whole picture of the machines have
 // to wait: this node, or another member, does not know its machines yet. Guards
 // against work that is stopped, moved or rented for because free machines have
-// not reported yet. mu is held.
+// not reported yet. The lock is held.
 func (rt *recoveryTracker) machinesUnknown() bool {
 	if !rt.settings.Operator.RecoveryHold {
 		return false
@@ -136,28 +132,3 @@
 	}
 	return false
 }
-
-// writeRecoveryStatus shows operators how far recovery is; mu is held.
-func (ob *observer) writeRecoveryStatus(b *strings.Builder) {
-	r := ob.recovery.progress
-	fmt.Fprintf(b, "recovery %q for %.0f s machines unknown %d reported %d reconciled %d missing %d starts_left services %d arrays %d hold %v\n",
-		r.Phase, ob.now().Sub(r.Since).Seconds(), r.Machines[recovery.Unknown], r.Machines[recovery.Reported], r.Machines[recovery.Reconciled],
-		r.Machines[recovery.Missing], r.PendingStarts[recovery.ServiceStart], r.PendingStarts[recovery.ArrayStart], ob.recovery.machinesUnknown())
-}
-
-var (
-	descRecoveryPhase    = desc("recovery_phase", "1 for the phase of this node's recovery.", "phase")
-	descRecoveryMachines = desc("recovery_machines", "This node's machines by what was known of them when it last recovered.", "state")
-	descRecoveryStarts   = desc("recovery_starts_left", "Starts that wait while this node recovers.", "class")
-)
-
-// collectRecovery gathers the metrics of recovery; mu is held.
-func (ob *observer) collectRecovery(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
-	r := ob.recovery.progress
-	gauge(descRecoveryPhase, 1, string(r.Phase))
-	for _, state := range []recovery.MachineState{recovery.Unknown, recovery.Reported, recovery.Reconciled, recovery.Missing} {
-		gauge(descRecoveryMachines, float64(r.Machines[state]), string(state))
-	}
-	gauge(descRecoveryStarts, float64(r.PendingStarts[recovery.ServiceStart]), "service")
-	gauge(descRecoveryStarts, float64(r.PendingStarts[recovery.ArrayStart]), "array")
-}
--- a/internal/controller/releases.go
+++ b/internal/controller/releases.go
@@ -15,7 +15,7 @@
 // earlyReleaseBudget is the part of the changes that may be written now which ends may
 // take before claims: half. If that is less than one each, they take turns:
 // with passes that come often, a single change is due at a time, and ends took
-// every one. mu is held.
+// every one. The lock is held.
 func (sc *scheduler) earlyReleaseBudget(changes float64) float64 {
 	if changes < 2 && sc.claimsDeferred {
 		return 0
@@ -42,7 +42,7 @@
 
 // dueReleases lists the ends of tasks on this node's machines that may be stored now,
 // by chunk; what matters most comes first. workers are those that may have any.
-// mu is held.
+// The lock is held.
 func (sc *scheduler) dueReleases(workers map[string]*worker.Worker, now time.Time) []pendingRelease {
 	changes := sc.provenEnds(workers, now)
 	for key := range sc.releaseDueSince {
--- a/internal/controller/rolemoves.go
+++ b/internal/controller/rolemoves.go
@@ -15,7 +15,7 @@
 )
 
 // recordArrivals feeds the role controllers with service jobs that are new, and the
-// headroom with batch jobs; mu is held.
+// headroom with batch jobs; the lock is held.
 func (ld *leaderLoop) recordArrivals(l *leaderState, now time.Time) {
 	for _, t := range ld.machineTypeList {
 		if l.roleControllers[t.Label] == nil {
@@ -53,7 +53,7 @@
 }
 
 // recordServiceArrival tells the role controller of every type that a new service
-// job may use; mu is held.
+// job may use; the lock is held.
 func (ld *leaderLoop) recordServiceArrival(l *leaderState, j *jobs.Job, now time.Time) {
 	for _, t := range ld.machineTypeList {
 		if !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// describeSplit describes one type's ordinary machines and demand; mu is held.
+// describeSplit describes one type's ordinary machines and demand; the lock is held.
 func (ld *leaderLoop) describeSplit(t wire.MachineType, machines *placement.Fleet) roles.Split {
 	s := roles.Split{Type: t.Label, Complete: true}
 	for _, sib := range ld.peers.siblings {
@@ -145,7 +145,7 @@
 	return s
 }
 
-// moveRoles evaluates every type's split and returns the moves; mu is held.
+// moveRoles evaluates every type's split and returns the moves; the lock is held.
 func (ld *leaderLoop) moveRoles(l *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var out []inventory.RecordChange
 	for _, t := range ld.machineTypeList {
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -38,9 +38,9 @@
 		if i%2 == 0 {
 			role = placement.Service
 		}
-		l.mu.Lock()
+		l.Lock()
 		l.leaderLoop.currentLeaderState().scalingOut[host] = scaleOutRecord{role: role}
-		l.mu.Unlock()
+		l.Unlock()
 	}
 	l.leaderLoop.reconcileCloudList(context.Background(), w.cl.Listed)
 	w.sync()
@@ -79,9 +79,9 @@
 	n := w.leader()
 	b.ReportAllocs()
 	for b.Loop() {
-		n.mu.Lock()
+		n.Lock()
 		n.scheduler.schedule()
-		n.mu.Unlock()
+		n.Unlock()
 	}
 }
 
@@ -95,9 +95,9 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		n.mu.Lock()
+		n.Lock()
 		n.scheduler.schedule()
-		n.mu.Unlock()
+		n.Unlock()
 	}
 }
 
@@ -140,10 +140,10 @@
 	w.pass(n)
 	b.ReportAllocs()
 	for b.Loop() {
-		n.mu.Lock()
+		n.Lock()
 		now := n.now()
 		autoscale.Plan(n.leaderLoop.planInput(n.leaderLoop.currentLeaderState(), n.machineIndex.refreshMachines(now), now))
-		n.mu.Unlock()
+		n.Unlock()
 	}
 }
 
@@ -212,9 +212,9 @@
 			if m == n {
 				continue
 			}
-			n.mu.Lock()
+			n.Lock()
 			st := n.peers.ownStatus(m.peers.siblings[n.self.Label].machinesVersion)
-			n.mu.Unlock()
+			n.Unlock()
 			if b := len(st.Encode()); b > 300 {
 				t.Errorf("%s tells %s %d bytes though nothing has changed", n.self.Label, m.self.Label, b)
 			}
@@ -316,8 +316,8 @@
 	}
 	known := func() int {
 		w.sync()
-		n.mu.Lock()
-		defer n.mu.Unlock()
+		n.Lock()
+		defer n.Unlock()
 		return len(n.inventory.Machines)
 	}
 	w.st.Lose = 1
@@ -344,9 +344,9 @@
 		t.Fatalf("%d machines after a conflict", known())
 	}
 	// The leader stops after its first group: some joined, the rest did not.
-	n.mu.Lock()
+	n.Lock()
 	writes := n.inventory.PlanWrites(joins(list[12:]), nil, n.maxGroupBytes(), n.limits.TxnOps)
-	n.mu.Unlock()
+	n.Unlock()
 	if len(writes) < 3 {
 		t.Fatalf("%d writes", len(writes))
 	}
@@ -430,11 +430,11 @@
 	}
 	var all []decided
 	for _, n := range w.nodes {
-		n.mu.Lock()
+		n.Lock()
 		for _, x := range n.scheduler.schedule() {
 			all = append(all, decided{n, x})
 		}
-		n.mu.Unlock()
+		n.Unlock()
 	}
 	for _, d := range all {
 		d.n.scheduler.commit(context.Background(), d.t)
--- /dev/null
+++ b/internal/controller/scaling.go
@@ -0,0 +1,168 @@
+package controller
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"sort"
+	"time"
+
+	"wheatspur/internal/autoscale"
+	"wheatspur/internal/cloud"
+	"wheatspur/internal/inventory"
+	"wheatspur/internal/jobs"
+	"wheatspur/internal/tuning"
+	"wheatspur/wire"
+)
+
+// planDrains stores that machines take no more tasks; the lock is held.
+// Machines that are dead go back at once, by name: what would drain them is
+// over, and their tasks wait for the proof of their return.
+func (ld *leaderLoop) planDrains(drains []autoscale.ScaleIn) (changes []inventory.RecordChange, dead []string) {
+	for _, d := range drains {
+		rec, ok := ld.inventory.Machines[d.Machine]
+		if !ok {
+			continue
+		}
+		next, err := rec.Phase.Next(inventory.EventDrain)
+		if err != nil {
+			continue
+		}
+		ld.log.Info("machine drains", "host", d.Machine, "why", d.Reason)
+		if d.Terminated() {
+			dead = append(dead, d.Machine)
+			continue
+		}
+		drained := rec
+		drained.Phase, drained.Reason = next, d.Reason
+		changes = append(changes, inventory.RecordChange{Machine: d.Machine, Before: &rec, After: &drained})
+	}
+	return changes, dead
+}
+
+// planTerminations lists drained machines to give back, and records to drop; the lock is
+// held. A drained machine goes back when it is empty.
+func (ld *leaderLoop) planTerminations(l *leaderState, now time.Time) (returns []string, drops []inventory.RecordChange) {
+	over := map[string][]inventory.RecordChange{} // by group
+	for host, rec := range ld.inventory.Machines {
+		switch rec.Phase {
+		case inventory.Draining:
+			if ld.cache.Revision() < ld.cache.Version(ld.inventory.KeyOf(host)) {
+				continue // claims stored before the drain may not be seen yet
+			}
+			open := 0
+			for _, j := range ld.table.ClaimsByMachine[host] {
+				if j.Phase == jobs.Open {
+					open++
+				}
+			}
+			if open == 0 {
+				returns = append(returns, host)
+			}
+		case inventory.Terminated:
+			if len(ld.table.ClaimsByMachine[host]) > 0 {
+				continue // its owner releases them first
+			}
+			if l.missingLists[host] >= tuning.MissingLists {
+				over[ld.inventory.KeyOf(host)] = append(over[ld.inventory.KeyOf(host)], inventory.RecordChange{Machine: host, Before: &rec})
+			} else if l.listed[host].State == wire.MachineFailed && l.missingLists[host] == 0 {
+				returns = append(returns, host) // stays listed until deleted
+			}
+		}
+	}
+	sort.Strings(returns)
+	// Nothing waits for the end of a record: a few groups a plan, those with
+	// the most first. Guards against a wave of lost machines taking the budget
+	// of changes twice, once for the proofs and once for this.
+	keys := slices.SortedFunc(maps.Keys(over), func(a, b string) int {
+		return cmp.Or(cmp.Compare(len(over[b]), len(over[a])), cmp.Compare(a, b))
+	})
+	for _, key := range keys[:min(len(keys), max(ld.groupWriteBudget(), 1))] {
+		for _, c := range over[key] {
+			drops = append(drops, c)
+			l.forget(c.Machine)
+		}
+	}
+	return returns, drops
+}
+
+// terminate returns machines to the cloud and stores that they are gone.
+// Its answer is the proof that everything on them is gone. All calls go before
+// the writes: a wave of hundreds of lost machines once took a minute.
+func (ld *leaderLoop) terminate(ctx context.Context, list []string) {
+	var hosts []string
+	for len(list) > 0 {
+		some := list[:min(len(list), tuning.TerminateMax)]
+		list = list[len(some):]
+		if err := ld.cloud.Terminate(some); err != nil {
+			ld.log.Info("machines not returned", "hosts", some, "err", err)
+			break
+		}
+		ld.log.Info("machines returned", "hosts", some)
+		hosts = append(hosts, some...)
+	}
+	ld.Lock()
+	var changes []inventory.RecordChange
+	for _, h := range hosts {
+		rec, ok := ld.inventory.Machines[h]
+		if !ok || rec.Phase == inventory.Terminated {
+			continue
+		}
+		if rec.Phase == inventory.Draining && len(ld.table.ClaimsByMachine[h]) == 0 && ld.isLeader() {
+			// Drained and empty: there is nothing that its end would prove. A
+			// machine that was not drained may yet get a claim that is under way.
+			l := ld.currentLeaderState()
+			l.terminatedAt[h] = ld.now()
+			l.forget(h)
+			changes = append(changes, inventory.RecordChange{Machine: h, Before: &rec})
+			continue
+		}
+		if next, err := rec.Phase.Next(inventory.EventTerminated); err == nil {
+			gone := rec
+			gone.Phase = next
+			changes = append(changes, inventory.RecordChange{Machine: h, Before: &rec, After: &gone})
+		}
+	}
+	ld.Unlock()
+	// What is left is given back again by the next plan, which then has more
+	// for each group. Guards against a wave of lost machines whose groups were
+	// written three times over, while most of its tasks waited for the proof.
+	ld.storeMachineGroups(ctx, changes, nil, tuning.GroupsPerBatch)
+}
+
+// scaleOut rents machines. A request's name holds the token, which only one leader
+// ever has, and a counter: no name is used twice.
+func (ld *leaderLoop) scaleOut(ctx context.Context, h autoscale.ScaleOut) {
+	ld.Lock()
+	if !ld.isLeader() || ctx.Err() != nil {
+		ld.Unlock()
+		return
+	}
+	l := ld.currentLeaderState()
+	l.requestCounter++
+	name := fmt.Sprintf("%s-%d-%d", ld.self.Label, l.fencingToken, l.requestCounter)
+	ld.Unlock()
+	count := min(h.Count, tuning.ScaleOutMax)
+	names, err := ld.cloud.ScaleOut(wire.ScaleOutRequest{Name: name, MachineType: h.Kind.MachineType, Zone: h.Kind.Zone, Spot: h.Kind.Spot, Count: count})
+	ld.Lock()
+	defer ld.Unlock()
+	l = ld.currentLeaderState()
+	now := ld.now()
+	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(names) < count {
+		l.noCapacityAt[h.Kind] = now
+	}
+	ld.log.Info("machines rented", "request", name, "type", h.Kind.MachineType, "zone", h.Kind.Zone, "spot", h.Kind.Spot,
+		"role", string(h.Role), "asked", count, "got", len(names), "why", h.Reason, "err", err)
+	for _, host := range names {
+		l.scalingOut[host] = scaleOutRecord{h.Kind, h.Role, now}
+	}
+}
+
+// groupWriteBudget is how many groups of machine records the leader may change now for
+// what can wait.
+func (ld *leaderLoop) groupWriteBudget() int {
+	return min(int(ld.limiter.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMax)
+}
--- a/internal/controller/scripted_test.go
+++ b/internal/controller/scripted_test.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// begins watches the start of a task and says how long it runs; mu is held.
+// begins watches the start of a task and says how long it runs; the lock is held.
 func (x *trial) begins(w *fake.Worker, t *fake.Task) time.Duration {
 	now := x.clk.now()
 	for _, o := range x.machines {
@@ -123,7 +123,7 @@
 	return x.runs[t.JobID]
 }
 
-// live lets a machine live on; mu is held.
+// live lets a machine live on; the lock is held.
 func (x *trial) live(m *machine) {
 	now := x.clk.now()
 	if m.hung {
@@ -306,8 +306,8 @@
 // register gives a node whose session has ended a new one.
 func (x *trial) register(n *Controller) {
 	n.election.endSession(n.self.Incarnation)
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	n.self.Incarnation, _ = x.st.GrantLease(context.Background(), time.Second)
 	n.session = n.session.Next(membership.LeaseGranted)
 }
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -152,9 +152,9 @@
 		t.Fatalf("after the release: %+v", st)
 	}
 	// Direct calls of the pass were not answered: a start may be under way.
-	n.mu.Lock()
+	n.Lock()
 	n.workers.byMachine["h1"].StartsAnswered([]worker.Attempt{{ID: jobs.TaskID{Job: "wk-1"}, Number: 1}}, b, 1, 1)
-	n.mu.Unlock()
+	n.Unlock()
 	_, body = n.take(w.report("h1", 1, b, exited))
 	if o := commandsOf(t, 200, body); len(o) != 1 || o[0].Verb != wire.VerbReap {
 		t.Fatalf("after the release: %v", o)
@@ -210,9 +210,9 @@
 	owner.take(w.report("h1", 1, owner.membershipToken()))
 	w.exchange(owner, other)
 	w.submit(owner, work("wk-1", 1))
-	owner.mu.Lock()
+	owner.Lock()
 	txns := owner.scheduler.schedule()
-	owner.mu.Unlock()
+	owner.Unlock()
 	if len(txns) != 1 {
 		t.Fatalf("%d writes for one claim", len(txns))
 	}
@@ -276,14 +276,14 @@
 	w, n := worldWithMachine(t, "batch")
 	ctx := context.Background()
 	w.submit(n, work("wk-1", 1))
-	n.mu.Lock()
+	n.Lock()
 	claim := n.scheduler.schedule()
 	drains, _ := n.leaderLoop.planDrains([]autoscale.ScaleIn{{Machine: "h1", Reason: autoscale.ReasonIdle}})
-	n.mu.Unlock()
+	n.Unlock()
 	n.leaderLoop.storeMachines(ctx, drains)
-	n.mu.Lock()
+	n.Lock()
 	early, _ := n.leaderLoop.planTerminations(n.leaderLoop.currentLeaderState(), w.clk.now())
-	n.mu.Unlock()
+	n.Unlock()
 	if len(early) != 0 {
 		t.Fatal("returned before all claims that the drain may have missed were read")
 	}
@@ -294,9 +294,9 @@
 	if n.claimsOn("h1") != 0 {
 		t.Fatal("a claim on a drained machine was stored")
 	}
-	n.mu.Lock()
+	n.Lock()
 	returns, _ := n.leaderLoop.planTerminations(n.leaderLoop.currentLeaderState(), w.clk.now())
-	n.mu.Unlock()
+	n.Unlock()
 	n.leaderLoop.terminate(ctx, returns)
 	// A list that is late still shows it; it must not join again.
 	n.leaderLoop.reconcileCloudList(ctx, w.cl.Listed)
@@ -323,13 +323,13 @@
 	if n.claimsOn("h1") != 1 {
 		t.Fatal("absence from the list released a task")
 	}
-	n.mu.Lock()
+	n.Lock()
 	l := n.leaderLoop.currentLeaderState()
 	n.leaderLoop.planInput(l, n.machineIndex.refreshMachines(w.clk.now()), w.clk.now())
 	l.lastHeard["h1"] = w.clk.now().Add(-time.Minute)
 	out := autoscale.Plan(n.leaderLoop.planInput(l, n.machineIndex.refreshMachines(w.clk.now()), w.clk.now()))
 	_, returns := n.leaderLoop.planDrains(out.ScaleIn)
-	n.mu.Unlock()
+	n.Unlock()
 	if len(returns) != 1 {
 		t.Fatalf("a machine that the list omits is not returned: drains %v", out.ScaleIn)
 	}
@@ -360,8 +360,8 @@
 	}
 	w.addHost(host, "batch")
 	units := func() autoscale.Machine {
-		l.mu.Lock()
-		defer l.mu.Unlock()
+		l.Lock()
+		defer l.Unlock()
 		for _, u := range l.leaderLoop.planInput(l.leaderLoop.currentLeaderState(), l.machineIndex.refreshMachines(w.clk.now()), w.clk.now()).Machines {
 			if u.Name == host {
 				return u
@@ -376,9 +376,9 @@
 		w.exchange(other, l)
 		units()
 	}
-	other.mu.Lock()
+	other.Lock()
 	clear(other.workers.byMachine) // as after a restart
-	other.mu.Unlock()
+	other.Unlock()
 	w.exchange(other, l)
 	w.clk.add(2 * time.Second)
 	if u := units(); u.Silent || u.Missing {
@@ -399,8 +399,8 @@
 	for range 4 {
 		w.settle()
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	if n.sessions["a"] != n.self || !n.isMember() {
 		t.Fatalf("session %+v, self %+v", n.sessions["a"], n.self)
 	}
@@ -470,9 +470,9 @@
 		w.sync()
 		n.take(w.report("h1", 1, n.membershipToken()))
 		start := time.Now()
-		n.mu.Lock()
+		n.Lock()
 		txns := n.scheduler.schedule()
-		n.mu.Unlock()
+		n.Unlock()
 		if d := time.Since(start); d > 2*time.Second {
 			t.Errorf("a pass took %v", d)
 		}
--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -41,9 +41,9 @@
 	n := w.nodes["b"]
 	service := &stuck{access: w.way["b"], release: make(chan struct{})}
 	n.store = service
-	n.mu.Lock()
+	n.Lock()
 	n.session, n.sessions = membership.NoLease, map[string]membership.Node{}
-	n.mu.Unlock()
+	n.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
 	var loops sync.WaitGroup
 	loops.Go(func() { _ = n.election.runSession(ctx) })
--- a/internal/controller/siblings.go
+++ b/internal/controller/siblings.go
@@ -9,6 +9,8 @@
 	"slices"
 	"time"
 
+	"github.com/valyala/fasthttp"
+
 	"wheatspur/internal/config"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/peer"
@@ -41,13 +43,14 @@
 	workers      *workerManager
 	machineIndex *machineIndex
 	recovery     *recoveryTracker
-	leaderLoop   *leaderLoop
 
 	siblings          map[string]*sibling
 	publishedMachines map[string]*publishedMachine
 	publishedVersion  uint64    // number of the last change in publishedMachines
 	publishedAt       time.Time // when publishedMachines was last refreshed
-	attestedUntil     time.Time // up to when every cancellation is known here because all siblings attest it
+	// onSilent is told of a machine that its owner last heard at a time.
+	onSilent      func(machine string, heardAt time.Time)
+	attestedUntil time.Time // up to when every cancellation is known here because all siblings attest it
 }
 
 func newPeerExchange(state *clusterState) *peerExchange {
@@ -66,10 +69,10 @@
 // runPeerExchange exchanges statuses with one sibling.
 func (px *peerExchange) runPeerExchange(ctx context.Context, s *sibling) error {
 	for ctx.Err() == nil {
-		px.mu.Lock()
+		px.Lock()
 		own := px.ownStatus(peer.MachinesVersion{})
 		own.Known = s.machinesVersion
-		px.mu.Unlock()
+		px.Unlock()
 		own.Machines, own.AllMachines = nil, false // they come with the answer to the sibling's own
 		asked := px.now()
 		st, err := s.client.Exchange(own.Encode(), tuning.PeerTimeout)
@@ -81,12 +84,26 @@
 	return nil
 }
 
+// serveStatus takes a sibling's status and answers with this controller's.
+func (px *peerExchange) serveStatus(c *fasthttp.RequestCtx) {
+	status, err := peer.DecodeStatus(c.PostBody())
+	if err != nil {
+		respondError(c, 400, "malformed status")
+		return
+	}
+	px.applyPeerStatus(status, time.Time{})
+	px.Lock()
+	own := px.ownStatus(status.Known)
+	px.Unlock()
+	c.SetBody(own.Encode())
+}
+
 // applyPeerStatus enters a sibling's status. If it answers one of ours, asked is when
 // that was sent, and the changes of its machines since the view that we have
 // come with it; else asked is zero.
 func (px *peerExchange) applyPeerStatus(st peer.Status, asked time.Time) {
-	px.mu.Lock()
-	defer px.mu.Unlock()
+	px.Lock()
+	defer px.Unlock()
 	s := px.siblings[st.Label]
 	if s == nil {
 		return
@@ -109,7 +126,7 @@
 }
 
 // applyPeerMachines enters what has changed of a sibling's machines, or all of them
-// in place of those known before; mu is held.
+// in place of those known before; the lock is held.
 func (px *peerExchange) applyPeerMachines(s *sibling, st peer.Status, now time.Time) {
 	if st.AllMachines {
 		for host := range s.machines {
@@ -120,14 +137,14 @@
 	for _, h := range st.Machines {
 		px.machineIndex.markChanged(h.Name)
 		s.machines[h.Name] = h
-		if h.Silent && px.leaderLoop.leaderState.lastHeard != nil {
-			px.leaderLoop.leaderState.recordHeard(h.Name, now.Add(-h.SinceHeard))
+		if h.Silent {
+			px.onSilent(h.Name, now.Add(-h.SinceHeard))
 		}
 	}
 }
 
 // applyAttestation enters what a sibling says of cancellations, and how far all of them
-// are known by it; mu is held.
+// are known by it; the lock is held.
 func (px *peerExchange) applyAttestation(s *sibling, st peer.Status, asked, now time.Time) {
 	if !st.ReportsCancellations || st.Incarnation == 0 {
 		s.attestation = membership.Attestation{}
@@ -144,7 +161,7 @@
 }
 
 // cancellationsKnownUntil is the time up to which every cancellation that a user was told of
-// is in the cache; mu is held.
+// is in the cache; the lock is held.
 func (px *peerExchange) cancellationsKnownUntil() time.Time {
 	if fresh := px.syncer.LastReadAt(); fresh.After(px.attestedUntil) {
 		return fresh
@@ -153,7 +170,7 @@
 }
 
 // ownStatus is this node's status, with what has changed of its machines since
-// the view that a sibling has; mu is held.
+// the view that a sibling has; the lock is held.
 func (px *peerExchange) ownStatus(seen peer.MachinesVersion) peer.Status {
 	now := px.now()
 	st := peer.Status{Label: px.self.Label, Incarnation: px.self.Incarnation, Revision: px.cache.Revision(), HasStore: px.hasStore() && px.cache.Consistent()}
@@ -179,7 +196,7 @@
 	return st
 }
 
-// refreshPublished notes what has changed of this node's machines; mu is held.
+// refreshPublished notes what has changed of this node's machines; the lock is held.
 func (px *peerExchange) refreshPublished(now time.Time) {
 	silent := px.silenceTimeout()
 	for host, w := range px.unpublished(now) {
@@ -208,7 +225,7 @@
 
 // unpublished lists the workers whose machines may differ from what siblings are
 // told of them: those that something has changed for, and every so often all, for
-// those that have fallen silent; mu is held.
+// those that have fallen silent; the lock is held.
 func (px *peerExchange) unpublished(now time.Time) map[string]*worker.Worker {
 	v := px.machineIndex
 	some := px.workers.byMachine
@@ -225,3 +242,58 @@
 	clear(v.unpublished)
 	return some
 }
+
+// isFencedOut reports whether a sibling that reads the state service knows a
+// newer membership, so that this node should hand its workers over; the lock is held.
+func (px *peerExchange) isFencedOut() bool {
+	if px.membership == nil {
+		return false
+	}
+	for _, s := range px.siblings {
+		if px.isFresh(s) && s.status.HasStore && s.status.FencingToken > px.membership.FencingToken {
+			return true
+		}
+	}
+	return false
+}
+
+// siblingHearsWorkers reports whether any sibling hears a machine of its own; the
+// lock is held.
+func (px *peerExchange) siblingHearsWorkers() bool {
+	for _, s := range px.siblings {
+		if !px.isFresh(s) {
+			continue
+		}
+		for _, h := range s.machines {
+			if !h.Silent {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// lastHeardByOwners is how long ago each machine was heard by its owner.
+func (px *peerExchange) lastHeardByOwners(now time.Time) map[string]time.Duration {
+	out := map[string]time.Duration{}
+	for host, w := range px.workers.byMachine {
+		if !w.LastHeard.IsZero() {
+			out[host] = now.Sub(w.LastHeard)
+		}
+	}
+	for _, s := range px.siblings {
+		if s.machinesConfirmedAt.IsZero() || now.Sub(s.machinesConfirmedAt) > 5*tuning.PeerFresh {
+			continue
+		}
+		for name, h := range s.machines {
+			if h.Silent {
+				continue // entered when it was told
+			}
+			age := now.Sub(s.machinesConfirmedAt)
+			if old, ok := out[name]; !ok || age < old {
+				out[name] = age
+			}
+		}
+	}
+	return out
+}
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -12,24 +12,24 @@
 	"wheatspur/internal/membership"
 	"wheatspur/internal/quota"
 	"wheatspur/internal/store"
+	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
 
 // clusterState is what this controller knows of the cluster from the key-value
 // store, and the one lock of the controller.
 //
-// mu guards every field of clusterState but those of environment, and every
-// field of the components that embed it, except where a field says otherwise.
-// A method of a component expects mu to be held if its comment says so; the
-// exported methods of Controller, the handlers and the loops (run...) take it
-// themselves. What must be decided on one state is decided within one critical
-// section; no call to the store, the cloud, a worker or a peer is made with mu
-// held.
+// The lock guards every field of clusterState but those of environment, and
+// every field of the components that embed it, except where a field says
+// otherwise. A method of a component expects the lock to be held if its comment
+// says so; handlers and loops take it themselves. What must be decided on one
+// state is decided within one critical section. No call to the store, the
+// cloud, a worker or a peer is made with the lock held.
 type clusterState struct {
 	environment
 	membershipState
 
-	mu               sync.Mutex
+	sync.Mutex
 	cache            *store.Cache
 	syncer           *store.Syncer // has locks of its own
 	table            *jobs.Table
@@ -49,7 +49,7 @@
 }
 
 // environment is what a controller is given: nothing in it changes while it
-// runs, so mu is not needed for it.
+// runs, so the lock is not needed for it.
 type environment struct {
 	settings *config.Settings
 	limits   config.Limits // of the store, that everything keeps to
@@ -60,21 +60,6 @@
 	metrics  *metrics
 }
 
-// membershipState is this controller's own session, and the sessions, the leader
-// and the membership as stored.
-type membershipState struct {
-	self                membership.Node
-	session             membership.SessionState
-	sessions            map[string]membership.Node
-	storedSessions      map[string]membership.Session // the same, with what they say of their programs
-	unreachable         map[string]bool               // controllers that say that they hear no worker
-	leader              *membership.Node
-	membership          *membership.Record
-	memberLabels        []string          // of the membership's nodes
-	membershipChangedAt time.Time         // when the membership last changed here
-	shardOwners         map[string]string // of machines, under this membership; filled as they are asked for
-}
-
 func newClusterState(d dependencies) *clusterState {
 	return &clusterState{
 		environment: environment{
@@ -84,6 +69,7 @@
 			now:      d.now,
 			store:    d.store,
 			limiter:  d.limiter,
+			metrics:  newMetrics(),
 		},
 		membershipState: membershipState{
 			self:           membership.Node{Label: d.settings.Label},
@@ -101,3 +87,62 @@
 		membershipWake: make(chan struct{}, 1),
 	}
 }
+
+// quotaTeams are the teams of the settings.
+func quotaTeams(teams []config.Team) []quota.Team {
+	out := make([]quota.Team, len(teams))
+	for i, t := range teams {
+		out[i] = quota.Team{
+			Name:      t.Name,
+			Limit:     quota.Amount{CPUs: t.CPUsMax, GPUs: t.GPUsMax},
+			Guarantee: quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs},
+		}
+	}
+	return out
+}
+
+// quotaOptions are what operators have switched on.
+func quotaOptions(set *config.Settings) quota.Options {
+	return quota.Options{Transfers: set.Operator.QuotaTransfers, Reservations: set.Operator.QuotaReservations}
+}
+
+// maxConnections is how many connections of users and workers this node takes.
+func (cs *clusterState) maxConnections() int {
+	return int(float64(cs.settings.Params.Limits.MaxConnections) * tuning.ConnectionShare)
+}
+
+// onStoreChange runs with the lock held after each watch response.
+func (cs *clusterState) onStoreChange() {
+	wake(cs.passWake)
+	wake(cs.membershipWake)
+}
+
+// hasStore reports whether the state service was read lately.
+func (cs *clusterState) hasStore() bool {
+	return cs.now().Sub(cs.syncer.LastReadAt()) < tuning.StoreStaleAfter
+}
+
+// silenceTimeout is how long after its last message a machine counts as silent.
+func (cs *clusterState) silenceTimeout() time.Duration {
+	return time.Duration(tuning.SilentHeartbeats * float64(cs.settings.HeartbeatInterval()))
+}
+
+// maxGroupBytes is how much JSON a group of machine records may hold.
+func (cs *clusterState) maxGroupBytes() int {
+	return int(cs.limits.ValueKB * 1024 * tuning.GroupFillShare)
+}
+
+// groupKeyOf is the key that holds a machine's record.
+func (cs *clusterState) groupKeyOf(host string) string {
+	cs.Lock()
+	defer cs.Unlock()
+	return cs.inventory.KeyOf(host)
+}
+
+// wake signals without waiting.
+func wake(c chan struct{}) {
+	select {
+	case c <- struct{}{}:
+	default:
+	}
+}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -32,8 +32,8 @@
 // blocks each, the teams, and why jobs wait; with ?job=ID one job, with ?team=NAME
 // one team.
 func (ob *observer) serveStatus(c *fasthttp.RequestCtx) {
-	ob.mu.Lock()
-	defer ob.mu.Unlock()
+	ob.Lock()
+	defer ob.Unlock()
 	var b strings.Builder
 	c.SetContentType("text/plain; charset=utf-8")
 	if jobID := string(c.QueryArgs().Peek("job")); jobID != "" {
@@ -110,7 +110,7 @@
 }
 
 // writeJobStatus shows one job: why it waits, or with which job it was cancelled;
-// mu is held.
+// The lock is held.
 func (ob *observer) writeJobStatus(b *strings.Builder, jobID string) {
 	j := ob.table.Jobs[jobID]
 	if j == nil {
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -6,17 +6,12 @@
 	"context"
 	"errors"
 	"fmt"
-	"sync/atomic"
-	"time"
 
 	"wheatspur/internal/membership"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
 )
 
-// loop is one of the loops that a node can't do without.
-type loop int
-
 // Loops of a node.
 const (
 	passLoop loop = iota
@@ -25,38 +20,9 @@
 	loops
 )
 
-// String names the loop.
-func (l loop) String() string { return [...]string{"passes", "session", "membership"}[l] }
-
-// loopTimes are when each loop last went round.
-type loopTimes [loops]atomic.Int64
-
-// recordProgress notes that a loop goes round.
-func (cs *clusterState) recordProgress(l loop) { cs.loopProgress[l].Store(cs.now().UnixNano()) }
-
-// ErrStalled says that a loop of the node does not go round.
-var ErrStalled = errors.New("loop stalled")
-
-// Progress is nil while all loops of the node go round, and can take its lock.
-func (n *Controller) Progress() error {
-	for l := range loops {
-		last := n.loopProgress[l].Load()
-		if last == 0 {
-			continue // not begun yet
-		}
-		if age := n.now().Sub(time.Unix(0, last)); age > tuning.StallAfter {
-			return fmt.Errorf("%w: %s, for %v", ErrStalled, l, age.Round(time.Second))
-		}
-	}
-	return nil
-}
-
 // Ready reports whether users are served.
 func (n *Controller) Ready() bool { return n.healthy() }
 
-// draining reports whether the node takes nothing new.
-func (cs *clusterState) draining() bool { return cs.stopping.Load() }
-
 // ErrWritesInFlight says that writes were still under way when the time for a clean
 // stop was over.
 var ErrWritesInFlight = errors.New("writes are under way")
@@ -75,10 +41,10 @@
 		}
 		sleep(ctx, tuning.ShutdownPoll)
 	}
-	n.mu.Lock()
+	n.Lock()
 	leaseID, session := n.self.Incarnation, n.session
 	n.session = membership.NoLease // this node answers no report any more
-	n.mu.Unlock()
+	n.Unlock()
 	if session != membership.NoLease {
 		end, stop := context.WithTimeout(context.Background(), tuning.StoreCallTimeout)
 		defer stop()
@@ -95,7 +61,7 @@
 // inFlight counts the submissions, decision writes and direct calls that have not
 // ended.
 func (n *Controller) inFlight() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Lock()
+	defer n.Unlock()
 	return len(n.api.submissionSlots) + len(n.api.intake) + len(n.scheduler.writesInFlight) + len(n.workers.callSlots)
 }
--- /dev/null
+++ b/internal/controller/storedrecords.go
@@ -0,0 +1,52 @@
+package controller
+
+import (
+	"strings"
+
+	"wheatspur/internal/inventory"
+	"wheatspur/internal/jobs"
+	"wheatspur/internal/membership"
+	"wheatspur/internal/quota"
+	"wheatspur/wire"
+)
+
+// applyStored takes changed values from the cache; the lock is held.
+func (n *Controller) applyStored(key string, v wire.Raw, version uint64) {
+	if err := n.applyRecord(key, v, version); err != nil {
+		n.log.Error("stored record can't be read", "key", key, "stamp", version, "err", err)
+	}
+}
+
+// applyRecord enters one stored value; nil says that there is none any more. the lock is
+// held, also by the methods for each kind of record.
+func (n *Controller) applyRecord(key string, v wire.Raw, version uint64) error {
+	switch {
+	case strings.HasPrefix(key, jobs.JobPrefix):
+		return n.applyJob(strings.TrimPrefix(key, jobs.JobPrefix), v, version)
+	case strings.HasPrefix(key, jobs.IntakePrefix):
+		return n.table.ApplyIntake(key, v, version)
+	case strings.HasPrefix(key, jobs.ChunkPrefix):
+		return n.table.ApplyChunk(key, v)
+	case strings.HasPrefix(key, jobs.TeamPrefix):
+		return n.quota.Apply(strings.TrimPrefix(key, jobs.TeamPrefix), v, version)
+	case key == quota.ReservationsKey:
+		return n.quota.ApplyReservations(v)
+	case strings.HasPrefix(key, inventory.GroupPrefix), strings.HasPrefix(key, inventory.SingleMachinePrefix):
+		return n.inventory.Apply(key, v)
+	case strings.HasPrefix(key, membership.SessionPrefix):
+		return n.applySession(strings.TrimPrefix(key, membership.SessionPrefix), v)
+	case strings.HasPrefix(key, membership.UnreachablePrefix):
+		n.applyUnreachable(strings.TrimPrefix(key, membership.UnreachablePrefix), v)
+	case key == membership.LeaderKey:
+		return n.applyLeader(v)
+	case key == membership.Key:
+		return n.applyMembership(v)
+	case key == typesKey:
+		return n.machineIndex.applyTypes(v)
+	}
+	return nil
+}
+
+// typesKey holds the machine types, so that every node knows them, also while
+// the cloud is out.
+const typesKey = jobs.Root + "types"
--- a/internal/controller/storm_test.go
+++ b/internal/controller/storm_test.go
@@ -267,9 +267,9 @@
 				}
 			}
 			n := s.leader()
-			n.mu.Lock()
+			n.Lock()
 			used, claims := n.table.ResourcesByTeam["x"], len(n.table.ClaimsByMachine)
-			n.mu.Unlock()
+			n.Unlock()
 			if used.GPUs > 1e-6 || claims != 0 {
 				t.Errorf("claims of %v are left on %d machines\n%s", used, claims, x)
 			}
--- a/internal/controller/teamstatus.go
+++ b/internal/controller/teamstatus.go
@@ -13,7 +13,7 @@
 	"wheatspur/internal/quota"
 )
 
-// quotaSummaries describe all teams, in the order of the settings; mu is held.
+// quotaSummaries describe all teams, in the order of the settings; the lock is held.
 func (ob *observer) quotaSummaries() []*quota.Summary {
 	if ob.membership == nil {
 		return nil
@@ -27,7 +27,7 @@
 	return out
 }
 
-// waitingAmount is what the pending tasks of a team's open jobs take; mu is held.
+// waitingAmount is what the pending tasks of a team's open jobs take; the lock is held.
 func (ob *observer) waitingAmount(team string) quota.Amount {
 	var sum quota.Amount
 	for amount := range ob.scheduler.pendingAmounts(team) {
@@ -39,7 +39,7 @@
 // amountText writes an amount.
 func amountText(a quota.Amount) string { return fmt.Sprintf("%.4g/%.4g", a.CPUs, a.GPUs) }
 
-// teamLine is a team's line of the status page; amounts are CPUs/GPUs. mu is held.
+// teamLine is a team's line of the status page; amounts are CPUs/GPUs. The lock is held.
 func (ob *observer) teamLine(s *quota.Summary) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "team %s shares %q limit %s guarantee %s used %s borrowed %s waiting %s", s.Team.Name, s.Phase, amountText(s.Team.Limit),
@@ -57,7 +57,7 @@
 	return b.String()
 }
 
-// writeTeamsStatus shows all teams, and whether their guarantees fit the fleet; mu is
+// writeTeamsStatus shows all teams, and whether their guarantees fit the fleet; the lock is
 // held.
 func (ob *observer) writeTeamsStatus(b *strings.Builder) {
 	all := map[string]*quota.Summary{}
@@ -69,7 +69,7 @@
 	rows(b, "team", all, func(team string) string { return ob.teamLine(all[team]) })
 }
 
-// writeTeamStatus shows one team with the share of each node; mu is held.
+// writeTeamStatus shows one team with the share of each node; the lock is held.
 func (ob *observer) writeTeamStatus(b *strings.Builder, team string) {
 	for _, s := range ob.quotaSummaries() {
 		if s.Team.Name != team {
@@ -90,7 +90,7 @@
 	descTeamPhase = desc("team_shares_phase", "1 for the phase of a team's shares.", "team", "phase")
 )
 
-// collectTeams gathers the metrics of all teams; mu is held.
+// collectTeams gathers the metrics of all teams; the lock is held.
 func (ob *observer) collectTeams(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
 	for _, s := range ob.quotaSummaries() {
 		team := s.Team.Name
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -70,9 +70,9 @@
 		t.Fatalf("claims: %d on it, %d on the other machine", n.claimsOn("h1"), n.claimsOn("h2"))
 	}
 	// It hears again: a direct call is answered.
-	n.mu.Lock()
+	n.Lock()
 	n.workers.byMachine["h1"].CallAnswered()
-	n.mu.Unlock()
+	n.Unlock()
 	w.prove("h1", 2)
 	w.submit(n, service("wk-4", 1))
 	w.passAll()
@@ -93,11 +93,11 @@
 		w.clk.add(lease)
 		w.sync()
 		w.prove("h1", n.workers.byMachine["h1"].Incarnation+1)
-		n.mu.Lock()
+		n.Lock()
 		n.workers.byMachine["h1"].Unresponsive = true
 		n.leaderLoop.currentLeaderState().listedAt = w.clk.now()
 		out = autoscale.Plan(n.leaderLoop.planInput(n.leaderLoop.currentLeaderState(), n.machineIndex.refreshMachines(w.clk.now()), w.clk.now()))
-		n.mu.Unlock()
+		n.Unlock()
 	}
 	if len(out.ScaleIn) != 1 || out.ScaleIn[0].Reason != autoscale.ReasonQuarantined {
 		t.Fatalf("%+v", out.ScaleIn)
@@ -136,9 +136,9 @@
 	again := *exited
 	n.take(&again)
 	w.passAll()
-	n.mu.Lock()
+	n.Lock()
 	task := n.table.Jobs["wk-1"].Task(0)
-	n.mu.Unlock()
+	n.Unlock()
 	if task.State == jobs.Completed || task.Attempt > 2 {
 		t.Fatalf("a copy of a reaped attempt changed the task: %+v", task)
 	}
@@ -156,9 +156,9 @@
 	if n.claimsOn("h1") != 0 {
 		t.Fatal("copies kept the lease of a dead machine alive")
 	}
-	n.mu.Lock()
+	n.Lock()
 	open := n.machineIndex.refreshMachines(w.clk.now()).Machine("h1").Schedulable
-	n.mu.Unlock()
+	n.Unlock()
 	if open {
 		t.Fatal("copies make a dead machine look alive")
 	}
@@ -233,9 +233,9 @@
 	}
 	for range 3 {
 		// On return it registers again, once, and asks for nothing more.
-		n.mu.Lock()
+		n.Lock()
 		n.session, n.self.Incarnation = n.session.Next(membership.LeaseGranted), 0
-		n.mu.Unlock()
+		n.Unlock()
 		n.self.Incarnation, _ = w.st.GrantLease(context.Background(), time.Second)
 		break
 	}
@@ -262,11 +262,11 @@
 	label, token := old.self.Label, old.membershipToken()
 	w.addHost("h1", "batch")
 	// A write of the old process that is still under way.
-	old.mu.Lock()
+	old.Lock()
 	held := w.st.Keys[membership.Key].Version
 	stale := *old.membership
 	stale.FencingToken++
-	old.mu.Unlock()
+	old.Unlock()
 	fresh := w.start(label, labels) // its old session and lead key still stand
 	for range 6 {
 		w.settle()
@@ -427,9 +427,9 @@
 	w.addHost("h1", "batch")
 	w.addHost("h2", "batch")
 	w.addHost("h3", "batch")
-	n.mu.Lock()
+	n.Lock()
 	n.leaderLoop.currentLeaderState().firstListed = map[string]time.Time{} // as after a change of leader
-	n.mu.Unlock()
+	n.Unlock()
 	n.leaderLoop.reconcileCloudList(context.Background(), []wire.Machine{w.cl.Listed[0], w.cl.Listed[2]})
 	if l := n.leaderLoop.currentLeaderState(); l.missingLists["h2"] != 1 {
 		t.Fatalf("absences %v beside a later machine", l.missingLists)
@@ -515,13 +515,13 @@
 		{"the one after it", func(r *membership.Record) uint64 { return r.LastToken() + 2 }, worker.TokenUnacknowledged},
 		{"an older version's, which takes a token of the one before", func(r *membership.Record) uint64 { return r.FencingToken + 1 }, worker.TokenUnacknowledged},
 	} {
-		n.mu.Lock()
+		n.Lock()
 		r := *n.membership
 		n.workers.byMachine["h1"].State = worker.TokenAcknowledged
 		r.FencingToken, r.TokenRange = c.next(n.membership), tuning.TokenSpan
 		err := n.applyMembership(wire.MustMarshal(r))
 		got := n.workers.byMachine["h1"].State
-		n.mu.Unlock()
+		n.Unlock()
 		if err != nil || got != c.want {
 			t.Errorf("under %s membership the machine is %s, want %s (%v)", c.name, got, c.want, err)
 		}
@@ -548,8 +548,8 @@
 		for _, h := range hosts[silent:] {
 			w.prove(h, 1)
 		}
-		n.mu.Lock()
-		defer n.mu.Unlock()
+		n.Lock()
+		defer n.Unlock()
 		now := n.now()
 		for _, want := range n.leaderLoop.planInput(n.leaderLoop.currentLeaderState(), n.machineIndex.refreshMachines(now), now).Demands {
 			if want.Job.ID == "wk-1" {
@@ -597,8 +597,8 @@
 		w.settle()
 	}
 	plan := func() []string {
-		other.mu.Lock()
-		defer other.mu.Unlock()
+		other.Lock()
+		defer other.Unlock()
 		l, now := other.leaderLoop.currentLeaderState(), w.clk.now()
 		other.leaderLoop.planInput(l, other.machineIndex.refreshMachines(now), now)
 		return l.lostWhileDraining
@@ -641,9 +641,9 @@
 	if n.inventory.Machines["h1"].Phase != inventory.Draining {
 		t.Fatal("a machine is not drained")
 	}
-	n.mu.Lock()
+	n.Lock()
 	n.leader = nil
-	n.mu.Unlock()
+	n.Unlock()
 	n.leaderLoop.storeMachines(context.Background(), []inventory.RecordChange{{Machine: "h9", After: &inventory.Record{MachineType: "g", Zone: "z", Role: "batch", Phase: inventory.Active}}})
 	w.sync()
 	if n.inventory.KeyOf("h9") != "" {
--- a/internal/controller/txn.go
+++ b/internal/controller/txn.go
@@ -79,8 +79,8 @@
 			_ = sc.syncer.ReadBarrier(tuning.BarrierWait)
 		}
 	}
-	sc.mu.Lock()
-	defer sc.mu.Unlock()
+	sc.Lock()
+	defer sc.Unlock()
 	sc.metrics.countWrite(t.kind, err)
 	if err == nil {
 		sc.cache.ApplyOwnWrite(t.operations, revision)
--- a/internal/controller/wants.go
+++ b/internal/controller/wants.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// unplacedByAge lists the jobs with tasks without a place, the oldest wait first; mu
-// is held.
+// unplacedByAge lists the jobs with tasks without a place, the oldest wait first; the
+// lock is held.
 func (ld *leaderLoop) unplacedByAge() []string {
 	jobIDs := make([]string, 0, len(ld.scheduler.unplaced))
 	for jobID := range ld.scheduler.unplaced {
@@ -67,7 +67,7 @@
 // proof that they are gone, since a boot takes longer than that: after a hundred
 // machines had died, services waited for their replacements for 45 s. A node
 // that hears hardly any of its machines has trouble of its own. up is how long
-// ago each machine was heard; mu is held.
+// ago each machine was heard; the lock is held.
 func (ld *leaderLoop) tasksAtRisk(machines *placement.Fleet, up map[string]time.Duration, now time.Time) []autoscale.Demand {
 	heard, quiet := map[string]int{}, map[string]int{}
 	var list []*placement.Machine
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -1,15 +1,13 @@
 package controller
 
 import (
-	"fmt"
-	"slices"
 	"time"
 
 	"github.com/valyala/fasthttp"
 
-	"wheatspur/internal/httpclient"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/membership"
 	"wheatspur/internal/tuning"
 	"wheatspur/internal/worker"
 	"wheatspur/wire"
@@ -28,7 +26,7 @@
 	imageSizes      map[string]float64        // in GB, as the last job that uses the image says
 	inheritedImages map[string][]string       // images of machines, as their former owners knew them
 	client          workerClient
-	callSlots       chan struct{} // bounds direct calls; filled with mu held only
+	callSlots       chan struct{} // bounds direct calls; filled with the lock held only
 	openConnections func() int    // connections of users and workers
 }
 
@@ -52,9 +50,9 @@
 		respondError(c, 400, "malformed report")
 		return
 	}
-	wm.mu.Lock()
+	wm.Lock()
 	status, body := wm.answerHeartbeat(&r)
-	wm.mu.Unlock()
+	wm.Unlock()
 	if float64(wm.openConnections()) > float64(wm.maxConnections())*tuning.CrowdedConnShare {
 		// Guards against the workers of nodes that are down holding all
 		// connections between their reports: users and health checks need some.
@@ -63,7 +61,7 @@
 	respond(c, status, body)
 }
 
-// answerHeartbeat decides the answer to a report; mu is held.
+// answerHeartbeat decides the answer to a report; the lock is held.
 func (wm *workerManager) answerHeartbeat(r *wire.Heartbeat) (int, any) {
 	now := wm.now()
 	if !wm.isMember() {
@@ -110,7 +108,7 @@
 	return 200, wire.HeartbeatResponse{FencingToken: w.FencingToken, Commands: commands}
 }
 
-// workerToken is the highest token that this node has used for a machine; mu is held.
+// workerToken is the highest token that this node has used for a machine; the lock is held.
 func (wm *workerManager) workerToken(host string) uint64 {
 	if w := wm.byMachine[host]; w != nil {
 		return max(w.FencingToken, wm.membership.FencingToken)
@@ -119,7 +117,7 @@
 }
 
 // mayStartOn reports whether stored claims on a machine may be started: it is
-// not known to be gone; mu is held.
+// not known to be gone; the lock is held.
 func (wm *workerManager) mayStartOn(host string) bool {
 	rec, ok := wm.inventory.Machines[host]
 	return ok && rec.Phase != inventory.Terminated
@@ -136,7 +134,7 @@
 	return w
 }
 
-// applyHeartbeat enters a report and what follows from it; mu is held.
+// applyHeartbeat enters a report and what follows from it; the lock is held.
 func (wm *workerManager) applyHeartbeat(w *worker.Worker, r *wire.Heartbeat, now time.Time) {
 	before := make(map[jobs.TaskID]string, len(w.Tasks))
 	for id, s := range w.Tasks {
@@ -186,7 +184,7 @@
 	wake(wm.passWake)
 }
 
-// stopTask notes that a task is wanted off one of this node's machines; mu is
+// stopTask notes that a task is wanted off one of this node's machines; the lock is
 // held.
 func (wm *workerManager) stopTask(w *worker.Worker, id jobs.TaskID) {
 	w.RequestStop(id)
@@ -194,154 +192,39 @@
 }
 
 // imageSize is the size of an image in GB, as the last job that uses it says;
-// mu is held.
+// The lock is held.
 func (wm *workerManager) imageSize(image string) float64 { return wm.imageSizes[image] }
 
-// workerClient sends direct commands to workers.
-type workerClient interface {
-	sendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error)
-	probe(address string) error
+// isQuarantined reports whether a machine should get no tasks for now.
+func (wm *workerManager) isQuarantined(w *worker.Worker, now time.Time) bool {
+	return w.Unresponsive || len(w.FailedJobs) >= tuning.MachineFailuresMax || now.Sub(w.LastRefusal) < tuning.RefusalPause
 }
 
-type httpWorkerClient struct{ hc *fasthttp.Client }
-
-func newHTTPWorkerClient() *httpWorkerClient {
-	return &httpWorkerClient{httpclient.Many(tuning.WorkerConns)}
-}
-
-func (w *httpWorkerClient) sendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error) {
-	status, body, err := httpclient.Do(w.hc, "POST", address, "/commands", wire.MustMarshal(cmd), tuning.WorkerCallTimeout)
-	if err != nil {
-		return 0, nil, err
-	}
-	if status != 200 && status != 409 {
-		return status, nil, fmt.Errorf("worker answered %d", status)
-	}
-	var r wire.Heartbeat
-	if err := wire.Unmarshal(body, &r); err != nil {
-		return 0, nil, err
-	}
-	return status, &r, nil
-}
-
-func (w *httpWorkerClient) probe(address string) error {
-	status, _, err := httpclient.Do(w.hc, "GET", address, "/show", nil, tuning.WorkerCallTimeout)
-	if err == nil && status != 200 {
-		err = fmt.Errorf("worker answered %d", status)
-	}
-	return err
-}
-
-// sendDirectCommands sends a worker what it should not wait a report interval for: starts,
-// kills, and our token if it has not shown it; mu is held.
-func (wm *workerManager) sendDirectCommands(w *worker.Worker, now time.Time) {
-	if w.NoPendingCommands && w.State == worker.TokenAcknowledged && !w.Unresponsive && w.FencingToken <= max(w.AcknowledgedToken, wm.membership.FencingToken) {
-		return // nothing has changed, and there is nothing to ask
-	}
-	if w.CallInFlight || w.Address == "" || w.State == worker.LeaseExpired || !wm.hasStore() {
-		return
-	}
-	if !wm.recovery.progress.Done() && len(wm.callSlots) >= cap(wm.callSlots)*3/4 {
-		return // guards against starts that are taken from the rate and can't go
-	}
-	var commands []wire.Command
-	silent := now.Sub(w.LastHeard) >= wm.silenceTimeout()
-	if !w.NoPendingCommands && w.Incarnation > 0 {
-		w.NoPendingCommands = true
-		due, postponed := w.Commands(wm.table.ClaimsByMachine[w.Machine], worker.CommandOptions{
-			Channel:     worker.DirectCall,
-			AllowStarts: wm.mayStartOn(w.Machine) && !silent,
-			Now:         now,
-			ResendAfter: wm.settings.HeartbeatInterval(),
-			RepeatAfter: wm.settings.HeartbeatInterval() * 3 / 2,
-			AdmitStart:  wm.recovery.admitStart,
-		})
-		if postponed {
-			w.NoPendingCommands = false
-		}
-		for _, o := range due {
-			if o.Verb == wire.VerbReap {
-				continue // see worker.Worker.Commands
-			}
-			if silent && o.Verb != wire.VerbKill {
-				continue // it may only be unable to reach us, and run what was cancelled
-			}
-			w.NoPendingCommands = false
-			if now.Sub(w.SentCommands[worker.KeyOf(o)]) > wm.settings.HeartbeatInterval() {
-				commands = append(commands, o)
-			}
+// applyMembership enters a new membership; last is the one before it, nil if
+// there was none. The lock is held.
+func (wm *workerManager) applyMembership(last *membership.Record) {
+	// Who takes a machine over knows its images from what its former owner
+	// told. Guards against image pulls beside machines that hold the image.
+	clear(wm.inheritedImages)
+	for _, s := range wm.peers.siblings {
+		for machine, status := range s.machines {
+			wm.inheritedImages[machine] = status.Images
 		}
 	}
-	greet := w.State == worker.TokenUnacknowledged && now.Sub(w.LastHeard) > wm.settings.HeartbeatInterval()*5/4 && now.Sub(wm.membershipChangedAt) > time.Second/2
-	greet = greet || w.Unresponsive && now.Sub(w.LastCall) > tuning.UnresponsivePause
-	// A raised token that the worker has not seen: the sooner it shows it, the
-	// sooner the starts below it are void.
-	greet = greet || w.State == worker.TokenAcknowledged && w.FencingToken > max(w.AcknowledgedToken, wm.membership.FencingToken)
-	if len(commands) == 0 && !greet || len(commands) == 0 && now.Sub(w.LastCall) < tuning.TokenAnnouncePause {
-		return
-	}
-	// Kills go before starts, and those before calls that only ask: each call to
-	// a machine that hangs holds its place for two seconds.
-	room := cap(wm.callSlots)
-	switch {
-	case len(commands) == 0, silent:
-		room /= 2
-	case !slices.ContainsFunc(commands, func(o wire.Command) bool { return o.Verb == wire.VerbKill }):
-		room -= room / 4
-	}
-	if len(wm.callSlots) >= room {
-		return // the buffer of direct calls is full; the next report carries them
-	}
-	wm.callSlots <- struct{}{} // filled with mu held only
-	for c, at := range w.SentCommands {
-		if now.Sub(at) > 10*wm.settings.HeartbeatInterval() {
-			delete(w.SentCommands, c)
-		}
-	}
-	for _, o := range commands {
-		w.SentCommands[worker.KeyOf(o)] = now
-	}
-	starts := worker.StartedAttempts(commands)
-	w.FencingToken = max(w.FencingToken, wm.membership.FencingToken)
-	w.StartsSent(starts, w.FencingToken)
-	w.LastCall, w.CallInFlight = now, true
-	if commands == nil {
-		commands = []wire.Command{}
-	}
-	go wm.callWorker(w, w.Address, wire.CommandRequest{FencingToken: w.FencingToken, Incarnation: max(w.Incarnation, 1), Commands: commands}, starts)
-}
-
-func (wm *workerManager) callWorker(w *worker.Worker, address string, cmd wire.CommandRequest, starts []worker.Attempt) {
-	defer func() { <-wm.callSlots }()
-	_, r, err := wm.client.sendCommands(address, cmd)
-	wm.mu.Lock()
-	defer wm.mu.Unlock()
-	w.CallInFlight = false
-	if err != nil {
-		// The starts may yet be carried out: they stay unanswered.
-		wm.log.Debug("direct call failed", "host", w.Machine, "err", err)
-		return
-	}
-	w.StartsAnswered(starts, cmd.FencingToken, r.Incarnation, r.Sequence)
-	w.CallAnswered()
-	if wm.byMachine[w.Machine] == w && r.Machine == w.Machine && wm.isMember() && r.FencingToken <= wm.workerToken(w.Machine) {
-		wm.applyHeartbeat(w, r, wm.now())
-	}
-	wake(wm.passWake)
-}
-
-// fencePendingStarts makes void what may yet start tasks of cancelled jobs on
-// a machine: a start whose call was not answered may be held in the network or
-// by a machine that hangs. The machine's token is raised, which costs nobody
-// else anything; once the machine shows it, the start is dead and its claim is
-// released. mu is held.
-func (wm *workerManager) fencePendingStarts(w *worker.Worker) {
-	if w.CallInFlight {
-		return // its answer may come yet
-	}
-	for _, a := range w.ClaimsBlockedByStarts(wm.table.ClaimsByMachine[w.Machine]) {
-		if w.FencePendingStarts(wm.membership.LastToken()) {
-			wm.log.Debug("start made void", "task", a.ID, "try", a.Number, "host", w.Machine, "token", w.FencingToken)
+	// A machine that was ours under the last membership and is under this one
+	// has had no other owner: its acknowledgement of the token stands. Guards
+	// against a fleet that takes nothing until each machine has sent a
+	// heartbeat, with every controller that comes or goes, and against tasks
+	// behind a network partition that nobody may release.
+	next := wm.membership
+	consecutive := last != nil && next.Follows(last) && last.Contains(wm.self) && next.Contains(wm.self)
+	for machine, w := range wm.byMachine {
+		wm.inheritedImages[machine] = w.Images
+		if wm.shardOwner(machine) != wm.self.Label {
+			// What another owner does meanwhile makes this view worthless.
+			delete(wm.byMachine, machine)
+		} else if !consecutive || last.Owner(machine) != wm.self.Label {
+			w.RaiseToken()
 		}
 	}
 }
