--- a/internal/controller/coldstart_test.go
+++ b/internal/controller/coldstart_test.go
@@ -321,7 +321,7 @@
 	w := newWorld(t, "a")
 	set := settings("b", []string{"a", "b"})
 	set.Operator.RecoveryHold, set.Operator.QuotaReservations = true, true
-	n := newController(dependencies{settings: set, log: w.nodes["a"].log, now: w.clk.now, store: w.st, limiter: w.nodes["a"].limiter, cloud: w.cl, workerClient: unanswered{}})
+	n := newController(dependencies{environment: newEnvironment(set, w.nodes["a"].log, w.clk.now, w.st, w.nodes["a"].limiter), cloud: w.cl, workerClient: unanswered{}})
 	code, _, c := ask(n, "GET", "/status", nil)
 	if page := string(c.Response.Body()); code != 200 || !strings.Contains(page, `recovery "loading"`) || !strings.Contains(page, "hold true") {
 		t.Fatalf("%d %s", code, page)
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -213,7 +213,7 @@
 	if w.operator != nil {
 		w.operator(set)
 	}
-	n := newController(dependencies{settings: set, log: log, now: w.clk.now, store: w.way[label], limiter: lim, cloud: w.cl, workerClient: w.call})
+	n := newController(dependencies{environment: newEnvironment(set, log, w.clk.now, w.way[label], lim), cloud: w.cl, workerClient: w.call})
 	ctx, stop := context.WithCancel(context.Background())
 	w.t.Cleanup(stop)
 	go func() { _ = n.syncer.ServeBarriers(ctx) }()
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -75,6 +75,9 @@
 	}
 }
 
+// markRecordChanged notes that the stored record of a machine has changed.
+func (mi *machineIndex) markRecordChanged(machine string) { mi.changedRecords[machine] = true }
+
 // markChanged notes that something has changed on a machine.
 func (mi *machineIndex) markChanged(host string) {
 	mi.changed[host], mi.due[host], mi.unpublished[host] = true, true, true
--- a/internal/controller/intake_test.go
+++ b/internal/controller/intake_test.go
@@ -139,7 +139,7 @@
 // A record of several stays below the value limit, and holds no job twice.
 func TestGroupsOfSubmissionsFitOneRecord(t *testing.T) {
 	w := newWorld(t, "a")
-	n := newController(dependencies{settings: settings("z", []string{"z"}), log: w.nodes["a"].log, now: w.clk.now, store: w.st, limiter: w.nodes["a"].limiter, cloud: w.cl, workerClient: unanswered{}})
+	n := newController(dependencies{environment: newEnvironment(settings("z", []string{"z"}), w.nodes["a"].log, w.clk.now, w.st, w.nodes["a"].limiter), cloud: w.cl, workerClient: unanswered{}})
 	add := func(jobID string) *submission {
 		wk := work(jobID, 1)
 		return &submission{spec: &wk, record: jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 70, Spec: &wk}, deadline: time.Now().Add(time.Minute)}
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -18,19 +18,16 @@
 // between the roles and stores the machine records.
 type leaderLoop struct {
 	*clusterState
-	workers      *workerManager
-	peers        *peerExchange
-	machineIndex *machineIndex
-	recovery     *recoveryTracker
-	scheduler    *scheduler
+	*fleet
+	scheduler *scheduler
 
 	cloud          cloud.Provider
 	leaderState    leaderState
 	machineWriteMu sync.Mutex // held while the leader stores machine records; taken before the lock
 }
 
-func newLeaderLoop(state *clusterState, provider cloud.Provider) *leaderLoop {
-	return &leaderLoop{clusterState: state, cloud: provider}
+func newLeaderLoop(state *clusterState, fleet *fleet, scheduler *scheduler, provider cloud.Provider) *leaderLoop {
+	return &leaderLoop{clusterState: state, fleet: fleet, scheduler: scheduler, cloud: provider}
 }
 
 // runLeader plans capacity and moves roles while leading. What it gives back and
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -18,14 +18,17 @@
 // membership.
 type election struct {
 	*clusterState
-	workers *workerManager
-	peers   *peerExchange
+	*fleet
 
 	probes           []string  // workers' addresses to ask while this controller is unreachable
 	probeAnsweredAt  time.Time // when one of them last answered
 	unreachableSince time.Time
 }
 
+func newElection(state *clusterState, fleet *fleet) *election {
+	return &election{clusterState: state, fleet: fleet}
+}
+
 // runSession keeps this node's lease in the state service, and does nothing
 // else: a write of the membership that waits, or a busy processor, must not cost
 // the session.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -15,7 +15,6 @@
 
 	"wheatspur/internal/cloud"
 	"wheatspur/internal/config"
-	"wheatspur/internal/jobs"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
@@ -25,15 +24,12 @@
 // loops. Their shared state, and the lock that guards it, is clusterState.
 type Controller struct {
 	*clusterState
-	election     *election
-	workers      *workerManager
-	peers        *peerExchange
-	machineIndex *machineIndex
-	recovery     *recoveryTracker
-	scheduler    *scheduler
-	leaderLoop   *leaderLoop
-	api          *userAPI
-	observer     *observer
+	*fleet
+	election   *election
+	scheduler  *scheduler
+	leaderLoop *leaderLoop
+	api        *userAPI
+	observer   *observer
 }
 
 // New returns a controller that is ready to run.
@@ -43,66 +39,38 @@
 	limits := settings.StateLimits()
 	limiter := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.BudgetQueue, now)
 	return newController(dependencies{
-		settings:     settings,
-		log:          log,
-		now:          now,
-		store:        store.NewClient(settings.Endpoints.State, limiter),
-		limiter:      limiter,
+		environment:  newEnvironment(settings, log, now, store.NewClient(settings.Endpoints.State, limiter), limiter),
 		cloud:        cloud.NewClient(settings.Endpoints.Cloud, settings.Params.Cloud.RPS*tuning.BudgetShare, now),
 		workerClient: newHTTPWorkerClient(),
 	})
 }
 
-// dependencies is what a controller is built from: its settings, and the
-// systems that it calls.
+// dependencies is what a controller is built from.
 type dependencies struct {
-	settings     *config.Settings
-	log          *slog.Logger
-	now          func() time.Time
-	store        store.KeyValueStore
-	limiter      *store.Limiter
+	environment
 	cloud        cloud.Provider
 	workerClient workerClient
 }
 
 // newController builds the components and connects them.
 func newController(d dependencies) *Controller {
-	state := newClusterState(d)
-	workers := newWorkerManager(state, d.workerClient)
-	peers := newPeerExchange(state)
-	index := newMachineIndex(state)
-	tracker := newRecoveryTracker(state)
-	scheduler := newScheduler(state)
-	leader := newLeaderLoop(state, d.cloud)
-	workers.peers, workers.machineIndex, workers.recovery = peers, index, tracker
-	peers.workers, peers.machineIndex, peers.recovery = workers, index, tracker
-	peers.onSilent = leader.recordSilent
-	index.workers, index.peers = workers, peers
-	tracker.workers, tracker.peers = workers, peers
-	scheduler.workers, scheduler.peers, scheduler.machineIndex, scheduler.recovery = workers, peers, index, tracker
-	leader.workers, leader.peers, leader.machineIndex, leader.recovery, leader.scheduler = workers, peers, index, tracker, scheduler
+	state := newClusterState(d.environment)
+	fleet := newFleet(state, d.workerClient)
+	scheduler := newScheduler(state, fleet)
+	leader := newLeaderLoop(state, fleet, scheduler, d.cloud)
+	fleet.peers.onSilent = leader.recordSilent
 	c := &Controller{
 		clusterState: state,
-		election:     &election{clusterState: state, workers: workers, peers: peers},
-		workers:      workers,
-		peers:        peers,
-		machineIndex: index,
-		recovery:     tracker,
+		fleet:        fleet,
+		election:     newElection(state, fleet),
 		scheduler:    scheduler,
 		leaderLoop:   leader,
-		api:          newUserAPI(state, peers),
+		api:          newUserAPI(state, fleet.peers),
+		observer:     newObserver(state, fleet, scheduler, leader),
 	}
-	c.observer = &observer{clusterState: state, peers: peers, recovery: tracker, scheduler: scheduler, leaderLoop: leader}
-	state.metrics.registry.MustRegister(stateCollector{c.observer})
-	state.inventory.OnChange = func(machine string) { index.changedRecords[machine] = true }
-	state.table.OnMachineChange = func(machine string) {
-		index.markChanged(machine)
-		if w := workers.byMachine[machine]; w != nil {
-			w.MarkChanged()
-		}
-	}
-	state.cache = store.NewCache(c.applyStored)
-	state.syncer = store.NewSyncer(d.store, jobs.Root, state, state.cache, state.onStoreChange, d.settings.Operator.PollQueue, d.now, d.log)
+	state.inventory.OnChange = fleet.machineIndex.markRecordChanged
+	state.table.OnMachineChange = fleet.markChanged
+	state.openCache(c.applyStored)
 	return c
 }
 
--- a/internal/controller/pass.go
+++ b/internal/controller/pass.go
@@ -14,10 +14,7 @@
 // is proven. It decides in passes; each pass returns guarded writes.
 type scheduler struct {
 	*clusterState
-	workers      *workerManager
-	peers        *peerExchange
-	machineIndex *machineIndex
-	recovery     *recoveryTracker
+	*fleet
 
 	writesInFlight  map[string]bool      // jobs, and intake records, that a write under way is about
 	claimsDeferred  bool                 // the last pass wrote releases, and no claim though some were due
@@ -29,9 +26,10 @@
 	unplacedSince   map[string]time.Time // since when they wait, by job
 }
 
-func newScheduler(state *clusterState) *scheduler {
+func newScheduler(state *clusterState, fleet *fleet) *scheduler {
 	return &scheduler{
 		clusterState:    state,
+		fleet:           fleet,
 		writesInFlight:  map[string]bool{},
 		releaseDueSince: map[string]time.Time{},
 		backoffUntil:    map[string]time.Time{},
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -25,13 +25,13 @@
 var ErrStalled = errors.New("loop stalled")
 
 // Progress is nil while all loops of the node go round, and can take its lock.
-func (n *Controller) Progress() error {
+func (cs *clusterState) Progress() error {
 	for l := range loops {
-		last := n.loopProgress[l].Load()
+		last := cs.loopProgress[l].Load()
 		if last == 0 {
 			continue // not begun yet
 		}
-		if age := n.now().Sub(time.Unix(0, last)); age > tuning.StallAfter {
+		if age := cs.now().Sub(time.Unix(0, last)); age > tuning.StallAfter {
 			return fmt.Errorf("%w: %s, for %v", ErrStalled, l, age.Round(time.Second))
 		}
 	}
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -60,34 +60,47 @@
 	metrics  *metrics
 }
 
-func newClusterState(d dependencies) *clusterState {
+// newEnvironment gathers what a controller is given.
+func newEnvironment(settings *config.Settings, log *slog.Logger, now func() time.Time, kv store.KeyValueStore, limiter *store.Limiter) environment {
+	return environment{
+		settings: settings,
+		limits:   settings.StateLimits(),
+		log:      log,
+		now:      now,
+		store:    kv,
+		limiter:  limiter,
+		metrics:  newMetrics(),
+	}
+}
+
+// newClusterState returns a state that holds nothing of the store yet.
+func newClusterState(e environment) *clusterState {
 	return &clusterState{
-		environment: environment{
-			settings: d.settings,
-			limits:   d.settings.StateLimits(),
-			log:      d.log,
-			now:      d.now,
-			store:    d.store,
-			limiter:  d.limiter,
-			metrics:  newMetrics(),
-		},
+		environment: e,
 		membershipState: membershipState{
-			self:           membership.Node{Label: d.settings.Label},
+			self:           membership.Node{Label: e.settings.Label},
 			session:        membership.NoLease,
 			sessions:       map[string]membership.Node{},
 			storedSessions: map[string]membership.Session{},
 			unreachable:    map[string]bool{},
 			shardOwners:    map[string]string{},
 		},
-		table:          jobs.NewTable(d.now),
+		table:          jobs.NewTable(e.now),
 		inventory:      inventory.NewInventory(),
-		quota:          quota.NewManager(quotaTeams(d.settings.Params.Teams), quotaOptions(d.settings)),
+		quota:          quota.NewManager(quotaTeams(e.settings.Params.Teams), quotaOptions(e.settings)),
 		machineTypes:   map[string]wire.MachineType{},
 		passWake:       make(chan struct{}, 1),
 		membershipWake: make(chan struct{}, 1),
 	}
 }
 
+// openCache connects the state to a cache of the store, which hands every
+// changed value to onUpdate with the lock held.
+func (cs *clusterState) openCache(onUpdate store.UpdateFunc) {
+	cs.cache = store.NewCache(onUpdate)
+	cs.syncer = store.NewSyncer(cs.store, jobs.Root, cs, cs.cache, cs.onStoreChange, cs.settings.Operator.PollQueue, cs.now, cs.log)
+}
+
 // quotaTeams are the teams of the settings.
 func quotaTeams(teams []config.Team) []quota.Team {
 	out := make([]quota.Team, len(teams))
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -21,12 +21,17 @@
 // metrics.
 type observer struct {
 	*clusterState
-	peers      *peerExchange
-	recovery   *recoveryTracker
+	*fleet
 	scheduler  *scheduler
 	leaderLoop *leaderLoop
 }
 
+func newObserver(state *clusterState, fleet *fleet, scheduler *scheduler, leader *leaderLoop) *observer {
+	ob := &observer{clusterState: state, fleet: fleet, scheduler: scheduler, leaderLoop: leader}
+	state.metrics.registry.MustRegister(stateCollector{ob})
+	return ob
+}
+
 // serveStatus shows operators, as plain text, what this node knows: the
 // membership with the version of each node, the splits with the gate that
 // blocks each, the teams, and why jobs wait; with ?job=ID one job, with ?team=NAME
