--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -58,5 +58,5 @@
 			break
 		}
 	}
-	api.respondRetry(c, 503, "the cancellation can't be stored now")
+	api.refuseForNow(c, 503, "the cancellation can't be stored now")
 }
--- a/internal/controller/directcalls.go
+++ b/internal/controller/directcalls.go
@@ -90,7 +90,7 @@
 
 func (wm *workerManager) callWorker(w *worker.Worker, address string, cmd wire.CommandRequest, starts []worker.Attempt) {
 	defer func() { <-wm.callSlots }()
-	_, r, err := wm.client.sendCommands(address, cmd)
+	_, r, err := wm.client.SendCommands(address, cmd)
 	wm.Lock()
 	defer wm.Unlock()
 	w.CallInFlight = false
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -42,11 +42,11 @@
 // unanswered is a worker side that never answers direct calls.
 type unanswered struct{}
 
-func (unanswered) sendCommands(string, wire.CommandRequest) (int, *wire.Heartbeat, error) {
+func (unanswered) SendCommands(string, wire.CommandRequest) (int, *wire.Heartbeat, error) {
 	return 0, nil, store.ErrOutcomeUnknown
 }
 
-func (unanswered) probe(string) error { return store.ErrOutcomeUnknown }
+func (unanswered) Probe(string) error { return store.ErrOutcomeUnknown }
 
 const (
 	lease  = 30 * time.Second
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -37,7 +37,7 @@
 	select {
 	case api.intake <- s:
 	default: // those whose users have been told to come back are still in it
-		api.respondRetry(c, 429, "too many submissions under way")
+		api.refuseForNow(c, 429, "too many submissions under way")
 		return
 	}
 	var err error
@@ -57,7 +57,7 @@
 		// A lost answer is settled by reading again.
 		api.replyKnownJob(c, w.ID)
 	default:
-		api.respondRetry(c, 503, "the job can't be stored now")
+		api.refuseForNow(c, 503, "the job can't be stored now")
 	}
 }
 
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -301,7 +301,7 @@
 		}
 		el.Unlock()
 		for _, address := range ask {
-			if el.workers.client.probe(address) != nil {
+			if el.workers.client.Probe(address) != nil {
 				continue
 			}
 			el.Lock()
--- a/internal/controller/pass.go
+++ b/internal/controller/pass.go
@@ -81,14 +81,14 @@
 	most := sc.limiter.AvailableWrites(tuning.WriteReserve)
 	txns := sc.planRebalances(now, &most)
 	due := sc.dueReleases(workers, now)
-	fleet := sc.machineIndex.refreshMachines(now)
-	in := sc.placeInput(fleet, now)
+	machines := sc.machineIndex.refreshMachines(now)
+	in := sc.placeInput(machines, now)
 	out := placement.Schedule(in)
 	sc.recordUnplaced(out, now)
 	if !sc.recovery.machinesUnknown() {
 		sc.preempt(out.Preemptions, now)
 		if all {
-			sc.evictMisplacedServices(fleet)
+			sc.evictMisplacedServices(machines)
 		}
 	}
 	txns = sc.planReleasesAndClaims(txns, due, out.Claims, &most)
@@ -218,9 +218,9 @@
 }
 
 // placeInput builds the pass's input; the lock is held.
-func (sc *scheduler) placeInput(fleet *placement.Fleet, now time.Time) placement.Input {
+func (sc *scheduler) placeInput(machines *placement.Fleet, now time.Time) placement.Input {
 	in := placement.Input{Self: sc.self.Label, Leader: sc.membership.Leader.Label, RankNodes: sc.membership.RankNodes,
-		Fleet: fleet, Teams: sc.allowances(), Now: now, MaxJobs: tuning.JobsPerPass,
+		Fleet: machines, Teams: sc.allowances(), Now: now, MaxJobs: tuning.JobsPerPass,
 		MinimizeLoss: sc.settings.Operator.QuotaReservations}
 	avoid := map[string]map[string]bool{}
 	for host, w := range sc.workers.failing {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -12,6 +12,14 @@
 // loop is one of the loops that a node can't do without.
 type loop int
 
+// Loops of a node.
+const (
+	passLoop loop = iota
+	sessionLoop
+	memberLoop
+	loops
+)
+
 // String names the loop.
 func (l loop) String() string { return [...]string{"passes", "session", "membership"}[l] }
 
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -52,3 +52,7 @@
 	cs.leader = m
 	return err
 }
+
+// typesKey holds the machine types, so that every node knows them, also while
+// the cloud is out.
+const typesKey = jobs.Root + "types"
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -37,7 +37,7 @@
 		return "other"
 	}
 	if n.draining() && method == "POST" && path != "/checkin" {
-		n.api.respondRetry(c, 503, "this node is stopping")
+		n.api.refuseForNow(c, 503, "this node is stopping")
 		return "stopping"
 	}
 	switch path {
@@ -45,7 +45,7 @@
 		if n.healthy() {
 			respond(c, 200, nil)
 		} else {
-			n.api.respondRetry(c, 503, "not ready")
+			n.api.refuseForNow(c, 503, "not ready")
 		}
 	case "/status":
 		n.observer.serveStatus(c)
--- a/internal/controller/scripted_test.go
+++ b/internal/controller/scripted_test.go
@@ -179,7 +179,7 @@
 // direct carries direct calls to the scripted workers.
 type direct struct{ x *trial }
 
-func (d *direct) sendCommands(address string, c wire.CommandRequest) (int, *wire.Heartbeat, error) {
+func (d *direct) SendCommands(address string, c wire.CommandRequest) (int, *wire.Heartbeat, error) {
 	x := d.x
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -198,7 +198,7 @@
 	return 0, nil, store.ErrOutcomeUnknown
 }
 
-func (d *direct) probe(string) error { return store.ErrOutcomeUnknown }
+func (d *direct) Probe(string) error { return store.ErrOutcomeUnknown }
 
 // step is a second in the life of the world.
 func (x *trial) step() {
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -12,14 +12,6 @@
 	"wheatspur/internal/tuning"
 )
 
-// Loops of a node.
-const (
-	passLoop loop = iota
-	sessionLoop
-	memberLoop
-	loops
-)
-
 // Ready reports whether users are served.
 func (n *Controller) Ready() bool { return n.healthy() }
 
--- a/internal/controller/storedrecords.go
+++ b/internal/controller/storedrecords.go
@@ -46,7 +46,3 @@
 	}
 	return nil
 }
-
-// typesKey holds the machine types, so that every node knows them, also while
-// the cloud is out.
-const typesKey = jobs.Root + "types"
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -41,7 +41,7 @@
 		types := api.machineTypeList
 		api.Unlock()
 		if len(types) == 0 {
-			api.respondRetry(c, 503, "machine types are not known yet")
+			api.refuseForNow(c, 503, "machine types are not known yet")
 			return
 		}
 		team, ok := api.settings.Team(w.Team)
@@ -54,7 +54,7 @@
 			// Another node may have accepted the id; an accepted job is never
 			// answered by 400 or 422.
 			if _, known, ferr := api.readJob(jobID); ferr != nil {
-				api.respondRetry(c, 503, "the state service can't be read")
+				api.refuseForNow(c, 503, "the state service can't be read")
 				return
 			} else if known {
 				api.replyKnownJob(c, jobID)
@@ -65,7 +65,7 @@
 		return
 	}
 	if !api.hasStore() {
-		api.respondRetry(c, 503, "the state service can't be reached")
+		api.refuseForNow(c, 503, "the state service can't be reached")
 		return
 	}
 	phase := jobs.Open
@@ -79,7 +79,7 @@
 	case api.submissionSlots <- struct{}{}:
 		defer func() { <-api.submissionSlots }()
 	default:
-		api.respondRetry(c, 429, "too many submissions under way")
+		api.refuseForNow(c, 429, "too many submissions under way")
 		return
 	}
 	api.storeSubmission(c, &w, phase)
@@ -93,7 +93,7 @@
 	// Whether they were accepted is known behind a read that was sent now;
 	// it also tells whether another node has taken this one.
 	if _, known, err := api.readJob(w.ID); err != nil {
-		api.respondRetry(c, 503, "the state service can't be read")
+		api.refuseForNow(c, 503, "the state service can't be read")
 		return "", true
 	} else if known {
 		api.replyKnownJob(c, w.ID)
@@ -117,7 +117,7 @@
 	case !all:
 		// Guards against a node of an older version that holds the job for one
 		// that may start.
-		api.respondRetry(c, 503, "not every node takes jobs that await others yet")
+		api.refuseForNow(c, 503, "not every node takes jobs that await others yet")
 	case done:
 		return jobs.Open, false
 	default:
@@ -129,7 +129,7 @@
 func (api *userAPI) replyKnownJob(c *fasthttp.RequestCtx, jobID string) {
 	st, known, err := api.readJob(jobID)
 	if err != nil || !known {
-		api.respondRetry(c, 503, "the state service can't be read")
+		api.refuseForNow(c, 503, "the state service can't be read")
 		return
 	}
 	respond(c, 200, st)
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// respondRetry refuses at once what can't be taken now, and says when to come
+// refuseForNow refuses at once what can't be taken now, and says when to come
 // back.
-func (api *userAPI) respondRetry(c *fasthttp.RequestCtx, status int, reason string) {
+func (api *userAPI) refuseForNow(c *fasthttp.RequestCtx, status int, reason string) {
 	respondRetry(c, status, api.settings.Operator.RetryAfterSecond, reason)
 }
 
@@ -103,7 +103,7 @@
 	st, known, err := api.readJob(jobID)
 	switch {
 	case err != nil:
-		api.respondRetry(c, 503, "the state service can't be read")
+		api.refuseForNow(c, 503, "the state service can't be read")
 	case !known:
 		respondError(c, 404, "no such job")
 	default:
--- a/internal/controller/workerclient.go
+++ b/internal/controller/workerclient.go
@@ -12,8 +12,8 @@
 
 // workerClient sends direct commands to workers.
 type workerClient interface {
-	sendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error)
-	probe(address string) error
+	SendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error)
+	Probe(address string) error
 }
 
 type httpWorkerClient struct{ hc *fasthttp.Client }
@@ -22,7 +22,7 @@
 	return &httpWorkerClient{httpclient.Many(tuning.WorkerConns)}
 }
 
-func (w *httpWorkerClient) sendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error) {
+func (w *httpWorkerClient) SendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error) {
 	status, body, err := httpclient.Do(w.hc, "POST", address, "/commands", wire.MustMarshal(cmd), tuning.WorkerCallTimeout)
 	if err != nil {
 		return 0, nil, err
@@ -37,7 +37,7 @@
 	return status, &r, nil
 }
 
-func (w *httpWorkerClient) probe(address string) error {
+func (w *httpWorkerClient) Probe(address string) error {
 	status, _, err := httpclient.Do(w.hc, "GET", address, "/show", nil, tuning.WorkerCallTimeout)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("worker answered %d", status)
