--- a/internal/controller/teamstatus.go
+++ b/internal/observability/quotastatus.go
@@ -1,7 +1,7 @@
 // This file shows operators the limits and guarantees of teams: on the status
 // page and in the metrics.
 
-package controller
+package observability
 
 import (
 	"fmt"
@@ -14,23 +14,23 @@
 )
 
 // quotaSummaries describe all teams, in the order of the settings; the lock is held.
-func (ob *observer) quotaSummaries() []*quota.Summary {
-	if ob.membership == nil {
+func (ob *Observer) quotaSummaries() []*quota.Summary {
+	if ob.Membership == nil {
 		return nil
 	}
-	view := ob.scheduler.quotaView()
+	view := ob.scheduler.QuotaView()
 	var out []*quota.Summary
-	for _, l := range ob.quota.Ledgers() {
+	for _, l := range ob.Quota.Ledgers() {
 		name := l.Team().Name
-		out = append(out, ob.quota.Summary(view, name, ob.table.ResourcesByTeam[name].Amount()))
+		out = append(out, ob.Quota.Summary(view, name, ob.Table.ResourcesByTeam[name].Amount()))
 	}
 	return out
 }
 
 // waitingAmount is what the pending tasks of a team's open jobs take; the lock is held.
-func (ob *observer) waitingAmount(team string) quota.Amount {
+func (ob *Observer) waitingAmount(team string) quota.Amount {
 	var sum quota.Amount
-	for amount := range ob.scheduler.pendingAmounts(team) {
+	for amount := range ob.scheduler.PendingAmounts(team) {
 		sum = sum.Add(amount)
 	}
 	return sum
@@ -40,7 +40,7 @@
 func amountText(a quota.Amount) string { return fmt.Sprintf("%.4g/%.4g", a.CPUs, a.GPUs) }
 
 // teamLine is a team's line of the status page; amounts are CPUs/GPUs. The lock is held.
-func (ob *observer) teamLine(s *quota.Summary) string {
+func (ob *Observer) teamLine(s *quota.Summary) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "team %s shares %q limit %s guarantee %s used %s borrowed %s waiting %s", s.Team.Name, s.Phase, amountText(s.Team.Limit),
 		amountText(s.Team.Guarantee), amountText(s.Used), amountText(s.Borrowed), amountText(ob.waitingAmount(s.Team.Name)))
@@ -48,7 +48,7 @@
 		fmt.Fprintf(&b, " in_flight %s in_doubt %s", amountText(s.InFlight), amountText(s.InDoubt))
 	}
 	if s.Reserved != nil {
-		since := ob.now().Sub(time.UnixMilli(s.Reserved.Since))
+		since := ob.Now().Sub(time.UnixMilli(s.Reserved.Since))
 		fmt.Fprintf(&b, " reserved %s for %.0f s", amountText(s.Reserved.Amount()), since.Seconds())
 	}
 	if s.Damage != nil {
@@ -59,18 +59,18 @@
 
 // writeTeamsStatus shows all teams, and whether their guarantees fit the fleet; the lock is
 // held.
-func (ob *observer) writeTeamsStatus(b *strings.Builder) {
+func (ob *Observer) writeTeamsStatus(b *strings.Builder) {
 	all := map[string]*quota.Summary{}
 	for _, s := range ob.quotaSummaries() {
 		all[s.Team.Name] = s
 	}
-	promised, fleet := ob.quota.TotalGuarantees(), ob.scheduler.totalCapacity()
+	promised, fleet := ob.Quota.TotalGuarantees(), ob.scheduler.TotalCapacity()
 	fmt.Fprintf(b, "guarantees %s machines_hold %s fit %v\n", amountText(promised), amountText(fleet), promised.Sub(fleet).Max(quota.Amount{}).IsZero())
 	rows(b, "team", all, func(team string) string { return ob.teamLine(all[team]) })
 }
 
 // writeTeamStatus shows one team with the share of each node; the lock is held.
-func (ob *observer) writeTeamStatus(b *strings.Builder, team string) {
+func (ob *Observer) writeTeamStatus(b *strings.Builder, team string) {
 	for _, s := range ob.quotaSummaries() {
 		if s.Team.Name != team {
 			continue
@@ -91,7 +91,7 @@
 )
 
 // collectTeams gathers the metrics of all teams; the lock is held.
-func (ob *observer) collectTeams(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
+func (ob *Observer) collectTeams(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
 	for _, s := range ob.quotaSummaries() {
 		team := s.Team.Name
 		var reserved quota.Amount
--- a/internal/controller/recoverystatus.go
+++ b/internal/observability/recoverystatus.go
@@ -1,4 +1,4 @@
-package controller
+package observability
 
 import (
 	"fmt"
@@ -10,16 +10,16 @@
 )
 
 // writeRecoveryStatus shows operators how far recovery is; the lock is held.
-func (ob *observer) writeRecoveryStatus(b *strings.Builder) {
-	r := ob.recovery.progress
+func (ob *Observer) writeRecoveryStatus(b *strings.Builder) {
+	r := ob.Recovery.Progress
 	fmt.Fprintf(b, "recovery %q for %.0f s machines unknown %d reported %d reconciled %d missing %d starts_left services %d arrays %d hold %v\n",
-		r.Phase, ob.now().Sub(r.Since).Seconds(), r.Machines[recovery.Unknown], r.Machines[recovery.Reported], r.Machines[recovery.Reconciled],
-		r.Machines[recovery.Missing], r.PendingStarts[recovery.ServiceStart], r.PendingStarts[recovery.ArrayStart], ob.recovery.machinesUnknown())
+		r.Phase, ob.Now().Sub(r.Since).Seconds(), r.Machines[recovery.Unknown], r.Machines[recovery.Reported], r.Machines[recovery.Reconciled],
+		r.Machines[recovery.Missing], r.PendingStarts[recovery.ServiceStart], r.PendingStarts[recovery.ArrayStart], ob.Recovery.MachinesUnknown())
 }
 
 // collectRecovery gathers the metrics of recovery; the lock is held.
-func (ob *observer) collectRecovery(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
-	r := ob.recovery.progress
+func (ob *Observer) collectRecovery(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
+	r := ob.Recovery.Progress
 	gauge(descRecoveryPhase, 1, string(r.Phase))
 	for _, state := range []recovery.MachineState{recovery.Unknown, recovery.Reported, recovery.Reconciled, recovery.Missing} {
 		gauge(descRecoveryMachines, float64(r.Machines[state]), string(state))
--- a/internal/controller/status.go
+++ b/internal/observability/status.go
@@ -1,4 +1,6 @@
-package controller
+// Package observability shows operators the state of a controller: the status page
+// and the metrics.
+package observability
 
 import (
 	"cmp"
@@ -9,34 +11,38 @@
 
 	"github.com/valyala/fasthttp"
 
+	"wheatspur/internal/cluster"
+	"wheatspur/internal/fleet"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/leader"
+	"wheatspur/internal/scheduler"
 	"wheatspur/internal/tuning"
 )
 
 // statusRows bounds the rows of a kind that the status page shows.
 const statusRows = 50
 
-// observer shows operators the state of a controller: the status page and the
+// Observer shows operators the state of a controller: the status page and the
 // metrics.
-type observer struct {
-	*clusterState
-	*fleet
-	scheduler  *scheduler
-	leaderLoop *leaderLoop
+type Observer struct {
+	*cluster.State
+	*fleet.Fleet
+	scheduler  *scheduler.Scheduler
+	leaderLoop *leader.Loop
 }
 
-func newObserver(state *clusterState, fleet *fleet, scheduler *scheduler, leader *leaderLoop) *observer {
-	ob := &observer{clusterState: state, fleet: fleet, scheduler: scheduler, leaderLoop: leader}
-	state.metrics.registry.MustRegister(stateCollector{ob})
+func New(state *cluster.State, fleet *fleet.Fleet, scheduler *scheduler.Scheduler, leader *leader.Loop) *Observer {
+	ob := &Observer{State: state, Fleet: fleet, scheduler: scheduler, leaderLoop: leader}
+	state.Metrics.Registry.MustRegister(stateCollector{ob})
 	return ob
 }
 
-// serveStatus shows operators, as plain text, what this node knows: the
+// ServeStatus shows operators, as plain text, what this node knows: the
 // membership with the version of each node, the splits with the gate that
 // blocks each, the teams, and why jobs wait; with ?job=ID one job, with ?team=NAME
 // one team.
-func (ob *observer) serveStatus(c *fasthttp.RequestCtx) {
+func (ob *Observer) ServeStatus(c *fasthttp.RequestCtx) {
 	ob.Lock()
 	defer ob.Unlock()
 	var b strings.Builder
@@ -51,38 +57,38 @@
 		c.SetBodyString(b.String())
 		return
 	}
-	fmt.Fprintf(&b, "node %s version %s session %s state_service %v\n", ob.self.Label, tuning.Version, ob.session, ob.hasStore())
-	if at := ob.peers.cancellationsKnownUntil(); !at.IsZero() {
+	fmt.Fprintf(&b, "node %s version %s session %s state_service %v\n", ob.Self.Label, tuning.Version, ob.Session, ob.HasStore())
+	if at := ob.Peers.CancellationsKnownUntil(); !at.IsZero() {
 		// What an outage is survived by: it stays short while all siblings attest.
-		fmt.Fprintf(&b, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", ob.now().Sub(at).Seconds(), ob.settings.RenewalBound().Seconds())
+		fmt.Fprintf(&b, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", ob.Now().Sub(at).Seconds(), ob.Settings.RenewalBound().Seconds())
 	}
-	if ob.membership != nil {
-		fmt.Fprintf(&b, "membership token %d leader %s nodes", ob.membership.FencingToken, ob.membership.Leader.Label)
-		for _, m := range ob.membership.Nodes {
+	if ob.Membership != nil {
+		fmt.Fprintf(&b, "membership token %d leader %s nodes", ob.Membership.FencingToken, ob.Membership.Leader.Label)
+		for _, m := range ob.Membership.Nodes {
 			fmt.Fprintf(&b, " %s", m.Label)
 		}
 		b.WriteByte('\n')
-		for _, m := range ob.membership.Nodes {
-			s := ob.storedSessions[m.Label]
+		for _, m := range ob.Membership.Nodes {
+			s := ob.StoredSessions[m.Label]
 			fmt.Fprintf(&b, "version %s %s form %d\n", m.Label, cmp.Or(s.ProgramVersion, "not told (0.1.0 or older)"), s.Format)
 		}
-		fmt.Fprintf(&b, "pipelines taken %v\n", ob.dependenciesSupported())
+		fmt.Fprintf(&b, "pipelines taken %v\n", ob.DependenciesSupported())
 	}
-	fmt.Fprintf(&b, "state_limits write_rps %g value_kb %g txn_ops %d machine_groups_to_cut %d\n", ob.limits.WriteRPS, ob.limits.ValueKB, ob.limits.TxnOps,
-		len(ob.inventory.OversizeGroups(ob.maxGroupBytes(), len(ob.inventory.Machines))))
+	fmt.Fprintf(&b, "state_limits write_rps %g value_kb %g txn_ops %d machine_groups_to_cut %d\n", ob.Limits.WriteRPS, ob.Limits.ValueKB, ob.Limits.TxnOps,
+		len(ob.Inventory.OversizeGroups(ob.MaxGroupBytes(), len(ob.Inventory.Machines))))
 	pending := 0
-	for _, j := range ob.table.Open {
+	for _, j := range ob.Table.Open {
 		pending += j.Counts[jobs.Pending]
 	}
-	fmt.Fprintf(&b, "jobs open %d waiting_for_others %d tasks_pending %d\n", len(ob.table.Open), len(ob.table.Waiting), pending)
+	fmt.Fprintf(&b, "jobs open %d waiting_for_others %d tasks_pending %d\n", len(ob.Table.Open), len(ob.Table.Waiting), pending)
 	phases := map[inventory.Phase]int{}
-	for _, h := range ob.inventory.Machines {
+	for _, h := range ob.Inventory.Machines {
 		phases[h.Phase]++
 	}
 	fmt.Fprintf(&b, "machines in %d draining %d returned %d\n", phases[inventory.Active], phases[inventory.Draining], phases[inventory.Terminated])
-	if ob.isMember() && ob.isLeader() {
-		for _, t := range ob.machineTypeList {
-			if d, ok := ob.leaderLoop.leaderState.roleDecisions[t.Label]; ok {
+	if ob.IsMember() && ob.IsLeader() {
+		for _, t := range ob.MachineTypeList {
+			if d, ok := ob.leaderLoop.LeaderState.RoleDecisions[t.Label]; ok {
 				fmt.Fprintf(&b, "split %s batch %d service %d batch_load %.2f service_load %.2f demand_short %.4f demand_long %.4f evidence_open %v proposal %q rule %q confirmations %d gate %q\n",
 					d.Type, d.Batch, d.Service, d.BatchLoad, d.ServiceLoad, d.Short, d.Long, d.EvidenceOpen,
 					d.Proposal.Direction, d.Proposal.Rule, d.Confirmations, d.Gate)
@@ -91,14 +97,14 @@
 	}
 	ob.writeRecoveryStatus(&b)
 	ob.writeTeamsStatus(&b)
-	rows(&b, "waiting", ob.scheduler.unplaced, func(jobID string) string {
-		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, ob.scheduler.unplaced[jobID], ob.scheduler.pendingReasons[jobID])
+	rows(&b, "waiting", ob.scheduler.Unplaced, func(jobID string) string {
+		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, ob.scheduler.Unplaced[jobID], ob.scheduler.PendingReasons[jobID])
 	})
-	rows(&b, "awaits", ob.table.Waiting, func(jobID string) string {
-		return fmt.Sprintf("awaits %s: %s", jobID, strings.Join(ob.table.Unfinished(ob.table.Waiting[jobID]), " "))
+	rows(&b, "awaits", ob.Table.Waiting, func(jobID string) string {
+		return fmt.Sprintf("awaits %s: %s", jobID, strings.Join(ob.Table.Unfinished(ob.Table.Waiting[jobID]), " "))
 	})
-	rows(&b, "cancelled with others", ob.table.Unrecorded, func(jobID string) string {
-		return fmt.Sprintf("cancelled %s with %s", jobID, ob.table.Unrecorded[jobID].CancelledWith)
+	rows(&b, "cancelled with others", ob.Table.Unrecorded, func(jobID string) string {
+		return fmt.Sprintf("cancelled %s with %s", jobID, ob.Table.Unrecorded[jobID].CancelledWith)
 	})
 	c.SetBodyString(b.String())
 }
@@ -116,8 +122,8 @@
 
 // writeJobStatus shows one job: why it waits, or with which job it was cancelled;
 // The lock is held.
-func (ob *observer) writeJobStatus(b *strings.Builder, jobID string) {
-	j := ob.table.Jobs[jobID]
+func (ob *Observer) writeJobStatus(b *strings.Builder, jobID string) {
+	j := ob.Table.Jobs[jobID]
 	if j == nil {
 		fmt.Fprintf(b, "job %s is not known here\n", jobID)
 		return
@@ -126,10 +132,10 @@
 		j.Counts[jobs.Pending], j.Counts[jobs.Claimed], j.Counts[jobs.Completed])
 	switch {
 	case j.Phase == jobs.Waiting:
-		fmt.Fprintf(b, "awaits %s\n", strings.Join(ob.table.Unfinished(j), " "))
+		fmt.Fprintf(b, "awaits %s\n", strings.Join(ob.Table.Unfinished(j), " "))
 	case j.Phase == jobs.Cancelled && j.CancelledWith != "":
 		fmt.Fprintf(b, "cancelled with %s\n", j.CancelledWith)
-	case ob.scheduler.unplaced[jobID] > 0:
-		fmt.Fprintf(b, "waiting tasks %d because %s\n", ob.scheduler.unplaced[jobID], ob.scheduler.pendingReasons[jobID])
+	case ob.scheduler.Unplaced[jobID] > 0:
+		fmt.Fprintf(b, "waiting tasks %d because %s\n", ob.scheduler.Unplaced[jobID], ob.scheduler.PendingReasons[jobID])
 	}
 }
--- a/internal/controller/chunks.go
+++ b/internal/scheduler/chunks.go
@@ -1,6 +1,6 @@
 // This file changes the chunk records of jobs.
 
-package controller
+package scheduler
 
 import (
 	"time"
@@ -44,13 +44,13 @@
 	return tasks, true
 }
 
-func (sc *scheduler) maxChunkBytes(j *jobs.Job) int {
+func (sc *Scheduler) maxChunkBytes(j *jobs.Job) int {
 	return min(j.Record.ChunkSize, j.Record.Tasks)*56 + 600
 }
 
 // putChunk stores a chunk; the write that makes a job's last task done also
 // ends the job and drops the chunk.
-func (sc *scheduler) putChunk(t *pendingWrite, c *chunkChange, key string, tasks []jobs.Task) {
+func (sc *Scheduler) putChunk(t *PendingWrite, c *chunkChange, key string, tasks []jobs.Task) {
 	j := c.job
 	done, live := 0, 0
 	for _, task := range tasks {
@@ -68,7 +68,7 @@
 		}
 	}
 	if j.Phase == jobs.Open && j.Counts[jobs.Completed]-before+done == j.Record.Tasks {
-		t.put(jobs.JobKey(j.ID), finalRecord(j, jobs.JobCompleted, sc.now()))
+		t.put(jobs.JobKey(j.ID), finalRecord(j, jobs.JobCompleted, sc.Now()))
 		t.delete(key)
 		return
 	}
--- a/internal/controller/claims.go
+++ b/internal/scheduler/claims.go
@@ -1,6 +1,6 @@
 // This file stores claims.
 
-package controller
+package scheduler
 
 import (
 	"wheatspur/internal/jobs"
@@ -36,12 +36,12 @@
 // the team's limit; the leader, which also claims on others' machines, hands
 // their owners the part of the limit that the claims take in the same write.
 // The lock is held.
-func (sc *scheduler) planClaims(txns []*pendingWrite, list []placement.Claim, most *float64) []*pendingWrite {
+func (sc *Scheduler) planClaims(txns []*PendingWrite, list []placement.Claim, most *float64) []*PendingWrite {
 	for _, g := range groupByJob(list) {
 		if *most < 1 {
 			break
 		}
-		if sc.writesInFlight[g.job.ID] || sc.quota.Ledger(g.job.Record.Spec.Team).Writing() {
+		if sc.WritesInFlight[g.job.ID] || sc.Quota.Ledger(g.job.Record.Spec.Team).Writing() {
 			continue
 		}
 		if t := sc.planJobClaims(g); t != nil {
@@ -52,12 +52,12 @@
 }
 
 // planJobClaims is the write of a job's claims; nil if there is none to make now.
-func (sc *scheduler) planJobClaims(g *jobClaims) *pendingWrite {
+func (sc *Scheduler) planJobClaims(g *jobClaims) *PendingWrite {
 	j := g.job
 	t := sc.newWrite("claim")
 	changes, amount, others := sc.chooseClaims(t, g)
 	jobKey := jobs.JobKey(j.ID)
-	t.compares[jobKey] = sc.cache.Version(jobKey)
+	t.Compares[jobKey] = sc.Cache.Version(jobKey)
 	claimed := 0
 	for key, c := range changes {
 		tasks, due := c.apply()
@@ -65,10 +65,10 @@
 			return nil
 		}
 		claimed += len(c.events)
-		t.compares[key] = sc.cache.Version(key)
+		t.Compares[key] = sc.Cache.Version(key)
 		t.put(key, jobs.ChunkRecord{Tasks: tasks})
 		for id, e := range c.events {
-			t.logWhenStored("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Machine, "role", string(sc.inventory.Machines[e.Machine].Role))
+			t.logWhenStored("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Machine, "role", string(sc.Inventory.Machines[e.Machine].Role))
 		}
 	}
 	if claimed == 0 || j.Gang() && claimed < len(g.claims) || !sc.admit(t, j.Record.Spec.Team, amount, others) {
@@ -85,12 +85,12 @@
 // chooseClaims takes as many of a job's claims as one write may hold: the changes
 // of its chunks, what the claims take in all, and the part of it on others'
 // machines. It adds the guards on the machines' records to the write.
-func (sc *scheduler) chooseClaims(t *pendingWrite, g *jobClaims) (changes map[string]*chunkChange, amount quota.Amount, others map[string]quota.Amount) {
+func (sc *Scheduler) chooseClaims(t *PendingWrite, g *jobClaims) (changes map[string]*chunkChange, amount quota.Amount, others map[string]quota.Amount) {
 	j := g.job
 	changes, others = map[string]*chunkChange{}, map[string]quota.Amount{}
 	for _, claim := range g.claims {
 		chunk := claim.Task / j.Record.ChunkSize
-		key, machineKey := jobs.ChunkKey(j.ID, chunk), sc.inventory.KeyOf(claim.Machine)
+		key, machineKey := jobs.ChunkKey(j.ID, chunk), sc.Inventory.KeyOf(claim.Machine)
 		c := changes[key]
 		if c == nil {
 			if !sc.fits(t, len(changes)+3, (len(changes)+1)*sc.maxChunkBytes(j), len(changes)+5) {
@@ -99,15 +99,15 @@
 			c = &chunkChange{job: j, chunk: chunk, events: map[int]jobs.TaskEvent{}}
 			changes[key] = c
 		}
-		if _, ok := t.compares[machineKey]; !ok && !sc.fits(t, 0, 0, len(changes)+4) {
+		if _, ok := t.Compares[machineKey]; !ok && !sc.fits(t, 0, 0, len(changes)+4) {
 			continue // more machines than one write may name
 		}
-		if !c.claim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Machine: claim.Machine, Incarnation: claim.Incarnation}, int(sc.limits.ValueKB*1024)) {
+		if !c.claim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Machine: claim.Machine, Incarnation: claim.Incarnation}, int(sc.Limits.ValueKB*1024)) {
 			continue // its turn comes when others of the chunk are over
 		}
-		t.compares[machineKey] = sc.cache.Version(machineKey)
+		t.Compares[machineKey] = sc.Cache.Version(machineKey)
 		amount = amount.Add(j.Need.Amount())
-		if owner := sc.shardOwner(claim.Machine); owner != sc.self.Label {
+		if owner := sc.ShardOwner(claim.Machine); owner != sc.Self.Label {
 			others[owner] = others[owner].Add(j.Need.Amount())
 		}
 	}
--- a/internal/controller/displace.go
+++ b/internal/scheduler/misplaced.go
@@ -1,6 +1,6 @@
 // This file moves service tasks off machines that are to lose them.
 
-package controller
+package scheduler
 
 import (
 	"wheatspur/internal/inventory"
@@ -10,7 +10,7 @@
 
 // evictMisplacedServices moves service tasks off machines that are to lose them, one at a
 // time, each once another machine has room; the lock is held.
-func (sc *scheduler) evictMisplacedServices(f *placement.Fleet) {
+func (sc *Scheduler) evictMisplacedServices(f *placement.Fleet) {
 	machines, tries := f.Machines, 0
 	for _, m := range machines {
 		for _, r := range m.Tasks {
@@ -19,17 +19,17 @@
 			}
 		}
 	}
-	for jobID := range sc.unplaced {
-		if j := sc.table.Jobs[jobID]; j != nil && j.Service() {
+	for jobID := range sc.Unplaced {
+		if j := sc.Table.Jobs[jobID]; j != nil && j.Service() {
 			return // those that wait come first
 		}
 	}
 	for _, m := range machines {
-		if m.Owner != sc.self.Label {
+		if m.Owner != sc.Self.Label {
 			continue
 		}
-		rec := sc.inventory.Machines[m.Name]
-		w := sc.workers.byMachine[m.Name]
+		rec := sc.Inventory.Machines[m.Name]
+		w := sc.Workers.ByMachine[m.Name]
 		if w == nil || m.Role == placement.Service && rec.Phase == inventory.Active && w.TerminationAt.IsZero() {
 			continue
 		}
@@ -41,8 +41,8 @@
 				return
 			}
 			if placement.FitElsewhere(f, r.Job, r.ID.Task, m.Name) != nil {
-				sc.workers.stopTask(w, r.ID)
-				sc.log.Info("service task moves", "task", r.ID, "host", m.Name, "role", string(m.Role), "phase", string(rec.Phase))
+				sc.Workers.StopTask(w, r.ID)
+				sc.Log.Info("service task moves", "task", r.ID, "host", m.Name, "role", string(m.Role), "phase", string(rec.Phase))
 				return
 			}
 		}
--- a/internal/controller/quota.go
+++ b/internal/scheduler/quota.go
@@ -1,7 +1,7 @@
 // This file carries out what package quota decides: it enters the stored shares
 // and claims, guards the writes of claims and stores the leader's new shares.
 
-package controller
+package scheduler
 
 import (
 	"errors"
@@ -16,37 +16,37 @@
 	"wheatspur/internal/tuning"
 )
 
-// quotaView is what decisions about limits start from; the lock is held.
-func (sc *scheduler) quotaView() quota.View {
+// QuotaView is what decisions about limits start from; the lock is held.
+func (sc *Scheduler) QuotaView() quota.View {
 	return quota.View{
-		Self:         sc.self.Label,
-		Leader:       sc.membership.Leader.Label,
-		Nodes:        sc.memberLabels,
-		FencingToken: sc.membership.FencingToken,
-		Claimed:      sc.machineIndex.claimedByNode(),
-		Revision:     sc.cache.Revision(),
+		Self:         sc.Self.Label,
+		Leader:       sc.Membership.Leader.Label,
+		Nodes:        sc.MemberLabels,
+		FencingToken: sc.Membership.FencingToken,
+		Claimed:      sc.MachineIndex.ClaimedByNode(),
+		Revision:     sc.Cache.Revision(),
 	}
 }
 
-// allowances are what a pass may still give to each team; the lock is held.
-func (sc *scheduler) allowances() map[string]*quota.Allowance {
-	view := sc.quotaView()
-	scale := sc.quota.Scale(sc.totalCapacity, sc.now())
+// Allowances are what a pass may still give to each team; the lock is held.
+func (sc *Scheduler) Allowances() map[string]*quota.Allowance {
+	view := sc.QuotaView()
+	scale := sc.Quota.Scale(sc.TotalCapacity, sc.Now())
 	out := map[string]*quota.Allowance{}
-	for _, l := range sc.quota.Ledgers() {
-		l.Forget(sc.cache)
+	for _, l := range sc.Quota.Ledgers() {
+		l.Forget(sc.Cache)
 		name := l.Team().Name
-		out[name] = l.Allowance(view, sc.table.ResourcesByTeam[name].Amount(), scale)
+		out[name] = l.Allowance(view, sc.Table.ResourcesByTeam[name].Amount(), scale)
 	}
 	return out
 }
 
-// totalCapacity is what all machines that take tasks hold together; the lock is held.
-func (sc *scheduler) totalCapacity() quota.Amount {
+// TotalCapacity is what all machines that take tasks hold together; the lock is held.
+func (sc *Scheduler) TotalCapacity() quota.Amount {
 	var sum quota.Amount
-	for _, r := range sc.inventory.Machines {
+	for _, r := range sc.Inventory.Machines {
 		if r.Phase == inventory.Active {
-			t := sc.machineTypes[r.MachineType]
+			t := sc.MachineTypes[r.MachineType]
 			sum = sum.Add(quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs})
 		}
 	}
@@ -57,68 +57,68 @@
 // for room that others' borrowed work is stopped for it. The team's wait is
 // stored, and so is the time since when the job could start, so all nodes come to
 // the same answer, also after a restart. The lock is held.
-func (sc *scheduler) mayReclaim(j *jobs.Job, now time.Time) bool {
-	if at, ok := sc.unplacedSince[j.ID]; ok && now.Sub(at) > tuning.GuaranteePreemptAfter {
+func (sc *Scheduler) mayReclaim(j *jobs.Job, now time.Time) bool {
+	if at, ok := sc.UnplacedSince[j.ID]; ok && now.Sub(at) > tuning.GuaranteePreemptAfter {
 		return true
 	}
-	return sc.settings.Operator.QuotaReservations && sc.quota.MayReclaim(j.Team, now) &&
+	return sc.Settings.Operator.QuotaReservations && sc.Quota.MayReclaim(j.Team, now) &&
 		now.UnixMilli()-j.ReadyAtMs > tuning.GuaranteePreemptAfter.Milliseconds()
 }
 
 // planReservations lets the leader store which teams wait for room within their
 // guarantees; the lock is held.
-func (sc *scheduler) planReservations(short map[string]quota.Amount, now time.Time, most *float64) []*pendingWrite {
-	if !sc.isLeader() || *most < 1 {
+func (sc *Scheduler) planReservations(short map[string]quota.Amount, now time.Time, most *float64) []*PendingWrite {
+	if !sc.IsLeader() || *most < 1 {
 		return nil
 	}
-	next := sc.quota.Reserve(now, short)
+	next := sc.Quota.Reserve(now, short)
 	if next == nil {
 		return nil
 	}
-	sc.log.Info("reservations change", "teams", len(next.Teams))
+	sc.Log.Info("reservations change", "teams", len(next.Teams))
 	*most--
 	t := sc.newWrite("reserve")
-	t.compares[quota.ReservationsKey] = sc.cache.Version(quota.ReservationsKey)
+	t.Compares[quota.ReservationsKey] = sc.Cache.Version(quota.ReservationsKey)
 	t.put(quota.ReservationsKey, *next)
 	t.reservations = true
-	return []*pendingWrite{t}
+	return []*PendingWrite{t}
 }
 
 // admit adds to a write of claims the guard on the shares of the team's limit
 // and, for claims on others' machines, the change that hands their owners that
 // part of this node's share; false if the share does not cover it. The lock is held.
-func (sc *scheduler) admit(t *pendingWrite, team string, amount quota.Amount, others map[string]quota.Amount) bool {
-	l := sc.quota.Ledger(team)
+func (sc *Scheduler) admit(t *PendingWrite, team string, amount quota.Amount, others map[string]quota.Amount) bool {
+	l := sc.Quota.Ledger(team)
 	if l == nil {
 		return false
 	}
-	admission, err := l.Admit(sc.quotaView(), amount, others)
+	admission, err := l.Admit(sc.QuotaView(), amount, others)
 	if err != nil {
-		sc.log.Debug("claims are not admitted", "team", team, "jobs", t.jobIDs, "err", err)
+		sc.Log.Debug("claims are not admitted", "team", team, "jobs", t.jobIDs, "err", err)
 		return false
 	}
 	if admission == nil {
 		return true
 	}
 	key := jobs.TeamKey(team)
-	t.compares[key] = sc.cache.Version(key)
-	t.admission = admission
+	t.Compares[key] = sc.Cache.Version(key)
+	t.Admission = admission
 	if admission.Next != nil {
 		t.put(key, *admission.Next)
 	}
 	return true
 }
 
-// resolveQuota tells the team's ledger what became of a write; the lock is held.
-func (sc *scheduler) resolveQuota(t *pendingWrite, err error) {
+// ResolveQuota tells the team's ledger what became of a write; the lock is held.
+func (sc *Scheduler) ResolveQuota(t *PendingWrite, err error) {
 	if t.shares != nil {
-		sc.quota.Ledger(t.shares.Team).ResolveWrite(t.shares, outcomeOf(err), t.compares)
+		sc.Quota.Ledger(t.shares.Team).ResolveWrite(t.shares, outcomeOf(err), t.Compares)
 	}
 	if t.reservations {
-		sc.quota.ReservationsWritten()
+		sc.Quota.ReservationsWritten()
 	}
-	if t.admission != nil {
-		sc.quota.Ledger(t.admission.Team).ResolveAdmission(t.admission, outcomeOf(err), t.compares)
+	if t.Admission != nil {
+		sc.Quota.Ledger(t.Admission.Team).ResolveAdmission(t.Admission, outcomeOf(err), t.Compares)
 	}
 }
 
@@ -135,22 +135,22 @@
 
 // planRebalances lets the leader share the teams' limits out; most is what the budget
 // of changes has room for. The lock is held.
-func (sc *scheduler) planRebalances(now time.Time, most *float64) []*pendingWrite {
-	if !sc.isLeader() {
+func (sc *Scheduler) planRebalances(now time.Time, most *float64) []*PendingWrite {
+	if !sc.IsLeader() {
 		return nil
 	}
-	var out []*pendingWrite
-	view := sc.quotaView()
-	for _, l := range sc.quota.Ledgers() {
+	var out []*PendingWrite
+	view := sc.QuotaView()
+	for _, l := range sc.Quota.Ledgers() {
 		team := l.Team().Name
 		urgent := l.Phase(view.FencingToken) == quota.Unshared
-		w := l.Rebalance(now, view, sc.pendingAmounts(team), *most >= 1)
+		w := l.Rebalance(now, view, sc.PendingAmounts(team), *most >= 1)
 		if w == nil {
 			continue
 		}
 		t := sc.shareWrite(w)
 		if urgent {
-			t.class = store.ClassCancel // all claims wait for it
+			t.Class = store.ClassCancel // all claims wait for it
 		}
 		*most--
 		out = append(out, t)
@@ -161,17 +161,17 @@
 // planTransfers gives what this node does not need of the teams' limits to the
 // leader, where that is short; teams are what the pass has left of each. the lock is
 // held.
-func (sc *scheduler) planTransfers(teams map[string]*quota.Allowance, short map[string]quota.Amount, now time.Time, most *float64) []*pendingWrite {
-	if !sc.settings.Operator.QuotaTransfers || sc.isLeader() {
+func (sc *Scheduler) planTransfers(teams map[string]*quota.Allowance, short map[string]quota.Amount, now time.Time, most *float64) []*PendingWrite {
+	if !sc.Settings.Operator.QuotaTransfers || sc.IsLeader() {
 		return nil
 	}
-	var out []*pendingWrite
-	view := sc.quotaView()
+	var out []*PendingWrite
+	view := sc.QuotaView()
 	for team, lack := range short {
 		if *most < 1 {
 			break
 		}
-		w := sc.quota.Ledger(team).Transfer(now, view, view.Leader, lack, teams[team].Left[view.Self])
+		w := sc.Quota.Ledger(team).Transfer(now, view, view.Leader, lack, teams[team].Left[view.Self])
 		if w == nil {
 			continue
 		}
@@ -182,20 +182,20 @@
 }
 
 // shareWrite is the write of a team's shares; the lock is held.
-func (sc *scheduler) shareWrite(w *quota.Write) *pendingWrite {
-	sc.log.Info("team's shares change", "team", w.Team, "event", string(w.Event))
+func (sc *Scheduler) shareWrite(w *quota.Write) *PendingWrite {
+	sc.Log.Info("team's shares change", "team", w.Team, "event", string(w.Event))
 	t := sc.newWrite(string(w.Event))
 	key := jobs.TeamKey(w.Team)
-	t.compares[key] = sc.cache.Version(key)
+	t.Compares[key] = sc.Cache.Version(key)
 	t.put(key, w.Record)
 	t.shares = w
 	return t
 }
 
-// pendingAmounts is what each waiting job of a team takes; the lock is held.
-func (sc *scheduler) pendingAmounts(team string) iter.Seq[quota.Amount] {
+// PendingAmounts is what each waiting job of a team takes; the lock is held.
+func (sc *Scheduler) PendingAmounts(team string) iter.Seq[quota.Amount] {
 	return func(yield func(quota.Amount) bool) {
-		for _, j := range sc.table.Open {
+		for _, j := range sc.Table.Open {
 			pending := j.Counts[jobs.Pending]
 			if j.Team != team || pending == 0 {
 				continue
@@ -208,9 +208,9 @@
 }
 
 // recordShortages notes which teams' work waits for other shares; the lock is held.
-func (sc *scheduler) recordShortages(out placement.Output, now time.Time) {
-	for _, l := range sc.quota.Ledgers() {
+func (sc *Scheduler) recordShortages(out placement.Output, now time.Time) {
+	for _, l := range sc.Quota.Ledgers() {
 		_, short := out.ShareShortfall[l.Team().Name]
-		l.RecordShortage(short, now, sc.membership.FencingToken)
+		l.RecordShortage(short, now, sc.Membership.FencingToken)
 	}
 }
--- a/internal/controller/releases.go
+++ b/internal/scheduler/releases.go
@@ -1,6 +1,6 @@
 // This file stores the ends of tasks and of jobs.
 
-package controller
+package scheduler
 
 import (
 	"sort"
@@ -16,7 +16,7 @@
 // take before claims: half. If that is less than one each, they take turns:
 // with passes that come often, a single change is due at a time, and ends took
 // every one. The lock is held.
-func (sc *scheduler) earlyReleaseBudget(changes float64) float64 {
+func (sc *Scheduler) earlyReleaseBudget(changes float64) float64 {
 	if changes < 2 && sc.claimsDeferred {
 		return 0
 	}
@@ -43,7 +43,7 @@
 // dueReleases lists the ends of tasks on this node's machines that may be stored now,
 // by chunk; what matters most comes first. workers are those that may have any.
 // The lock is held.
-func (sc *scheduler) dueReleases(workers map[string]*worker.Worker, now time.Time) []pendingRelease {
+func (sc *Scheduler) dueReleases(workers map[string]*worker.Worker, now time.Time) []pendingRelease {
 	changes := sc.provenEnds(workers, now)
 	for key := range sc.releaseDueSince {
 		if changes[key] == nil {
@@ -67,10 +67,10 @@
 
 // provenEnds collects the claims whose end is proven on this node's machines, by
 // chunk.
-func (sc *scheduler) provenEnds(workers map[string]*worker.Worker, now time.Time) map[string]*chunkChange {
+func (sc *Scheduler) provenEnds(workers map[string]*worker.Worker, now time.Time) map[string]*chunkChange {
 	changes := map[string]*chunkChange{}
 	add := func(id jobs.TaskID, kind jobs.TaskEventKind) {
-		j := sc.table.Jobs[id.Job]
+		j := sc.Table.Jobs[id.Job]
 		chunk := id.Task / j.Record.ChunkSize
 		key := jobs.ChunkKey(id.Job, chunk)
 		if changes[key] == nil {
@@ -79,13 +79,13 @@
 		changes[key].events[id.Task] = jobs.TaskEvent{Kind: kind}
 	}
 	first := map[string]bool{} // jobs whose first node this is
-	for host := range sc.machineIndex.terminated {
+	for host := range sc.MachineIndex.Terminated {
 		// The proof is stored, so any node may release: the job's first
 		// does, in one write for the machines of all owners.
-		for id := range sc.table.ClaimsByMachine[host] {
+		for id := range sc.Table.ClaimsByMachine[host] {
 			mine, ok := first[id.Job]
 			if !ok {
-				mine = sc.membership.RankNodes(id.Job)[0] == sc.self.Label
+				mine = sc.Membership.RankNodes(id.Job)[0] == sc.Self.Label
 				first[id.Job] = mine
 			}
 			if mine {
@@ -93,12 +93,12 @@
 			}
 		}
 	}
-	lease := sc.settings.WorkerLease()
+	lease := sc.Settings.WorkerLease()
 	for host, w := range workers {
-		if w.NothingToReconcile(now, lease) || sc.shardOwner(host) != sc.self.Label || sc.inventory.Machines[host].Phase == inventory.Terminated {
+		if w.NothingToReconcile(now, lease) || sc.ShardOwner(host) != sc.Self.Label || sc.Inventory.Machines[host].Phase == inventory.Terminated {
 			continue
 		}
-		for _, r := range w.ProvenEnds(sc.table.ClaimsByMachine[host], now, lease) {
+		for _, r := range w.ProvenEnds(sc.Table.ClaimsByMachine[host], now, lease) {
 			add(r.Task, r.Kind)
 		}
 	}
@@ -107,7 +107,7 @@
 
 // releasePriority says how urgent the ends of a chunk's tasks are that have waited
 // so long; false if they are gathered, or can't be stored, for now.
-func (sc *scheduler) releasePriority(c *chunkChange, changes map[string]*chunkChange, wait time.Duration) (releasePriority, bool) {
+func (sc *Scheduler) releasePriority(c *chunkChange, changes map[string]*chunkChange, wait time.Duration) (releasePriority, bool) {
 	over, again := 0, false
 	for _, e := range c.events {
 		if e.Kind == jobs.Complete {
@@ -118,7 +118,7 @@
 	}
 	j := c.job
 	last := j.Counts[jobs.Completed]+over == j.Record.Tasks
-	if sc.writesInFlight[j.ID] || sc.now().Before(sc.backoffUntil[j.ID]) || !last && len(c.events) < len(j.Claims) && wait < tuning.ReleaseGather {
+	if sc.WritesInFlight[j.ID] || sc.Now().Before(sc.BackoffUntil[j.ID]) || !last && len(c.events) < len(j.Claims) && wait < tuning.ReleaseGather {
 		return releaseRoutine, false
 	}
 	switch {
@@ -149,12 +149,12 @@
 // this node's machines, and none waits: the node that stores the job's end
 // waits for these. Guards against jobs whose last end came 12 s late because
 // the ends on other nodes' machines were thought to free room only.
-func (sc *scheduler) lastOnThisNode(j *jobs.Job, due map[string]*chunkChange) bool {
+func (sc *Scheduler) lastOnThisNode(j *jobs.Job, due map[string]*chunkChange) bool {
 	if j.Counts[jobs.Pending] > 0 {
 		return false
 	}
 	for i, t := range j.Claims {
-		if sc.shardOwner(t.Machine) != sc.self.Label {
+		if sc.ShardOwner(t.Machine) != sc.Self.Label {
 			continue
 		}
 		c := due[jobs.ChunkKey(j.ID, i/j.Record.ChunkSize)]
@@ -169,8 +169,8 @@
 }
 
 // planRelease adds the write of one chunk's ends, if the budget has room for it.
-func (sc *scheduler) planRelease(txns []*pendingWrite, d pendingRelease, most *float64) []*pendingWrite {
-	if *most < 1 || sc.writesInFlight[d.job.ID] {
+func (sc *Scheduler) planRelease(txns []*PendingWrite, d pendingRelease, most *float64) []*PendingWrite {
+	if *most < 1 || sc.WritesInFlight[d.job.ID] {
 		return txns
 	}
 	tasks, ok := d.apply()
@@ -178,8 +178,8 @@
 		return txns
 	}
 	t := sc.newWrite("release")
-	t.compares[d.key] = sc.cache.Version(d.key)
-	t.compares[jobs.JobKey(d.job.ID)] = sc.cache.Version(jobs.JobKey(d.job.ID))
+	t.Compares[d.key] = sc.Cache.Version(d.key)
+	t.Compares[jobs.JobKey(d.job.ID)] = sc.Cache.Version(jobs.JobKey(d.job.ID))
 	sc.putChunk(t, d.chunkChange, d.key, tasks)
 	for id, e := range d.events {
 		t.logWhenStored("task released", "task", jobs.TaskID{Job: d.job.ID, Task: id}, "as", string(e.Kind), "host", d.job.Claims[id].Machine)
@@ -189,31 +189,31 @@
 
 // planFinishedJobs ends jobs whose chunks were completed by different owners; the
 // job's first node does it.
-func (sc *scheduler) planFinishedJobs(txns []*pendingWrite, most *float64) []*pendingWrite {
-	for jobID, j := range sc.table.Open {
-		if *most < 1 || !j.AllDone() || sc.writesInFlight[jobID] || sc.membership.RankNodes(jobID)[0] != sc.self.Label {
+func (sc *Scheduler) planFinishedJobs(txns []*PendingWrite, most *float64) []*PendingWrite {
+	for jobID, j := range sc.Table.Open {
+		if *most < 1 || !j.AllDone() || sc.WritesInFlight[jobID] || sc.Membership.RankNodes(jobID)[0] != sc.Self.Label {
 			continue
 		}
 		t := sc.newWrite("finish")
-		t.compares[jobs.JobKey(jobID)] = sc.cache.Version(jobs.JobKey(jobID))
-		t.put(jobs.JobKey(jobID), finalRecord(j, jobs.JobCompleted, sc.now()))
+		t.Compares[jobs.JobKey(jobID)] = sc.Cache.Version(jobs.JobKey(jobID))
+		t.put(jobs.JobKey(jobID), finalRecord(j, jobs.JobCompleted, sc.Now()))
 		txns = sc.addWrite(txns, t, jobID, most)
 	}
-	for jobID, j := range sc.table.Unrecorded {
+	for jobID, j := range sc.Table.Unrecorded {
 		// It says nothing new: it lets intake records go, and tells old versions.
-		if *most < 2 || sc.writesInFlight[jobID] || sc.membership.RankNodes(jobID)[0] != sc.self.Label {
+		if *most < 2 || sc.WritesInFlight[jobID] || sc.Membership.RankNodes(jobID)[0] != sc.Self.Label {
 			continue
 		}
 		t := sc.newWrite("cancelled with another")
-		t.compares[jobs.JobKey(jobID)] = sc.cache.Version(jobs.JobKey(jobID))
-		t.put(jobs.JobKey(jobID), jobs.Record{Phase: j.Phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: sc.now().UnixMilli(), CancelledWith: j.CancelledWith})
+		t.Compares[jobs.JobKey(jobID)] = sc.Cache.Version(jobs.JobKey(jobID))
+		t.put(jobs.JobKey(jobID), jobs.Record{Phase: j.Phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: sc.Now().UnixMilli(), CancelledWith: j.CancelledWith})
 		txns = sc.addWrite(txns, t, jobID, most)
 	}
-	for key := range sc.table.JobsByIntake {
+	for key := range sc.Table.JobsByIntake {
 		// Nothing needs it any more: guards against reading it for ever.
-		if *most >= 1 && !sc.writesInFlight[key] && sc.table.IntakeFinished(key) && sc.membership.RankNodes(key)[0] == sc.self.Label {
+		if *most >= 1 && !sc.WritesInFlight[key] && sc.Table.IntakeFinished(key) && sc.Membership.RankNodes(key)[0] == sc.Self.Label {
 			t := sc.newWrite("intake over")
-			t.compares[key] = sc.cache.Version(key)
+			t.Compares[key] = sc.Cache.Version(key)
 			t.delete(key)
 			txns = sc.addWrite(txns, t, key, most)
 		}
