--- a/Makefile
+++ b/Makefile
@@ -5,10 +5,10 @@
 	go build -ldflags=-linkmode=external -o target/wheatspur ./cmd/wheatspur
 
 check:
-	@unformatted=$$(gofmt -l cmd internal wire); if [ -n "$$unformatted" ]; then echo "not gofmt'ed: $$unformatted"; exit 1; fi
+	@unformatted=$$(gofmt -l cmd internal wire) || exit 1; if [ -n "$$unformatted" ]; then echo "not gofmt'ed: $$unformatted"; exit 1; fi
 	go vet ./...
 	$(MAKE) lint
-	go run ./internal/testrunner -race ./...
+	go run ./internal/testrunner -race -count=1 ./...
 
 # staticcheck, in the version of tools/go.mod and with the checks of
 # staticcheck.conf.
