--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -7,6 +7,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/response"
 	"wheatspur/internal/store"
@@ -52,7 +53,7 @@
 		revision, err := api.Store.CompareAndSwap(ctx, store.ClassCancel, guards, then)
 		if err == nil {
 			api.ApplyWrite(then, revision)
-			api.Log.Debug("job cancelled", "job", jobID)
+			api.Log.Debug(logging.EventJobCancelled, logging.KeyJob, jobID)
 			continue
 		}
 		if !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrOutcomeUnknown) {
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -6,6 +6,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatspur/internal/fleet"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/peer"
 	"wheatspur/internal/response"
 	"wheatspur/internal/tuning"
@@ -28,7 +29,7 @@
 	}
 	r, err := to.Client.Forward(peer.ForwardRequest{Method: string(c.Method()), Path: string(c.Path()), Body: c.PostBody()}, tuning.ForwardTimeout)
 	if err != nil {
-		api.Log.Debug("request not passed on", "to", to.Settings.Label, "err", err)
+		api.Log.Debug(logging.EventForwardingFailed, logging.KeyTarget, to.Settings.Label, logging.KeyError, err)
 		return false
 	}
 	c.Response.Reset()
--- a/internal/api/intake.go
+++ b/internal/api/intake.go
@@ -9,6 +9,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/response"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
@@ -52,7 +53,7 @@
 	}
 	switch {
 	case err == nil:
-		api.Log.Debug("job accepted", "job", w.ID, "class", w.Class, "tasks", w.Tasks, "image", w.Image, "image_gb", w.ImageGB, "reckon_s", w.EstimateS, "due_s", deadlineSeconds(w), "awaits", len(w.DependsOn), "took", api.Now().Sub(begun))
+		api.Log.Debug(logging.EventJobAccepted, logging.KeyJob, w.ID, logging.KeyClass, w.Class, logging.KeyTasks, w.Tasks, logging.KeyImage, w.Image, logging.KeyImageGB, w.ImageGB, logging.KeyEstimateS, w.EstimateS, logging.KeyDeadlineS, deadlineSeconds(w), logging.KeyDependencies, len(w.DependsOn), logging.KeyDuration, api.Now().Sub(begun))
 		response.Write(c, 201, wire.JobStatus{ID: w.ID, State: wire.StateQueued})
 	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrOutcomeUnknown):
 		// A lost answer is settled by reading again.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -20,6 +20,7 @@
 	"wheatspur/internal/election"
 	"wheatspur/internal/fleet"
 	"wheatspur/internal/leader"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/observability"
 	"wheatspur/internal/response"
 	"wheatspur/internal/scheduler"
@@ -120,7 +121,7 @@
 	for _, s := range n.Peers.Siblings {
 		g.Go(func() error { return n.Peers.RunPeerExchange(ctx, s) })
 	}
-	n.Log.Info("serving", "node", n.Settings.Label, "bind", n.Settings.Bind, "peers", len(n.Peers.Siblings))
+	n.Log.Info(logging.EventServing, logging.KeyController, n.Settings.Label, logging.KeyAddress, n.Settings.Bind, logging.KeyPeers, len(n.Peers.Siblings))
 	if err := g.Wait(); asked.Err() == nil {
 		return err
 	}
--- a/internal/controller/membershipchange.go
+++ b/internal/controller/membershipchange.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"wheatspur/internal/logging"
 	"wheatspur/internal/membership"
 	"wheatspur/wire"
 )
@@ -20,6 +21,6 @@
 	n.Workers.ApplyMembership(last)
 	n.MachineIndex.Reset()
 	n.Peers.UpdateBudgetShare()
-	n.Log.Info("membership", "token", r.FencingToken, "leader", r.Leader.Label, "nodes", len(r.Nodes))
+	n.Log.Info(logging.EventMembershipChanged, logging.KeyToken, r.FencingToken, logging.KeyLeader, r.Leader.Label, logging.KeyMembers, len(r.Nodes))
 	return nil
 }
--- a/internal/controller/storedrecords.go
+++ b/internal/controller/storedrecords.go
@@ -6,6 +6,7 @@
 	"wheatspur/internal/cluster"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/quota"
 	"wheatspur/wire"
@@ -14,7 +15,7 @@
 // applyStored takes changed values from the cache; the lock is held.
 func (n *Controller) applyStored(key string, v wire.Raw, version uint64) {
 	if err := n.applyRecord(key, v, version); err != nil {
-		n.Log.Error("stored record can't be read", "key", key, "stamp", version, "err", err)
+		n.Log.Error(logging.EventRecordUnreadable, logging.KeyStoreKey, key, logging.KeyVersion, version, logging.KeyError, err)
 	}
 }
 
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -9,6 +9,7 @@
 
 	"wheatspur/internal/cluster"
 	"wheatspur/internal/fleet"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/store"
 	"wheatspur/internal/timing"
@@ -54,7 +55,7 @@
 		if err := el.Store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrLeaseExpired) {
 			el.EndSession(leaseID)
 		} else if err != nil {
-			el.Log.Debug("session not renewed", "err", err)
+			el.Log.Debug(logging.EventSessionRenewalFailed, logging.KeyError, err)
 			due = el.Now().Add(tuning.RetryPause)
 		}
 	}
@@ -65,7 +66,7 @@
 func (el *Election) OpenSession(ctx context.Context) {
 	id, err := el.Store.GrantLease(ctx, tuning.SessionTTL)
 	if err != nil {
-		el.Log.Info("no lease yet", "err", err)
+		el.Log.Info(logging.EventLeaseNotGranted, logging.KeyError, err)
 		timing.Sleep(ctx, tuning.RetryPause)
 		return
 	}
@@ -84,7 +85,7 @@
 		return
 	}
 	el.Session = el.Session.Next(membership.LeaseExpired)
-	el.Log.Info("session ended")
+	el.Log.Info(logging.EventSessionExpired)
 }
 
 // RunMembership stores the session's key, and takes part in the leadership and the
@@ -116,7 +117,7 @@
 	if err == nil {
 		return
 	}
-	el.Log.Debug("membership step failed", "err", err)
+	el.Log.Debug(logging.EventMembershipStepFailed, logging.KeyError, err)
 	if errors.Is(err, store.ErrLeaseExpired) {
 		el.EndSession(leaseID)
 		return
@@ -146,7 +147,7 @@
 	}
 	if write.reachability {
 		// Not before: a node that is cut off tries again and again.
-		el.Log.Info("reachability of workers changes", "unreachable", write.operation.Put != "")
+		el.Log.Info(logging.EventReachabilityChanged, logging.KeyUnreachable, write.operation.Put != "")
 	}
 	el.Lock()
 	defer el.Unlock()
--- a/internal/fleet/directcalls.go
+++ b/internal/fleet/directcalls.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wheatspur/internal/cluster"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/tuning"
 	"wheatspur/internal/worker"
 	"wheatspur/wire"
@@ -97,7 +98,7 @@
 	w.CallInFlight = false
 	if err != nil {
 		// The starts may yet be carried out: they stay unanswered.
-		wm.Log.Debug("direct call failed", "host", w.Machine, "err", err)
+		wm.Log.Debug(logging.EventDirectCommandFailed, logging.KeyMachine, w.Machine, logging.KeyError, err)
 		return
 	}
 	w.StartsAnswered(starts, cmd.FencingToken, r.Incarnation, r.Sequence)
@@ -119,7 +120,7 @@
 	}
 	for _, a := range w.ClaimsBlockedByStarts(wm.Table.ClaimsByMachine[w.Machine]) {
 		if w.FencePendingStarts(wm.Membership.LastToken()) {
-			wm.Log.Debug("start made void", "task", a.ID, "try", a.Number, "host", w.Machine, "token", w.FencingToken)
+			wm.Log.Debug(logging.EventPendingStartFenced, logging.KeyTask, a.ID, logging.KeyAttempt, a.Number, logging.KeyMachine, w.Machine, logging.KeyToken, w.FencingToken)
 		}
 	}
 }
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -9,6 +9,7 @@
 	"wheatspur/internal/cluster"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/recovery"
 	"wheatspur/internal/tuning"
 	"wheatspur/internal/worker"
@@ -62,8 +63,8 @@
 func (rt *recoveryTracker) recoveryEvent(e recovery.Event, now time.Time) {
 	before, since := rt.Progress.Phase, rt.Progress.Since
 	if rt.Progress.Apply(e, now) {
-		rt.Log.Info("recovery", "phase", string(rt.Progress.Phase), "after", string(before), "took", now.Sub(since).Round(time.Millisecond),
-			"machines", len(rt.Inventory.Machines), "missing", rt.Progress.Machines[recovery.Missing], "starts_left", rt.Progress.PendingStarts.Total())
+		rt.Log.Info(logging.EventRecoveryPhaseChanged, logging.KeyPhase, string(rt.Progress.Phase), logging.KeyPrevious, string(before), logging.KeyDuration, now.Sub(since).Round(time.Millisecond),
+			logging.KeyMachines, len(rt.Inventory.Machines), logging.KeyMissing, rt.Progress.Machines[recovery.Missing], logging.KeyStartsLeft, rt.Progress.PendingStarts.Total())
 	}
 }
 
--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -8,6 +8,7 @@
 	"wheatspur/internal/cluster"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/response"
 	"wheatspur/internal/tuning"
@@ -105,7 +106,7 @@
 	before := w.Unresponsive
 	w.HeartbeatAnswered(r, commands, now)
 	if w.Unresponsive != before {
-		wm.Log.Info("machine's responsiveness changes", "host", w.Machine, "unresponsive", w.Unresponsive)
+		wm.Log.Info(logging.EventResponsivenessChanged, logging.KeyMachine, w.Machine, logging.KeyUnresponsive, w.Unresponsive)
 	}
 	return 200, wire.HeartbeatResponse{FencingToken: w.FencingToken, Commands: commands}
 }
@@ -149,7 +150,7 @@
 	for id, s := range w.Tasks {
 		j := wm.Table.Jobs[id.Job]
 		if before[id] != s.State {
-			wm.Log.Debug("task changes", "task", id, "try", s.Attempt, "phase", s.State, "cause", s.ExitCause, "host", w.Machine)
+			wm.Log.Debug(logging.EventTaskStateChanged, logging.KeyTask, id, logging.KeyAttempt, s.Attempt, logging.KeyPhase, s.State, logging.KeyExitCause, s.ExitCause, logging.KeyMachine, w.Machine)
 		}
 		if j == nil || j.Record.Spec == nil {
 			continue
--- a/internal/leader/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -10,6 +10,7 @@
 	"wheatspur/internal/cluster"
 	"wheatspur/internal/config"
 	"wheatspur/internal/inventory"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/placement"
 	"wheatspur/internal/timing"
@@ -31,13 +32,13 @@
 		}
 		if !known || ld.Now().Sub(types) > tuning.TypesEvery {
 			if err := ld.RefreshMachineTypes(ctx); err != nil {
-				ld.Log.Info("machine types not read", "err", err)
+				ld.Log.Info(logging.EventMachineTypesNotRead, logging.KeyError, err)
 			} else {
 				types = ld.Now()
 			}
 		}
 		if list, err := ld.cloud.ListMachines(); err != nil {
-			ld.Log.Info("machine list not read", "err", err)
+			ld.Log.Info(logging.EventMachineListNotRead, logging.KeyError, err)
 		} else {
 			ld.ReconcileCloudList(ctx, list)
 		}
@@ -111,12 +112,12 @@
 				gone := rec
 				gone.Phase, gone.Reason = next, "listed as failed"
 				changes = append(changes, inventory.RecordChange{Machine: h.Name, Before: was, After: &gone})
-				ld.Log.Info("machine failed", "host", h.Name)
+				ld.Log.Info(logging.EventMachineFailed, logging.KeyMachine, h.Name)
 			}
 		case !known:
 			rec = inventory.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Phase: inventory.Active, Role: ld.initialRole(l, h, changes)}
 			changes = append(changes, inventory.RecordChange{Machine: h.Name, After: &rec})
-			ld.Log.Info("machine joins", "host", h.Name, "type", h.MachineType, "zone", h.Zone, "spot", h.Spot, "role", string(rec.Role))
+			ld.Log.Info(logging.EventMachineRegistered, logging.KeyMachine, h.Name, logging.KeyMachineType, h.MachineType, logging.KeyZone, h.Zone, logging.KeySpot, h.Spot, logging.KeyRole, string(rec.Role))
 		}
 		if ld.ShardOwner(h.Name) == ld.Self.Label && h.State == wire.MachineRunning {
 			if w := ld.Workers.Worker(h.Name); w.Address == "" {
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -8,6 +8,7 @@
 
 	"wheatspur/internal/autoscale"
 	"wheatspur/internal/inventory"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/membership"
 	"wheatspur/wire"
 )
@@ -78,7 +79,7 @@
 		}
 		ld.Unlock()
 		if err := ld.StoreDecision(ctx, guards[i], then); err != nil {
-			ld.Log.Info("machine records not stored", "group", w.Key, "err", err)
+			ld.Log.Info(logging.EventMachineRecordsNotStored, logging.KeyGroup, w.Key, logging.KeyError, err)
 		}
 	}
 }
--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -7,6 +7,7 @@
 
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/placement"
 	"wheatspur/internal/roles"
@@ -174,9 +175,9 @@
 		case roles.ToService:
 			m, role = roles.Emptiest(batch), placement.Service
 		}
-		ld.Log.Debug("roles evaluated", "type", t.Label, "batch", d.Batch, "service", d.Service, "batch_load", d.BatchLoad,
-			"service_load", d.ServiceLoad, "proposal", string(d.Proposal.Direction), "rule", string(d.Proposal.Rule),
-			"confirmations", d.Confirmations, "gate", string(d.Gate), "evidence_open", d.EvidenceOpen)
+		ld.Log.Debug(logging.EventRoleSplitEvaluated, logging.KeyMachineType, t.Label, logging.KeyBatchMachines, d.Batch, logging.KeyServiceMachines, d.Service, logging.KeyBatchLoad, d.BatchLoad,
+			logging.KeyServiceLoad, d.ServiceLoad, logging.KeyProposal, string(d.Proposal.Direction), logging.KeyRule, string(d.Proposal.Rule),
+			logging.KeyConfirmations, d.Confirmations, logging.KeyGate, string(d.Gate), logging.KeyEvidenceOpen, d.EvidenceOpen)
 		if m == nil {
 			continue
 		}
@@ -184,8 +185,8 @@
 		moved := rec
 		moved.Role, moved.Reason = role, string(d.Proposal.Rule)
 		out = append(out, inventory.RecordChange{Machine: m.Name, Before: &rec, After: &moved})
-		ld.Log.Info("role move", "host", m.Name, "type", t.Label, "to", string(role), "rule", string(d.Proposal.Rule),
-			"batch_load", d.BatchLoad, "service_load", d.ServiceLoad)
+		ld.Log.Info(logging.EventMachineRoleChanged, logging.KeyMachine, m.Name, logging.KeyMachineType, t.Label, logging.KeyTarget, string(role), logging.KeyRule, string(d.Proposal.Rule),
+			logging.KeyBatchLoad, d.BatchLoad, logging.KeyServiceLoad, d.ServiceLoad)
 	}
 	return out
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -14,6 +14,7 @@
 	"wheatspur/internal/cloud"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -31,7 +32,7 @@
 		if err != nil {
 			continue
 		}
-		ld.Log.Info("machine drains", "host", d.Machine, "why", d.Reason)
+		ld.Log.Info(logging.EventMachineDraining, logging.KeyMachine, d.Machine, logging.KeyReason, d.Reason)
 		if d.Terminated() {
 			dead = append(dead, d.Machine)
 			continue
@@ -98,10 +99,10 @@
 		some := list[:min(len(list), tuning.TerminateMax)]
 		list = list[len(some):]
 		if err := ld.cloud.Terminate(some); err != nil {
-			ld.Log.Info("machines not returned", "hosts", some, "err", err)
+			ld.Log.Info(logging.EventTerminationFailed, logging.KeyMachines, some, logging.KeyError, err)
 			break
 		}
-		ld.Log.Info("machines returned", "hosts", some)
+		ld.Log.Info(logging.EventMachinesTerminated, logging.KeyMachines, some)
 		hosts = append(hosts, some...)
 	}
 	ld.Lock()
@@ -154,8 +155,8 @@
 	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(names) < count {
 		l.noCapacityAt[h.Kind] = now
 	}
-	ld.Log.Info("machines rented", "request", name, "type", h.Kind.MachineType, "zone", h.Kind.Zone, "spot", h.Kind.Spot,
-		"role", string(h.Role), "asked", count, "got", len(names), "why", h.Reason, "err", err)
+	ld.Log.Info(logging.EventScaleOut, logging.KeyRequest, name, logging.KeyMachineType, h.Kind.MachineType, logging.KeyZone, h.Kind.Zone, logging.KeySpot, h.Kind.Spot,
+		logging.KeyRole, string(h.Role), logging.KeyRequested, count, logging.KeyGranted, len(names), logging.KeyReason, h.Reason, logging.KeyError, err)
 	for _, host := range names {
 		l.ScalingOut[host] = ScaleOutRecord{h.Kind, h.Role, now}
 	}
--- a/internal/observability/metrics.go
+++ b/internal/observability/metrics.go
@@ -10,6 +10,7 @@
 
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/response"
 	"wheatspur/internal/tuning"
 )
@@ -119,13 +120,13 @@
 	families, err := ob.Metrics.Registry.Gather()
 	if err != nil {
 		response.Error(c, 500, "metrics can't be gathered")
-		ob.Log.Error("metrics can't be gathered", "err", err)
+		ob.Log.Error(logging.EventMetricsNotGathered, logging.KeyError, err)
 		return
 	}
 	var b bytes.Buffer
 	for _, f := range families {
 		if _, err := expfmt.MetricFamilyToText(&b, f); err != nil {
-			ob.Log.Error("metrics can't be written", "err", err)
+			ob.Log.Error(logging.EventMetricsNotWritten, logging.KeyError, err)
 			return
 		}
 	}
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -4,6 +4,7 @@
 
 import (
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/placement"
 	"wheatspur/internal/quota"
 )
@@ -68,7 +69,7 @@
 		t.Compares[key] = sc.Cache.Version(key)
 		t.put(key, jobs.ChunkRecord{Tasks: tasks})
 		for id, e := range c.events {
-			t.logWhenStored("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Machine, "role", string(sc.Inventory.Machines[e.Machine].Role))
+			t.logWhenStored(logging.EventTaskClaimed, logging.KeyTask, jobs.TaskID{Job: j.ID, Task: id}, logging.KeyMachine, e.Machine, logging.KeyRole, string(sc.Inventory.Machines[e.Machine].Role))
 		}
 	}
 	if claimed == 0 || j.Gang() && claimed < len(g.claims) || !sc.admit(t, j.Record.Spec.Team, amount, others) {
--- a/internal/scheduler/misplaced.go
+++ b/internal/scheduler/misplaced.go
@@ -5,6 +5,7 @@
 import (
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/placement"
 )
 
@@ -42,7 +43,7 @@
 			}
 			if placement.FitElsewhere(f, r.Job, r.ID.Task, m.Name) != nil {
 				sc.Workers.StopTask(w, r.ID)
-				sc.Log.Info("service task moves", "task", r.ID, "host", m.Name, "role", string(m.Role), "phase", string(rec.Phase))
+				sc.Log.Info(logging.EventServiceTaskEvicted, logging.KeyTask, r.ID, logging.KeyMachine, m.Name, logging.KeyRole, string(m.Role), logging.KeyPhase, string(rec.Phase))
 				return
 			}
 		}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -10,6 +10,7 @@
 
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/placement"
 	"wheatspur/internal/quota"
 	"wheatspur/internal/store"
@@ -75,7 +76,7 @@
 	if next == nil {
 		return nil
 	}
-	sc.Log.Info("reservations change", "teams", len(next.Teams))
+	sc.Log.Info(logging.EventReservationsChanged, logging.KeyTeams, len(next.Teams))
 	*most--
 	t := sc.newWrite("reserve")
 	t.Compares[quota.ReservationsKey] = sc.Cache.Version(quota.ReservationsKey)
@@ -94,7 +95,7 @@
 	}
 	admission, err := l.Admit(sc.QuotaView(), amount, others)
 	if err != nil {
-		sc.Log.Debug("claims are not admitted", "team", team, "jobs", t.jobIDs, "err", err)
+		sc.Log.Debug(logging.EventClaimsNotAdmitted, logging.KeyTeam, team, logging.KeyJobs, t.jobIDs, logging.KeyError, err)
 		return false
 	}
 	if admission == nil {
@@ -183,7 +184,7 @@
 
 // shareWrite is the write of a team's shares; the lock is held.
 func (sc *Scheduler) shareWrite(w *quota.Write) *PendingWrite {
-	sc.Log.Info("team's shares change", "team", w.Team, "event", string(w.Event))
+	sc.Log.Info(logging.EventSharesChanged, logging.KeyTeam, w.Team, logging.KeyEvent, string(w.Event))
 	t := sc.newWrite(string(w.Event))
 	key := jobs.TeamKey(w.Team)
 	t.Compares[key] = sc.Cache.Version(key)
--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -8,6 +8,7 @@
 
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/tuning"
 	"wheatspur/internal/worker"
 )
@@ -182,7 +183,7 @@
 	t.Compares[jobs.JobKey(d.job.ID)] = sc.Cache.Version(jobs.JobKey(d.job.ID))
 	sc.putChunk(t, d.chunkChange, d.key, tasks)
 	for id, e := range d.events {
-		t.logWhenStored("task released", "task", jobs.TaskID{Job: d.job.ID, Task: id}, "as", string(e.Kind), "host", d.job.Claims[id].Machine)
+		t.logWhenStored(logging.EventTaskReleased, logging.KeyTask, jobs.TaskID{Job: d.job.ID, Task: id}, logging.KeyOutcome, string(e.Kind), logging.KeyMachine, d.job.Claims[id].Machine)
 	}
 	return sc.addWrite(txns, t, d.job.ID, most)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -10,6 +10,7 @@
 	"wheatspur/internal/cluster"
 	"wheatspur/internal/fleet"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/placement"
 	"wheatspur/internal/timing"
 	"wheatspur/internal/tuning"
@@ -142,7 +143,7 @@
 		}
 		sc.Workers.StopTask(w, r.ID)
 		sc.preemptedFor[r.For] = now
-		sc.Log.Debug("task stopped for a job of higher claim", "task", r.ID, "host", w.Machine, "for", r.For)
+		sc.Log.Debug(logging.EventTaskPreempted, logging.KeyTask, r.ID, logging.KeyMachine, w.Machine, logging.KeyPreemptedFor, r.For)
 	}
 }
 
--- a/internal/scheduler/write.go
+++ b/internal/scheduler/write.go
@@ -8,6 +8,7 @@
 	"sort"
 
 	"wheatspur/internal/cluster"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/quota"
 	"wheatspur/internal/store"
@@ -75,7 +76,7 @@
 	revision, err := sc.Store.CompareAndSwap(cctx, t.Class, guards, t.Operations)
 	stop()
 	if err != nil {
-		sc.Log.Debug("write failed", "what", t.Kind, "jobs", t.jobIDs, "err", err)
+		sc.Log.Debug(logging.EventCompareAndSwapFailed, logging.KeyKind, t.Kind, logging.KeyJobs, t.jobIDs, logging.KeyError, err)
 		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
 			// What is stored now decides; read it before the next try.
 			_ = sc.Syncer.ReadBarrier(tuning.BarrierWait)
@@ -96,7 +97,7 @@
 		if errors.Is(err, store.ErrMalformed) {
 			// It would be refused again: guards against a write every pass.
 			sc.BackoffUntil[jobID] = sc.Now().Add(tuning.RetryCap)
-			sc.Log.Error("write refused as malformed", "what", t.Kind, "job", jobID, "err", err)
+			sc.Log.Error(logging.EventCompareAndSwapMalformed, logging.KeyKind, t.Kind, logging.KeyJob, jobID, logging.KeyError, err)
 		} else if err != nil {
 			sc.BackoffUntil[jobID] = sc.Now().Add(timing.Jitter(tuning.ConflictPause))
 		} else {
