--- a/internal/controller/answers_fixture_test.go
+++ b/internal/controller/answers_fixture_test.go
@@ -23,6 +23,8 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 
 	"wheatspur/internal/config"
+	"wheatspur/internal/jobs"
+	"wheatspur/internal/member"
 	"wheatspur/internal/peer"
 	"wheatspur/internal/standin"
 	"wheatspur/internal/store"
@@ -126,6 +128,12 @@
 	n.awaitCalls()
 }
 
+// changeMembership stores the membership once more, unseen: writes that are
+// guarded by the one before fail.
+func (c *cluster) changeMembership() {
+	c.st.Put(member.Key, c.st.Keys[member.Key].Value)
+}
+
 // readTypes lets the leader ask the cloud for the types of machines.
 func (c *cluster) readTypes() {
 	c.t.Helper()
@@ -175,6 +183,34 @@
 	}
 }
 
+// waitingJobs stores jobs that wait for a job.
+func (c *cluster) waitingJobs(number int, dependsOn string) {
+	for i := range number {
+		spec := work(fmt.Sprintf("wk-%d", 1000+i), 1)
+		spec.DependsOn = []string{dependsOn}
+		c.st.Put(jobs.JobKey(spec.ID), wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, Tasks: 1, Chunk: 70, Spec: &spec}))
+	}
+	c.sync()
+}
+
+// damageTeam stores a record of a team's shares that can't be read.
+func (c *cluster) damageTeam(team string) {
+	c.st.Put(jobs.TeamKey(team), wire.Raw{0xff})
+	c.sync()
+}
+
+// decideSplits lets the leader decide how the machines of each type are split
+// between the roles.
+func (c *cluster) decideSplits() {
+	n := c.leader()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := c.clk.now()
+	l, machines := n.leadMemory(), n.machines(now)
+	n.noteArrivals(l, now)
+	n.stepRoles(l, machines, now)
+}
+
 // drain stops a node cleanly.
 func (c *cluster) drain(label string) {
 	c.t.Helper()
