--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,5 +1,3 @@
-// Package store talks to the state service: a client with a request budget, a
-// watch-fed cache of versions, and the read barrier.
 package store
 
 import (
@@ -17,32 +15,6 @@
 	"wheatspur/wire"
 )
 
-// Outcomes of a call that did not succeed.
-var (
-	// ErrRejected: the service did not execute the request (429, 503).
-	ErrRejected = errors.New("state service refused")
-	// ErrOutcomeUnknown: no answer; the request may have been, or may yet be, executed.
-	ErrOutcomeUnknown = errors.New("state service did not answer")
-	// ErrConflict: a guard failed.
-	ErrConflict = errors.New("guard failed")
-	// ErrLeaseExpired: the lease has ended.
-	ErrLeaseExpired = errors.New("lease has ended")
-	// ErrCompacted: the watch position is too old.
-	ErrCompacted = errors.New("watch position is too old")
-	// ErrMalformed: the service holds the request malformed.
-	ErrMalformed = errors.New("state service holds the request malformed")
-)
-
-// KeyValueStore is what the rest of the program needs of the state service.
-type KeyValueStore interface {
-	List(ctx context.Context, prefix, after string) (wire.ListResponse, error)
-	CompareAndSwap(ctx context.Context, c Class, guards []wire.Compare, changes []wire.Operation) (uint64, error)
-	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
-	RenewLease(ctx context.Context, leaseID uint64) error
-	RevokeLease(ctx context.Context, leaseID uint64) error
-	Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.WatchResponse, error)
-}
-
 // Client is the HTTP client of the state service.
 type Client struct {
 	addr    string
--- a/internal/store/limiter.go
+++ b/internal/store/limiter.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"math"
 	"sync"
 	"time"
@@ -22,9 +21,6 @@
 	classes
 )
 
-// ErrQueueFull says that a limiter's buffer for the class is full.
-var ErrQueueFull = errors.New("budget buffer is full")
-
 // Limiter shares a budget of requests and writes per second between classes.
 // Each class has a small buffer; what does not fit is refused at once.
 type Limiter struct {
