--- /dev/null
+++ b/internal/store/client_test.go
@@ -0,0 +1,87 @@
+package store
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"wheatspur/wire"
+)
+
+// newTestClient returns a client of a store that answers every request with the
+// status and body given, and the client's limiter.
+func newTestClient(t *testing.T, status int, body []byte) (*Client, *Limiter) {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(status)
+		if _, err := w.Write(body); err != nil {
+			t.Error(err)
+		}
+	}))
+	t.Cleanup(server.Close)
+	now := time.Now()
+	limiter := NewLimiter(100, 100, 1, func() time.Time { return now })
+	return NewClient(strings.TrimPrefix(server.URL, "http://"), limiter), limiter
+}
+
+func TestClientErrorsByStatus(t *testing.T) {
+	ctx := t.Context()
+	list := func(c *Client) error { _, err := c.List(ctx, "w/", ""); return err }
+	watch := func(c *Client) error { _, err := c.Watch(ctx, "w/", 0, 0); return err }
+	compareAndSwap := func(c *Client) error { _, err := c.CompareAndSwap(ctx, ClassClaim, nil, nil); return err }
+	grantLease := func(c *Client) error { _, err := c.GrantLease(ctx, time.Second); return err }
+	renewLease := func(c *Client) error { return c.RenewLease(ctx, 7) }
+	result := func(r wire.TransactionResult) []byte { return wire.MustMarshal(r) }
+	for _, c := range []struct {
+		name   string
+		status int
+		body   []byte
+		call   func(*Client) error
+		want   error
+		text   string
+	}{
+		{"rate limit exceeded", 429, nil, list, ErrRejected, "state service refused"},
+		{"overloaded", 503, nil, compareAndSwap, ErrRejected, "state service refused"},
+		{"list: other status", 500, nil, list, ErrMalformed, "state service holds the request malformed: list: status 500"},
+		{"watch: position compacted", 410, nil, watch, ErrCompacted, "watch position is too old"},
+		{"watch: other status", 400, nil, watch, ErrMalformed, "state service holds the request malformed: watch: status 400"},
+		{"compare-and-swap: compares failed", 409, result(wire.TransactionResult{FailedCompares: []string{"w/a", "w/b"}}), compareAndSwap,
+			ErrConflict, "guard failed: [w/a w/b]"},
+		{"compare-and-swap: lease expired", 400, result(wire.TransactionResult{Error: "no such lease"}), compareAndSwap,
+			ErrLeaseExpired, "lease has ended"},
+		{"compare-and-swap: malformed", 400, result(wire.TransactionResult{Error: "too large"}), compareAndSwap,
+			ErrMalformed, "state service holds the request malformed: transaction: status 400 too large"},
+		{"compare-and-swap: malformed, without a reason", 400, nil, compareAndSwap,
+			ErrMalformed, "state service holds the request malformed: transaction: status 400 "},
+		{"compare-and-swap: undecodable answer", 200, []byte{0xff}, compareAndSwap,
+			ErrOutcomeUnknown, `state service did not answer: cbor: unexpected "break" code`},
+		{"grant lease: other status", 400, nil, grantLease, ErrMalformed, "state service holds the request malformed: lease: status 400"},
+		{"renew lease: expired", 404, nil, renewLease, ErrLeaseExpired, "lease has ended"},
+		{"renew lease: other status", 400, nil, renewLease, ErrMalformed,
+			"state service holds the request malformed: POST /leases/7/touch: status 400"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			client, limiter := newTestClient(t, c.status, c.body)
+			err := c.call(client)
+			if !errors.Is(err, c.want) || err.Error() != c.text {
+				t.Errorf("error %q, want %q", err, c.text)
+			}
+			if empty := limiter.AvailableWrites(0) == 0; empty != (c.status == 429) {
+				t.Errorf("bucket empty: %v", empty)
+			}
+		})
+	}
+}
+
+func TestClientReportsUnknownOutcomeWithoutAnswer(t *testing.T) {
+	client, _ := newTestClient(t, 200, nil)
+	client.addr = "127.0.0.1:1"
+	client.http.Addr = client.addr
+	if err := client.RenewLease(context.Background(), 7); !errors.Is(err, ErrOutcomeUnknown) {
+		t.Errorf("error %v, want ErrOutcomeUnknown", err)
+	}
+}
