--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -15,49 +15,69 @@
 	"wheatspur/wire"
 )
 
-// Client is the HTTP client of the state service.
+// listTimeout bounds the read of one page: it carries far more than other answers.
+const listTimeout = 2 * tuning.StoreCallTimeout
+
+// noSuchLease is the reason by which the store rejects a transaction that attaches a
+// key to an expired lease.
+const noSuchLease = "no such lease"
+
+// Client is the HTTP client of the key-value store. It implements KeyValueStore.
 type Client struct {
 	addr    string
 	http    *fasthttp.HostClient
 	limiter *Limiter
 }
 
-// NewClient returns a client of the service at addr.
-func NewClient(addr string, lim *Limiter) *Client {
-	return &Client{addr: addr, limiter: lim, http: httpclient.Host(addr, tuning.StoreConns)}
+// NewClient returns a client of the store at addr; every call acquires its budget
+// from the limiter first.
+func NewClient(addr string, limiter *Limiter) *Client {
+	return &Client{addr: addr, limiter: limiter, http: httpclient.Host(addr, tuning.StoreConns)}
 }
 
-// call sends one request; out may be nil.
+// call sends one request and returns the status of its answer. in is the request's
+// body and out takes the answer's; either may be nil.
 func (c *Client) call(method, path string, in, out any, timeout time.Duration) (int, error) {
 	var body []byte
 	if in != nil {
 		var err error
 		if body, err = wire.Marshal(in); err != nil {
-			return 0, fmt.Errorf("%w: %v", ErrMalformed, err)
+			return 0, fmt.Errorf("%w: %w", ErrMalformed, err)
 		}
 	}
 	status, answer, err := httpclient.Do(c.http, method, c.addr, path, body, timeout)
-	if errors.Is(err, fasthttp.ErrNoFreeConns) {
-		return 0, ErrRejected
-	} else if err != nil {
-		return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
-	}
-	switch status {
-	case 429:
+	switch {
+	case errors.Is(err, fasthttp.ErrNoFreeConns):
+		return 0, ErrRejected // nothing was sent
+	case err != nil:
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+	case status == fasthttp.StatusTooManyRequests:
 		c.limiter.EmptyBucket()
 		return status, ErrRejected
-	case 503:
+	case status == fasthttp.StatusServiceUnavailable:
 		return status, ErrRejected
+	case out == nil:
+		return status, nil
 	}
-	if out != nil && (status == 200 || status == 409 || status == 400) {
-		if err := wire.Unmarshal(answer, out); err != nil && status != 400 {
-			return status, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
+	return status, decodeAnswer(status, answer, out)
+}
+
+// decodeAnswer enters the body of an answer in out, if the status is one with a body
+// that counts.
+func decodeAnswer(status int, answer []byte, out any) error {
+	switch status {
+	case fasthttp.StatusOK, fasthttp.StatusConflict:
+		if err := wire.Unmarshal(answer, out); err != nil {
+			return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		}
+	case fasthttp.StatusBadRequest:
+		// The body only explains the status; the request is malformed without it, too.
+		_ = wire.Unmarshal(answer, out)
 	}
-	return status, nil
+	return nil
 }
 
-// List reads one page of keys.
+// List implements KeyValueStore.
 func (c *Client) List(ctx context.Context, prefix, after string) (wire.ListResponse, error) {
 	var out wire.ListResponse
 	if err := c.limiter.Acquire(ctx, ClassRead, 0); err != nil {
@@ -67,63 +87,65 @@
 	if after != "" {
 		path += "&after=" + url.QueryEscape(after)
 	}
-	status, err := c.call("GET", path, nil, &out, 2*tuning.StoreCallTimeout)
-	if err == nil && status != 200 {
-		err = fmt.Errorf("%w: list: status %d", ErrMalformed, status)
+	status, err := c.call(fasthttp.MethodGet, path, nil, &out, listTimeout)
+	if err == nil && status != fasthttp.StatusOK {
+		err = &StatusError{Call: "list", Status: status}
 	}
 	return out, err
 }
 
-// CompareAndSwap runs a transaction and returns the revision of its changes.
-func (c *Client) CompareAndSwap(ctx context.Context, cl Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
-	if err := c.limiter.Acquire(ctx, cl, len(changes)); err != nil {
+// CompareAndSwap implements KeyValueStore. After an ErrConflict, too, it returns the
+// store's revision.
+func (c *Client) CompareAndSwap(ctx context.Context, class Class, compares []wire.Compare, operations []wire.Operation) (uint64, error) {
+	if err := c.limiter.Acquire(ctx, class, len(operations)); err != nil {
 		return 0, err
 	}
-	if guards == nil {
-		guards = []wire.Compare{}
+	// An empty list goes as a list, not as null.
+	if compares == nil {
+		compares = []wire.Compare{}
 	}
-	if changes == nil {
-		changes = []wire.Operation{}
+	if operations == nil {
+		operations = []wire.Operation{}
 	}
 	var out wire.TransactionResult
-	status, err := c.call("POST", "/multi", wire.Transaction{Compares: guards, Operations: changes}, &out, tuning.StoreCallTimeout)
+	status, err := c.call(fasthttp.MethodPost, "/multi", wire.Transaction{Compares: compares, Operations: operations}, &out, tuning.StoreCallTimeout)
 	switch {
 	case err != nil:
 		return 0, err
-	case status == 200:
+	case status == fasthttp.StatusOK:
 		return out.Revision, nil
-	case status == 409:
-		return out.Revision, fmt.Errorf("%w: %v", ErrConflict, out.FailedCompares)
-	case status == 400 && out.Error == "no such lease":
+	case status == fasthttp.StatusConflict:
+		return out.Revision, &ConflictError{FailedCompares: out.FailedCompares}
+	case status == fasthttp.StatusBadRequest && out.Error == noSuchLease:
 		return 0, ErrLeaseExpired
 	}
-	return 0, fmt.Errorf("%w: transaction: status %d %s", ErrMalformed, status, out.Error)
+	return 0, fmt.Errorf("%w %s", &StatusError{Call: "transaction", Status: status}, out.Error)
 }
 
-// GrantLease asks for a lease.
+// GrantLease implements KeyValueStore.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	if err := c.limiter.Acquire(ctx, ClassLease, 0); err != nil {
 		return 0, err
 	}
 	var out wire.LeaseResponse
-	status, err := c.call("POST", "/leases", wire.LeaseRequest{TTLMs: uint64(ttl.Milliseconds())}, &out, tuning.StoreCallTimeout)
-	if err == nil && status != 200 {
-		err = fmt.Errorf("%w: lease: status %d", ErrMalformed, status)
+	status, err := c.call(fasthttp.MethodPost, "/leases", wire.LeaseRequest{TTLMs: uint64(ttl.Milliseconds())}, &out, tuning.StoreCallTimeout)
+	if err == nil && status != fasthttp.StatusOK {
+		err = &StatusError{Call: "lease", Status: status}
 	}
 	return out.ID, err
 }
 
-// RenewLease renews a lease.
+// RenewLease implements KeyValueStore.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
-	return c.leaseRequest(ctx, "POST", fmt.Sprintf("/leases/%d/touch", leaseID))
+	return c.leaseRequest(ctx, fasthttp.MethodPost, fmt.Sprintf("/leases/%d/touch", leaseID))
 }
 
-// RevokeLease ends a lease at once.
+// RevokeLease implements KeyValueStore.
 func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
-	return c.leaseRequest(ctx, "DELETE", fmt.Sprintf("/leases/%d", leaseID))
+	return c.leaseRequest(ctx, fasthttp.MethodDelete, fmt.Sprintf("/leases/%d", leaseID))
 }
 
-// leaseRequest sends a request about a lease that has no answer but its status.
+// leaseRequest sends a request about an existing lease; its answer is the status alone.
 func (c *Client) leaseRequest(ctx context.Context, method, path string) error {
 	if err := c.limiter.Acquire(ctx, ClassLease, 0); err != nil {
 		return err
@@ -132,28 +154,28 @@
 	switch {
 	case err != nil:
 		return err
-	case status == 404:
+	case status == fasthttp.StatusNotFound:
 		return ErrLeaseExpired
-	case status != 200:
-		return fmt.Errorf("%w: %s %s: status %d", ErrMalformed, method, path, status)
+	case status != fasthttp.StatusOK:
+		return &StatusError{Call: method + " " + path, Status: status}
 	}
 	return nil
 }
 
-// Watch waits for changes after the given revision.
+// Watch implements KeyValueStore.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.WatchResponse, error) {
 	var out wire.WatchResponse
 	if err := c.limiter.Acquire(ctx, ClassRead, 0); err != nil {
 		return out, err
 	}
 	path := fmt.Sprintf("/watch?starts=%s&after=%d&hold_ms=%d", url.QueryEscape(prefix), after, hold.Milliseconds())
-	status, err := c.call("GET", path, nil, &out, hold+tuning.StoreCallTimeout)
+	status, err := c.call(fasthttp.MethodGet, path, nil, &out, hold+tuning.StoreCallTimeout)
 	switch {
 	case err != nil:
-	case status == 410:
+	case status == fasthttp.StatusGone:
 		err = ErrCompacted
-	case status != 200:
-		err = fmt.Errorf("%w: watch: status %d", ErrMalformed, status)
+	case status != fasthttp.StatusOK:
+		err = &StatusError{Call: "watch", Status: status}
 	}
 	return out, err
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -1,11 +1,12 @@
 package store
 
 import (
-	"context"
 	"errors"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -77,11 +78,27 @@
 	}
 }
 
-func TestClientReportsUnknownOutcomeWithoutAnswer(t *testing.T) {
+func TestClientErrorsCarryTheirDetails(t *testing.T) {
+	client, _ := newTestClient(t, 409, wire.MustMarshal(wire.TransactionResult{Revision: 9, FailedCompares: []string{"w/a"}}))
+	revision, err := client.CompareAndSwap(t.Context(), ClassClaim, nil, nil)
+	var conflict *ConflictError
+	if !errors.As(err, &conflict) || !slices.Equal(conflict.FailedCompares, []string{"w/a"}) || revision != 9 {
+		t.Errorf("revision %d, error %#v; want 9 and a conflict on w/a", revision, err)
+	}
+	client, _ = newTestClient(t, 500, nil)
+	_, err = client.CompareAndSwap(t.Context(), ClassClaim, nil, nil)
+	var answer *StatusError
+	if !errors.As(err, &answer) || answer.Status != 500 {
+		t.Errorf("error %#v, want a StatusError with 500", err)
+	}
+}
+
+func TestClientReportsUnknownOutcomeWithItsCause(t *testing.T) {
 	client, _ := newTestClient(t, 200, nil)
-	client.addr = "127.0.0.1:1"
+	client.addr = "127.0.0.1:1" // nothing listens there
 	client.http.Addr = client.addr
-	if err := client.RenewLease(context.Background(), 7); !errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("error %v, want ErrOutcomeUnknown", err)
+	err := client.RenewLease(t.Context(), 7)
+	if !errors.Is(err, ErrOutcomeUnknown) || !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("error %v, want ErrOutcomeUnknown that wraps the refused connection", err)
 	}
 }
