--- a/internal/store/cache_test.go
+++ b/internal/store/cache_test.go
@@ -6,96 +6,104 @@
 	"wheatspur/wire"
 )
 
-func val(s string) wire.Raw { return wire.MustMarshal(s) }
+func encoded(value string) wire.Raw { return wire.MustMarshal(value) }
 
-type seen map[string]string
+// cachedValues are the values that a cache has handed out, as the controller keeps them.
+type cachedValues map[string]string
 
-func (s seen) sink(key string, v wire.Raw, _ uint64) {
-	if v == nil {
-		delete(s, key)
+func (v cachedValues) update(key string, raw wire.Raw, _ uint64) {
+	if raw == nil {
+		delete(v, key)
 		return
 	}
-	var t string
-	if err := wire.Unmarshal(v, &t); err != nil {
+	var value string
+	if err := wire.Unmarshal(raw, &value); err != nil {
 		panic(err)
 	}
-	s[key] = t
+	v[key] = value
 }
 
-func TestCacheTakesEachChangeOnceAndInOrder(t *testing.T) {
-	got := seen{}
-	c := NewCache(got.sink)
-	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
-	if !c.Consistent() || c.Version("a") != 5 {
-		t.Fatal("the load is not settled")
+// loadedCache returns a cache that holds what one page showed at revision 10, and the
+// values that it hands out.
+func loadedCache(t *testing.T, pairs ...wire.KeyValue) (*Cache, cachedValues) {
+	t.Helper()
+	values := cachedValues{}
+	cache := NewCache(values.update)
+	cache.Load(pairs, 10, 10)
+	if !cache.Consistent() || cache.Revision() != 10 {
+		t.Fatalf("after a load at one revision: consistent %v, revision %d", cache.Consistent(), cache.Revision())
 	}
-	// Our own write is ahead of the watch.
-	c.ApplyOwnWrite([]wire.Operation{{Put: "a", Value: val("3")}}, 13)
-	c.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 12}, {Put: "b", Value: val("x"), Version: 11}}})
-	if got["a"] != "3" || got["b"] != "x" || c.Revision() != 12 {
-		t.Fatalf("an older event has overwritten our own write: %v revision %d", got, c.Revision())
+	for _, pair := range pairs {
+		if cache.Version(pair.Key) != pair.Version {
+			t.Fatalf("version of %s after the load: %d, want %d", pair.Key, cache.Version(pair.Key), pair.Version)
+		}
+	}
+	return cache, values
+}
+
+func TestCacheKeepsNewestVersionOfEachKey(t *testing.T) {
+	cache, values := loadedCache(t, wire.KeyValue{Key: "a", Value: encoded("1"), Version: 5})
+	// The controller's own write is ahead of the watch.
+	cache.ApplyOwnWrite([]wire.Operation{{Put: "a", Value: encoded("3")}}, 13)
+	cache.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: encoded("2"), Version: 12}, {Put: "b", Value: encoded("x"), Version: 11}}})
+	if values["a"] != "3" || values["b"] != "x" || cache.Revision() != 12 {
+		t.Fatalf("an older event has overwritten the own write: %v revision %d", values, cache.Revision())
 	}
 	// A response of an older watch changes nothing.
-	c.Apply(wire.WatchResponse{Revision: 11, Events: []wire.WatchEvent{{Put: "b", Value: val("old"), Version: 11}}})
-	if got["b"] != "x" || c.Revision() != 12 {
-		t.Fatalf("a late response was applied: %v", got)
+	cache.Apply(wire.WatchResponse{Revision: 11, Events: []wire.WatchEvent{{Put: "b", Value: encoded("old"), Version: 11}}})
+	if values["b"] != "x" || cache.Revision() != 12 {
+		t.Fatalf("a late response was applied: %v", values)
 	}
 }
 
-// A key that we dropped ourselves must not come back by an older event.
-func TestCacheOwnDropHoldsAgainstOlderEvents(t *testing.T) {
-	got := seen{}
-	c := NewCache(got.sink)
-	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
-	c.ApplyOwnWrite([]wire.Operation{{Delete: "a"}}, 14)
-	c.Apply(wire.WatchResponse{Revision: 13, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 12}}})
-	if _, ok := got["a"]; ok || c.Version("a") != 0 {
-		t.Fatal("a dropped key came back")
+// A key that the controller deleted itself must not come back by an older event.
+func TestCacheOwnDeletionSurvivesOlderEvents(t *testing.T) {
+	cache, values := loadedCache(t, wire.KeyValue{Key: "a", Value: encoded("1"), Version: 5})
+	cache.ApplyOwnWrite([]wire.Operation{{Delete: "a"}}, 14)
+	cache.Apply(wire.WatchResponse{Revision: 13, Events: []wire.WatchEvent{{Put: "a", Value: encoded("2"), Version: 12}}})
+	if _, ok := values["a"]; ok || cache.Version("a") != 0 {
+		t.Fatal("a deleted key came back")
 	}
-	c.Apply(wire.WatchResponse{Revision: 15, Events: []wire.WatchEvent{{Delete: "a", Version: 14}, {Put: "a", Value: val("4"), Version: 15}}})
-	if got["a"] != "4" {
-		t.Fatal("a key set anew is missing")
+	cache.Apply(wire.WatchResponse{Revision: 15, Events: []wire.WatchEvent{{Delete: "a", Version: 14}, {Put: "a", Value: encoded("4"), Version: 15}}})
+	if values["a"] != "4" {
+		t.Fatal("a key put anew is missing")
 	}
 }
 
 // The answer to a write came after the watch had shown it, and after it that
-// another node dropped the key: the key came back for good.
-func TestALateAnswerDoesNotBringADroppedKeyBack(t *testing.T) {
-	got := seen{}
-	c := NewCache(got.sink)
-	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}}, 10, 10)
-	c.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 11}, {Delete: "a", Version: 12}}})
-	c.ApplyOwnWrite([]wire.Operation{{Put: "a", Value: val("2")}}, 11)
-	if _, ok := got["a"]; ok || c.Version("a") != 0 {
-		t.Fatal("a dropped key came back by a late answer")
+// another controller deleted the key: the key came back for good.
+func TestCacheLateWriteAnswerDoesNotRestoreDeletedKey(t *testing.T) {
+	cache, values := loadedCache(t, wire.KeyValue{Key: "a", Value: encoded("1"), Version: 5})
+	cache.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: encoded("2"), Version: 11}, {Delete: "a", Version: 12}}})
+	cache.ApplyOwnWrite([]wire.Operation{{Put: "a", Value: encoded("2")}}, 11)
+	if _, ok := values["a"]; ok || cache.Version("a") != 0 {
+		t.Fatal("a deleted key came back by a late answer")
 	}
 }
 
 // Pages of one read show different revisions: decisions wait until the watch has
 // caught up with the last page, or a team's key could be newer than the claims
 // that the cache holds.
-func TestCacheIsUnsettledUntilTheLastPagesEpoch(t *testing.T) {
-	got := seen{}
-	c := NewCache(got.sink)
-	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}, {Key: "z", Value: val("1"), Version: 12}}, 10, 12)
-	if c.Consistent() {
-		t.Fatal("settled between two revisions")
+func TestCacheInconsistentUntilWatchReachesLastPage(t *testing.T) {
+	values := cachedValues{}
+	cache := NewCache(values.update)
+	cache.Load([]wire.KeyValue{{Key: "a", Value: encoded("1"), Version: 5}, {Key: "z", Value: encoded("1"), Version: 12}}, 10, 12)
+	if cache.Consistent() {
+		t.Fatal("consistent between two revisions")
 	}
-	c.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: val("2"), Version: 12}, {Put: "z", Value: val("1"), Version: 12}}})
-	if !c.Consistent() || got["a"] != "2" {
-		t.Fatal("not settled after the watch has caught up")
+	cache.Apply(wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Put: "a", Value: encoded("2"), Version: 12}, {Put: "z", Value: encoded("1"), Version: 12}}})
+	if !cache.Consistent() || values["a"] != "2" {
+		t.Fatal("not consistent after the watch has caught up")
 	}
 }
 
-func TestCacheReloadForgetsWhatIsGone(t *testing.T) {
-	got := seen{}
-	c := NewCache(got.sink)
-	c.Load([]wire.KeyValue{{Key: "a", Value: val("1"), Version: 5}, {Key: "b", Value: val("1"), Version: 6}}, 10, 10)
-	c.Load([]wire.KeyValue{{Key: "b", Value: val("1"), Version: 6}}, 20, 20)
-	if _, ok := got["a"]; ok {
+func TestCacheReloadDropsKeysNoLongerListed(t *testing.T) {
+	cache, values := loadedCache(t, wire.KeyValue{Key: "a", Value: encoded("1"), Version: 5}, wire.KeyValue{Key: "b", Value: encoded("1"), Version: 6})
+	cache.Load([]wire.KeyValue{{Key: "b", Value: encoded("1"), Version: 6}}, 20, 20)
+	if _, ok := values["a"]; ok {
 		t.Fatal("a key that is gone stayed")
 	}
-	if got["b"] != "1" {
-		t.Fatal("a key that stands was lost")
+	if values["b"] != "1" {
+		t.Fatal("a key that still exists was lost")
 	}
 }
--- a/internal/store/syncer.go
+++ b/internal/store/syncer.go
@@ -11,33 +11,36 @@
 	"wheatspur/wire"
 )
 
-// Syncer keeps a cache current and serves read barriers.
+// Syncer keeps a cache current by a watch and serves read barriers. Run and
+// ServeBarriers are its two loops; the controller runs both and waits for them.
 type Syncer struct {
 	store     KeyValueStore
 	prefix    string
 	cacheLock sync.Locker // guards the cache
 	cache     *Cache
-	onChange  func() // called with mu held after changes
+	onChange  func() // called with cacheLock held after each read
 	now       func() time.Time
 	log       *slog.Logger
 
 	barrierMu      sync.Mutex
-	barrierWaiters []chan error
-	barrierWake    chan struct{}
-	barrierLimit   int
+	barrierWaiters []chan error  // each has room for its one answer
+	barrierWake    chan struct{} // holds one signal that callers wait
+	barrierLimit   int           // of callers that wait
 
 	readMu     sync.Mutex
 	lastReadAt time.Time
 }
 
-// NewSyncer returns a syncer; mu guards the cache and after is called with it
-// held whenever the cache has changed.
-func NewSyncer(svc KeyValueStore, prefix string, mu sync.Locker, c *Cache, after func(), room int, now func() time.Time, log *slog.Logger) *Syncer {
-	return &Syncer{store: svc, prefix: prefix, cacheLock: mu, cache: c, onChange: after, now: now, log: log,
-		barrierWake: make(chan struct{}, 1), barrierLimit: room}
+// NewSyncer returns a syncer for the keys with the prefix. cacheLock guards the
+// cache; onChange is called with it held after each read that was entered.
+// barrierLimit bounds the callers that wait for a read barrier.
+func NewSyncer(store KeyValueStore, prefix string, cacheLock sync.Locker, cache *Cache, onChange func(), barrierLimit int, now func() time.Time, log *slog.Logger) *Syncer {
+	return &Syncer{store: store, prefix: prefix, cacheLock: cacheLock, cache: cache, onChange: onChange, now: now, log: log,
+		barrierWake: make(chan struct{}, 1), barrierLimit: barrierLimit}
 }
 
-// LastReadAt is the send time of the last answered read.
+// LastReadAt is the send time of the last answered watch: all that was stored before
+// it is in the cache.
 func (s *Syncer) LastReadAt() time.Time {
 	s.readMu.Lock()
 	defer s.readMu.Unlock()
@@ -52,7 +55,9 @@
 	}
 }
 
-// Run keeps the cache current until ctx ends.
+// Run keeps the cache current until ctx ends: a full read, then one watch after the
+// other, and a full read again when the store no longer keeps the events that
+// the next watch needs.
 func (s *Syncer) Run(ctx context.Context) error {
 	loaded := false
 	for ctx.Err() == nil {
@@ -85,104 +90,134 @@
 			return nil
 		case <-s.barrierWake:
 		}
-		s.barrierMu.Lock()
-		ws := s.barrierWaiters
-		s.barrierWaiters = nil
-		s.barrierMu.Unlock()
-		if len(ws) == 0 {
+		waiters := s.takeBarrierWaiters()
+		if len(waiters) == 0 {
 			continue
 		}
-		s.cacheLock.Lock()
-		ready := s.cache.loaded
-		s.cacheLock.Unlock()
 		err := error(ErrRejected)
-		if ready {
+		if s.isLoaded() {
 			err = s.Refresh(ctx)
 		}
-		for _, w := range ws {
-			w <- err
+		for _, waiter := range waiters {
+			waiter <- err
 		}
 		pause(ctx, tuning.BarrierPause)
 	}
 }
 
 // ReadBarrier returns nil once the cache holds everything that was stored before
-// the call. All callers that wait at the same time share one request.
+// the call, which makes a following read of the cache linearizable. All callers
+// that wait at the same time share one request.
 func (s *Syncer) ReadBarrier(timeout time.Duration) error {
-	w := make(chan error, 1)
-	s.barrierMu.Lock()
-	if len(s.barrierWaiters) >= s.barrierLimit {
-		s.barrierMu.Unlock()
+	waiter := make(chan error, 1)
+	if !s.addBarrierWaiter(waiter) {
 		return ErrQueueFull
 	}
-	s.barrierWaiters = append(s.barrierWaiters, w)
-	s.barrierMu.Unlock()
 	select {
 	case s.barrierWake <- struct{}{}:
 	default:
 	}
-	t := time.NewTimer(timeout)
-	defer t.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case err := <-w:
+	case err := <-waiter:
 		return err
-	case <-t.C:
+	case <-timer.C:
 		return ErrOutcomeUnknown
 	}
 }
 
+// addBarrierWaiter reports whether there was room for one more.
+func (s *Syncer) addBarrierWaiter(waiter chan error) bool {
+	s.barrierMu.Lock()
+	defer s.barrierMu.Unlock()
+	if len(s.barrierWaiters) >= s.barrierLimit {
+		return false
+	}
+	s.barrierWaiters = append(s.barrierWaiters, waiter)
+	return true
+}
+
+func (s *Syncer) takeBarrierWaiters() []chan error {
+	s.barrierMu.Lock()
+	defer s.barrierMu.Unlock()
+	waiters := s.barrierWaiters
+	s.barrierWaiters = nil
+	return waiters
+}
+
+func (s *Syncer) isLoaded() bool {
+	s.cacheLock.Lock()
+	defer s.cacheLock.Unlock()
+	return s.cache.loaded
+}
+
+func (s *Syncer) revision() uint64 {
+	s.cacheLock.Lock()
+	defer s.cacheLock.Unlock()
+	return s.cache.Revision()
+}
+
+// update changes the cache and calls onChange, in one critical section.
+func (s *Syncer) update(change func(*Cache)) {
+	s.cacheLock.Lock()
+	defer s.cacheLock.Unlock()
+	change(s.cache)
+	s.onChange()
+}
+
 // Refresh reads all changes up to now.
 func (s *Syncer) Refresh(ctx context.Context) error { return s.watch(ctx, 0) }
 
 func (s *Syncer) watch(ctx context.Context, hold time.Duration) error {
-	s.cacheLock.Lock()
-	revision := s.cache.Revision()
-	s.cacheLock.Unlock()
+	revision := s.revision()
 	sent := s.now()
-	ev, err := s.store.Watch(ctx, s.prefix, revision, hold)
+	response, err := s.store.Watch(ctx, s.prefix, revision, hold)
 	if err != nil {
 		return err
 	}
-	s.cacheLock.Lock()
-	s.cache.Apply(ev)
-	s.onChange()
-	s.cacheLock.Unlock()
+	s.update(func(c *Cache) { c.Apply(response) })
 	s.recordRead(sent)
 	return nil
 }
 
 // Load reads all keys and enters them.
 func (s *Syncer) Load(ctx context.Context) error {
-	var all []wire.KeyValue
-	var base, last uint64
+	pairs, base, last, err := s.list(ctx)
+	if err != nil {
+		return err
+	}
+	s.update(func(c *Cache) { c.Load(pairs, base, last) })
+	return nil
+}
+
+// list reads all pages of keys, and returns the revisions that the first and the
+// last of them showed.
+func (s *Syncer) list(ctx context.Context) (pairs []wire.KeyValue, base, last uint64, err error) {
 	after := ""
 	for {
 		page, err := s.store.List(ctx, s.prefix, after)
 		if err != nil {
-			return err
+			return nil, 0, 0, err
 		}
 		if after == "" {
 			base = page.Revision
 		}
 		last = page.Revision
-		all = append(all, page.KeyValues...)
+		pairs = append(pairs, page.KeyValues...)
 		if !page.Truncated || len(page.KeyValues) == 0 {
-			break
+			return pairs, base, last, nil
 		}
 		after = page.KeyValues[len(page.KeyValues)-1].Key
 	}
-	s.cacheLock.Lock()
-	s.cache.Load(all, base, last)
-	s.onChange()
-	s.cacheLock.Unlock()
-	return nil
 }
 
+// pause waits for d or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
