--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -7,7 +7,7 @@
 	MachineFailed   = "failed"
 )
 
-// MachineType is a type of machine that the cloud rents out.
+// MachineType is a type of machine that the cloud offers.
 type MachineType struct {
 	Label       string   `cbor:"label"`
 	CPUs        float64  `cbor:"cpus"`
@@ -26,7 +26,8 @@
 	Types []MachineType `cbor:"rigs"`
 }
 
-// ScaleOutRequest is the body of POST /hosts. A name is used once.
+// ScaleOutRequest is the body of POST /hosts. The name makes a repeat of the
+// request idempotent, so each is used once.
 type ScaleOutRequest struct {
 	Name        string `cbor:"hire"`
 	MachineType string `cbor:"rig"`
@@ -51,7 +52,7 @@
 	AgeS        float64 `cbor:"held_s"`
 }
 
-// MachinePage answers GET /hosts.
+// MachinePage answers GET /hosts. A truncated page is followed by the next one.
 type MachinePage struct {
 	Machines  []Machine `cbor:"hosts"`
 	Truncated bool      `cbor:"truncated"`
--- a/wire/users.go
+++ b/wire/users.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"math"
 	"regexp"
 	"slices"
 )
@@ -15,8 +14,8 @@
 const (
 	KindArray   = "array"
 	KindService = "standing"
-	// KindGang is an array whose tasks only run all at once. The protocol's
-	// text does not describe it; see docs/questions.md.
+	// KindGang asks for gang scheduling: all of its tasks run at once or none
+	// does. The protocol's text does not describe it; see docs/questions.md.
 	KindGang = "gang"
 )
 
@@ -36,8 +35,9 @@
 	StateCancelled = "cancelled"
 )
 
-// JobSpec describes a job: the body of POST /work. Its JSON form is what the
-// state service counts.
+// JobSpec describes a job: the body of POST /work. The size of its JSON form is
+// what counts against the value limit of the key-value store, so the json tags
+// and the order of the fields stay as they are.
 type JobSpec struct {
 	ID                  string   `cbor:"ref" json:"ref"`
 	Class               string   `cbor:"cohort" json:"cohort"`
@@ -71,6 +71,21 @@
 	"bundle", "image_gb", "together", "apart", "windfall", "reckon_s", "stake_s", "stash_s",
 }
 
+// Bounds on the fields of a submission: lengths in bytes, amounts in their units.
+const (
+	maxClassLength       = 200
+	maxTeamLength        = 100
+	maxImageLength       = 200
+	maxMachineTypes      = 32
+	maxMachineTypeLength = 100
+	maxZoneLength        = 100
+	maxAmount            = 1e9
+)
+
+// firstSimpleNull is CBOR's null. As a value of one byte, it and everything
+// above it (undefined, and what has no meaning alone) carries nothing.
+const firstSimpleNull = 0xf6
+
 var jobIDPattern = regexp.MustCompile(`^wk-[0-9]{1,18}$`)
 
 // ValidJobID reports whether s has the form of a job id.
@@ -79,78 +94,106 @@
 // ErrMalformed is the kind of every error of DecodeJobSpec.
 var ErrMalformed = errors.New("malformed")
 
-func malformed(format string, a ...any) error {
-	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, a...))
+func malformed(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
 // DecodeJobSpec decodes and checks the body of POST /work.
-func DecodeJobSpec(b []byte) (JobSpec, error) {
-	var w JobSpec
-	if len(b) > MaxBody {
-		return w, malformed("body over %d bytes", MaxBody)
+func DecodeJobSpec(body []byte) (JobSpec, error) {
+	var spec JobSpec
+	if len(body) > MaxBody {
+		return spec, malformed("body over %d bytes", MaxBody)
 	}
 	var fields map[string]Raw
-	if err := Unmarshal(b, &fields); err != nil || fields == nil {
-		return w, malformed("not a CBOR map")
+	if err := Unmarshal(body, &fields); err != nil || fields == nil {
+		return spec, malformed("not a CBOR map")
 	}
-	for _, f := range requiredFields {
-		if v, ok := fields[f]; !ok || len(v) == 1 && v[0] >= 0xf6 {
-			return w, malformed("%s is missing", f)
-		}
+	if err := checkRequired(fields); err != nil {
+		return spec, err
 	}
-	if err := Unmarshal(b, &w); err != nil {
-		return w, malformed("%v", err)
+	if err := Unmarshal(body, &spec); err != nil {
+		return spec, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	// The decoder reads a null among the job ids as an empty text.
+	var dependsOn []*string
+	if raw, ok := fields["awaits"]; ok && (Unmarshal(raw, &dependsOn) != nil || slices.Contains(dependsOn, nil)) {
+		return spec, malformed("awaits is not a list of texts")
+	}
+	return spec, spec.check()
+}
+
+// checkRequired tells an absent or null field from one that holds the zero
+// value, which decoding alone does not.
+func checkRequired(fields map[string]Raw) error {
+	for _, name := range requiredFields {
+		if value, ok := fields[name]; !ok || len(value) == 1 && value[0] >= firstSimpleNull {
+			return malformed("%s is missing", name)
+		}
 	}
-	// A null among the texts would be read as an empty one.
-	var names []*string
-	if raw, ok := fields["awaits"]; ok && (Unmarshal(raw, &names) != nil || slices.Contains(names, nil)) {
-		return w, malformed("awaits is not a list of texts")
+	return nil
+}
+
+// check returns the first fault; which of several is reported, too, is part of
+// what users see.
+func (s *JobSpec) check() error {
+	if err := s.checkTexts(); err != nil {
+		return err
 	}
-	return w, w.check()
+	return s.checkAmounts()
 }
 
-func (w *JobSpec) check() error {
+func (s *JobSpec) checkTexts() error {
 	switch {
-	case !ValidJobID(w.ID):
-		return malformed("ref %q is not a job id", w.ID)
-	case w.Class == "" || len(w.Class) > 200:
+	case !ValidJobID(s.ID):
+		return malformed("ref %q is not a job id", s.ID)
+	case !lengthWithin(s.Class, maxClassLength):
 		return malformed("cohort is invalid")
-	case w.Team == "" || len(w.Team) > 100:
+	case !lengthWithin(s.Team, maxTeamLength):
 		return malformed("crew is invalid")
-	case w.Kind != KindArray && w.Kind != KindService && w.Kind != KindGang:
-		return malformed("shape %q is unknown", w.Kind)
-	case w.Priority != PriorityCritical && w.Priority != PriorityUrgent && w.Priority != PriorityNormal && w.Priority != PriorityLow:
-		return malformed("rank %q is unknown", w.Priority)
-	case w.Tasks < 1 || w.Tasks > MaxTasks:
-		return malformed("shards %d is out of range", w.Tasks)
-	case w.Image == "" || len(w.Image) > 200:
+	case !slices.Contains([]string{KindArray, KindService, KindGang}, s.Kind):
+		return malformed("shape %q is unknown", s.Kind)
+	case !slices.Contains([]string{PriorityCritical, PriorityUrgent, PriorityNormal, PriorityLow}, s.Priority):
+		return malformed("rank %q is unknown", s.Priority)
+	case s.Tasks < 1 || s.Tasks > MaxTasks:
+		return malformed("shards %d is out of range", s.Tasks)
+	case !lengthWithin(s.Image, maxImageLength):
 		return malformed("bundle is invalid")
-	case len(w.MachineTypes) > 32:
+	case len(s.MachineTypes) > maxMachineTypes:
 		return malformed("rigs names too many types")
 	}
-	for _, r := range w.MachineTypes {
-		if r == "" || len(r) > 100 {
+	for _, machineType := range s.MachineTypes {
+		if !lengthWithin(machineType, maxMachineTypeLength) {
 			return malformed("rigs is invalid")
 		}
 	}
-	if w.Zone != nil && (*w.Zone == "" || len(*w.Zone) > 100) {
+	if s.Zone != nil && !lengthWithin(*s.Zone, maxZoneLength) {
 		return malformed("plot is invalid")
 	}
-	for _, a := range []struct {
-		name string
-		v    float64
-	}{{"cpus", w.CPUs}, {"cards", w.GPUs}, {"ram_gb", w.RAMGB}, {"image_gb", w.ImageGB},
-		{"reckon_s", w.EstimateS}, {"stake_s", w.CheckpointIntervalS}, {"stash_s", w.CheckpointWriteS}} {
-		if !(a.v >= 0) || math.IsInf(a.v, 0) || a.v > 1e9 {
-			return malformed("%s is out of range", a.name)
+	return nil
+}
+
+// lengthWithin reports whether a text is present and at most longest bytes long.
+func lengthWithin(text string, longest int) bool { return text != "" && len(text) <= longest }
+
+func (s *JobSpec) checkAmounts() error {
+	for _, field := range []struct {
+		name   string
+		amount float64
+	}{{"cpus", s.CPUs}, {"cards", s.GPUs}, {"ram_gb", s.RAMGB}, {"image_gb", s.ImageGB},
+		{"reckon_s", s.EstimateS}, {"stake_s", s.CheckpointIntervalS}, {"stash_s", s.CheckpointWriteS}} {
+		if !validAmount(field.amount) {
+			return malformed("%s is out of range", field.name)
 		}
 	}
-	if w.DeadlineS != nil && (!(*w.DeadlineS >= 0) || *w.DeadlineS > 1e9) {
+	if s.DeadlineS != nil && !validAmount(*s.DeadlineS) {
 		return malformed("due_s is out of range")
 	}
 	return nil
 }
 
+// validAmount is false for NaN and the infinities, too.
+func validAmount(amount float64) bool { return amount >= 0 && amount <= maxAmount }
+
 // JobStatus answers a submission, a poll or a cancellation.
 type JobStatus struct {
 	ID      string `cbor:"ref"`
@@ -159,7 +202,7 @@
 	Running int    `cbor:"running"`
 }
 
-// ErrorResponse is the body of every refusal.
+// ErrorResponse is the body of every refused request; Error is meant for the user.
 type ErrorResponse struct {
 	Error string `cbor:"error"`
 }
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -1,6 +1,6 @@
 package wire
 
-// States of tasks in reports.
+// States of a task's attempt in heartbeats.
 const (
 	TaskPulling       = "pulling"
 	TaskRunning       = "running"
@@ -8,7 +8,7 @@
 	TaskExited        = "exited"
 )
 
-// Causes of the exit of a task.
+// Causes of the exit of a task's attempt.
 const (
 	ExitCauseDone    = "done"
 	ExitCauseStopped = "stopped"
@@ -25,7 +25,7 @@
 	VerbReap  = "reap"
 )
 
-// TaskStatus is one attempt of a task in a worker's report.
+// TaskStatus is one attempt of a task in a worker's heartbeat.
 type TaskStatus struct {
 	Task         string `cbor:"shard"`
 	Attempt      uint64 `cbor:"try"`
@@ -34,9 +34,11 @@
 	Checkpointed bool   `cbor:"saved,omitempty"`
 }
 
-// Heartbeat is the body of POST /checkin: what a worker runs. Session numbers the
-// worker's sessions, Sequence the reports of a session, and Token is the highest
-// that the worker has seen.
+// Heartbeat is the body of POST /checkin: what a worker runs. A worker enters a
+// new incarnation, without tasks, when its lease expires; Sequence counts the
+// heartbeats of an incarnation, and FencingToken is the highest that the worker
+// has seen. TerminationNoticeS is nil unless the cloud has announced that it
+// terminates the machine.
 type Heartbeat struct {
 	Machine            string       `cbor:"host"`
 	Address            string       `cbor:"address"`
@@ -50,7 +52,8 @@
 	Tasks              []TaskStatus `cbor:"shards"`
 }
 
-// Command is one command about one attempt of a task.
+// Command is one command about one attempt of a task. GracePeriodS belongs to
+// VerbKill.
 type Command struct {
 	Verb         string   `cbor:"verb"`
 	Task         string   `cbor:"shard"`
@@ -58,21 +61,22 @@
 	GracePeriodS *float64 `cbor:"leeway_s,omitempty"`
 }
 
-// HeartbeatResponse answers a report; it renews the worker's lease.
+// HeartbeatResponse answers a heartbeat; it renews the worker's lease.
 type HeartbeatResponse struct {
 	FencingToken uint64    `cbor:"baton"`
 	Commands     []Command `cbor:"orders"`
 }
 
-// CommandRequest is the body of POST /commands at a worker.
+// CommandRequest is the body of POST /commands at a worker, which refuses it if
+// it has seen a higher fencing token or is of another incarnation.
 type CommandRequest struct {
 	FencingToken uint64    `cbor:"baton"`
 	Incarnation  uint64    `cbor:"stint"`
 	Commands     []Command `cbor:"orders"`
 }
 
-// Redirect answers a report that another node should handle; it names that
-// node, if it is known.
+// Redirect answers a heartbeat that another controller should handle; it names
+// that controller, if it is known.
 type Redirect struct {
 	Node string `cbor:"foreman,omitempty"`
 }
