--- a/internal/jobs/pipeline.go
+++ b/internal/jobs/dependencies.go
@@ -4,7 +4,6 @@
 	"slices"
 
 	"wheatspur/internal/tuning"
-	"wheatspur/wire"
 )
 
 // Jobs that depend on others. What a waiting job may do is never stored: it follows
@@ -12,26 +11,6 @@
 // one of them changes, in work lists whose length follows what changes. Done
 // and cancelled are final, so what is derived from them stands for ever.
 
-// ValidateDependencies refuses a list that names what can't be depended on; accepted tells of a job whether it is known,
-// and whether it is a service.
-func ValidateDependencies(w *wire.JobSpec, accepted func(jobID string) (known, service bool)) error {
-	for _, jobID := range w.DependsOn {
-		if !wire.ValidJobID(jobID) {
-			return ValidationError("awaits names no job: " + jobID[:min(len(jobID), 40)])
-		}
-		if jobID == w.ID {
-			return ValidationError("a job can't await itself")
-		}
-		switch known, service := accepted(jobID); {
-		case !known:
-			return ValidationError("awaits names a job that was never accepted: " + jobID)
-		case service:
-			return ValidationError("awaits names a service, which never ends: " + jobID)
-		}
-	}
-	return nil
-}
-
 // dependencies lists the jobs that a job still waits for by its own record.
 func (j *Job) dependencies() []string {
 	if j.Record.Spec == nil || j.Record.Phase.Final() {
--- a/internal/jobs/machine.go
+++ b/internal/jobs/task.go
@@ -1,48 +1,11 @@
 package jobs
 
-import "fmt"
-
-// Phase is the stored state of a job.
-type Phase string
-
-// Phases of a job.
-const (
-	Open Phase = "open"
-	// Waiting is the phase of a job that depends on others. It stays stored until
-	// the job ends: whether the job may start, or is cancelled with one that it
-	// depends on, follows from the records of those (Table). Versions that do not
-	// know the phase answer "queued" and never place such a job.
-	Waiting   Phase = "waiting"
-	Done      Phase = "done"
-	Cancelled Phase = "cancelled"
-)
-
-// Final reports whether the phase never changes again.
-func (p Phase) Final() bool { return p == Done || p == Cancelled }
-
-// JobEvent changes a job's phase.
-type JobEvent string
-
-// Events of a job.
-const (
-	JobCompleted JobEvent = "completed" // all tasks are stored done
-	JobCancel    JobEvent = "cancel"    // its user asked, or a job that it depends on is cancelled
-	JobReleased  JobEvent = "released"  // all jobs that it depends on are stored done
+import (
+	"fmt"
+	"strconv"
+	"strings"
 )
 
-// Next is the one function that changes a job's phase.
-func (p Phase) Next(e JobEvent) (Phase, error) {
-	switch {
-	case p == Open && e == JobCompleted:
-		return Done, nil
-	case (p == Open || p == Waiting) && e == JobCancel:
-		return Cancelled, nil
-	case p == Waiting && e == JobReleased:
-		return Open, nil
-	}
-	return p, fmt.Errorf("job: no %s in phase %s", e, p)
-}
-
 // State is the stored state of a task.
 type State uint8
 
@@ -92,3 +55,42 @@
 	}
 	return t, fmt.Errorf("task: no %s in state %s", e.Kind, t.State)
 }
+
+// Task is the stored form of one task.
+type Task struct {
+	_           struct{} `cbor:",toarray"`
+	State       State
+	Attempt     uint64
+	Machine     string
+	Incarnation uint64
+	Failures    uint64
+}
+
+// TaskName names a task the way workers do.
+func TaskName(jobID string, task int) string { return jobID + "/" + strconv.Itoa(task) }
+
+// ParseTaskName splits a worker's task name.
+func ParseTaskName(s string) (jobID string, task int, ok bool) {
+	jobID, t, ok := strings.Cut(s, "/")
+	if !ok {
+		return "", 0, false
+	}
+	task, err := strconv.Atoi(t)
+	return jobID, task, err == nil && task >= 0
+}
+
+// TaskID names a task.
+type TaskID struct {
+	Job  string
+	Task int
+}
+
+// Less orders tasks by job and number.
+func (id TaskID) Less(o TaskID) bool {
+	if id.Job != o.Job {
+		return id.Job < o.Job
+	}
+	return id.Task < o.Task
+}
+
+func (id TaskID) String() string { return fmt.Sprintf("%s/%d", id.Job, id.Task) }
