--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -1,7 +1,7 @@
 package worker
 
 import (
-	"sort"
+	"slices"
 	"strconv"
 	"time"
 
@@ -11,13 +11,13 @@
 	"wheatspur/wire"
 )
 
-// CommandKey is one command about one attempt. A report must show its effect to
-// prove that it was carried out.
+// CommandKey is one command about one attempt. It was carried out once a
+// heartbeat shows its effect.
 type CommandKey struct{ verb, task string }
 
 // KeyOf returns the key of a command.
-func KeyOf(o wire.Command) CommandKey {
-	return CommandKey{o.Verb, commandTask(o.Task, o.Attempt)}
+func KeyOf(command wire.Command) CommandKey {
+	return CommandKey{command.Verb, commandTask(command.Task, command.Attempt)}
 }
 
 // commandTask names an attempt of a task in a command's key.
@@ -25,98 +25,110 @@
 	return task + "#" + strconv.FormatUint(attempt, 10)
 }
 
-// Channel is a way to tell a worker something.
+// Channel is a way to send commands to a worker.
 type Channel int
 
 // Channels to a worker.
 const (
-	HeartbeatAnswer Channel = iota // the answer to a report
+	HeartbeatAnswer Channel = iota // the answer to a heartbeat
 	DirectCall                     // a call of ours
 )
 
-// CommandOptions say how commands are about to go, and which starts may.
+// CommandOptions say how commands are about to be sent, and which starts may be.
 type CommandOptions struct {
 	Channel     Channel
-	AllowStarts bool // the state service can be read
+	AllowStarts bool // the key-value store can be read
 	Now         time.Time
 	// AwaitCall keeps a start out of an answer while a direct call that holds it
 	// has just been sent.
 	AwaitCall bool
-	// ResendAfter is how long a start that went directly is not sent so again.
+	// ResendAfter is how long a start that was sent by a direct call is not sent
+	// so again.
 	ResendAfter time.Duration
-	// RepeatAfter is how long a start that went in an answer to a report is not sent
-	// again directly: until the next report shows what came of it.
+	// RepeatAfter is how long a start that was sent in an answer to a heartbeat is
+	// not sent again by a direct call: until the next heartbeat shows its effect.
 	RepeatAfter time.Duration
 	// AdmitStart takes a start that is due from the rate of starts; false if it has to
 	// wait. nil: there is no bound.
-	AdmitStart func(j *jobs.Job) bool
+	AdmitStart func(job *jobs.Job) bool
 }
 
-// Commands returns the commands that the stored claims call for. postponed says
-// that there are starts which have to wait, or are under way. Reaps in it may
-// travel in report responses only: a start in the response to an earlier report
-// is then surely over, while a direct reap could overtake it.
-func (w *Worker) Commands(claims map[jobs.TaskID]*jobs.Job, o CommandOptions) (out []wire.Command, postponed bool) {
+// Commands returns the commands that the stored claims call for, in the order of
+// their tasks. postponed says that there are starts which have to wait or are in
+// flight. Reaps may be sent in answers to heartbeats only: a start in the answer
+// to an earlier heartbeat is then surely over, while a reap in a direct call
+// could overtake it.
+func (w *Worker) Commands(claims map[jobs.TaskID]*jobs.Job, options CommandOptions) (commands []wire.Command, postponed bool) {
 	if w.State == LeaseExpired {
 		return nil, false
 	}
-	session := w.observedWorker()
-	session.AllowStarts = o.AllowStarts
-	zero := 0.0
+	observed := w.observedWorker()
+	observed.AllowStarts = options.AllowStarts
 	for _, id := range w.taskIDs(claims) {
-		if len(out) >= tuning.TasksPerMachine {
+		if len(commands) >= tuning.TasksPerMachine {
 			break // the next answer holds the rest
 		}
-		j := claims[id]
-		var t jobs.Task
-		if j != nil {
-			t = j.Claims[id.Task]
+		job := claims[id]
+		var task jobs.Task
+		if job != nil {
+			task = job.Claims[id.Task]
 		}
-		s, on := w.Tasks[id]
-		session.StartPending = on && w.isStartPending(Attempt{id, s.Attempt})
-		session.Stopping = w.Stopping[id]
-		d := recovery.Commands(desiredTask(j, t), observedTask(s, on), session)
-		switch d.Stop {
-		case recovery.Kill:
-			out = append(out, wire.Command{Verb: wire.VerbKill, Task: s.Task, Attempt: s.Attempt, GracePeriodS: &zero})
-		case recovery.KillWithCheckpoint:
-			grace := 0.0
-			if spec := j.Record.Spec; spec != nil {
-				grace = spec.CheckpointWriteS
-			}
-			out = append(out, wire.Command{Verb: wire.VerbKill, Task: s.Task, Attempt: s.Attempt, GracePeriodS: &grace})
-		case recovery.Reap:
-			out = append(out, wire.Command{Verb: wire.VerbReap, Task: s.Task, Attempt: s.Attempt})
+		status, listed := w.Tasks[id]
+		observed.StartPending = listed && w.isStartPending(Attempt{id, status.Attempt})
+		observed.Stopping = w.Stopping[id]
+		decision := recovery.Commands(desiredTask(job, task), observedTask(status, listed), observed)
+		if stop, due := stopCommand(decision.Stop, job, status); due {
+			commands = append(commands, stop)
 		}
-		if !d.Start {
+		if !decision.Start {
 			continue
 		}
-		if w.startInFlight(Attempt{id, t.Attempt}, o) || o.AdmitStart != nil && !o.AdmitStart(j) {
+		if w.isStartInFlight(Attempt{id, task.Attempt}, options) || options.AdmitStart != nil && !options.AdmitStart(job) {
 			postponed = true
 			continue
 		}
-		out = append(out, wire.Command{Verb: wire.VerbStart, Task: id.String(), Attempt: t.Attempt})
+		commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: id.String(), Attempt: task.Attempt})
 	}
-	return out, postponed
+	return commands, postponed
 }
 
-// startInFlight reports whether a start of the attempt has gone to the worker,
-// and what came of it will show by itself: a direct call that has not ended, or
-// the answer to a report that no later one has followed. Guards against telling
-// workers twice what they are about to do: after an outage of all nodes, a fifth
-// of the starts were.
-func (w *Worker) startInFlight(a Attempt, o CommandOptions) bool {
-	if o.Channel == HeartbeatAnswer {
-		// The report is newer than any answer before it. A call that takes long
+// stopCommand is the command that ends a listed task, if one is due. job is that
+// of the task's claim, nil if there is none.
+func stopCommand(stop recovery.Stop, job *jobs.Job, status wire.TaskStatus) (command wire.Command, due bool) {
+	command = wire.Command{Task: status.Task, Attempt: status.Attempt}
+	switch stop {
+	case recovery.Kill:
+		command.Verb, command.GracePeriodS = wire.VerbKill, new(float64)
+	case recovery.KillWithCheckpoint:
+		command.Verb, command.GracePeriodS = wire.VerbKill, new(float64)
+		if spec := job.Record.Spec; spec != nil {
+			*command.GracePeriodS = spec.CheckpointWriteS
+		}
+	case recovery.Reap:
+		command.Verb = wire.VerbReap
+	default:
+		return wire.Command{}, false
+	}
+	return command, true
+}
+
+// isStartInFlight reports whether a start of the attempt was sent to the worker,
+// and its effect will show by itself: a direct call that has not ended, or the
+// answer to a heartbeat that no later one has followed. Guards against sending
+// workers twice what they are about to do: after an outage of all controllers, a
+// fifth of the starts were.
+func (w *Worker) isStartInFlight(attempt Attempt, options CommandOptions) bool {
+	if options.Channel == HeartbeatAnswer {
+		// The heartbeat is newer than any answer before it. A call that takes long
 		// may never arrive, while answers do.
-		return o.AwaitCall && w.CallInFlight && w.isStartPending(a) && o.Now.Sub(w.LastCall) < tuning.StartCallGrace
+		return options.AwaitCall && w.CallInFlight && w.isStartPending(attempt) && options.Now.Sub(w.LastCall) < tuning.StartCallGrace
 	}
-	start := CommandKey{wire.VerbStart, commandTask(a.ID.String(), a.Number)}
-	if sent, ok := w.SentCommands[start]; ok && o.Now.Sub(sent) <= o.ResendAfter {
+	start := CommandKey{wire.VerbStart, commandTask(attempt.ID.String(), attempt.Number)}
+	if sent, ok := w.SentCommands[start]; ok && options.Now.Sub(sent) <= options.ResendAfter {
 		return true
 	}
-	_, answered := w.answeredStarts[a]
-	return answered && o.Now.Sub(w.LastAnswered) < o.RepeatAfter
+	_, answered := w.answeredStarts[attempt]
+	return answered && options.Now.Sub(w.LastAnswered) < options.RepeatAfter
 }
 
 // taskIDs lists the tasks that are claimed for the machine or listed by it, in
@@ -124,13 +136,13 @@
 func (w *Worker) taskIDs(claims map[jobs.TaskID]*jobs.Job) []jobs.TaskID {
 	ids := make([]jobs.TaskID, 0, len(claims)+len(w.Tasks))
 	for id := range claims {
-		if _, on := w.Tasks[id]; !on {
+		if _, listed := w.Tasks[id]; !listed {
 			ids = append(ids, id)
 		}
 	}
 	for id := range w.Tasks {
 		ids = append(ids, id)
 	}
-	sort.Slice(ids, func(a, b int) bool { return ids[a].Less(ids[b]) })
+	slices.SortFunc(ids, compareTaskIDs)
 	return ids
 }
--- a/internal/worker/lease.go
+++ b/internal/worker/lease.go
@@ -6,8 +6,9 @@
 	"wheatspur/internal/tuning"
 )
 
-// LeaseRenewedAt is the latest time at which a proven session's lease may have been
-// renewed: its last report that we answered had arrived by then.
+// LeaseRenewedAt is the latest time at which we may have renewed the lease of
+// an incarnation that has acknowledged our token: the last heartbeat that we
+// answered had arrived by then.
 func (w *Worker) LeaseRenewedAt() time.Time {
 	if w.LastAnswered.After(w.AcknowledgedAt) {
 		return w.LastAnswered
@@ -15,10 +16,11 @@
 	return w.AcknowledgedAt
 }
 
-// ExpireLease reports whether the session's lease has surely ended: the worker
-// showed our token, so that only our answers renew it, and the last report
-// that we answered arrived too long ago. A report is sent before it arrives,
-// and the worker counts from the sending.
+// ExpireLease notes and reports whether the incarnation's lease has surely
+// expired: the worker has acknowledged our token, so that only our answers renew
+// the lease, and the last heartbeat that we answered arrived too long ago. A
+// heartbeat is sent before it arrives, and the worker counts from the sending,
+// so its lease expires no later than here.
 func (w *Worker) ExpireLease(now time.Time, lease time.Duration) bool {
 	if w.State != TokenAcknowledged {
 		return w.State == LeaseExpired
--- a/internal/worker/reconcile.go
+++ b/internal/worker/reconcile.go
@@ -1,7 +1,8 @@
 package worker
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"wheatspur/internal/jobs"
@@ -9,88 +10,102 @@
 	"wheatspur/wire"
 )
 
-// desiredTask is a claim on the machine as package recovery takes it; j is nil if there
-// is none.
-func desiredTask(j *jobs.Job, t jobs.Task) recovery.DesiredTask {
-	if j == nil {
-		return recovery.DesiredTask{}
-	}
-	return recovery.DesiredTask{Claimed: true, Open: j.Phase == jobs.Open, Cancelled: j.Phase == jobs.Cancelled, Attempt: t.Attempt, Incarnation: t.Incarnation}
-}
-
-// observedTask is a task of a report as package recovery takes it.
-func observedTask(s wire.TaskStatus, on bool) recovery.ObservedTask {
-	l := recovery.ObservedTask{Attempt: s.Attempt}
-	switch {
-	case !on:
-		return recovery.ObservedTask{}
-	case s.State == wire.TaskExited:
-		l.State = recovery.Exited
-	case s.State == wire.TaskCheckpointing:
-		l.State = recovery.Checkpointing
-	default:
-		l.State = recovery.Alive
-	}
-	switch s.ExitCause {
-	case wire.ExitCauseDone:
-		l.Cause = recovery.ExitDone
-	case wire.ExitCauseError, wire.ExitCauseUnknown:
-		l.Cause = recovery.ExitFailed
-	}
-	return l
-}
-
-// observedWorker is the worker's session as package recovery takes it.
-func (w *Worker) observedWorker() recovery.Worker {
-	s := recovery.Worker{Incarnation: w.Incarnation}
-	switch w.State {
-	case TokenAcknowledged:
-		s.State = recovery.TokenAcknowledged
-	case LeaseExpired:
-		s.State = recovery.LeaseExpired
-	}
-	return s
-}
-
-// ProvenEnd is a claim whose end is proven.
+// ProvenEnd is a claim whose attempt has surely ended.
 type ProvenEnd struct {
 	Task  jobs.TaskID
-	Kind  jobs.TaskEventKind
-	Cause string
+	Kind  jobs.TaskEventKind // what the end means for the task
+	Cause string             // the worker's exit cause, or the reason of package recovery
 }
 
-// endEvents are the events of a claim's task that the proofs lead to.
+// endEvents are the events of a claim's task that proven updates lead to.
 var endEvents = map[recovery.TaskUpdate]jobs.TaskEventKind{
 	recovery.UpdateDone: jobs.Complete, recovery.UpdateFailed: jobs.Fail, recovery.UpdateReleased: jobs.Release,
 }
 
-// ProvenEnds returns the claims on the machine whose attempts have surely ended.
-// claims are those stored for this machine.
+// ProvenEnds returns the claims on the machine whose attempts have surely ended,
+// in the order of their tasks. claims are those stored for this machine.
 func (w *Worker) ProvenEnds(claims map[jobs.TaskID]*jobs.Job, now time.Time, lease time.Duration) []ProvenEnd {
 	w.ExpireLease(now, lease)
-	session := w.observedWorker()
-	var out []ProvenEnd
-	defer func() { w.nothingToReconcile = len(out) == 0 }()
-	for id, j := range claims {
-		t := j.Claims[id.Task]
-		s, on := w.Tasks[id]
-		session.NeverRan = j.Phase == jobs.Cancelled && w.neverRan(Attempt{id, t.Attempt})
-		record, reason := recovery.ProvenUpdate(desiredTask(j, t), observedTask(s, on), session)
-		if record == recovery.NoUpdate {
+	observed := w.observedWorker()
+	var ends []ProvenEnd
+	for id, job := range claims {
+		task := job.Claims[id.Task]
+		status, listed := w.Tasks[id]
+		observed.NeverRan = job.Phase == jobs.Cancelled && w.neverRan(Attempt{id, task.Attempt})
+		update, reason := recovery.ProvenUpdate(desiredTask(job, task), observedTask(status, listed), observed)
+		if update == recovery.NoUpdate {
 			continue
 		}
 		cause := string(reason)
 		if reason == recovery.ReasonExited {
-			cause = s.ExitCause
+			cause = status.ExitCause
 		}
-		out = append(out, ProvenEnd{id, endEvents[record], cause})
+		ends = append(ends, ProvenEnd{id, endEvents[update], cause})
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Task.Less(out[b].Task) })
-	return out
+	slices.SortFunc(ends, func(a, b ProvenEnd) int { return compareTaskIDs(a.Task, b.Task) })
+	w.nothingToReconcile = len(ends) == 0
+	return ends
 }
 
-// NothingToReconcile reports whether Proofs would return nothing: it did, and since
-// then nothing has changed, nor has the session's lease ended.
+// NothingToReconcile reports whether ProvenEnds would return nothing: it did,
+// and since then nothing has changed, nor has the lease expired.
 func (w *Worker) NothingToReconcile(now time.Time, lease time.Duration) bool {
 	return w.nothingToReconcile && !w.ExpireLease(now, lease)
 }
+
+// desiredTask is a claim on the machine in the form of package recovery; job is
+// nil if there is none.
+func desiredTask(job *jobs.Job, task jobs.Task) recovery.DesiredTask {
+	if job == nil {
+		return recovery.DesiredTask{}
+	}
+	return recovery.DesiredTask{
+		Claimed:     true,
+		Open:        job.Phase == jobs.Open,
+		Cancelled:   job.Phase == jobs.Cancelled,
+		Attempt:     task.Attempt,
+		Incarnation: task.Incarnation,
+	}
+}
+
+// observedTask is a task of a message in the form of package recovery.
+func observedTask(status wire.TaskStatus, listed bool) recovery.ObservedTask {
+	if !listed {
+		return recovery.ObservedTask{}
+	}
+	observed := recovery.ObservedTask{Attempt: status.Attempt}
+	switch status.State {
+	case wire.TaskExited:
+		observed.State = recovery.Exited
+	case wire.TaskCheckpointing:
+		observed.State = recovery.Checkpointing
+	default:
+		observed.State = recovery.Alive
+	}
+	switch status.ExitCause {
+	case wire.ExitCauseDone:
+		observed.Cause = recovery.ExitDone
+	case wire.ExitCauseError, wire.ExitCauseUnknown:
+		observed.Cause = recovery.ExitFailed
+	}
+	return observed
+}
+
+// observedWorker is the worker's incarnation in the form of package recovery.
+func (w *Worker) observedWorker() recovery.Worker {
+	observed := recovery.Worker{Incarnation: w.Incarnation, State: recovery.TokenUnacknowledged}
+	switch w.State {
+	case TokenAcknowledged:
+		observed.State = recovery.TokenAcknowledged
+	case LeaseExpired:
+		observed.State = recovery.LeaseExpired
+	}
+	return observed
+}
+
+func compareTaskIDs(a, b jobs.TaskID) int {
+	if c := cmp.Compare(a.Job, b.Job); c != 0 {
+		return c
+	}
+	return cmp.Compare(a.Task, b.Task)
+}
--- a/internal/worker/starts.go
+++ b/internal/worker/starts.go
@@ -6,13 +6,13 @@
 	"wheatspur/wire"
 )
 
-// Attempt is one try of a task.
+// Attempt is one attempt of a task.
 type Attempt struct {
 	ID     jobs.TaskID
 	Number uint64
 }
 
-// pendingStart is a direct start under a token.
+// pendingStart is a direct start under a fencing token.
 type pendingStart struct {
 	Attempt
 	token uint64
@@ -20,89 +20,95 @@
 
 // StartedAttempts lists the attempts that a list of commands starts.
 func StartedAttempts(commands []wire.Command) []Attempt {
-	var out []Attempt
-	for _, o := range commands {
-		if o.Verb != wire.VerbStart {
+	var started []Attempt
+	for _, command := range commands {
+		if command.Verb != wire.VerbStart {
 			continue
 		}
-		if jobID, n, ok := jobs.ParseTaskName(o.Task); ok {
-			out = append(out, Attempt{jobs.TaskID{Job: jobID, Task: n}, o.Attempt})
+		if jobID, task, ok := jobs.ParseTaskName(command.Task); ok {
+			started = append(started, Attempt{jobs.TaskID{Job: jobID, Task: task}, command.Attempt})
 		}
 	}
-	return out
+	return started
 }
 
 // StartsSent notes direct starts that are about to be sent.
 func (w *Worker) StartsSent(starts []Attempt, token uint64) {
-	for _, a := range starts {
-		w.pendingStarts[pendingStart{a, token}]++
+	for _, attempt := range starts {
+		w.pendingStarts[pendingStart{attempt, token}]++
 	}
 }
 
 // StartsAnswered notes that a direct call with these starts was answered by a
-// report with this session and sequence.
-func (w *Worker) StartsAnswered(starts []Attempt, token, session, sequence uint64) {
+// message with this incarnation and sequence.
+func (w *Worker) StartsAnswered(starts []Attempt, token, incarnation, sequence uint64) {
 	w.nothingToReconcile = false
-	for _, a := range starts {
-		k := pendingStart{a, token}
-		if w.pendingStarts[k]--; w.pendingStarts[k] <= 0 {
-			delete(w.pendingStarts, k)
+	for _, attempt := range starts {
+		start := pendingStart{attempt, token}
+		if w.pendingStarts[start]--; w.pendingStarts[start] <= 0 {
+			delete(w.pendingStarts, start)
 		}
-		if session == w.Incarnation {
-			w.answeredStarts[a] = max(w.answeredStarts[a], sequence)
+		if incarnation == w.Incarnation {
+			w.answeredStarts[attempt] = max(w.answeredStarts[attempt], sequence)
 		}
 	}
 }
 
 // isStartPending reports whether a direct start of the attempt may yet arrive.
-func (w *Worker) isStartPending(a Attempt) bool {
-	for k := range w.pendingStarts {
-		if k.Attempt == a {
+func (w *Worker) isStartPending(attempt Attempt) bool {
+	for start := range w.pendingStarts {
+		if start.Attempt == attempt {
 			return true
 		}
 	}
 	return false
 }
 
-// neverRan reports whether an attempt of the present session that the newest
+// neverRan reports whether an attempt of this incarnation that the newest
 // message does not list has not begun, and can't any more unless it is started
-// anew: the worker has shown our token, so that former owners' starts are dead;
-// none of ours is under way; and a report has come since the last that was.
-func (w *Worker) neverRan(a Attempt) bool {
-	_, sent := w.answeredStarts[a]
-	return w.State == TokenAcknowledged && !sent && !w.isStartPending(a)
+// anew: the worker has acknowledged our token, so that it refuses former owners'
+// starts; none of ours is pending; and a heartbeat has come since the last that
+// was answered.
+func (w *Worker) neverRan(attempt Attempt) bool {
+	_, answered := w.answeredStarts[attempt]
+	return w.State == TokenAcknowledged && !answered && !w.isStartPending(attempt)
 }
 
-// ClaimsBlockedByStarts lists the claims of cancelled jobs that a start, which may yet arrive,
-// keeps from being released.
+// ClaimsBlockedByStarts lists, in no order, the claims of cancelled jobs that
+// can't be released because a pending start may yet arrive.
 func (w *Worker) ClaimsBlockedByStarts(claims map[jobs.TaskID]*jobs.Job) []Attempt {
 	if len(w.pendingStarts) == 0 {
 		return nil
 	}
-	var out []Attempt
-	for id, j := range claims {
-		a := Attempt{id, j.Claims[id.Task].Attempt}
-		if s, on := w.Tasks[id]; j.Phase == jobs.Cancelled && !(on && s.Attempt == a.Number) && w.isStartPending(a) {
-			out = append(out, a)
+	var blocked []Attempt
+	for id, job := range claims {
+		attempt := Attempt{id, job.Claims[id.Task].Attempt}
+		status, listed := w.Tasks[id]
+		current := listed && status.Attempt == attempt.Number
+		if job.Phase == jobs.Cancelled && !current && w.isStartPending(attempt) {
+			blocked = append(blocked, attempt)
 		}
 	}
-	return out
+	return blocked
 }
 
-// FencePendingStarts makes the starts that are under way void, once the worker
-// shows the token that it returns or answers a call with it. most bounds the tokens of
-// the present membership; false if they are used up. A token that is raised
-// already and not shown yet serves.
-func (w *Worker) FencePendingStarts(most uint64) bool {
-	top := uint64(0)
-	for k := range w.pendingStarts {
-		top = max(top, k.token)
+// FencePendingStarts raises the fencing token of our commands to this worker
+// above that of every pending start, so that the starts are void once a message
+// of the worker carries the new token. It returns false if the tokens of the
+// present membership, which end at maxToken, are used up. A token that is raised
+// already and not yet acknowledged serves.
+func (w *Worker) FencePendingStarts(maxToken uint64) bool {
+	pending := uint64(0) // the highest token of a pending start
+	for start := range w.pendingStarts {
+		pending = max(pending, start.token)
 	}
-	if w.FencingToken <= top {
-		if w.FencingToken+tuning.FencingStep > most {
-			return false
-		}
-		w.FencingToken, w.NoPendingCommands = w.FencingToken+tuning.FencingStep, false
+	if w.FencingToken > pending {
+		return true
+	}
+	if w.FencingToken+tuning.FencingStep > maxToken {
+		return false
 	}
+	w.FencingToken += tuning.FencingStep
+	w.NoPendingCommands = false
 	return true
 }
