--- /dev/null
+++ b/internal/worker/helpers_test.go
@@ -0,0 +1,73 @@
+package worker
+
+import (
+	"testing"
+	"time"
+
+	"wheatspur/internal/jobs"
+	"wheatspur/wire"
+)
+
+const lease = 40 * time.Second
+
+var t0 = time.Unix(1000, 0)
+
+// testMachine is the machine that claims and heartbeats in tests are of.
+const testMachine = "m1"
+
+// testTask is the task that storedClaim claims.
+var testTask = jobs.TaskID{Job: "wk-1", Task: 0}
+
+// storedClaim returns the claims on the test machine: its one job's testTask,
+// claimed for an incarnation.
+func storedClaim(t *testing.T, incarnation, attempt uint64, phase jobs.Phase) map[jobs.TaskID]*jobs.Job {
+	t.Helper()
+	table := jobs.NewTable(func() time.Time { return t0 })
+	spec := wire.JobSpec{ID: testTask.Job, Team: "x", Kind: wire.KindArray, Tasks: 1, CPUs: 1}
+	record := jobs.Record{Phase: phase, Tasks: 1, ChunkSize: 8, Spec: &spec}
+	if err := table.ApplyJob(testTask.Job, wire.MustMarshal(record)); err != nil {
+		t.Fatal(err)
+	}
+	task := jobs.Task{State: jobs.Claimed, Attempt: attempt, Machine: testMachine, Incarnation: incarnation}
+	chunk := jobs.ChunkRecord{Tasks: []jobs.Task{task}}
+	if err := table.ApplyChunk(jobs.ChunkKey(testTask.Job, 0), wire.MustMarshal(chunk)); err != nil {
+		t.Fatal(err)
+	}
+	return table.ClaimsByMachine[testMachine]
+}
+
+func newHeartbeat(incarnation, sequence, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{
+		Machine:      testMachine,
+		Address:      "x:1",
+		Incarnation:  incarnation,
+		Sequence:     sequence,
+		FencingToken: token,
+		Tasks:        tasks,
+	}
+}
+
+// running is testTask, running.
+func running(attempt uint64) wire.TaskStatus {
+	return wire.TaskStatus{Task: testTask.String(), Attempt: attempt, State: wire.TaskRunning}
+}
+
+// exited is testTask, exited.
+func exited(attempt uint64, cause string) wire.TaskStatus {
+	return wire.TaskStatus{Task: testTask.String(), Attempt: attempt, State: wire.TaskExited, ExitCause: cause}
+}
+
+// answerTo is the commands of the answer to a heartbeat.
+func answerTo(w *Worker, claims map[jobs.TaskID]*jobs.Job, allowStarts bool) []wire.Command {
+	commands, _ := w.Commands(claims, CommandOptions{Channel: HeartbeatAnswer, AllowStarts: allowStarts})
+	return commands
+}
+
+// verbsOf is the verbs of commands, with a space after each.
+func verbsOf(commands []wire.Command) string {
+	verbs := ""
+	for _, command := range commands {
+		verbs += command.Verb + " "
+	}
+	return verbs
+}
--- /dev/null
+++ b/internal/worker/starts_test.go
@@ -0,0 +1,40 @@
+package worker
+
+import (
+	"testing"
+
+	"wheatspur/internal/tuning"
+	"wheatspur/wire"
+)
+
+// A start sent under our token before the worker has acknowledged it may be
+// delayed and arrive later: the acknowledgement must not make it forgotten.
+func TestPendingStartUnderOurTokenOutlivesAcknowledgement(t *testing.T) {
+	w := NewWorker(testMachine)
+	starts := []Attempt{{testTask, 1}}
+	w.ApplyHeartbeat(newHeartbeat(1, 1, 5, exited(1, wire.ExitCauseStopped)), 6, t0)
+	w.StartsSent(starts, 6)
+	w.ApplyHeartbeat(newHeartbeat(1, 2, 6, exited(1, wire.ExitCauseStopped)), 6, t0)
+	if verbs := verbsOf(answerTo(w, nil, true)); w.State != TokenAcknowledged || verbs != "" {
+		t.Fatalf("state %s, commands %q", w.State, verbs)
+	}
+	w.StartsAnswered(starts, 6, 1, 2)
+	if verbs := verbsOf(answerTo(w, nil, true)); verbs != "reap " {
+		t.Fatalf("after the answer: %q", verbs)
+	}
+}
+
+func TestFencingStopsAtLastTokenOfMembership(t *testing.T) {
+	const maxToken = 5 + tuning.TokenSpan - 1
+	w := NewWorker(testMachine)
+	w.ApplyHeartbeat(newHeartbeat(1, 3, 5), 5, t0)
+	for i := range 20 {
+		w.StartsSent([]Attempt{{testTask, 2}}, w.FencingToken)
+		if w.FencePendingStarts(maxToken); w.FencingToken > maxToken {
+			t.Fatalf("token %d after %d raises", w.FencingToken, i+1)
+		}
+	}
+	if w.FencePendingStarts(maxToken) {
+		t.Fatal("raised beyond the membership")
+	}
+}
