--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -6,23 +6,24 @@
 	"wheatspur/wire"
 )
 
-// Job is a job as the cache knows it.
+// Job is a job as the Table holds it: its record, its tasks, and what follows from
+// the jobs that it depends on and that depend on it. Only the Table changes it.
 type Job struct {
 	ID        string
 	Record    Record
-	Need      Resources
-	Team      string
-	Chunks    map[int][]Task // chunks that were ever written
-	Counts    [3]int         // tasks per state
-	Claims    map[int]Task   // claimed tasks
-	FirstSeen time.Time      // when this node first saw it
+	Need      Resources      // what one task takes
+	Team      string         // whose quota its claims count against
+	Chunks    map[int][]Task // tasks of the chunks that were ever written, by chunk
+	Counts    [numStates]int // tasks per state
+	Claims    map[int]Task   // claimed tasks by number
+	FirstSeen time.Time      // when this controller first saw it
 
-	// What follows from the records of the jobs that it depends on and of those
-	// that depend on it (see pipeline.go). Phase is open, for a job that is stored
-	// waiting, once all that it depends on is stored done, and cancelled with any of it.
+	// What is derived from the DAG of dependencies (dependencies.go). Phase is Open,
+	// for a job that is stored Waiting, once all that it depends on is stored Done,
+	// and Cancelled with any of it.
 	Phase         Phase
 	CancelledWith string // the job with which it is cancelled
-	ReadyAtMs     int64  // when it might start first, Unix milliseconds
+	ReadyAtMs     int64  // the earliest time at which it may have started, Unix milliseconds
 	Priority      int    // the highest of its own and of those that depend on it; see PriorityOrder
 	DeadlineMs    int64  // when it should be done, for itself and those that depend on it, Unix milliseconds; 0: no deadline
 
@@ -35,57 +36,61 @@
 	return j.Record.Spec != nil && j.Record.Spec.Kind == wire.KindService
 }
 
-// Gang reports whether the job's tasks only run all at once.
-func (j *Job) Gang() bool { return j.Record.Spec != nil && j.Record.Spec.Kind == wire.KindGang }
+// Gang reports whether the job needs gang scheduling: its tasks run all at once
+// or not at all.
+func (j *Job) Gang() bool {
+	return j.Record.Spec != nil && j.Record.Spec.Kind == wire.KindGang
+}
 
-// Task returns a task's state.
-func (j *Job) Task(i int) Task {
-	if c, ok := j.Chunks[i/j.Record.ChunkSize]; ok {
-		return c[i%j.Record.ChunkSize]
+// Task returns a task by its number in the job.
+func (j *Job) Task(number int) Task {
+	if tasks, ok := j.Chunks[number/j.Record.ChunkSize]; ok {
+		return tasks[number%j.Record.ChunkSize]
 	}
 	return Task{}
 }
 
-// ChunkLen is the number of tasks in a chunk.
+// ChunkLen is the number of tasks in a chunk; the last one may be shorter.
 func (j *Job) ChunkLen(chunk int) int {
 	return min(j.Record.ChunkSize, j.Record.Tasks-chunk*j.Record.ChunkSize)
 }
 
-// ChunkCopy returns the tasks of a chunk for a change.
+// ChunkCopy returns a copy of the tasks of a chunk, for a write that changes some.
 func (j *Job) ChunkCopy(chunk int) []Task {
-	out := make([]Task, j.ChunkLen(chunk))
-	copy(out, j.Chunks[chunk])
-	return out
+	tasks := make([]Task, j.ChunkLen(chunk))
+	copy(tasks, j.Chunks[chunk])
+	return tasks
 }
 
 // SpansChunks reports whether a constraint on the job's zones covers tasks of
 // more than one chunk: then every claim also writes the job's record, so that
-// a claim guarded by it has seen all others.
+// a claim which compares its version has seen all others.
 func (j *Job) SpansChunks() bool {
-	w := j.Record.Spec
-	return w != nil && (w.SameZone || w.SpreadZones) && j.Record.Tasks > j.Record.ChunkSize
+	spec := j.Record.Spec
+	return spec != nil && (spec.SameZone || spec.SpreadZones) && j.Record.Tasks > j.Record.ChunkSize
 }
 
-// AllDone reports whether every task is stored done.
+// AllDone reports whether every task is stored completed.
 func (j *Job) AllDone() bool { return j.Counts[Completed] == j.Record.Tasks }
 
-// Status is what users are told.
+// Status is the job's status as its user sees it.
 func (j *Job) Status() wire.JobStatus {
-	s := wire.JobStatus{ID: j.ID, Done: j.Counts[Completed], Running: j.Counts[Claimed]}
+	status := wire.JobStatus{ID: j.ID, Done: j.Counts[Completed], Running: j.Counts[Claimed]}
 	switch {
 	case j.Phase == Done:
-		s.State, s.Done, s.Running = wire.StateDone, j.Record.Tasks, 0
+		status.State, status.Done, status.Running = wire.StateDone, j.Record.Tasks, 0
 	case j.Phase == Cancelled:
-		s.State, s.Running = wire.StateCancelled, 0
-	case s.Running > 0:
-		s.State = wire.StateRunning
+		status.State, status.Running = wire.StateCancelled, 0
+	case status.Running > 0:
+		status.State = wire.StateRunning
 	default:
-		s.State = wire.StateQueued
+		status.State = wire.StateQueued
 	}
-	return s
+	return status
 }
 
-// PriorityOrder orders priorities, most important first.
+// PriorityOrder is the place of a priority in their order, the most important
+// first: 0.
 func PriorityOrder(priority string) int {
 	switch priority {
 	case wire.PriorityCritical:
--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -5,12 +5,16 @@
 	"strings"
 )
 
-// Key prefixes of the state service.
+// Key prefixes in the key-value store.
 const (
-	Root        = "w/"
-	JobPrefix   = Root + "job/"
+	// Root starts every key of wheatspur.
+	Root = "w/"
+	// JobPrefix starts the keys of job records.
+	JobPrefix = Root + "job/"
+	// ChunkPrefix starts the keys of chunk records.
 	ChunkPrefix = Root + "task/"
-	TeamPrefix  = Root + "team/"
+	// TeamPrefix starts the keys of teams' quota shares.
+	TeamPrefix = Root + "team/"
 	// IntakePrefix starts the keys of records that hold several new jobs.
 	IntakePrefix = Root + "intake/"
 )
@@ -23,15 +27,15 @@
 	return ChunkPrefix + jobID + "/" + strconv.Itoa(chunk)
 }
 
-// TeamKey is the key of a team's shares (package quota).
+// TeamKey is the key of a team's quota shares (package quota).
 func TeamKey(team string) string { return TeamPrefix + team }
 
 // ParseChunkKey splits a chunk key.
 func ParseChunkKey(key string) (jobID string, chunk int, ok bool) {
-	jobID, c, ok := strings.Cut(strings.TrimPrefix(key, ChunkPrefix), "/")
+	jobID, number, ok := strings.Cut(strings.TrimPrefix(key, ChunkPrefix), "/")
 	if !ok {
 		return "", 0, false
 	}
-	chunk, err := strconv.Atoi(c)
+	chunk, err := strconv.Atoi(number)
 	return jobID, chunk, err == nil
 }
--- a/internal/jobs/phase.go
+++ b/internal/jobs/phase.go
@@ -2,7 +2,16 @@
 
 import "fmt"
 
-// Phase is the stored state of a job.
+// Phase is the stored state of a job. Its transitions, all made by Phase.Next:
+//
+//	from     event         to         when
+//	Waiting  JobReleased   Open       all jobs that it depends on are stored done
+//	Waiting  JobCancel     Cancelled  its user asked, or a dependency is cancelled
+//	Open     JobCancel     Cancelled  its user asked
+//	Open     JobCompleted  Done       all of its tasks are stored completed
+//
+// A job starts Waiting if it depends on others, else Open. Done and Cancelled
+// are final. JobReleased is never stored: see Waiting.
 type Phase string
 
 // Phases of a job.
@@ -23,22 +32,23 @@
 // JobEvent changes a job's phase.
 type JobEvent string
 
-// Events of a job.
+// Events of a job; Phase says what they do.
 const (
-	JobCompleted JobEvent = "completed" // all tasks are stored done
-	JobCancel    JobEvent = "cancel"    // its user asked, or a job that it depends on is cancelled
-	JobReleased  JobEvent = "released"  // all jobs that it depends on are stored done
+	JobCompleted JobEvent = "completed"
+	JobCancel    JobEvent = "cancel"
+	JobReleased  JobEvent = "released"
 )
 
-// Next is the one function that changes a job's phase.
-func (p Phase) Next(e JobEvent) (Phase, error) {
+// Next returns the phase after an event. It is the one function that changes a
+// job's phase.
+func (p Phase) Next(event JobEvent) (Phase, error) {
 	switch {
-	case p == Open && e == JobCompleted:
+	case p == Open && event == JobCompleted:
 		return Done, nil
-	case (p == Open || p == Waiting) && e == JobCancel:
+	case (p == Open || p == Waiting) && event == JobCancel:
 		return Cancelled, nil
-	case p == Waiting && e == JobReleased:
+	case p == Waiting && event == JobReleased:
 		return Open, nil
 	}
-	return p, fmt.Errorf("job: no %s in phase %s", e, p)
+	return p, fmt.Errorf("job: no %s in phase %s", event, p)
 }
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -7,13 +7,14 @@
 )
 
 // Record is the stored form of a job. Final records drop what is no longer
-// needed and are kept forever.
+// needed and are kept forever, so that a repeated submission is answered with
+// the outcome of the first.
 type Record struct {
 	Phase         Phase         `cbor:"p"`
 	AcceptedAtMs  int64         `cbor:"at"` // time of acceptance, Unix milliseconds
 	Tasks         int           `cbor:"n"`
-	ChunkSize     int           `cbor:"cs"`          // tasks per chunk
-	ClaimSerial   uint64        `cbor:"s,omitempty"` // raised by claims of jobs whose constraint spans chunks
+	ChunkSize     int           `cbor:"cs"`          // tasks per chunk, fixed at acceptance
+	ClaimSerial   uint64        `cbor:"s,omitempty"` // raised by every claim of a job that SpansChunks, so that concurrent claims conflict
 	Spec          *wire.JobSpec `cbor:"w,omitempty"`
 	EndedAtMs     int64         `cbor:"e,omitempty"` // of a final record: time of the end, Unix milliseconds
 	CancelledWith string        `cbor:"v,omitempty"` // the job with which it was cancelled
@@ -21,28 +22,29 @@
 
 // Cancel returns the record of the job after its user has cancelled it. Of
 // the description only what its claims still need stays: the whole of an old
-// one may be larger than the state service takes now.
+// one may be larger than the value limit of the key-value store is now.
 func (r Record) Cancel(now time.Time) (Record, error) {
 	phase, err := r.Phase.Next(JobCancel)
 	if err != nil {
 		return r, err
 	}
 	r.Phase, r.EndedAtMs = phase, now.UnixMilli()
-	if w := r.Spec; w != nil {
-		r.Spec = &wire.JobSpec{ID: w.ID, Team: w.Team, Kind: w.Kind, Priority: w.Priority, Tasks: w.Tasks,
-			CPUs: w.CPUs, GPUs: w.GPUs, RAMGB: w.RAMGB}
+	if s := r.Spec; s != nil {
+		r.Spec = &wire.JobSpec{ID: s.ID, Team: s.Team, Kind: s.Kind, Priority: s.Priority, Tasks: s.Tasks,
+			CPUs: s.CPUs, GPUs: s.GPUs, RAMGB: s.RAMGB}
 	}
 	return r, nil
 }
 
 // IntakeRecord is the stored form of several jobs that were accepted in one
-// change. It is written once. A job's own record, which the first change of the
-// job writes, stands in its place.
+// write. It is never changed: the first change of a job writes a record of its
+// own, which takes precedence.
 type IntakeRecord struct {
 	Jobs map[string]Record `cbor:"j"`
 }
 
-// ChunkRecord is the stored form of a run of tasks.
+// ChunkRecord is the stored form of a chunk: ChunkSize tasks of a job with
+// consecutive numbers. A chunk without a record holds new tasks.
 type ChunkRecord struct {
 	Tasks []Task `cbor:"t"`
 }
