--- a/internal/inventory/groupwrites.go
+++ b/internal/inventory/groupwrites.go
@@ -1,8 +1,9 @@
 package inventory
 
 import (
+	"cmp"
+	"maps"
 	"slices"
-	"sort"
 	"strconv"
 	"strings"
 
@@ -12,49 +13,49 @@
 // RecordChange is one change of a machine's record.
 type RecordChange struct {
 	Machine string
-	Before  *Record // what the change was decided on; nil: not stored
-	After   *Record // nil: drop
+	Before  *Record // the record that the change was decided on; nil: none was stored
+	After   *Record // nil: delete
 }
 
 // GroupWrite is one transaction that stores several changes of machines.
 type GroupWrite struct {
 	Key     string
 	Changes int    // machines of the group that change
-	Group   *Group // nil: drop
+	Group   *Group // nil: delete
 	// SplitOff holds the new keys of machines that leave the group in the same
-	// transaction, because it is larger than the state service takes.
+	// transaction, because it is larger than the store takes.
 	SplitOff map[string]*Group
 }
 
-// OversizeGroups lists keys whose groups are larger than limit, at most some: an
-// earlier version, or earlier settings, wrote them.
-func (g *Inventory) OversizeGroups(limit, most int) []string {
-	var out []string
-	for key, hosts := range g.groups {
+// OversizeGroups lists keys whose groups are larger than limit bytes, in order
+// and at most so many: an earlier version, or earlier settings, wrote them.
+func (inv *Inventory) OversizeGroups(limit, most int) []string {
+	var oversize []string
+	for key, machines := range inv.groups {
 		size := 0
-		for host := range hosts {
-			size += g.Machines[host].bytes(host)
+		for machine := range machines {
+			size += inv.Machines[machine].maxBytes(machine)
 		}
 		if size > limit && strings.HasPrefix(key, GroupPrefix) {
-			out = append(out, key)
+			oversize = append(oversize, key)
 		}
 	}
-	sort.Strings(out)
-	return out[:min(len(out), most)]
+	slices.Sort(oversize)
+	return oversize[:min(len(oversize), most)]
 }
 
-// PlanWrites turns changes of machines into changes of keys. What was decided on
-// a record that has changed since is left out. A new machine goes to a group
-// that stays below limit bytes of JSON. A group that is larger, whether one of
-// its machines changes or it is named in cut, is cut in one transaction of at
-// most ops keys, so that each machine is in exactly one group at any time.
-// Those with the most changes come first.
-func (g *Inventory) PlanWrites(list []RecordChange, cut []string, limit, ops int) []GroupWrite {
-	edit := g.newGroupEdit(limit, ops)
-	for _, c := range list {
-		edit.apply(c)
+// PlanWrites turns changes of machines into writes of keys. A change that was
+// decided on a record that has changed since is left out. A new machine goes to
+// a group that stays below limit bytes of JSON. A group that is larger, whether
+// one of its machines changes or it is named in oversize, is split in one
+// transaction of at most maxKeys keys, so that each machine is in exactly one
+// group at any time. Writes with the most changes come first.
+func (inv *Inventory) PlanWrites(changes []RecordChange, oversize []string, limit, maxKeys int) []GroupWrite {
+	edit := inv.newGroupEdit(limit, maxKeys)
+	for _, change := range changes {
+		edit.apply(change)
 	}
-	for _, key := range cut {
+	for _, key := range oversize {
 		edit.open(key)
 	}
 	writes := edit.writes()
@@ -66,26 +67,28 @@
 type groupEdit struct {
 	inventory *Inventory
 	limit     int // bytes of JSON in a group
-	ops       int // keys in a transaction
+	maxKeys   int // in a transaction
 
-	touched map[string]map[string]Record // groups as they will be
-	changes map[string]int               // machines of each that change
-	next    int                          // number of the next new group
-	last    string                       // the group that takes new machines, "" at first
+	edited     map[string]map[string]Record // groups as they will be
+	changes    map[string]int               // machines of each that change
+	nextNumber int                          // number of the next new group
+	newest     string                       // key of the group that takes new machines, "" at first
 }
 
-func (g *Inventory) newGroupEdit(limit, ops int) *groupEdit {
+// newGroupEdit starts an edit. New machines go to the group with the highest
+// number while it has room.
+func (inv *Inventory) newGroupEdit(limit, maxKeys int) *groupEdit {
 	e := &groupEdit{
-		inventory: g,
+		inventory: inv,
 		limit:     limit,
-		ops:       ops,
-		touched:   map[string]map[string]Record{},
+		maxKeys:   maxKeys,
+		edited:    map[string]map[string]Record{},
 		changes:   map[string]int{},
 	}
-	for key := range g.groups {
-		n, err := strconv.Atoi(strings.TrimPrefix(key, GroupPrefix))
-		if err == nil && n >= e.next {
-			e.next, e.last = n+1, key
+	for key := range inv.groups {
+		number, err := strconv.Atoi(strings.TrimPrefix(key, GroupPrefix))
+		if err == nil && number >= e.nextNumber { // a key of the earlier layout has no number
+			e.nextNumber, e.newest = number+1, key
 		}
 	}
 	return e
@@ -93,138 +96,132 @@
 
 // newKey is the key of a new group.
 func (e *groupEdit) newKey() string {
-	key := GroupKey(e.next)
-	e.next++
+	key := GroupKey(e.nextNumber)
+	e.nextNumber++
 	return key
 }
 
-// open returns the machines of a group, to be changed.
+// open returns the records of a group, to be changed.
 func (e *groupEdit) open(key string) map[string]Record {
-	machines := e.touched[key]
-	if machines == nil {
+	records := e.edited[key]
+	if records == nil {
 		stored := e.inventory.groups[key]
-		machines = make(map[string]Record, len(stored)+1)
-		for host := range stored {
-			machines[host] = e.inventory.Machines[host]
+		records = make(map[string]Record, len(stored)+1)
+		for machine := range stored {
+			records[machine] = e.inventory.Machines[machine]
 		}
-		e.touched[key] = machines
+		e.edited[key] = records
 	}
-	return machines
+	return records
 }
 
 // apply makes one change, unless the record has changed since it was decided.
-func (e *groupEdit) apply(c RecordChange) {
-	was, known := e.inventory.Machines[c.Machine]
-	if known != (c.Before != nil) || known && was != *c.Before {
+func (e *groupEdit) apply(change RecordChange) {
+	stored, known := e.inventory.Machines[change.Machine]
+	if known != (change.Before != nil) || known && stored != *change.Before {
 		return
 	}
-	key := e.inventory.groupKeys[c.Machine]
-	if c.After == nil {
-		delete(e.open(key), c.Machine)
+	key := e.inventory.groupKeys[change.Machine]
+	if change.After == nil {
+		delete(e.open(key), change.Machine)
 		e.changes[key]++
 		return
 	}
 	if grouped := known && strings.HasPrefix(key, GroupPrefix); !grouped {
 		if known {
-			delete(e.open(key), c.Machine)
+			delete(e.open(key), change.Machine)
 		}
-		key = e.groupFor(c)
+		key = e.groupFor(change.Machine, *change.After)
 	}
-	record := *c.After
-	record.Reason = record.Reason[:min(len(record.Reason), reasonMax)]
-	e.open(key)[c.Machine] = record
+	record := *change.After
+	record.Reason = record.Reason[:min(len(record.Reason), reasonMaxBytes)]
+	e.open(key)[change.Machine] = record
 	e.changes[key]++
 }
 
 // groupFor is the key of a group with room for a machine that is in none.
-func (e *groupEdit) groupFor(c RecordChange) string {
-	if e.last == "" || !fits(e.open(e.last), *c.After, c.Machine, e.limit) {
-		e.last = e.newKey()
+func (e *groupEdit) groupFor(machine string, record Record) string {
+	if e.newest == "" || !hasRoom(e.open(e.newest), machine, record, e.limit) {
+		e.newest = e.newKey()
 	}
-	return e.last
+	return e.newest
 }
 
 // writes lists a transaction for each group that was opened.
 func (e *groupEdit) writes() []GroupWrite {
-	out := make([]GroupWrite, 0, len(e.touched))
-	for key, machines := range e.touched {
-		if len(machines) == 0 && len(e.inventory.groups[key]) == 0 {
+	writes := make([]GroupWrite, 0, len(e.edited))
+	for key, records := range e.edited {
+		if len(records) == 0 && len(e.inventory.groups[key]) == 0 {
 			continue // it is not stored
 		}
-		out = append(out, e.write(key, machines))
+		writes = append(writes, e.write(key, records))
 	}
-	return out
+	return writes
 }
 
-func (e *groupEdit) write(key string, machines map[string]Record) GroupWrite {
-	w := GroupWrite{Key: key, Changes: e.changes[key]}
-	if len(machines) == 0 {
-		return w
+func (e *groupEdit) write(key string, records map[string]Record) GroupWrite {
+	write := GroupWrite{Key: key, Changes: e.changes[key]}
+	if len(records) == 0 {
+		return write
 	}
-	parts := split(machines, e.limit, e.ops)
-	w.Group = &Group{Machines: parts[0]}
+	parts := split(records, e.limit, e.maxKeys)
+	write.Group = &Group{Machines: parts[0]}
 	if len(parts) > 1 {
-		w.SplitOff = make(map[string]*Group, len(parts)-1)
+		write.SplitOff = make(map[string]*Group, len(parts)-1)
 	}
 	for _, part := range parts[1:] {
-		w.SplitOff[e.newKey()] = &Group{Machines: part}
+		write.SplitOff[e.newKey()] = &Group{Machines: part}
 	}
-	return w
+	return write
 }
 
 // sortWrites puts the groups with the most changes first. If machines move
-// from the earlier layout, dropped keys come last: a machine that moves stands
-// in its new key before it leaves the old one.
+// from the earlier layout, deleted keys come last: a machine that moves is
+// stored under its new key before the old one is deleted.
 func sortWrites(writes []GroupWrite) {
-	moves := slices.ContainsFunc(writes, func(w GroupWrite) bool {
-		return strings.HasPrefix(w.Key, SingleMachinePrefix)
+	migrating := slices.ContainsFunc(writes, func(write GroupWrite) bool {
+		return strings.HasPrefix(write.Key, SingleMachinePrefix)
 	})
-	sort.Slice(writes, func(a, b int) bool {
-		x, y := &writes[a], &writes[b]
-		if moves && (x.Group == nil) != (y.Group == nil) {
-			return x.Group != nil
-		}
-		if x.Changes != y.Changes {
-			return x.Changes > y.Changes
+	slices.SortFunc(writes, func(a, b GroupWrite) int {
+		if aDeleted, bDeleted := a.Group == nil, b.Group == nil; migrating && aDeleted != bDeleted {
+			if aDeleted {
+				return 1
+			}
+			return -1
 		}
-		return x.Key < y.Key
+		return cmp.Or(cmp.Compare(b.Changes, a.Changes), cmp.Compare(a.Key, b.Key))
 	})
 }
 
-// split divides a group's machines into at most most parts that stay below
-// limit, and drops their reasons where there is no room for them.
-func split(machines map[string]Record, limit, most int) []map[string]Record {
-	if bytesWithReasons(machines) <= limit {
-		return []map[string]Record{machines}
-	}
-	hosts := make([]string, 0, len(machines))
-	for host := range machines {
-		hosts = append(hosts, host)
+// split divides a group's records into at most maxParts parts that stay below
+// limit bytes, and drops their reasons if there is no room for them.
+func split(records map[string]Record, limit, maxParts int) []map[string]Record {
+	if bytesWithReasons(records) <= limit {
+		return []map[string]Record{records}
 	}
-	sort.Strings(hosts)
 	part := map[string]Record{}
 	parts := []map[string]Record{part}
 	used := 0
-	for _, host := range hosts {
-		record := machines[host]
+	for _, machine := range slices.Sorted(maps.Keys(records)) {
+		record := records[machine]
 		record.Reason = ""
-		size := record.bytes(host)
-		if used > 0 && used+size > limit && len(parts) < most {
+		size := record.maxBytes(machine)
+		if used > 0 && used+size > limit && len(parts) < maxParts {
 			part = map[string]Record{}
 			parts = append(parts, part)
 			used = 0
 		}
-		part[host] = record
+		part[machine] = record
 		used += size
 	}
 	return parts
 }
 
-// bytesWithReasons bounds the JSON form of a group's machines.
-func bytesWithReasons(machines map[string]Record) int {
+// bytesWithReasons bounds the JSON form of a group's records.
+func bytesWithReasons(records map[string]Record) int {
 	size := 0
-	for host, record := range machines {
-		size += record.bytes(host)
+	for machine, record := range records {
+		size += record.maxBytes(machine)
 		if record.Reason != "" {
 			size += len(record.Reason) + reasonOverhead
 		}
@@ -232,11 +229,11 @@
 	return size
 }
 
-// fits reports whether a group can take one machine more.
-func fits(machines map[string]Record, added Record, host string, limit int) bool {
-	size := added.bytes(host)
-	for other, record := range machines {
-		size += record.bytes(other)
+// hasRoom reports whether a group can take one machine more.
+func hasRoom(records map[string]Record, machine string, added Record, limit int) bool {
+	size := added.maxBytes(machine)
+	for other, record := range records {
+		size += record.maxBytes(other)
 	}
-	return len(machines) < tuning.MachinesPerGroup && size <= limit
+	return len(records) < tuning.MachinesPerGroup && size <= limit
 }
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,3 +1,11 @@
+// Package inventory holds the stored records of all machines: their form and
+// phases, the groups in which they are kept under few keys, and the plan of the
+// writes that store a list of changes.
+//
+// An Inventory is fed by the watch-fed cache of the key-value store and does no
+// I/O itself: the caller makes the planned writes, each a compare-and-swap, and
+// serializes access. What a machine's worker last sent is in package worker;
+// which machines to add or terminate is decided in package autoscale.
 package inventory
 
 import (
@@ -9,74 +17,79 @@
 // Inventory is what is stored of all machines, with the key of each. It is fed
 // by the cache and changed by nothing else.
 type Inventory struct {
-	Machines  map[string]Record
-	groupKeys map[string]string          // of each machine
-	groups    map[string]map[string]bool // machines of each key
+	Machines  map[string]Record          // by name
+	groupKeys map[string]string          // the key that holds each machine
+	groups    map[string]map[string]bool // the machines that each key holds
 
-	// OnChange is told of machines whose record has changed, has come or is gone.
-	OnChange func(host string)
+	// OnChange is called with each machine whose record is new, changed or gone.
+	OnChange func(machine string)
 }
 
-// NewInventory returns an empty register.
+// NewInventory returns an empty inventory.
 func NewInventory() *Inventory {
-	return &Inventory{Machines: map[string]Record{}, groupKeys: map[string]string{}, groups: map[string]map[string]bool{}, OnChange: func(string) {}}
+	return &Inventory{
+		Machines:  map[string]Record{},
+		groupKeys: map[string]string{},
+		groups:    map[string]map[string]bool{},
+		OnChange:  func(string) {},
+	}
 }
 
 // KeyOf is the key that holds the machine's record, "" if it has none.
-func (g *Inventory) KeyOf(host string) string { return g.groupKeys[host] }
+func (inv *Inventory) KeyOf(machine string) string { return inv.groupKeys[machine] }
 
-// Apply enters a stored value, nil if the key is gone.
-func (g *Inventory) Apply(key string, raw wire.Raw) error {
-	machines, err := decodeMachines(key, raw)
+// Apply takes in a stored value, nil if the key is gone.
+func (inv *Inventory) Apply(key string, raw wire.Raw) error {
+	records, err := decodeRecords(key, raw)
 	if err != nil {
 		return err
 	}
-	g.removeMissing(key, machines)
-	g.add(key, machines)
+	inv.removeMissing(key, records)
+	inv.add(key, records)
 	return nil
 }
 
-// decodeMachines reads the machines of a key, of either layout.
-func decodeMachines(key string, raw wire.Raw) (map[string]Record, error) {
+// decodeRecords reads the records of a key, of either layout.
+func decodeRecords(key string, raw wire.Raw) (map[string]Record, error) {
 	if raw == nil {
 		return nil, nil
 	}
-	if host, single := strings.CutPrefix(key, SingleMachinePrefix); single {
+	if machine, single := strings.CutPrefix(key, SingleMachinePrefix); single {
 		var record Record
 		err := wire.Unmarshal(raw, &record)
-		return map[string]Record{host: record}, err
+		return map[string]Record{machine: record}, err
 	}
 	var group Group
 	err := wire.Unmarshal(raw, &group)
 	return group.Machines, err
 }
 
-// removeMissing forgets the machines of a key that it holds no more.
-func (g *Inventory) removeMissing(key string, machines map[string]Record) {
-	for host := range g.groups[key] {
-		if _, still := machines[host]; !still && g.groupKeys[host] == key {
-			delete(g.Machines, host)
-			delete(g.groupKeys, host)
-			g.OnChange(host)
+// removeMissing removes the machines that a key no longer holds.
+func (inv *Inventory) removeMissing(key string, records map[string]Record) {
+	for machine := range inv.groups[key] {
+		if _, kept := records[machine]; !kept && inv.groupKeys[machine] == key {
+			delete(inv.Machines, machine)
+			delete(inv.groupKeys, machine)
+			inv.OnChange(machine)
 		}
 	}
-	delete(g.groups, key)
+	delete(inv.groups, key)
 }
 
 // add takes in the machines that a key holds.
-func (g *Inventory) add(key string, machines map[string]Record) {
-	if len(machines) > 0 {
-		g.groups[key] = make(map[string]bool, len(machines))
+func (inv *Inventory) add(key string, records map[string]Record) {
+	if len(records) > 0 {
+		inv.groups[key] = make(map[string]bool, len(records))
 	}
-	for host, record := range machines {
-		if strings.HasPrefix(key, SingleMachinePrefix) && strings.HasPrefix(g.groupKeys[host], GroupPrefix) {
-			continue // it has moved; its former key is about to go
+	for machine, record := range records {
+		if strings.HasPrefix(key, SingleMachinePrefix) && strings.HasPrefix(inv.groupKeys[machine], GroupPrefix) {
+			continue // it has moved to a group; its former key is about to be deleted
 		}
-		old, known := g.Machines[host]
-		g.Machines[host], g.groupKeys[host] = record, key
-		if !known || old != record {
-			g.OnChange(host)
+		former, known := inv.Machines[machine]
+		inv.Machines[machine], inv.groupKeys[machine] = record, key
+		if !known || former != record {
+			inv.OnChange(machine)
 		}
-		g.groups[key][host] = true
+		inv.groups[key][machine] = true
 	}
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -49,7 +49,7 @@
 	for host, r := range g.Machines {
 		d := r
 		d.Phase, d.Role = Terminated, placement.Service
-		for len(d.Reason) < 3*reasonMax {
+		for len(d.Reason) < 3*reasonMaxBytes {
 			d.Reason += "because "
 		}
 		drains = append(drains, RecordChange{Machine: host, Before: &r, After: &d})
