--- a/internal/inventory/golden_test.go
+++ b/internal/inventory/golden_test.go
@@ -10,8 +10,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden bytes")
 
-// What a node has stored must stay readable to every later version, and to the
-// version that works beside it.
+// What a controller has stored must stay readable to every later version, and to the
+// version that runs beside it.
 func TestGoldenRecords(t *testing.T) {
 	record := Record{MachineType: "g8", Zone: "zone-1", Spot: true, Role: placement.Batch, Phase: Draining, Reason: "no work"}
 	golden.Check(t, []golden.Sample{
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -10,117 +10,129 @@
 	"wheatspur/wire"
 )
 
-// apply enters writes as the state service would tell of them.
-func apply(t *testing.T, g *Inventory, list []GroupWrite) {
+const (
+	testLimit   = 4096 // bytes of a value
+	testMaxKeys = 12   // in a transaction
+)
+
+// applyWrites takes in writes as the store's watch would deliver them.
+func applyWrites(t *testing.T, inv *Inventory, writes []GroupWrite) {
 	t.Helper()
-	for _, w := range list {
+	for _, write := range writes {
 		var raw wire.Raw
-		if w.Group != nil {
-			raw = wire.MustMarshal(w.Group)
+		if write.Group != nil {
+			raw = wire.MustMarshal(write.Group)
 		}
-		if err := g.Apply(w.Key, raw); err != nil {
+		if err := inv.Apply(write.Key, raw); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func rec(machineType string) Record {
+func newRecord(machineType string) Record {
 	return Record{MachineType: machineType, Zone: "a-zone-with-a-long-name", Role: placement.Batch, Phase: Active}
 }
 
-func TestMachinesShareKeysAndStayBelowTheValueLimit(t *testing.T) {
-	limit := 4096
-	g := NewInventory()
+func TestGroupsStayBelowValueSizeLimit(t *testing.T) {
+	limit := testLimit
+	fill := int(float64(limit) * tuning.GroupFillShare)
+	inv := NewInventory()
 	var joins []RecordChange
 	for i := range 2500 {
-		r := rec("a-type")
-		joins = append(joins, RecordChange{Machine: fmt.Sprintf("host-%06d", i), After: &r})
+		record := newRecord("a-type")
+		joins = append(joins, RecordChange{Machine: fmt.Sprintf("host-%06d", i), After: &record})
 	}
-	first := g.PlanWrites(joins, nil, int(float64(limit)*tuning.GroupFillShare), 12)
-	if len(first) > 2500/16 {
-		t.Fatalf("%d changes for 2500 machines", len(first))
+	writes := inv.PlanWrites(joins, nil, fill, testMaxKeys)
+	if len(writes) > 2500/16 {
+		t.Fatalf("%d writes for 2500 machines", len(writes))
 	}
-	apply(t, g, first)
-	if len(g.Machines) != 2500 {
-		t.Fatalf("%d machines are known", len(g.Machines))
+	applyWrites(t, inv, writes)
+	if len(inv.Machines) != 2500 {
+		t.Fatalf("%d machines are known", len(inv.Machines))
 	}
 	// All get the longest reason that there may be.
 	var drains []RecordChange
-	for host, r := range g.Machines {
-		d := r
-		d.Phase, d.Role = Terminated, placement.Service
-		for len(d.Reason) < 3*reasonMaxBytes {
-			d.Reason += "because "
+	for machine, record := range inv.Machines {
+		drained := record
+		drained.Phase, drained.Role = Terminated, placement.Service
+		for len(drained.Reason) < 3*reasonMaxBytes {
+			drained.Reason += "because "
 		}
-		drains = append(drains, RecordChange{Machine: host, Before: &r, After: &d})
+		drains = append(drains, RecordChange{Machine: machine, Before: &record, After: &drained})
 	}
 	keys := map[string]string{}
-	for host := range g.Machines {
-		keys[host] = g.KeyOf(host)
+	for machine := range inv.Machines {
+		keys[machine] = inv.KeyOf(machine)
 	}
-	apply(t, g, g.PlanWrites(drains, nil, int(float64(limit)*tuning.GroupFillShare), 12))
-	for host, key := range keys {
-		if g.KeyOf(host) != key || g.Machines[host].Phase != Terminated {
-			t.Fatalf("%s left its key or was not changed", host)
+	applyWrites(t, inv, inv.PlanWrites(drains, nil, fill, testMaxKeys))
+	for machine, key := range keys {
+		if inv.KeyOf(machine) != key || inv.Machines[machine].Phase != Terminated {
+			t.Fatalf("%s left its key or was not changed", machine)
 		}
 	}
-	for key := range g.groups {
-		all := map[string]map[string]any{}
-		for host := range g.groups[key] {
-			r := g.Machines[host]
-			all[host] = map[string]any{"r": r.MachineType, "z": r.Zone, "s": r.Spot, "o": r.Role, "p": r.Phase, "w": r.Reason}
+	for key := range inv.groups {
+		group := map[string]map[string]any{}
+		for machine := range inv.groups[key] {
+			r := inv.Machines[machine]
+			group[machine] = map[string]any{"r": r.MachineType, "z": r.Zone, "s": r.Spot, "o": r.Role, "p": r.Phase, "w": r.Reason}
+		}
+		encoded, err := json.Marshal(map[string]any{"m": group})
+		if err != nil {
+			t.Fatal(err)
 		}
-		if b, _ := json.Marshal(map[string]any{"m": all}); len(b) > limit {
-			t.Fatalf("%s holds %d bytes", key, len(b))
+		if len(encoded) > limit {
+			t.Fatalf("%s holds %d bytes", key, len(encoded))
 		}
 	}
-	var drops []RecordChange
-	for host, r := range g.Machines {
-		drops = append(drops, RecordChange{Machine: host, Before: &r})
+	var deletions []RecordChange
+	for machine, record := range inv.Machines {
+		deletions = append(deletions, RecordChange{Machine: machine, Before: &record})
 	}
-	for _, w := range g.PlanWrites(drops, nil, int(float64(limit)*tuning.GroupFillShare), 12) {
-		if w.Group != nil {
-			t.Fatalf("%s stays with %d machines", w.Key, len(w.Group.Machines))
+	for _, write := range inv.PlanWrites(deletions, nil, fill, testMaxKeys) {
+		if write.Group != nil {
+			t.Fatalf("%s stays with %d machines", write.Key, len(write.Group.Machines))
 		}
 	}
 }
 
 // Two parts of the leader decide on the same machine; what was decided on an
 // older record must not undo what was stored since.
-func TestAChangeDecidedOnAnOldRecordIsLeftOut(t *testing.T) {
-	g := NewInventory()
-	r := rec("g")
-	apply(t, g, g.PlanWrites([]RecordChange{{Machine: "h1", After: &r}}, nil, 4096, 12))
-	returned, moved := r, r
-	returned.Phase, moved.Role = Terminated, placement.Service
-	apply(t, g, g.PlanWrites([]RecordChange{{Machine: "h1", Before: &r, After: &returned}}, nil, 4096, 12))
-	if w := g.PlanWrites([]RecordChange{{Machine: "h1", Before: &r, After: &moved}, {Machine: "h1", After: &r}}, nil, 4096, 12); len(w) != 0 {
-		t.Fatalf("an old decision is written: %+v", w)
+func TestChangeDecidedOnStaleRecordIsLeftOut(t *testing.T) {
+	inv := NewInventory()
+	record := newRecord("g")
+	applyWrites(t, inv, inv.PlanWrites([]RecordChange{{Machine: "m1", After: &record}}, nil, testLimit, testMaxKeys))
+	terminated, moved := record, record
+	terminated.Phase, moved.Role = Terminated, placement.Service
+	applyWrites(t, inv, inv.PlanWrites([]RecordChange{{Machine: "m1", Before: &record, After: &terminated}}, nil, testLimit, testMaxKeys))
+	stale := []RecordChange{{Machine: "m1", Before: &record, After: &moved}, {Machine: "m1", After: &record}}
+	if writes := inv.PlanWrites(stale, nil, testLimit, testMaxKeys); len(writes) != 0 {
+		t.Fatalf("an old decision is written: %+v", writes)
 	}
 }
 
-func TestRecordsOfTheEarlierLayoutAreReadAndMoveIntoAGroup(t *testing.T) {
-	g := NewInventory()
-	r := rec("g")
-	if err := g.Apply(SingleMachinePrefix+"h1", wire.MustMarshal(r)); err != nil || g.Machines["h1"] != r || g.KeyOf("h1") != SingleMachinePrefix+"h1" {
-		t.Fatalf("%v %v", g.Machines, err)
-	}
-	d := r
-	d.Phase = Draining
-	writes := g.PlanWrites([]RecordChange{{Machine: "h1", Before: &r, After: &d}}, nil, 4096, 12)
-	if len(writes) != 2 || writes[0].Group == nil || writes[1].Key != SingleMachinePrefix+"h1" {
-		t.Fatalf("%+v: the new key is to stand before the old one goes", writes)
-	}
-	apply(t, g, writes[:1])
-	// A node that reads both, in any order, takes the newer.
-	if err := g.Apply(SingleMachinePrefix+"h1", wire.MustMarshal(r)); err != nil || g.Machines["h1"].Phase != Draining {
+func TestSingleMachineRecordsAreReadAndMoveIntoGroups(t *testing.T) {
+	const singleKey = SingleMachinePrefix + "m1"
+	inv := NewInventory()
+	record := newRecord("g")
+	if err := inv.Apply(singleKey, wire.MustMarshal(record)); err != nil || inv.Machines["m1"] != record || inv.KeyOf("m1") != singleKey {
+		t.Fatalf("%v %v", inv.Machines, err)
+	}
+	draining := record
+	draining.Phase = Draining
+	writes := inv.PlanWrites([]RecordChange{{Machine: "m1", Before: &record, After: &draining}}, nil, testLimit, testMaxKeys)
+	if len(writes) != 2 || writes[0].Group == nil || writes[1].Key != singleKey {
+		t.Fatalf("%+v: the new key must be written before the old one is deleted", writes)
+	}
+	applyWrites(t, inv, writes[:1])
+	// A controller that reads both, in any order, takes the newer.
+	if err := inv.Apply(singleKey, wire.MustMarshal(record)); err != nil || inv.Machines["m1"].Phase != Draining {
 		t.Fatal("the former key hides the new one")
 	}
-	apply(t, g, writes[1:])
-	if g.Machines["h1"].Phase != Draining || g.KeyOf("h1") != GroupKey(0) {
-		t.Fatalf("%v at %s", g.Machines, g.KeyOf("h1"))
+	applyWrites(t, inv, writes[1:])
+	if inv.Machines["m1"].Phase != Draining || inv.KeyOf("m1") != GroupKey(0) {
+		t.Fatalf("%v at %s", inv.Machines, inv.KeyOf("m1"))
 	}
-	if err := g.Apply(GroupKey(1), wire.Raw{0xff}); err == nil {
-		t.Fatal("nonsense was read")
+	if err := inv.Apply(GroupKey(1), wire.Raw{0xff}); err == nil {
+		t.Fatal("an undecodable value was accepted")
 	}
 }
