--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -1,77 +1,78 @@
 package membership
 
 import (
-	"sort"
+	"cmp"
+	"maps"
+	"slices"
 
 	"wheatspur/internal/tuning"
 )
 
-// View is what the decisions are made from.
+// View is what the decisions about leader and membership are made from.
 type View struct {
 	Self                 Node
 	Sessions             map[string]Node // stored sessions by label
-	Unreachable          map[string]bool // nodes that hear no worker
-	Leader               *Node           // holder of the lead key, nil if none
-	Membership           *Record         // nil before the first
-	TokenRangesSupported bool            // every node with a session knows of spans of tokens
+	Unreachable          map[string]bool // labels of the controllers that hear no worker
+	Leader               *Node           // holder of the leader's key, nil if none
+	Membership           *Record         // the stored one, nil before the first
+	TokenRangesSupported bool            // every controller with a session knows FormatTokenRanges
 }
 
-// Action is what a node should do about membership.
+// Action is what a controller should do about leader and membership; at most one of its
+// fields is set.
 type Action struct {
-	BecomeLeader    bool
-	WriteMembership *Record
+	BecomeLeader    bool    // take the leader's key
+	WriteMembership *Record // store this record after the present one
 }
 
-// Decide returns the next step for a registered node.
-func Decide(v View) Action {
-	if v.Sessions[v.Self.Label] != v.Self {
+// Decide returns the next step for a controller whose session is Registered. It does
+// nothing unless the view, too, holds that session; only the leader writes the
+// membership.
+func Decide(view View) Action {
+	switch {
+	case view.Sessions[view.Self.Label] != view.Self:
 		return Action{}
-	}
-	if v.Leader == nil || v.Leader.Label == v.Self.Label && v.Leader.Incarnation != v.Self.Incarnation {
-		// No leader, or it was this node's former process, which is gone.
+	case view.leaderGone():
 		return Action{BecomeLeader: true}
-	}
-	if *v.Leader != v.Self {
+	case *view.Leader != view.Self:
 		return Action{}
 	}
-	want := Record{FencingToken: 1, Leader: v.Self}
-	for _, n := range v.Sessions {
-		want.Nodes = append(want.Nodes, n)
-	}
-	sort.Slice(want.Nodes, func(a, b int) bool { return want.Nodes[a].Label < want.Nodes[b].Label })
-	for _, n := range want.Nodes {
-		if v.Unreachable[n.Label] {
-			want.Unreachable = append(want.Unreachable, n.Label)
-		}
-	}
-	if len(want.Unreachable) == len(want.Nodes) {
-		want.Unreachable = nil // somebody must own the machines
-	}
-	if v.Membership != nil {
-		if sameMembership(*v.Membership, want) {
+	next := view.desiredMembership()
+	if view.Membership != nil {
+		if next.sameMembers(view.Membership) {
 			return Action{}
 		}
-		want.FencingToken = v.Membership.LastToken() + 1
+		next.FencingToken = view.Membership.LastToken() + 1
 	}
-	if v.TokenRangesSupported {
-		want.TokenRange = tuning.TokenSpan
+	if view.TokenRangesSupported {
+		next.TokenRange = tuning.TokenSpan
 	}
-	return Action{WriteMembership: &want}
+	return Action{WriteMembership: next}
 }
 
-func sameMembership(a, b Record) bool {
-	if a.Leader != b.Leader || len(a.Nodes) != len(b.Nodes) || len(a.Unreachable) != len(b.Unreachable) {
-		return false
-	}
-	for i := range a.Unreachable {
-		if a.Unreachable[i] != b.Unreachable[i] {
-			return false
+// leaderGone reports whether there is no leader, or it was this controller's former
+// process, whose lease nobody renews: there is no need to wait for its expiry.
+func (v *View) leaderGone() bool {
+	return v.Leader == nil || v.Leader.Label == v.Self.Label && v.Leader.Incarnation != v.Self.Incarnation
+}
+
+// desiredMembership is the membership of all controllers with a session, led by this
+// one, with the first of all fencing tokens.
+func (v *View) desiredMembership() *Record {
+	record := Record{FencingToken: 1, Leader: v.Self}
+	record.Nodes = slices.SortedFunc(maps.Values(v.Sessions), func(a, b Node) int { return cmp.Compare(a.Label, b.Label) })
+	for _, node := range record.Nodes {
+		if v.Unreachable[node.Label] {
+			record.Unreachable = append(record.Unreachable, node.Label)
 		}
 	}
-	for i := range a.Nodes {
-		if a.Nodes[i] != b.Nodes[i] {
-			return false
-		}
+	if len(record.Unreachable) == len(record.Nodes) {
+		record.Unreachable = nil // somebody must own the machines
 	}
-	return true
+	return &record
+}
+
+// sameMembers reports whether two memberships differ in their tokens alone.
+func (r *Record) sameMembers(other *Record) bool {
+	return r.Leader == other.Leader && slices.Equal(r.Nodes, other.Nodes) && slices.Equal(r.Unreachable, other.Unreachable)
 }
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -1,19 +1,25 @@
 package membership
 
-// Reachability is what a node knows of whether its workers reach it.
+// silentMachinesMin is the number of silent machines from which on the fault is taken for
+// the controller's: one may have a fault of its own.
+const silentMachinesMin = 2
+
+// Reachability is what a controller knows of whether its workers reach it.
 type Reachability struct {
-	Unreachable       bool // it has said so
+	Unreachable       bool // it has told that they don't
 	Heard             int  // machines of its own that were heard lately
 	Silent            int  // machines of its own with tasks that were not
-	SiblingsReachable bool // a sibling hears its machines
+	SiblingsReachable bool // a sibling hears a machine of its own
 	Answered          bool // while unreachable: a worker answers a probe, or there is none to ask
 }
 
-// NextUnreachable decides whether the node is unreachable. One silent machine may be its own
-// trouble; all of several, while a sibling hears its own, are the node's.
-func (e Reachability) NextUnreachable() bool {
-	if e.Unreachable {
-		return !e.Answered
+// NextUnreachable decides whether the controller counts as unreachable from now on. A
+// single silent machine may be at fault itself; if all of several are silent while a
+// sibling hears its own, the controller is cut off from the workers. It stays so
+// until a worker answers it.
+func (r Reachability) NextUnreachable() bool {
+	if r.Unreachable {
+		return !r.Answered
 	}
-	return e.Heard == 0 && e.Silent >= 2 && e.SiblingsReachable
+	return r.Heard == 0 && r.Silent >= silentMachinesMin && r.SiblingsReachable
 }
--- a/internal/membership/shardowner.go
+++ b/internal/membership/shardowner.go
@@ -1,57 +1,45 @@
 package membership
 
 import (
+	"cmp"
 	"hash/fnv"
-	"sort"
+	"slices"
 )
 
-// Owner is the member that a machine is hashed to: the one with the highest
-// rendezvous weight.
-func (r *Record) Owner(host string) string {
-	best, top := "", uint64(0)
-	for _, n := range r.Nodes {
-		if r.isUnreachable(n.Label) {
+// Owner is the shard owner of a machine: of the members that hear workers, the one with
+// the highest rendezvous weight for it. So a machine moves only if its owner goes or
+// becomes unreachable, or to a member that comes.
+func (r *Record) Owner(machine string) string {
+	owner, highest := "", uint64(0)
+	for _, node := range r.Nodes {
+		if slices.Contains(r.Unreachable, node.Label) {
 			continue
 		}
-		if w := weight(host, n.Label); best == "" || w > top || w == top && n.Label < best {
-			best, top = n.Label, w
+		if w := weight(machine, node.Label); owner == "" || w > highest || w == highest && node.Label < owner {
+			owner, highest = node.Label, w
 		}
 	}
-	return best
+	return owner
 }
 
-// RankNodes returns the members in the order in which they take a job's tasks.
+// RankNodes returns the labels of the members in the order in which they take a job's
+// tasks: by their rendezvous weight for it.
 func (r *Record) RankNodes(jobID string) []string {
-	nodes := append([]Node(nil), r.Nodes...)
-	sort.Slice(nodes, func(a, b int) bool {
-		wa, wb := weight(jobID, nodes[a].Label), weight(jobID, nodes[b].Label)
-		if wa != wb {
-			return wa > wb
-		}
-		return nodes[a].Label < nodes[b].Label
+	nodes := slices.Clone(r.Nodes)
+	slices.SortFunc(nodes, func(a, b Node) int {
+		return cmp.Or(cmp.Compare(weight(jobID, b.Label), weight(jobID, a.Label)), cmp.Compare(a.Label, b.Label))
 	})
-	out := make([]string, len(nodes))
-	for i, n := range nodes {
-		out[i] = n.Label
-	}
-	return out
-}
-
-func (r *Record) isUnreachable(label string) bool {
-	for _, l := range r.Unreachable {
-		if l == label {
-			return true
-		}
-	}
-	return false
+	return labels(nodes)
 }
 
+// weight is the rendezvous weight of a member for a machine or a job. All versions of the
+// program that work side by side have to agree on it.
 func weight(key, label string) uint64 {
-	h := fnv.New64a()
+	h := fnv.New64a() // its Write returns no error
 	h.Write([]byte(key))
 	h.Write([]byte{0})
 	h.Write([]byte(label))
-	// FNV's low-entropy inputs need a final mix to spread evenly.
+	// FNV's low-entropy inputs need a final mix to spread evenly: MurmurHash3's.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
