--- /dev/null
+++ b/internal/cloud/client_test.go
@@ -0,0 +1,139 @@
+package cloud
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"wheatspur/wire"
+)
+
+var t0 = time.Unix(1000, 0)
+
+// newTestClient returns a client of a cloud that answers by handler.
+func newTestClient(t *testing.T, callsPerSecond float64, now func() time.Time, handler http.HandlerFunc) *Client {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return NewClient(strings.TrimPrefix(server.URL, "http://"), callsPerSecond, now)
+}
+
+// answer writes a status and a body.
+func answer(t *testing.T, w http.ResponseWriter, status int, body []byte) {
+	t.Helper()
+	w.WriteHeader(status)
+	if _, err := w.Write(body); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestErrorsTellNoCapacityFromUnavailable(t *testing.T) {
+	names := wire.MustMarshal(wire.MachineNames{Machines: []string{"m1"}})
+	for _, c := range []struct {
+		name   string
+		status int
+		body   []byte
+		want   error
+		text   string
+	}{
+		{"answered", http.StatusOK, names, nil, ""},
+		{"no capacity", http.StatusConflict, wire.MustMarshal(wire.ErrorResponse{Error: "no capacity"}), ErrNoCapacity, "no capacity"},
+		{"refused", http.StatusTooManyRequests, wire.MustMarshal(wire.ErrorResponse{Error: "slow down"}), ErrUnavailable, "cloud does not answer: status 429 slow down"},
+		{"failed without a text", http.StatusServiceUnavailable, nil, ErrUnavailable, "cloud does not answer: status 503 "},
+		{"undecodable", http.StatusOK, []byte{0xff}, ErrUnavailable, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			client := newTestClient(t, 10, func() time.Time { return t0 }, func(w http.ResponseWriter, _ *http.Request) {
+				answer(t, w, c.status, c.body)
+			})
+			machines, err := client.ScaleOut(wire.ScaleOutRequest{Name: "r", Count: 1})
+			if !errors.Is(err, c.want) {
+				t.Fatalf("error %v, want %v", err, c.want)
+			}
+			if c.text != "" && err.Error() != c.text {
+				t.Errorf("text %q, want %q", err, c.text)
+			}
+			if c.want == nil && (len(machines) != 1 || machines[0] != "m1") {
+				t.Errorf("machines %v", machines)
+			}
+		})
+	}
+}
+
+func TestCallBudgetHoldsOneSecondOfCalls(t *testing.T) {
+	now := t0
+	var calls atomic.Int32
+	client := newTestClient(t, 2, func() time.Time { return now }, func(w http.ResponseWriter, _ *http.Request) {
+		calls.Add(1)
+		answer(t, w, http.StatusOK, wire.MustMarshal(wire.MachineNames{}))
+	})
+	callUntilRefused := func() int32 {
+		t.Helper()
+		before := calls.Load()
+		for range 10 {
+			if err := client.Terminate([]string{"m1"}); err != nil {
+				if !errors.Is(err, ErrUnavailable) {
+					t.Fatal(err)
+				}
+				return calls.Load() - before
+			}
+		}
+		t.Fatal("no call was refused")
+		return 0
+	}
+	for _, c := range []struct {
+		wait time.Duration
+		want int32
+	}{{0, 2}, {0, 0}, {500 * time.Millisecond, 1}, {time.Hour, 2}} {
+		now = now.Add(c.wait)
+		if got := callUntilRefused(); got != c.want {
+			t.Fatalf("%d calls after %s, want %d", got, c.wait, c.want)
+		}
+	}
+}
+
+func TestListMachinesReadsAllPages(t *testing.T) {
+	pages := map[string]wire.MachinePage{
+		"":    {Machines: []wire.Machine{{Name: "m1"}, {Name: "m 2"}}, Truncated: true},
+		"m 2": {Machines: []wire.Machine{{Name: "m3"}}, Truncated: true},
+		"m3":  {},
+	}
+	var failing atomic.Bool
+	client := newTestClient(t, 10, func() time.Time { return t0 }, func(w http.ResponseWriter, r *http.Request) {
+		query := r.URL.Query()
+		if query.Get("page") != fmt.Sprint(ListPageSize) {
+			t.Errorf("page size %q", query.Get("page"))
+		}
+		if failing.Load() && query.Get("after") == "m 2" {
+			answer(t, w, http.StatusInternalServerError, nil)
+			return
+		}
+		answer(t, w, http.StatusOK, wire.MustMarshal(pages[query.Get("after")]))
+	})
+	machines, err := client.ListMachines()
+	if err != nil || len(machines) != 3 || machines[2].Name != "m3" {
+		t.Fatalf("%v %v", machines, err)
+	}
+	// A part of the list must not be taken for the whole: what it lacks would
+	// seem to be gone.
+	failing.Store(true)
+	if machines, err := client.ListMachines(); !errors.Is(err, ErrUnavailable) || machines != nil {
+		t.Fatalf("a page failed: %v %v", machines, err)
+	}
+}
+
+func TestFailedCallKeepsItsCause(t *testing.T) {
+	server := httptest.NewServer(http.NotFoundHandler())
+	addr := strings.TrimPrefix(server.URL, "http://")
+	server.Close()
+	client := NewClient(addr, 10, func() time.Time { return t0 })
+	if _, err := client.MachineTypes(); !errors.Is(err, ErrUnavailable) || !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Fatalf("error %v", err)
+	}
+}
