--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// What a node has stored must stay readable to every later version, and to the
-// version that works beside it.
+// What a controller has stored must stay readable to every later version, and to
+// the version that works beside it.
 func TestGoldenRecords(t *testing.T) {
 	record := Record{Phase: Waiting, AcceptedAtMs: 1_700_000_000_001, Tasks: 17, ChunkSize: 64, ClaimSerial: 71,
 		Spec: goldenSpec(), EndedAtMs: 1_700_000_000_002, CancelledWith: "wk-000397"}
@@ -34,7 +34,7 @@
 }
 
 // The values of the stored phases, states and key prefixes.
-func TestStoredConstants(t *testing.T) {
+func TestStoredConstantsKeepTheirValues(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{string(Open), "open"}, {string(Waiting), "waiting"}, {string(Done), "done"}, {string(Cancelled), "cancelled"},
 		{JobKey("wk-1"), "w/job/wk-1"}, {ChunkKey("wk-1", 2), "w/task/wk-1/2"}, {TeamKey("vision"), "w/team/vision"},
@@ -49,9 +49,9 @@
 	}
 }
 
-// The size of a description decides which submissions are taken and how many
+// The size of a submission decides which submissions are taken and how many
 // go into one intake record.
-func TestIntakeBytesOfADescription(t *testing.T) {
+func TestIntakeBytesOfASubmission(t *testing.T) {
 	if got, want := IntakeBytes(goldenSpec()), 426; got != want {
 		t.Errorf("%d bytes, want %d", got, want)
 	}
--- a/internal/jobs/sizes_test.go
+++ b/internal/jobs/sizes_test.go
@@ -2,42 +2,56 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"testing"
 )
 
-func TestChunkRecordsStayBelowTheValueLimit(t *testing.T) {
-	size := func(c ChunkRecord) int {
-		var list []any
-		for _, k := range c.Tasks {
-			list = append(list, []any{k.State, k.Attempt, k.Machine, k.Incarnation, k.Failures})
-		}
-		b, err := json.Marshal(map[string]any{"t": list})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return len(b)
+// chunkJSONSize is the size of a chunk record as the key-value store counts it.
+func chunkJSONSize(t *testing.T, record ChunkRecord) int {
+	t.Helper()
+	var tasks []any
+	for _, task := range record.Tasks {
+		tasks = append(tasks, []any{task.State, task.Attempt, task.Machine, task.Incarnation, task.Failures})
 	}
-	full := func(n int, k Task) (c ChunkRecord) {
-		for range n {
-			c.Tasks = append(c.Tasks, k)
-		}
-		return c
+	b, err := json.Marshal(map[string]any{"t": tasks})
+	if err != nil {
+		t.Fatal(err)
 	}
-	for _, kb := range []float64{1, 2, 4, 16} {
-		c := full(ChunkSize(kb), Task{State: Claimed, Attempt: 99, Machine: "host-000231", Incarnation: 99, Failures: 9})
-		if n := c.Bytes(); float64(n) > kb*1024 || size(c) > n {
-			t.Errorf("%g KiB: %d tasks take %d bytes, by our count %d", kb, len(c.Tasks), size(c), n)
-		}
+	return len(b)
+}
+
+func chunkOf(number int, task Task) (record ChunkRecord) {
+	for range number {
+		record.Tasks = append(record.Tasks, task)
 	}
-	// With longer names a claim too many is left out: its bound is what the
-	// record grows by.
-	for _, k := range []Task{{}, {Attempt: 9}, {Attempt: 99999, Failures: 20}} {
-		was := full(3, k)
-		e := TaskEvent{Kind: Claim, Machine: "a-machine-with-a-long-name", Incarnation: 12345}
-		is := full(3, k)
-		is.Tasks[1], _ = k.Next(e)
-		if grown := is.Bytes() - was.Bytes(); grown > ClaimBytes(e) || size(is) > is.Bytes() {
-			t.Errorf("%+v: grows by %d, bound %d", k, grown, ClaimBytes(e))
-		}
+	return record
+}
+
+func TestChunkRecordsStayBelowTheValueLimit(t *testing.T) {
+	for _, limitKB := range []float64{1, 2, 4, 16} {
+		t.Run(fmt.Sprintf("%g KiB", limitKB), func(t *testing.T) {
+			record := chunkOf(ChunkSize(limitKB), Task{State: Claimed, Attempt: 99, Machine: "host-000231", Incarnation: 99, Failures: 9})
+			if bound, size := record.Bytes(), chunkJSONSize(t, record); float64(bound) > limitKB*1024 || size > bound {
+				t.Errorf("%d tasks take %d bytes, by our count %d", len(record.Tasks), size, bound)
+			}
+		})
+	}
+}
+
+// With longer names a claim too many is left out: its bound is what the record
+// grows by.
+func TestClaimBytesBoundsWhatAClaimAdds(t *testing.T) {
+	for _, pending := range []Task{{}, {Attempt: 9}, {Attempt: 99999, Failures: 20}} {
+		t.Run(fmt.Sprintf("attempt %d", pending.Attempt), func(t *testing.T) {
+			claim := TaskEvent{Kind: Claim, Machine: "a-machine-with-a-long-name", Incarnation: 12345}
+			before, after := chunkOf(3, pending), chunkOf(3, pending)
+			var err error
+			if after.Tasks[1], err = pending.Next(claim); err != nil {
+				t.Fatal(err)
+			}
+			if grown := after.Bytes() - before.Bytes(); grown > ClaimBytes(claim) || chunkJSONSize(t, after) > after.Bytes() {
+				t.Errorf("grows by %d, bound %d", grown, ClaimBytes(claim))
+			}
+		})
 	}
 }
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -1,101 +1,111 @@
 package jobs
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
 	"wheatspur/wire"
 )
 
-func table(t *testing.T, tasks int) (*Table, *wire.JobSpec) {
+// newTestTable returns a table with the open job wk-1 of team x, whose tasks take
+// two GPUs each.
+func newTestTable(t *testing.T, tasks int) *Table {
 	t.Helper()
-	tab := NewTable(func() time.Time { return time.Unix(0, 0) })
-	w := &wire.JobSpec{ID: "wk-1", Team: "x", Kind: wire.KindArray, Tasks: tasks, GPUs: 2}
-	if err := tab.ApplyJob("wk-1", wire.MustMarshal(Record{Phase: Open, Tasks: tasks, ChunkSize: 4, Spec: w})); err != nil {
+	table := NewTable(func() time.Time { return time.Unix(0, 0) })
+	spec := &wire.JobSpec{ID: "wk-1", Team: "x", Kind: wire.KindArray, Tasks: tasks, GPUs: 2}
+	applyJob(t, table, "wk-1", Record{Phase: Open, Tasks: tasks, ChunkSize: 4, Spec: spec})
+	return table
+}
+
+func applyJob(t *testing.T, table *Table, jobID string, record Record) {
+	t.Helper()
+	if err := table.ApplyJob(jobID, wire.MustMarshal(record)); err != nil {
 		t.Fatal(err)
 	}
-	return tab, w
 }
 
-func chunk(t *testing.T, tab *Table, n int, tasks ...Task) {
+// applyChunk enters a chunk of wk-1; without tasks its record is deleted.
+func applyChunk(t *testing.T, table *Table, chunk int, tasks ...Task) {
 	t.Helper()
 	var raw wire.Raw
 	if tasks != nil {
 		raw = wire.MustMarshal(ChunkRecord{Tasks: tasks})
 	}
-	if err := tab.ApplyChunk(ChunkKey("wk-1", n), raw); err != nil {
+	if err := table.ApplyChunk(ChunkKey("wk-1", chunk), raw); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestTableKeepsCountsAndQuota(t *testing.T) {
-	tab, _ := table(t, 6)
-	j := tab.Jobs["wk-1"]
-	chunk(t, tab, 1, Task{State: Claimed, Attempt: 1, Machine: "h"}, Task{State: Completed, Attempt: 1})
-	if j.Counts != [3]int{4, 1, 1} || tab.ResourcesByTeam["x"].GPUs != 2 || len(tab.ClaimsByMachine["h"]) != 1 {
-		t.Fatalf("counts %v used %v", j.Counts, tab.ResourcesByTeam["x"])
+func TestTableCountsTasksAndClaims(t *testing.T) {
+	table := newTestTable(t, 6)
+	job := table.Jobs["wk-1"]
+	applyChunk(t, table, 1, Task{State: Claimed, Attempt: 1, Machine: "h"}, Task{State: Completed, Attempt: 1})
+	if job.Counts != [3]int{4, 1, 1} || table.ResourcesByTeam["x"].GPUs != 2 || len(table.ClaimsByMachine["h"]) != 1 {
+		t.Fatalf("counts %v used %v", job.Counts, table.ResourcesByTeam["x"])
 	}
-	chunk(t, tab, 1, Task{State: Completed, Attempt: 1}, Task{State: Completed, Attempt: 1})
-	if tab.ResourcesByTeam["x"].GPUs != 0 || len(tab.ClaimsByMachine) != 0 || j.AllDone() {
-		t.Fatalf("used %v after the release", tab.ResourcesByTeam["x"])
+	applyChunk(t, table, 1, Task{State: Completed, Attempt: 1}, Task{State: Completed, Attempt: 1})
+	if table.ResourcesByTeam["x"].GPUs != 0 || len(table.ClaimsByMachine) != 0 || job.AllDone() {
+		t.Fatalf("used %v after the release", table.ResourcesByTeam["x"])
 	}
-	done := Task{State: Completed, Attempt: 1}
-	chunk(t, tab, 0, done, done, done, done)
-	if !j.AllDone() {
+	completed := Task{State: Completed, Attempt: 1}
+	applyChunk(t, table, 0, completed, completed, completed, completed)
+	if !job.AllDone() {
 		t.Fatal("all tasks are done")
 	}
 }
 
 // The final record carries no description any more, and the chunk goes in the
-// same write: the quota must still be given back to the job's own team.
-func TestQuotaIsGivenBackWhenTheJobEndsInTheSameWrite(t *testing.T) {
-	tab, _ := table(t, 1)
-	chunk(t, tab, 0, Task{State: Claimed, Attempt: 1, Machine: "h"})
-	if err := tab.ApplyJob("wk-1", wire.MustMarshal(Record{Phase: Done, Tasks: 1, ChunkSize: 4})); err != nil {
-		t.Fatal(err)
-	}
-	chunk(t, tab, 0)
-	if tab.ResourcesByTeam["x"].GPUs != 0 || len(tab.ClaimsByMachine) != 0 || len(tab.Open) != 0 {
-		t.Fatalf("used %v hosts %v", tab.ResourcesByTeam, tab.ClaimsByMachine)
+// same write: the claims must still be released for the job's own team.
+func TestClaimsAreReleasedWhenTheJobEndsInTheSameWrite(t *testing.T) {
+	table := newTestTable(t, 1)
+	applyChunk(t, table, 0, Task{State: Claimed, Attempt: 1, Machine: "h"})
+	applyJob(t, table, "wk-1", Record{Phase: Done, Tasks: 1, ChunkSize: 4})
+	applyChunk(t, table, 0)
+	if table.ResourcesByTeam["x"].GPUs != 0 || len(table.ClaimsByMachine) != 0 || len(table.Open) != 0 {
+		t.Fatalf("used %v machines %v", table.ResourcesByTeam, table.ClaimsByMachine)
 	}
-	if st := tab.Jobs["wk-1"].Status(); st.State != wire.StateDone || st.Done != 1 {
-		t.Fatalf("%+v", st)
+	if status := table.Jobs["wk-1"].Status(); status.State != wire.StateDone || status.Done != 1 {
+		t.Fatalf("%+v", status)
 	}
 }
 
 // A user's repeat may end up in another intake record; a job's own record may
-// be read before or after both. The outcome is the same for every node.
-func TestIntakeRecordsCountTheSameInAnyOrder(t *testing.T) {
-	rec := func(tasks int, p Phase) Record {
-		return Record{Phase: p, Tasks: tasks, ChunkSize: 4, Spec: &wire.JobSpec{Team: "x"}}
+// be read before or after both. The outcome is the same for every controller.
+func TestIntakeRecordsApplyTheSameInAnyOrder(t *testing.T) {
+	job := func(tasks int, phase Phase) Record {
+		return Record{Phase: phase, Tasks: tasks, ChunkSize: 4, Spec: &wire.JobSpec{Team: "x"}}
 	}
 	steps := []func(*Table) error{
-		func(t *Table) error {
-			return t.ApplyIntake("w/intake/a", wire.MustMarshal(IntakeRecord{Jobs: map[string]Record{"wk-1": rec(1, Open), "wk-2": rec(2, Open)}}), 5)
+		func(table *Table) error {
+			return table.ApplyIntake("w/intake/a", wire.MustMarshal(IntakeRecord{Jobs: map[string]Record{"wk-1": job(1, Open), "wk-2": job(2, Open)}}), 5)
 		},
-		func(t *Table) error {
-			return t.ApplyIntake("w/intake/b", wire.MustMarshal(IntakeRecord{Jobs: map[string]Record{"wk-2": rec(3, Open)}}), 7)
+		func(table *Table) error {
+			return table.ApplyIntake("w/intake/b", wire.MustMarshal(IntakeRecord{Jobs: map[string]Record{"wk-2": job(3, Open)}}), 7)
 		},
-		func(t *Table) error { return t.ApplyJob("wk-1", wire.MustMarshal(rec(1, Cancelled))) },
+		func(table *Table) error { return table.ApplyJob("wk-1", wire.MustMarshal(job(1, Cancelled))) },
 	}
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
-		tab := NewTable(time.Now)
-		for _, i := range order {
-			if err := steps[i](tab); err != nil {
-				t.Fatal(err)
+		t.Run(fmt.Sprint(order), func(t *testing.T) {
+			table := NewTable(time.Now)
+			for _, i := range order {
+				if err := steps[i](table); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if phase := table.Jobs["wk-1"].Record.Phase; phase != Cancelled || table.Open["wk-1"] != nil {
+				t.Errorf("the cancelled job is %s", phase)
+			}
+			if j := table.Jobs["wk-2"]; j.Record.Tasks != 2 || j.Counts[Pending] != 2 {
+				t.Errorf("%d tasks, %d pending: not those accepted first", j.Record.Tasks, j.Counts[Pending])
+			}
+			if table.IntakeFinished("w/intake/a") {
+				t.Error("finished though a job of it is open")
+			}
+			applyJob(t, table, "wk-2", job(2, Done))
+			if !table.IntakeFinished("w/intake/a") {
+				t.Error("not finished though all jobs are")
 			}
-		}
-		if p := tab.Jobs["wk-1"].Record.Phase; p != Cancelled || tab.Open["wk-1"] != nil {
-			t.Errorf("order %v: the cancelled job is %s", order, p)
-		}
-		if j := tab.Jobs["wk-2"]; j.Record.Tasks != 2 || j.Counts[Pending] != 2 {
-			t.Errorf("order %v: %d tasks, %d pending: not those accepted first", order, j.Record.Tasks, j.Counts[Pending])
-		}
-		if tab.IntakeFinished("w/intake/a") {
-			t.Errorf("order %v: over though a job of it is open", order)
-		}
-		if err := tab.ApplyJob("wk-2", wire.MustMarshal(rec(2, Done))); err != nil || !tab.IntakeFinished("w/intake/a") {
-			t.Errorf("order %v: not over though all is (%v)", order, err)
-		}
+		})
 	}
 }
--- a/internal/jobs/task_test.go
+++ b/internal/jobs/task_test.go
@@ -5,13 +5,48 @@
 	"testing"
 )
 
-func TestTaskAndJobMachines(t *testing.T) {
-	task := Task{}
-	var err error
-	for _, s := range []struct {
-		e    TaskEvent
-		want State
-		try  uint64
+func TestTaskStateTransitions(t *testing.T) {
+	claimed := Task{State: Claimed, Attempt: 7, Machine: "h", Incarnation: 2, Failures: 3}
+	pending := Task{State: Pending, Attempt: 7, Failures: 3}
+	completed := Task{State: Completed, Attempt: 7}
+	for _, from := range []struct {
+		task    Task
+		byEvent map[TaskEventKind]Task
+	}{
+		{Task{}, map[TaskEventKind]Task{
+			Claim: {State: Claimed, Attempt: 1, Machine: "m", Incarnation: 5},
+		}},
+		{pending, map[TaskEventKind]Task{
+			Claim: {State: Claimed, Attempt: 8, Machine: "m", Incarnation: 5, Failures: 3},
+		}},
+		{claimed, map[TaskEventKind]Task{
+			Complete: completed,
+			Release:  pending,
+			Fail:     {State: Pending, Attempt: 7, Failures: 4},
+		}},
+		{completed, nil},
+	} {
+		for _, kind := range []TaskEventKind{Claim, Complete, Release, Fail} {
+			t.Run(fmt.Sprintf("%s, attempt %d, %s", from.task.State, from.task.Attempt, kind), func(t *testing.T) {
+				want, allowed := from.byEvent[kind]
+				if !allowed {
+					want = from.task
+				}
+				got, err := from.task.Next(TaskEvent{Kind: kind, Machine: "m", Incarnation: 5})
+				if got != want || (err == nil) != allowed {
+					t.Errorf("got %+v, %v; want %+v", got, err, want)
+				}
+			})
+		}
+	}
+}
+
+func TestEveryClaimIsANewAttempt(t *testing.T) {
+	var task Task
+	for _, step := range []struct {
+		event   TaskEvent
+		state   State
+		attempt uint64
 	}{
 		{TaskEvent{Kind: Claim, Machine: "h", Incarnation: 2}, Claimed, 1},
 		{TaskEvent{Kind: Fail}, Pending, 1},
@@ -20,40 +55,38 @@
 		{TaskEvent{Kind: Claim, Machine: "h", Incarnation: 2}, Claimed, 3},
 		{TaskEvent{Kind: Complete}, Completed, 3},
 	} {
-		if task, err = task.Next(s.e); err != nil || task.State != s.want || task.Attempt != s.try {
-			t.Fatalf("after %s: %+v %v", s.e.Kind, task, err)
-		}
-	}
-	for _, k := range []TaskEventKind{Claim, Release, Fail, Complete} {
-		if _, err := task.Next(TaskEvent{Kind: k}); err == nil {
-			t.Errorf("%s of a completed task", k)
+		var err error
+		if task, err = task.Next(step.event); err != nil || task.State != step.state || task.Attempt != step.attempt {
+			t.Fatalf("after %s: %+v %v", step.event.Kind, task, err)
 		}
 	}
-	if _, err := (Task{}).Next(TaskEvent{Kind: Complete}); err == nil {
-		t.Error("a task that was never claimed completed")
-	}
-	for _, p := range []Phase{Done, Cancelled} {
-		for _, e := range []JobEvent{JobCompleted, JobCancel} {
-			if next, err := p.Next(e); err == nil || next != p {
-				t.Errorf("%s: %s gave %s", p, e, next)
-			}
-		}
+}
+
+func TestFailuresAreCountedUpToABound(t *testing.T) {
+	task := Task{State: Claimed, Attempt: 1, Failures: maxFailures}
+	if got, err := task.Next(TaskEvent{Kind: Fail}); err != nil || got.Failures != maxFailures {
+		t.Errorf("%+v %v", got, err)
 	}
 }
 
-func TestShardNames(t *testing.T) {
-	for i := range 3 {
-		jobID, n, ok := ParseTaskName(TaskName("wk-7", i))
-		if jobID != "wk-7" || n != i || !ok {
-			t.Fatal(jobID, n, ok)
+func TestTaskNamesAreParsed(t *testing.T) {
+	for number := range 3 {
+		jobID, parsed, ok := ParseTaskName(TaskName("wk-7", number))
+		if jobID != "wk-7" || parsed != number || !ok {
+			t.Fatal(jobID, parsed, ok)
 		}
 	}
-	for _, s := range []string{"", "wk-7", "wk-7/", "wk-7/-1", "wk-7/x"} {
-		if _, _, ok := ParseTaskName(s); ok {
-			t.Errorf("%q was read", s)
-		}
+	if got, want := (TaskID{Job: "wk-7", Task: 12}).String(), TaskName("wk-7", 12); got != want {
+		t.Errorf("task id %q, workers' name %q", got, want)
 	}
-	if jobID, c, ok := ParseChunkKey(ChunkKey("wk-7", 12)); jobID != "wk-7" || c != 12 || !ok {
-		t.Fatal(fmt.Sprint(jobID, c, ok))
+}
+
+func TestMalformedTaskNamesAreRefused(t *testing.T) {
+	for _, name := range []string{"", "wk-7", "wk-7/", "wk-7/-1", "wk-7/x"} {
+		t.Run(name, func(t *testing.T) {
+			if _, _, ok := ParseTaskName(name); ok {
+				t.Errorf("%q was parsed", name)
+			}
+		})
 	}
 }
--- a/internal/jobs/validation_test.go
+++ b/internal/jobs/validation_test.go
@@ -2,35 +2,73 @@
 
 import (
 	"errors"
+	"strings"
 	"testing"
 
 	"wheatspur/wire"
 )
 
-func TestWhatCanNeverRunIsRefused(t *testing.T) {
+// checkValidation compares an error with the text that the user should get; an
+// empty one means that the job is accepted.
+func checkValidation(t *testing.T, err error, want string) {
+	t.Helper()
+	var refusal ValidationError
+	switch {
+	case want == "" && err != nil:
+		t.Errorf("got %q, want no error", err)
+	case want != "" && !errors.As(err, &refusal):
+		t.Errorf("got %v, want the validation error %q", err, want)
+	case want != "" && refusal.Error() != want:
+		t.Errorf("got %q, want %q", refusal, want)
+	}
+}
+
+func TestValidateRefusesWhatCanNeverRun(t *testing.T) {
+	const (
+		noMachineType = "no allowed machine type fits a task"
+		overLimit     = "more than the team's limit"
+	)
 	types := []wire.MachineType{{Label: "g", CPUs: 8, GPUs: 4, RAMGB: 64, Zones: []string{"z"}}}
-	zone := "elsewhere"
-	for name, c := range map[string]struct {
-		edit  func(*wire.JobSpec)
-		known bool
-		ok    bool
+	otherZone := "elsewhere"
+	for _, c := range []struct {
+		name      string
+		edit      func(*wire.JobSpec)
+		knownTeam bool
+		want      string
 	}{
-		"fits":            {func(w *wire.JobSpec) {}, true, true},
-		"unknown team":    {func(w *wire.JobSpec) {}, false, false},
-		"too large":       {func(w *wire.JobSpec) { w.CPUs = 9 }, true, false},
-		"other type":      {func(w *wire.JobSpec) { w.MachineTypes = []string{"h"} }, true, false},
-		"other zone":      {func(w *wire.JobSpec) { w.Zone = &zone }, true, false},
-		"task over limit": {func(w *wire.JobSpec) { w.GPUs = 4 }, true, false},
-		"array at limit":  {func(w *wire.JobSpec) { w.Tasks = 1000 }, true, true},
-		"service over":    {func(w *wire.JobSpec) { w.Kind, w.Tasks = wire.KindService, 4 }, true, false},
-		"gang too large":  {func(w *wire.JobSpec) { w.Kind, w.Tasks, w.GPUs = wire.KindGang, 99, 0 }, true, false},
+		{"fits", func(*wire.JobSpec) {}, true, ""},
+		{"unknown team", func(*wire.JobSpec) {}, false, "unknown team"},
+		{"larger than every machine", func(s *wire.JobSpec) { s.CPUs = 9 }, true, noMachineType},
+		{"other machine type", func(s *wire.JobSpec) { s.MachineTypes = []string{"h"} }, true, noMachineType},
+		{"other zone", func(s *wire.JobSpec) { s.Zone = &otherZone }, true, noMachineType},
+		{"task over the limit", func(s *wire.JobSpec) { s.GPUs = 4 }, true, overLimit},
+		{"array with one task within the limit", func(s *wire.JobSpec) { s.Tasks = 1000 }, true, ""},
+		{"service over the limit", func(s *wire.JobSpec) { s.Kind, s.Tasks = wire.KindService, 4 }, true, overLimit},
+		{"gang larger than a write", func(s *wire.JobSpec) { s.Kind, s.Tasks, s.GPUs = wire.KindGang, 99, 0 }, true,
+			"more tasks at once than one write can claim"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			spec := &wire.JobSpec{Kind: wire.KindArray, Tasks: 2, CPUs: 1, GPUs: 1, RAMGB: 1}
+			c.edit(spec)
+			checkValidation(t, Validate(spec, TeamLimits{GPUsMax: 3}, c.knownTeam, types, 64), c.want)
+		})
+	}
+}
+
+func TestValidateDependenciesRefusesWhatIsNeverDone(t *testing.T) {
+	accepted := func(jobID string) (known, service bool) { return jobID != "wk-404", jobID == "wk-9" }
+	for _, c := range []struct{ name, dependency, want string }{
+		{"accepted job", "wk-2", ""},
+		{"unknown job", "wk-404", "awaits names a job that was never accepted: wk-404"},
+		{"service", "wk-9", "awaits names a service, which never ends: wk-9"},
+		{"itself", "wk-1", "a job can't await itself"},
+		{"no job id", "job-2", "awaits names no job: job-2"},
+		{"empty", "", "awaits names no job: "},
+		{"long text", strings.Repeat("x", 99), "awaits names no job: " + strings.Repeat("x", 40)},
 	} {
-		w := &wire.JobSpec{Kind: wire.KindArray, Tasks: 2, CPUs: 1, GPUs: 1, RAMGB: 1}
-		c.edit(w)
-		err := Validate(w, TeamLimits{GPUsMax: 3}, c.known, types, 64)
-		var r ValidationError
-		if (err == nil) != c.ok || err != nil && !errors.As(err, &r) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			spec := &wire.JobSpec{ID: "wk-1", DependsOn: []string{c.dependency}}
+			checkValidation(t, ValidateDependencies(spec, accepted), c.want)
+		})
 	}
 }
