--- a/internal/membership/attestation_test.go
+++ b/internal/membership/attestation_test.go
@@ -5,36 +5,51 @@
 	"time"
 )
 
+func at(second int) time.Time { return time.Unix(int64(1000+second), 0) }
+
 // Each sibling has to attest, in the incarnation that it had before the last
 // read, and for nothing that is not in the cache.
-func TestCancellationsAreKnownAsFarAsAllVouch(t *testing.T) {
-	at := func(s int) time.Time { return time.Unix(int64(1000+s), 0) }
-	good := func(asked int) Attestation {
+func TestCancellationsKnownUntilEarliestAttestation(t *testing.T) {
+	attested := func(asked int) Attestation {
 		return Attestation{Incarnation: 7, Since: at(0), AskedAt: at(asked), LastCancellation: 40}
 	}
-	with := func(w Attestation, f func(*Attestation)) Attestation { f(&w); return w }
+	with := func(a Attestation, change func(*Attestation)) Attestation { change(&a); return a }
 	for _, c := range []struct {
 		name     string
 		siblings []Attestation
 		want     int
 	}{
 		{"nobody else", nil, 10},
-		{"all attest: the least of the askings", []Attestation{good(50), good(30)}, 30},
-		{"one was never heard", []Attestation{good(50), {}}, 10},
-		{"one is new since the read", []Attestation{good(50), with(good(50), func(w *Attestation) { w.Since = at(10) })}, 10},
-		{"one knows a cancellation that is not in the cache", []Attestation{good(50), with(good(50), func(w *Attestation) { w.LastCancellation = 51 })}, 10},
-		{"the last that is", []Attestation{good(50), with(good(50), func(w *Attestation) { w.LastCancellation = 50 })}, 50},
-		{"asked before the read", []Attestation{good(50), good(5)}, 10},
+		{"all attest: the earliest request", []Attestation{attested(50), attested(30)}, 30},
+		{"one was never heard", []Attestation{attested(50), {}}, 10},
+		{"one is new since the read", []Attestation{attested(50), with(attested(50), func(a *Attestation) { a.Since = at(10) })}, 10},
+		{"one knows a cancellation that is not in the cache", []Attestation{attested(50), with(attested(50), func(a *Attestation) { a.LastCancellation = 51 })}, 10},
+		{"the last that is", []Attestation{attested(50), with(attested(50), func(a *Attestation) { a.LastCancellation = 50 })}, 50},
+		{"asked before the read", []Attestation{attested(50), attested(5)}, 10},
 	} {
-		if got := CancellationsKnownUntil(at(10), 50, c.siblings); !got.Equal(at(c.want)) {
-			t.Errorf("%s: %v, want %v", c.name, got.Sub(at(0)), c.want)
-		}
-	}
-	w := Attestation{}.Update(7, 40, at(1), at(2)).Update(7, 30, at(0), at(3))
-	if w != (Attestation{7, at(2), at(1), 40}) {
-		t.Errorf("an older answer took something back: %+v", w)
+		t.Run(c.name, func(t *testing.T) {
+			if got := CancellationsKnownUntil(at(10), 50, c.siblings); !got.Equal(at(c.want)) {
+				t.Errorf("%v, want %ds", got.Sub(at(0)), c.want)
+			}
+		})
 	}
-	if w = w.Update(8, 0, at(4), at(5)); w != (Attestation{8, at(5), at(4), 0}) {
-		t.Errorf("a new incarnation: %+v", w)
+}
+
+func TestAttestationUpdate(t *testing.T) {
+	first := Attestation{}.Update(7, 40, at(1), at(2))
+	for _, c := range []struct {
+		name string
+		got  Attestation
+		want Attestation
+	}{
+		{"first answer", first, Attestation{Incarnation: 7, Since: at(2), AskedAt: at(1), LastCancellation: 40}},
+		{"an older answer takes nothing back", first.Update(7, 30, at(0), at(3)), first},
+		{"a new incarnation begins anew", first.Update(8, 0, at(4), at(5)), Attestation{Incarnation: 8, Since: at(5), AskedAt: at(4)}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if c.got != c.want {
+				t.Errorf("%+v, want %+v", c.got, c.want)
+			}
+		})
 	}
 }
--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -1,50 +1,93 @@
 package membership
 
-import "testing"
+import (
+	"testing"
 
-func n(label string, inc uint64) Node { return Node{label, inc} }
+	"wheatspur/internal/tuning"
+)
 
-func TestEveryChangeOfTheNodesRaisesTheBaton(t *testing.T) {
-	a, b := n("a", 1), n("b", 2)
-	v := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}}
-	if !Decide(v).BecomeLeader {
-		t.Fatal("nobody leads and the lead is not taken")
+func node(label string, incarnation uint64) Node {
+	return Node{Label: label, Incarnation: incarnation}
+}
+
+// requireNoAction fails the test if there is anything to do.
+func requireNoAction(t *testing.T, view View, when string) {
+	t.Helper()
+	if action := Decide(view); action.BecomeLeader || action.WriteMembership != nil {
+		t.Fatalf("%s: %+v, want no action", when, action)
+	}
+}
+
+// requireMembership returns the membership to write, which must begin with the token.
+func requireMembership(t *testing.T, view View, token uint64, when string) *Record {
+	t.Helper()
+	record := Decide(view).WriteMembership
+	if record == nil || record.FencingToken != token {
+		t.Fatalf("%s: %+v, want a membership from token %d on", when, record, token)
 	}
-	v.Leader = &a
-	rec := Decide(v).WriteMembership
-	if rec == nil || rec.FencingToken != 1 || !rec.Contains(a) || !rec.Contains(b) {
-		t.Fatalf("first membership: %+v", rec)
+	return record
+}
+
+func TestMembershipChangeAdvancesFencingToken(t *testing.T) {
+	a, b := node("a", 1), node("b", 2)
+	view := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}}
+	if !Decide(view).BecomeLeader {
+		t.Fatal("there is no leader and nobody becomes it")
 	}
-	v.Membership = rec
-	if act := Decide(v); act.BecomeLeader || act.WriteMembership != nil {
-		t.Fatalf("nothing changed but %+v", act)
+	view.Leader = &a
+	record := requireMembership(t, view, 1, "first")
+	if !record.Contains(a) || !record.Contains(b) {
+		t.Fatalf("first membership: %+v", record)
 	}
-	// A restarted node is another incarnation: its former process may have
+	view.Membership = record
+	requireNoAction(t, view, "nothing has changed")
+	// A restarted controller is another incarnation: its former process may have
 	// commands under way.
-	v.Sessions["b"] = n("b", 3)
-	rec = Decide(v).WriteMembership
-	if rec == nil || rec.FencingToken != 2 || !rec.Contains(n("b", 3)) || rec.Contains(b) {
-		t.Fatalf("after a restart: %+v", rec)
+	view.Sessions["b"] = node("b", 3)
+	record = requireMembership(t, view, 2, "after a restart")
+	if !record.Contains(node("b", 3)) || record.Contains(b) {
+		t.Fatalf("after a restart: %+v", record)
 	}
-	v.Membership = rec
-	delete(v.Sessions, "b")
-	if rec = Decide(v).WriteMembership; rec == nil || rec.FencingToken != 3 || len(rec.Nodes) != 1 {
-		t.Fatalf("after a death: %+v", rec)
+	view.Membership = record
+	delete(view.Sessions, "b")
+	if record = requireMembership(t, view, 3, "after a failure"); len(record.Nodes) != 1 {
+		t.Fatalf("after a failure: %+v", record)
 	}
 }
 
-func TestOnlyTheLeaderWritesAndARestartedLeaderTakesOverAtOnce(t *testing.T) {
-	a, b := n("a", 1), n("b", 2)
-	v := View{Self: b, Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}
-	if act := Decide(v); act.BecomeLeader || act.WriteMembership != nil {
-		t.Fatalf("a follower acts: %+v", act)
+func TestMembershipBeginsAfterTokenRangeOfLast(t *testing.T) {
+	a := node("a", 1)
+	view := View{Self: a, Sessions: map[string]Node{"a": a}, Leader: &a, TokenRangesSupported: true}
+	first := requireMembership(t, view, 1, "first")
+	if first.TokenRange != tuning.TokenSpan || first.LastToken() != tuning.TokenSpan {
+		t.Fatalf("first membership: %+v, last token %d", first, first.LastToken())
+	}
+	view.Membership = first
+	view.Sessions["b"] = node("b", 2)
+	second := requireMembership(t, view, tuning.TokenSpan+1, "after a join")
+	if !second.Follows(first) || first.Follows(second) || second.Follows(second) {
+		t.Fatalf("%+v must follow %+v, and nothing else", second, first)
 	}
-	v.Self = n("a", 5)
-	if act := Decide(v); act.BecomeLeader {
-		t.Fatal("a node without a stored session takes the lead")
+	// A version that does not know ranges has a session.
+	view.Membership, view.TokenRangesSupported = second, false
+	view.Sessions["c"] = node("c", 3)
+	third := requireMembership(t, view, 2*tuning.TokenSpan+1, "after an older version's join")
+	if third.TokenRange != 0 || third.LastToken() != third.FencingToken || !third.Follows(second) || third.Follows(first) {
+		t.Fatalf("third membership: %+v", third)
 	}
-	v.Sessions["a"] = v.Self
-	if !Decide(v).BecomeLeader {
-		t.Fatal("a restarted leader waits for its former lease")
+}
+
+func TestOnlyLeaderWritesMembership(t *testing.T) {
+	a, b := node("a", 1), node("b", 2)
+	requireNoAction(t, View{Self: b, Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}, "a follower")
+}
+
+func TestRestartedLeaderTakesOverOnceItsSessionIsStored(t *testing.T) {
+	a, b := node("a", 1), node("b", 2)
+	view := View{Self: node("a", 5), Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}
+	requireNoAction(t, view, "a controller without a stored session")
+	view.Sessions["a"] = view.Self
+	if !Decide(view).BecomeLeader {
+		t.Fatal("a restarted leader waits for the expiry of its former lease")
 	}
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -9,19 +9,18 @@
 
 var update = flag.Bool("update", false, "rewrite the golden bytes")
 
-// What a node has stored must stay readable to every later version, and to the
+// What a controller has stored must stay readable to every later version, and to the
 // version that works beside it.
 func TestGoldenRecords(t *testing.T) {
-	node := Node{Label: "node-1", Incarnation: 81}
+	stored := node("node-1", 81)
 	golden.Check(t, []golden.Sample{
-		golden.CBOR("node", node),
-		golden.CBOR("session", Session{Node: node, Format: 82, ProgramVersion: "0.2.0"}),
-		golden.CBOR("membership", Record{FencingToken: 83, Leader: node, Nodes: []Node{{Label: "node-2", Incarnation: 84}},
+		golden.CBOR("node", stored),
+		golden.CBOR("session", Session{Node: stored, Format: 82, ProgramVersion: "0.2.0"}),
+		golden.CBOR("membership", Record{FencingToken: 83, Leader: stored, Nodes: []Node{node("node-2", 84)},
 			Unreachable: []string{"node-3"}, TokenRange: 85}),
 	}, *update)
 }
 
-// The key of each record.
 func TestStoredKeys(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{Key, "w/member"}, {LeaderKey, "w/lead"}, {SessionKey("node-1"), "w/node/node-1"}, {UnreachableKey("node-1"), "w/deaf/node-1"},
--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -2,37 +2,51 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 )
 
-// A node that was cut from the workers alone kept its machines: their workers
-// were sent back to it by its siblings until their leases ran out.
-func TestADeafNodeOwnsNothingUntilItHearsAgain(t *testing.T) {
-	if (Reachability{Silent: 1, SiblingsReachable: true}).NextUnreachable() || (Reachability{Silent: 5}).NextUnreachable() || (Reachability{Silent: 5, Heard: 1, SiblingsReachable: true}).NextUnreachable() {
-		t.Fatal("unreachable without evidence")
+func TestNextUnreachable(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		Reachability
+		want bool
+	}{
+		{"one silent machine may be at fault itself", Reachability{Silent: 1, SiblingsReachable: true}, false},
+		{"siblings hear nothing either", Reachability{Silent: 5}, false},
+		{"another machine is heard", Reachability{Silent: 5, Heard: 1, SiblingsReachable: true}, false},
+		{"several are silent while a sibling hears its own", Reachability{Silent: 2, SiblingsReachable: true}, true},
+		{"no worker has answered yet", Reachability{Unreachable: true}, true},
+		{"a worker answers", Reachability{Unreachable: true, Answered: true}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.NextUnreachable(); got != c.want {
+				t.Errorf("unreachable: %v, want %v", got, c.want)
+			}
+		})
 	}
-	if !(Reachability{Silent: 2, SiblingsReachable: true}).NextUnreachable() || !(Reachability{Unreachable: true}).NextUnreachable() || (Reachability{Unreachable: true, Answered: true}).NextUnreachable() {
-		t.Fatal("an unreachable node is not noticed, or does not end")
-	}
-	a, b := n("a", 1), n("b", 2)
-	v := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}
-	v.Membership = Decide(v).WriteMembership
-	v.Unreachable = map[string]bool{"b": true}
-	rec := Decide(v).WriteMembership
-	if rec == nil || rec.FencingToken != v.Membership.FencingToken+1 || !rec.Contains(b) {
-		t.Fatalf("%+v", rec)
+}
+
+// A controller that was cut off from the workers alone kept its machines: their
+// workers were sent back to it by its siblings until their leases expired.
+func TestUnreachableMemberOwnsNoMachines(t *testing.T) {
+	a, b := node("a", 1), node("b", 2)
+	view := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}
+	view.Membership = requireMembership(t, view, 1, "first")
+	view.Unreachable = map[string]bool{"b": true}
+	record := requireMembership(t, view, 2, "b is unreachable")
+	if !record.Contains(b) || !slices.Equal(record.Unreachable, []string{"b"}) {
+		t.Fatalf("b is unreachable: %+v", record)
 	}
 	for i := range 50 {
-		if o := rec.Owner(fmt.Sprint("host-", i)); o != "a" {
-			t.Fatalf("a machine is owned by %s", o)
+		if owner := record.Owner(fmt.Sprint("host-", i)); owner != "a" {
+			t.Fatalf("a machine is owned by %s", owner)
 		}
 	}
-	v.Membership = rec
-	if act := Decide(v); act.WriteMembership != nil {
-		t.Fatalf("written again: %+v", act.WriteMembership)
-	}
-	v.Unreachable["a"] = true
-	if rec = Decide(v).WriteMembership; rec == nil || len(rec.Unreachable) != 0 {
-		t.Fatalf("all are unreachable and %+v", rec)
+	view.Membership = record
+	requireNoAction(t, view, "nothing has changed")
+	view.Unreachable["a"] = true
+	if record = requireMembership(t, view, 3, "all are unreachable"); len(record.Unreachable) != 0 {
+		t.Fatalf("all are unreachable and nobody owns the machines: %+v", record)
 	}
 }
--- a/internal/membership/session_test.go
+++ b/internal/membership/session_test.go
@@ -2,14 +2,51 @@
 
 import "testing"
 
-func TestSessionStates(t *testing.T) {
-	s := NoLease
-	for _, step := range []struct {
-		e    SessionEvent
-		want SessionState
-	}{{SessionStored, NoLease}, {LeaseGranted, Leased}, {SessionStored, Registered}, {LeaseGranted, Registered}, {LeaseExpired, NoLease}} {
-		if s = s.Next(step.e); s != step.want {
-			t.Fatalf("after %s: %s, want %s", step.e, s, step.want)
-		}
+func TestSessionTransitions(t *testing.T) {
+	for _, c := range []struct {
+		from  SessionState
+		event SessionEvent
+		want  SessionState
+	}{
+		{NoLease, LeaseGranted, Leased},
+		{NoLease, SessionStored, NoLease},
+		{NoLease, LeaseExpired, NoLease},
+		{Leased, LeaseGranted, Leased},
+		{Leased, SessionStored, Registered},
+		{Leased, LeaseExpired, NoLease},
+		{Registered, LeaseGranted, Registered},
+		{Registered, SessionStored, Registered},
+		{Registered, LeaseExpired, NoLease},
+	} {
+		t.Run(string(c.from)+", "+string(c.event), func(t *testing.T) {
+			if got := c.from.Next(c.event); got != c.want {
+				t.Errorf("%q, want %q", got, c.want)
+			}
+		})
+	}
+}
+
+func TestFormatSupportedOnceEveryMemberTold(t *testing.T) {
+	a, b := node("a", 1), node("b", 2)
+	record := Record{Nodes: []Node{a, b}}
+	knows := func(n Node, format uint64) Session { return Session{Node: n, Format: format} }
+	for _, c := range []struct {
+		name     string
+		sessions map[string]Session
+		want     bool
+	}{
+		{"all know it", map[string]Session{"a": knows(a, 2), "b": knows(b, 2)}, true},
+		{"one knows a newer one", map[string]Session{"a": knows(a, 2), "b": knows(b, 3)}, true},
+		{"a controller that is no member does not", map[string]Session{"a": knows(a, 2), "b": knows(b, 2), "c": knows(node("c", 3), 0)}, true},
+		{"one knows an older one", map[string]Session{"a": knows(a, 2), "b": knows(b, 1)}, false},
+		{"one tells no form", map[string]Session{"a": knows(a, 2), "b": knows(b, 0)}, false},
+		{"one has no session", map[string]Session{"a": knows(a, 2)}, false},
+		{"one told it in another incarnation", map[string]Session{"a": knows(a, 2), "b": knows(node("b", 4), 2)}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := record.AllSupport(FormatTokenRanges, c.sessions); got != c.want {
+				t.Errorf("%v, want %v", got, c.want)
+			}
+		})
 	}
 }
--- a/internal/membership/shardowner_test.go
+++ b/internal/membership/shardowner_test.go
@@ -5,24 +5,24 @@
 	"testing"
 )
 
-func TestOwnersAreEvenAndMoveOnlyWithTheirNode(t *testing.T) {
-	three := Record{Nodes: []Node{n("a", 1), n("b", 2), n("c", 3)}}
+func TestShardOwnersAreEvenAndStayWhileTheirOwnerDoes(t *testing.T) {
+	three := Record{Nodes: []Node{node("a", 1), node("b", 2), node("c", 3)}}
 	two := Record{Nodes: three.Nodes[:2]}
-	count := map[string]int{}
+	owned := map[string]int{}
 	for i := range 300 {
-		host := fmt.Sprintf("host-%06d", i)
-		o := three.Owner(host)
-		count[o]++
-		if three.RankNodes(host)[0] != o {
-			t.Fatalf("%s: order and owner differ", host)
+		machine := fmt.Sprintf("host-%06d", i)
+		owner := three.Owner(machine)
+		owned[owner]++
+		if three.RankNodes(machine)[0] != owner {
+			t.Fatalf("%s: order and owner differ", machine)
 		}
-		if p := two.Owner(host); o != "c" && p != o {
-			t.Fatalf("%s moved from %s to %s though its owner lives", host, o, p)
+		if other := two.Owner(machine); owner != "c" && other != owner {
+			t.Fatalf("%s moved from %s to %s though its owner is a member", machine, owner, other)
 		}
 	}
-	for l, k := range count {
-		if k < 70 || k > 130 {
-			t.Errorf("%s owns %d of 300", l, k)
+	for label, machines := range owned {
+		if machines < 70 || machines > 130 {
+			t.Errorf("%s owns %d of 300", label, machines)
 		}
 	}
 }
