--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -10,13 +10,20 @@
 	"wheatspur/wire"
 )
 
-// bin is the room of a machine, one that there is or a planned one.
+// bin is the room of a machine, an existing one or a planned one.
 type bin struct {
 	kind        MachineKind
 	role        placement.Role
 	free        jobs.Resources
-	schedulable bool   // takes tasks now
-	name        string // "" for a planned one
+	schedulable bool // takes tasks now
+}
+
+// fill places as many of count like tasks as fit, and returns how many are left.
+func (b *bin) fill(need jobs.Resources, count int) int {
+	for ; count > 0 && need.Fits(b.free); count-- {
+		b.free = b.free.Sub(need)
+	}
+	return count
 }
 
 // zoneRole is what machines are spread over zones by.
@@ -25,41 +32,42 @@
 	role placement.Role
 }
 
-// healthy reports whether the machine can be counted on, once it is up.
-func (u Machine) healthy() bool {
-	return !u.Quarantined && !u.Silent && !u.Missing
+func (p *planner) addBin(b *bin) {
+	p.bins = append(p.bins, b)
+	p.zoneCounts[zoneRole{b.kind.Zone, b.role}]++
 }
 
-// bootOverdue reports whether the machine is beyond the usual boot time: it may yet
-// come, or never. What counts on it waits for the time in which another would
-// boot.
-func (p *planner) bootOverdue(u Machine) bool {
-	return u.Booting && u.Age > time.Duration(tuning.LateBootFactor*float64(p.bootTime(u)))
+// isHealthy reports whether the machine can be counted on, once it is up.
+func (m Machine) isHealthy() bool {
+	return !m.Quarantined && !m.Silent && !m.Missing
 }
 
-// bootTime is the usual boot time of the machine's type.
-func (p *planner) bootTime(u Machine) time.Duration {
-	return config.Seconds(p.types[u.Kind.MachineType].StartupS)
+// isBootOverdue reports whether the machine is beyond the usual boot time: it may
+// yet come up, or never. Without it as a bin, its room is planned anew. Guards
+// against tasks that wait, until the machine is given up, for the time in which
+// another would boot.
+func (p *planner) isBootOverdue(m Machine) bool {
+	return m.Booting && m.Age > time.Duration(tuning.LateBootFactor*float64(p.bootTime(m)))
 }
 
-func (p *planner) addBin(b *bin) {
-	p.bins = append(p.bins, b)
-	p.zoneCounts[zoneRole{b.kind.Zone, b.role}]++
+// bootTime is the usual boot time of the machine's type.
+func (p *planner) bootTime(m Machine) time.Duration {
+	return config.Seconds(p.types[m.Kind.MachineType].StartupS)
 }
 
-// total is the room of an empty machine of the type.
-func total(t wire.MachineType) jobs.Resources {
-	return jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}
+// capacity is the room of an empty machine of the type.
+func capacity(machineType wire.MachineType) jobs.Resources {
+	return jobs.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAM: machineType.RAMGB}
 }
 
-// eligible reports whether the job may use machines of the kind in the role.
-func eligible(j *jobs.Job, k MachineKind, role placement.Role) bool {
-	return placement.Eligible(j, &placement.Machine{Type: k.MachineType, Zone: k.Zone, Spot: k.Spot, Role: role})
+// isEligible reports whether the job may use machines of the kind in the role.
+func isEligible(job *jobs.Job, kind MachineKind, role placement.Role) bool {
+	return placement.Eligible(job, &placement.Machine{Type: kind.MachineType, Zone: kind.Zone, Spot: kind.Spot, Role: role})
 }
 
 // roleOf is the role of the machines that run the job's tasks.
-func roleOf(j *jobs.Job) placement.Role {
-	if j.Service() {
+func roleOf(job *jobs.Job) placement.Role {
+	if job.Service() {
 		return placement.Service
 	}
 	return placement.Batch
--- a/internal/autoscale/headroom.go
+++ b/internal/autoscale/headroom.go
@@ -8,88 +8,86 @@
 )
 
 // headroomTasks is the number of typical tasks that a role's headroom holds.
-func headroomTasks(l Load, share float64) int {
-	if l.Spec == nil || share <= 0 {
+func headroomTasks(load Load, share float64) int {
+	if load.Spec == nil || share <= 0 {
 		return 0
 	}
-	return max(int(math.Ceil(l.Tasks*share)), l.MinTasks)
+	return max(int(math.Ceil(load.Tasks*share)), load.MinTasks)
 }
 
-// typical makes a job that stands for a load.
-func typical(l Load) *jobs.Job {
-	w := *l.Spec
-	w.Zone = nil
-	return &jobs.Job{Record: jobs.Record{Phase: jobs.Open, Spec: &w}, Need: l.Need}
+// typicalJob makes a job that stands for a load, in any zone.
+func typicalJob(load Load) *jobs.Job {
+	spec := *load.Spec
+	spec.Zone = nil
+	return &jobs.Job{Record: jobs.Record{Phase: jobs.Open, Spec: &spec}, Need: load.Need}
 }
 
-// headroom plans room for tasks that are yet to come, and for some of the
-// machines that are booting to come late.
-func (p *planner) headroom(role placement.Role, l Load, share float64) {
+// coverHeadroom plans room for tasks that are yet to come, and for some of the
+// machines that are booting to be late.
+func (p *planner) coverHeadroom(role placement.Role, load Load, share float64) {
 	if !p.input.ActiveRoles[role] {
 		return
 	}
-	tasks := headroomTasks(l, share)
-	if l.Spec != nil && l.AwaitingBoot > 0 {
-		tasks += p.lateBootHedge(typical(l), l.AwaitingBoot)
+	tasks := headroomTasks(load, share)
+	if load.Spec != nil && load.AwaitingBoot > 0 {
+		tasks += p.lateBootHedge(typicalJob(load), load.AwaitingBoot)
 	}
 	if tasks > 0 {
-		p.cover(typical(l), tasks, false, 0, reasonHeadroom)
+		p.cover(typicalJob(load), tasks, false, 0, reasonHeadroom)
 	}
 }
 
-// rooms is the room of a role's machines in typical tasks, against what its
-// headroom must hold.
-type rooms struct {
-	job  *jobs.Job // nil: nothing typical is known
-	need int
-	all  int
-	of   map[string]int
+// maxSlots bounds the count of tiny tasks on one machine.
+const maxSlots = 1000
+
+// slots is the room of a role's machines, counted in typical tasks, against what
+// its headroom must hold.
+type slots struct {
+	job       *jobs.Job // typical; nil: none is known
+	needed    int
+	total     int
+	ofMachine map[string]int // by name
 }
 
-func (p *planner) rooms(l Load, share float64) *rooms {
-	if l.Spec == nil {
-		return &rooms{need: headroomTasks(l, share), of: map[string]int{}}
+func (p *planner) newSlots(load Load, share float64) *slots {
+	if load.Spec == nil {
+		return &slots{needed: headroomTasks(load, share), ofMachine: map[string]int{}}
 	}
-	r := &rooms{
-		job:  typical(l),
-		need: headroomTasks(l, share),
-		of:   make(map[string]int, len(p.input.Machines)),
+	s := &slots{
+		job:       typicalJob(load),
+		needed:    headroomTasks(load, share),
+		ofMachine: make(map[string]int, len(p.input.Machines)),
 	}
-	for _, v := range p.input.Machines {
-		if !(v.Schedulable || v.Booting) || !v.healthy() || !eligible(r.job, v.Kind, v.Role) {
+	for _, m := range p.input.Machines {
+		if !(m.Schedulable || m.Booting) || !m.isHealthy() || !isEligible(s.job, m.Kind, m.Role) {
 			continue
 		}
-		n := 0
-		for f := v.Free; r.job.Need.Fits(f) && n < roomsMost; f = f.Sub(r.job.Need) {
-			n++
-		}
-		r.of[v.Name] = n
-		r.all += n
+		room := bin{free: m.Free}
+		count := maxSlots - room.fill(s.job.Need, maxSlots)
+		s.ofMachine[m.Name] = count
+		s.total += count
 	}
-	return r
+	return s
 }
 
-// roomsMost bounds the count of tiny tasks on one machine.
-const roomsMost = 1000
-
-// spares reports whether the role's headroom stands without the machine, with
+// canSpare reports whether the role's headroom stands without the machine, with
 // the service tasks that would have to move. Batch tasks end where they are.
-func (r *rooms) spares(u Machine) bool {
-	need := r.need
-	if u.Role == placement.Service {
-		need += u.Claims
+func (s *slots) canSpare(m Machine) bool {
+	needed := s.needed
+	if m.Role == placement.Service {
+		needed += m.Claims
 	}
-	if need == 0 {
+	if needed == 0 {
 		return true
 	}
-	return r.job != nil && r.all-r.of[u.Name] >= need
+	return s.job != nil && s.total-s.ofMachine[m.Name] >= needed
 }
 
-// leave takes a machine that is given back out of the room.
-func (r *rooms) leave(u Machine) {
-	r.all -= r.of[u.Name]
-	if u.Role == placement.Service {
-		r.need += u.Claims
+// remove takes a machine that is to be terminated out of the count.
+func (s *slots) remove(m Machine) {
+	s.total -= s.ofMachine[m.Name]
+	if m.Role == placement.Service {
+		s.needed += m.Claims
 	}
-	r.of[u.Name] = 0
+	s.ofMachine[m.Name] = 0
 }
--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -31,7 +31,7 @@
 }
 
 func unit(name string, role placement.Role, spot bool) Machine {
-	return Machine{Name: name, Kind: MachineKind{"big", "z1", spot}, Role: role, Schedulable: true, Free: total(types[0]), Idle: time.Hour}
+	return Machine{Name: name, Kind: MachineKind{"big", "z1", spot}, Role: role, Schedulable: true, Free: capacity(types[0]), Idle: time.Hour}
 }
 
 func TestHiresTheCheapestAndFallsBackWhenRefused(t *testing.T) {
--- a/internal/autoscale/scaleout.go
+++ b/internal/autoscale/scaleout.go
@@ -1,7 +1,9 @@
 package autoscale
 
 import (
+	"cmp"
 	"math"
+	"slices"
 	"sort"
 	"time"
 
@@ -12,148 +14,147 @@
 )
 
 // coverDemands plans room for the tasks without a place, and returns the roles
-// of those for which a place was looked for.
+// of those that a pass has tried to place.
 func (p *planner) coverDemands() map[placement.Role]bool {
-	unmet := map[placement.Role]bool{}
-	for _, w := range p.input.Demands {
-		p.cover(w.Job, w.Count, !w.NotScheduledYet, w.Waiting, reasonUnplaced)
-		if !w.NotScheduledYet {
-			unmet[roleOf(w.Job)] = true
+	unplaced := map[placement.Role]bool{}
+	for _, demand := range p.input.Demands {
+		p.cover(demand.Job, demand.Count, !demand.NotScheduledYet, demand.Waiting, reasonUnplaced)
+		if !demand.NotScheduledYet {
+			unplaced[roleOf(demand.Job)] = true
 		}
 	}
-	return unmet
+	return unplaced
 }
 
-// cover finds room for a number of like tasks in the bins, and plans to rent
-// for the rest; coming: only bins that take no tasks yet, since those that do
-// have been tried.
-func (p *planner) cover(j *jobs.Job, count int, coming bool, waiting time.Duration, why string) {
-	var fit []*bin
+// cover finds room for a number of like tasks in the bins, those with the fewest
+// free GPUs first, and plans machines for the rest. With skipSchedulable, bins
+// that take tasks now are left out: a pass has tried them.
+func (p *planner) cover(job *jobs.Job, count int, skipSchedulable bool, waiting time.Duration, reason string) {
+	var fitting []*bin
 	for _, b := range p.bins {
-		if !(coming && b.schedulable) && j.Need.Fits(b.free) && eligible(j, b.kind, b.role) {
-			fit = append(fit, b)
+		if !(skipSchedulable && b.schedulable) && job.Need.Fits(b.free) && isEligible(job, b.kind, b.role) {
+			fitting = append(fitting, b)
 		}
 	}
-	sort.SliceStable(fit, func(x, y int) bool { return fit[x].free.GPUs < fit[y].free.GPUs })
-	for _, b := range fit {
-		for ; count > 0 && j.Need.Fits(b.free); count-- {
-			b.free = b.free.Sub(j.Need)
-		}
+	slices.SortStableFunc(fitting, func(a, b *bin) int { return cmp.Compare(a.free.GPUs, b.free.GPUs) })
+	for _, b := range fitting {
+		count = b.fill(job.Need, count)
 	}
 	for count > 0 {
-		b := p.scaleOutFor(j, waiting, why)
+		b := p.scaleOutFor(job, waiting, reason)
 		if b == nil {
 			return
 		}
-		for ; count > 0 && j.Need.Fits(b.free); count-- {
-			b.free = b.free.Sub(j.Need)
-		}
+		count = b.fill(job.Need, count)
 	}
 }
 
 // scaleOutFor plans one more machine for a task, the best that the cloud offers; nil
 // if none is to be had.
-func (p *planner) scaleOutFor(j *jobs.Job, waiting time.Duration, why string) *bin {
-	best := p.bestOffer(j, waiting)
+func (p *planner) scaleOutFor(job *jobs.Job, waiting time.Duration, reason string) *bin {
+	best := p.bestOffer(job, waiting)
 	if math.IsInf(best.taskPrice, 1) {
 		return nil
 	}
-	role := roleOf(j)
-	rental := ScaleOut{Kind: best.kind, Role: role}
-	p.scaleOut[rental]++
-	if p.reasons[rental] == "" {
-		p.reasons[rental] = why
+	role := roleOf(job)
+	planned := ScaleOut{Kind: best.kind, Role: role}
+	p.scaleOut[planned]++
+	if p.reasons[planned] == "" {
+		p.reasons[planned] = reason
 	}
-	b := &bin{kind: best.kind, role: role, free: total(p.types[best.kind.MachineType])}
+	b := &bin{kind: best.kind, role: role, free: capacity(p.types[best.kind.MachineType])}
 	p.addBin(b)
 	return b
 }
 
 // sortedScaleOut lists what was planned: for services first, then by zone and
-// type.
+// type. The order of a spot and an on-demand entry that are alike in all of these
+// is not determined.
 func (p *planner) sortedScaleOut() []ScaleOut {
-	var rentals []ScaleOut
-	for rental, count := range p.scaleOut {
-		rental.Count, rental.Reason = count, p.reasons[rental]
-		rentals = append(rentals, rental)
-	}
-	sort.Slice(rentals, func(a, b int) bool {
-		x, y := rentals[a], rentals[b]
-		if x.Role != y.Role {
-			return x.Role == placement.Service
+	var sorted []ScaleOut
+	for planned, count := range p.scaleOut {
+		planned.Count, planned.Reason = count, p.reasons[planned]
+		sorted = append(sorted, planned)
+	}
+	sort.Slice(sorted, func(i, j int) bool {
+		a, b := sorted[i], sorted[j]
+		if a.Role != b.Role {
+			return a.Role == placement.Service
 		}
-		if x.Kind.Zone != y.Kind.Zone {
-			return x.Kind.Zone < y.Kind.Zone
+		if a.Kind.Zone != b.Kind.Zone {
+			return a.Kind.Zone < b.Kind.Zone
 		}
-		return x.Kind.MachineType < y.Kind.MachineType
+		return a.Kind.MachineType < b.Kind.MachineType
 	})
-	return rentals
+	return sorted
 }
 
-// unreachableZones finds the zones of which most machines are quiet: what is rented there
-// would not be heard either. Guards against replacing what is behind a cut by
-// machines behind it, in the zone that seems to have the fewest.
-func unreachableZones(units []Machine) map[string]bool {
-	quiet := map[string]int{} // less those heard
-	for _, u := range units {
-		if u.HeartbeatOverdue {
-			quiet[u.Kind.Zone]++
-		} else if u.Schedulable {
-			quiet[u.Kind.Zone]--
+// unreachableZones finds the zones of which most machines are late with their
+// heartbeats: machines added there would not be reached either. Guards against
+// replacing machines behind a network partition by others behind it, in the zone
+// that seems to have the fewest.
+func unreachableZones(machines []Machine) map[string]bool {
+	overdue := map[string]int{} // less those that are schedulable
+	for _, m := range machines {
+		if m.HeartbeatOverdue {
+			overdue[m.Kind.Zone]++
+		} else if m.Schedulable {
+			overdue[m.Kind.Zone]--
 		}
 	}
-	out := map[string]bool{}
-	for zone, n := range quiet {
-		out[zone] = n > 0
+	unreachable := map[string]bool{}
+	for zone, balance := range overdue {
+		unreachable[zone] = balance > 0
 	}
-	return out
+	return unreachable
 }
 
-// offer is a kind of machine that could be rented for a task.
+// offer is a kind of machine that could be added for a task.
 type offer struct {
-	kind      MachineKind
-	taskPrice float64 // for each task that the machine holds
-	crowd     int     // machines of the role in the zone
-	dark      bool    // in a dark zone
+	kind        MachineKind
+	taskPrice   float64 // for each task that the machine holds
+	zoneCount   int     // machines of the role in the zone
+	unreachable bool    // the zone is
 }
 
 // priceTolerance is below any difference of prices that counts.
 const priceTolerance = 1e-9
 
-// better orders offers: those outside dark zones, the cheapest for each task,
-// the zone with the fewest machines of the role.
-func (o offer) better(than offer) bool {
-	if o.dark != than.dark {
-		return than.dark
+// isBetter orders offers: those outside unreachable zones, the cheapest for each
+// task, the zone with the fewest machines of the role.
+func (o offer) isBetter(than offer) bool {
+	if o.unreachable != than.unreachable {
+		return than.unreachable
 	}
 	if o.taskPrice < than.taskPrice-priceTolerance {
 		return true
 	}
-	return o.taskPrice < than.taskPrice+priceTolerance && o.crowd < than.crowd
+	return o.taskPrice < than.taskPrice+priceTolerance && o.zoneCount < than.zoneCount
 }
 
-// bestOffer finds the machine to rent for a task; its price is infinite if
-// there is none.
-func (p *planner) bestOffer(j *jobs.Job, waiting time.Duration) offer {
-	best := offer{taskPrice: math.Inf(1), dark: true}
-	for _, t := range p.input.Types {
-		if !j.Need.Fits(total(t)) {
+// bestOffer finds the machine to add for a task; its price is infinite if there
+// is none. Of equal offers the first stands, in the order of the cloud's types
+// and zones, on-demand before spot.
+func (p *planner) bestOffer(job *jobs.Job, waiting time.Duration) offer {
+	best := offer{taskPrice: math.Inf(1), unreachable: true}
+	for _, machineType := range p.input.Types {
+		if !job.Need.Fits(capacity(machineType)) {
 			continue
 		}
-		tasks := tasksHeld(j, t)
-		for _, zone := range t.Zones {
+		tasks := tasksHeld(job, machineType)
+		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{false, true} {
-				kind := MachineKind{t.Label, zone, spot}
-				if !p.mayScaleOut(j, kind, waiting) {
+				kind := MachineKind{machineType.Label, zone, spot}
+				if !p.mayScaleOut(job, kind, waiting) {
 					continue
 				}
 				o := offer{
-					kind:      kind,
-					taskPrice: priceOf(t, spot) / tasks,
-					crowd:     p.zoneCount(kind, roleOf(j)),
-					dark:      p.unreachableZones[zone],
+					kind:        kind,
+					taskPrice:   priceOf(machineType, spot) / tasks,
+					zoneCount:   p.zoneCount(kind, roleOf(job)),
+					unreachable: p.unreachableZones[zone],
 				}
-				if o.better(best) {
+				if o.isBetter(best) {
 					best = o
 				}
 			}
@@ -162,21 +163,22 @@
 	return best
 }
 
-// mayScaleOut reports whether a machine of the kind may be rented for the job now.
-func (p *planner) mayScaleOut(j *jobs.Job, kind MachineKind, waiting time.Duration) bool {
-	role := roleOf(j)
-	if !eligible(j, kind, role) {
+// mayScaleOut reports whether a machine of the kind may be added for the job now.
+func (p *planner) mayScaleOut(job *jobs.Job, kind MachineKind, waiting time.Duration) bool {
+	role := roleOf(job)
+	if !isEligible(job, kind, role) {
 		return false
 	}
-	if at, refused := p.input.NoCapacitySince[kind]; refused && p.input.Now.Sub(at) < tuning.NoCapacityPause {
+	if since, known := p.input.NoCapacitySince[kind]; known && p.input.Now.Sub(since) < tuning.NoCapacityPause {
 		return false
 	}
-	spotFirst := role == placement.Batch && j.Record.Spec.Spot && waiting < tuning.OnDemandBatchAfter
+	spotFirst := role == placement.Batch && job.Record.Spec.Spot && waiting < tuning.OnDemandBatchAfter
 	return kind.Spot || !spotFirst
 }
 
-// zoneCount is the number of machines of the role in the kind's zone. Batch
-// work fills one call before the next, so a call that has begun goes first.
+// zoneCount is the number of machines of the role in the kind's zone, by which
+// they are spread. For batch work a request to the cloud that is not full yet
+// counts as less than any: it is filled before another begins.
 func (p *planner) zoneCount(kind MachineKind, role placement.Role) int {
 	planned := p.scaleOut[ScaleOut{Kind: kind, Role: role}]
 	if role == placement.Batch && planned%tuning.ScaleOutMax > 0 {
@@ -186,18 +188,18 @@
 }
 
 // price is what a machine of the kind costs.
-func (p *planner) price(k MachineKind) float64 {
-	return priceOf(p.types[k.MachineType], k.Spot)
+func (p *planner) price(kind MachineKind) float64 {
+	return priceOf(p.types[kind.MachineType], kind.Spot)
 }
 
-func priceOf(t wire.MachineType, spot bool) float64 {
+func priceOf(machineType wire.MachineType, spot bool) float64 {
 	if spot {
-		return t.SpotPrice
+		return machineType.SpotPrice
 	}
-	return t.Price
+	return machineType.Price
 }
 
-// Guards of tasksHeld against a job that needs next to nothing, and against
+// Bounds of tasksHeld against a job that needs next to nothing, and against
 // the rounding of shares that are whole fractions.
 const (
 	shareMin       = 1e-9
@@ -205,7 +207,7 @@
 )
 
 // tasksHeld is the number of the job's tasks that an empty machine holds.
-func tasksHeld(j *jobs.Job, t wire.MachineType) float64 {
-	share := max(j.Need.Share(total(t)), shareMin)
+func tasksHeld(job *jobs.Job, machineType wire.MachineType) float64 {
+	share := max(job.Need.Share(capacity(machineType)), shareMin)
 	return math.Floor(1/share + shareTolerance)
 }
--- a/internal/autoscale/types.go
+++ b/internal/autoscale/types.go
@@ -9,8 +9,8 @@
 	"wheatspur/wire"
 )
 
-// Reasons for giving back a machine that holds nothing any more, or never came
-// up: its return proves that its tasks are gone.
+// Reasons for terminating a machine. For the first three it holds nothing any
+// more, or never came up (Terminated).
 const (
 	ReasonSlowBoot    = "slow boot"
 	ReasonNotListed   = "gone from the cloud's list"
@@ -20,16 +20,17 @@
 	ReasonSurplus     = "the others have room for its tasks"
 )
 
-// Reasons for renting a machine.
+// Reasons for adding a machine.
 const (
 	reasonUnplaced = "tasks without a place"
 	reasonHeadroom = "headroom"
 )
 
-// MachineKind is what one rental asks for.
+// MachineKind is what one request to the cloud asks for.
 type MachineKind struct {
-	MachineType, Zone string
-	Spot              bool
+	MachineType string
+	Zone        string
+	Spot        bool
 }
 
 // Machine is a machine in the plan.
@@ -39,16 +40,16 @@
 	Role             placement.Role
 	Schedulable      bool          // takes tasks now
 	Booting          bool          // not up yet
-	Age              time.Duration // since it was rented or first listed
+	Age              time.Duration // since it was requested or first listed
 	Idle             time.Duration // without claims
 	Movable          bool          // its service tasks have room on machines that hold their images
 	Claims           int
 	Free             jobs.Resources
-	Quarantined      bool
-	Silent           bool   // up before, not heard for longer than a lease
-	Missing          bool   // was listed, is no more
-	HeartbeatOverdue bool   // up before, and due a report
-	Group            string // key of its record: machines of one key go back in one change
+	Quarantined      bool   // its tasks fail, or commands to it have no effect
+	Silent           bool   // was up, and no heartbeat for longer than a lease
+	Missing          bool   // was in the cloud's list, is no more
+	HeartbeatOverdue bool   // was up, and its next heartbeat is late
+	Group            string // key of its record: machines of one key are changed by one write
 }
 
 // Demand is a number of like tasks without a place.
@@ -56,7 +57,7 @@
 	Job             *jobs.Job
 	Count           int
 	Waiting         time.Duration
-	NotScheduledYet bool // no place was looked for yet: machines that take tasks may do
+	NotScheduledYet bool // no pass has tried to place them yet: schedulable machines may have room
 }
 
 // Load is what a role holds now, for its headroom.
@@ -65,7 +66,7 @@
 	MinTasks     int            // tasks that the headroom holds at least
 	AwaitingBoot float64        // tasks that wait for machines to boot
 	Need         jobs.Resources // of a typical task
-	Spec         *wire.JobSpec  // a typical job
+	Spec         *wire.JobSpec  // a typical job; nil: none is known
 }
 
 // Input is what the capacity plan is made from.
@@ -79,22 +80,21 @@
 	Batch    Load
 	// OnDemand is the batch work that may not use spot machines; no Spec: none
 	// is open, waits for others, or was lately.
-	OnDemand        Load
-	NoCapacitySince map[MachineKind]time.Time // when the cloud had none
-
-	// SurplusSince says since when the plan could do without a busy machine; the
-	// plan keeps it up to date.
+	OnDemand Load
+	// NoCapacitySince says when the cloud last had no machine of a kind.
+	NoCapacitySince map[MachineKind]time.Time
+	// SurplusSince says since when the plan could do without a machine, by name;
+	// Plan keeps it up to date.
 	SurplusSince map[string]time.Time
 	Draining     int // machines that are being drained of service tasks
 	MaxDraining  int // how many may be at once
-	MaxGroups    int // groups of records that may be changed to give idle machines back
-
+	MaxGroups    int // groups of records that may be changed to terminate idle machines
 	// ActiveRoles says which roles have had work lately; the others need neither
 	// floor nor headroom.
 	ActiveRoles map[placement.Role]bool
 }
 
-// ScaleOut is a number of machines to rent for a role.
+// ScaleOut is a number of machines to add for a role.
 type ScaleOut struct {
 	Kind   MachineKind
 	Role   placement.Role
@@ -102,18 +102,18 @@
 	Reason string
 }
 
-// ScaleIn is a machine to give back once it is empty.
+// ScaleIn is a machine to terminate once it is empty.
 type ScaleIn struct {
 	Machine string
 	Reason  string
 }
 
 // Terminated reports whether the machine holds nothing any more, or never came up.
-func (d ScaleIn) Terminated() bool {
-	return d.Reason == ReasonNotListed || d.Reason == ReasonSilent || d.Reason == ReasonSlowBoot
+func (s ScaleIn) Terminated() bool {
+	return s.Reason == ReasonNotListed || s.Reason == ReasonSilent || s.Reason == ReasonSlowBoot
 }
 
-// Output is what to rent and to give back.
+// Output is what to add and what to terminate.
 type Output struct {
 	ScaleOut []ScaleOut
 	ScaleIn  []ScaleIn
