--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -12,45 +12,49 @@
 
 // Paths of the peer server.
 const (
-	// StatusPath is where nodes post their status.
+	// StatusPath is where controllers post their status.
 	StatusPath = "/peer/status"
-	// ForwardPath is where nodes post users' requests that they can't serve.
+	// ForwardPath is where controllers post users' requests that they can't serve.
 	ForwardPath = "/peer/forward"
 )
 
-// Client exchanges statuses with one sibling.
+// Client sends messages to one sibling. It repeats none: callers know what a lost
+// answer means.
 type Client struct {
-	addr string
-	hc   *fasthttp.HostClient
+	address string
+	client  *fasthttp.HostClient
 }
 
-// NewClient returns a client of the sibling at addr.
-func NewClient(addr string) *Client {
-	return &Client{addr: addr, hc: httpclient.Host(addr, tuning.PeerConns)}
+// NewClient returns a client of the sibling at address.
+func NewClient(address string) *Client {
+	return &Client{address: address, client: httpclient.Host(address, tuning.PeerConns)}
 }
 
-// Exchange posts our status and returns the sibling's.
-func (c *Client) Exchange(own []byte, timeout time.Duration) (Status, error) {
-	b, err := c.post(StatusPath, own, timeout)
+// Exchange posts an encoded status and returns the sibling's.
+func (c *Client) Exchange(ownStatus []byte, timeout time.Duration) (Status, error) {
+	answer, err := c.post(StatusPath, ownStatus, timeout)
 	if err != nil {
 		return Status{}, err
 	}
-	return DecodeStatus(b)
+	return DecodeStatus(answer)
 }
 
 // Forward passes a user's request on and returns the sibling's answer.
-func (c *Client) Forward(r ForwardRequest, timeout time.Duration) (ForwardResponse, error) {
-	b, err := c.post(ForwardPath, r.Encode(), timeout)
+func (c *Client) Forward(request ForwardRequest, timeout time.Duration) (ForwardResponse, error) {
+	answer, err := c.post(ForwardPath, request.Encode(), timeout)
 	if err != nil {
 		return ForwardResponse{}, err
 	}
-	return DecodeForwardResponse(b)
+	return DecodeForwardResponse(answer)
 }
 
 func (c *Client) post(path string, body []byte, timeout time.Duration) ([]byte, error) {
-	status, answer, err := httpclient.Do(c.hc, "POST", c.addr, path, body, timeout)
-	if err == nil && status != 200 {
-		err = fmt.Errorf("sibling: status %d", status)
+	status, answer, err := httpclient.Do(c.client, fasthttp.MethodPost, c.address, path, body, timeout)
+	if err != nil {
+		return nil, err
+	}
+	if status != fasthttp.StatusOK {
+		return nil, fmt.Errorf("sibling: status %d", status)
 	}
-	return answer, err
+	return answer, nil
 }
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -6,7 +6,14 @@
 	"wheatspur/internal/peer/fb"
 )
 
-// ForwardRequest is a user's request that is passed on.
+// Sizes of a forwarded message without its body, so that the builder's buffer
+// rarely grows.
+const (
+	forwardRequestOverhead  = 128
+	forwardResponseOverhead = 64
+)
+
+// ForwardRequest is a user's request that is forwarded to a sibling.
 type ForwardRequest struct {
 	Method, Path string
 	Body         []byte
@@ -14,7 +21,7 @@
 
 // Encode returns the FlatBuffers form.
 func (r *ForwardRequest) Encode() []byte {
-	b := flatbuffers.NewBuilder(len(r.Body) + 128)
+	b := flatbuffers.NewBuilder(len(r.Body) + forwardRequestOverhead)
 	body, path, method := b.CreateByteVector(r.Body), b.CreateString(r.Path), b.CreateString(r.Method)
 	fb.RequestStart(b)
 	fb.RequestAddMethod(b, method)
@@ -24,41 +31,43 @@
 	return b.FinishedBytes()
 }
 
-// DecodeForwardRequest reads a request.
-func DecodeForwardRequest(b []byte) (r ForwardRequest, err error) {
+// DecodeForwardRequest reads a forwarded request. It shares no memory with the
+// message.
+func DecodeForwardRequest(message []byte) (r ForwardRequest, err error) {
 	defer recoverMalformed(&err)
-	if len(b) < 8 {
+	if len(message) < minMessageSize {
 		return r, ErrMalformed
 	}
-	f := fb.GetRootAsRequest(b, 0)
-	return ForwardRequest{string(f.Method()), string(f.Path()), append([]byte(nil), f.BodyBytes()...)}, nil
+	f := fb.GetRootAsRequest(message, 0)
+	return ForwardRequest{Method: string(f.Method()), Path: string(f.Path()), Body: append([]byte(nil), f.BodyBytes()...)}, nil
 }
 
-// ForwardResponse is the answer to it.
+// ForwardResponse is the sibling's answer, as the user should get it.
 type ForwardResponse struct {
-	Status     int
-	RetryAfter string
+	Status     int    // of HTTP
+	RetryAfter string // header of this name; empty: none
 	Body       []byte
 }
 
 // Encode returns the FlatBuffers form.
 func (r *ForwardResponse) Encode() []byte {
-	b := flatbuffers.NewBuilder(len(r.Body) + 64)
-	body, after := b.CreateByteVector(r.Body), b.CreateString(r.RetryAfter)
+	b := flatbuffers.NewBuilder(len(r.Body) + forwardResponseOverhead)
+	body, retryAfter := b.CreateByteVector(r.Body), b.CreateString(r.RetryAfter)
 	fb.ReplyStart(b)
 	fb.ReplyAddStatus(b, int32(r.Status))
-	fb.ReplyAddRetryAfter(b, after)
+	fb.ReplyAddRetryAfter(b, retryAfter)
 	fb.ReplyAddBody(b, body)
 	b.Finish(fb.ReplyEnd(b))
 	return b.FinishedBytes()
 }
 
-// DecodeForwardResponse reads a reply.
-func DecodeForwardResponse(b []byte) (r ForwardResponse, err error) {
+// DecodeForwardResponse reads the answer to a forwarded request. It shares no
+// memory with the message.
+func DecodeForwardResponse(message []byte) (r ForwardResponse, err error) {
 	defer recoverMalformed(&err)
-	if len(b) < 8 {
+	if len(message) < minMessageSize {
 		return r, ErrMalformed
 	}
-	f := fb.GetRootAsReply(b, 0)
-	return ForwardResponse{int(f.Status()), string(f.RetryAfter()), append([]byte(nil), f.BodyBytes()...)}, nil
+	f := fb.GetRootAsReply(message, 0)
+	return ForwardResponse{Status: int(f.Status()), RetryAfter: string(f.RetryAfter()), Body: append([]byte(nil), f.BodyBytes()...)}, nil
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -8,64 +8,53 @@
 	"wheatspur/internal/peer/fb"
 )
 
-// MachineStatus is what a node tells about one of its machines.
+// MachineStatus is what a controller says about one of its machines.
 type MachineStatus struct {
 	Name              string
-	Incarnation       uint64
+	Incarnation       uint64        // of its worker
 	SinceHeard        time.Duration // since its last message, if silent
-	Silent            bool          // not heard for longer than its reports allow
-	TokenAcknowledged bool
-	TerminationNotice time.Duration // negative: no notice
+	Silent            bool          // not heard for longer than its heartbeats allow
+	TokenAcknowledged bool          // has acknowledged the current fencing token in its incarnation
+	TerminationNotice time.Duration // until the cloud terminates it; negative: no notice
 	Quarantined       bool
 	Images            []string
 }
 
-// Status is what a node tells about itself.
+// Status is what a controller says about itself.
 type Status struct {
 	Label           string
 	Incarnation     uint64
 	FencingToken    uint64
-	Revision        uint64
-	HasStore        bool
-	QueuedChanges   uint32          // changes of the state service that wait for its budget
+	Revision        uint64          // of its cache of the key-value store
+	HasStore        bool            // has had a fresh read lately
+	QueuedChanges   uint32          // writes that wait for its part of the store's rate limit
 	MachinesVersion uint64          // number of the sender's view of its machines
-	AllMachines     bool            // Hosts are all machines, not those that changed
-	Known           MachinesVersion // what the sender has of the receiver
+	AllMachines     bool            // Machines are all of them, not those that changed
+	Known           MachinesVersion // the view that the sender has of the receiver's machines
 	Machines        []MachineStatus
-	// Cancelled is the version of the last cancellation that the sender knows, if
-	// it Counts them: earlier versions don't.
+	// LastCancellation is the version of the last cancellation that the sender
+	// knows, if ReportsCancellations is set: earlier versions don't report it.
 	ReportsCancellations bool
 	LastCancellation     uint64
 	// Recovering says that the sender does not know its machines yet.
 	Recovering bool
 }
 
-// MachinesVersion is the view that a node has of another node's machines.
+// MachinesVersion is the view that a controller has of a sibling's machines. Its
+// Number counts within one incarnation and fencing token of the sibling.
 type MachinesVersion struct{ Number, FencingToken, Incarnation uint64 }
 
+// initialStatusSize is the builder's buffer at the start; it grows.
+const initialStatusSize = 1024
+
 // Encode returns the FlatBuffers form.
 func (s *Status) Encode() []byte {
-	b := flatbuffers.NewBuilder(1024)
-	hosts := make([]flatbuffers.UOffsetT, len(s.Machines))
-	for i, h := range s.Machines {
-		name := b.CreateString(h.Name)
-		images := make([]flatbuffers.UOffsetT, len(h.Images))
-		for k, im := range h.Images {
-			images[k] = b.CreateString(im)
-		}
-		vec := offsetVector(b, images, fb.HostViewStartImagesVector)
-		fb.HostViewStart(b)
-		fb.HostViewAddName(b, name)
-		fb.HostViewAddStint(b, h.Incarnation)
-		fb.HostViewAddAgeMs(b, durationToMillis(h.SinceHeard))
-		fb.HostViewAddSilent(b, h.Silent)
-		fb.HostViewAddProven(b, h.TokenAcknowledged)
-		fb.HostViewAddWarningMs(b, durationToMillis(h.TerminationNotice))
-		fb.HostViewAddSuspect(b, h.Quarantined)
-		fb.HostViewAddImages(b, vec)
-		hosts[i] = fb.HostViewEnd(b)
+	b := flatbuffers.NewBuilder(initialStatusSize)
+	offsets := make([]flatbuffers.UOffsetT, len(s.Machines))
+	for i := range s.Machines {
+		offsets[i] = s.Machines[i].encode(b)
 	}
-	vec := offsetVector(b, hosts, fb.StatusStartHostsVector)
+	machines := offsetVector(b, offsets, fb.StatusStartHostsVector)
 	label := b.CreateString(s.Label)
 	fb.StatusStart(b)
 	fb.StatusAddLabel(b, label)
@@ -79,7 +68,7 @@
 	fb.StatusAddSeen(b, s.Known.Number)
 	fb.StatusAddSeenBaton(b, s.Known.FencingToken)
 	fb.StatusAddSeenIncarnation(b, s.Known.Incarnation)
-	fb.StatusAddHosts(b, vec)
+	fb.StatusAddHosts(b, machines)
 	fb.StatusAddCounts(b, s.ReportsCancellations)
 	fb.StatusAddCancelled(b, s.LastCancellation)
 	fb.StatusAddRecovering(b, s.Recovering)
@@ -87,30 +76,77 @@
 	return b.FinishedBytes()
 }
 
+func (m *MachineStatus) encode(b *flatbuffers.Builder) flatbuffers.UOffsetT {
+	name := b.CreateString(m.Name)
+	offsets := make([]flatbuffers.UOffsetT, len(m.Images))
+	for i, image := range m.Images {
+		offsets[i] = b.CreateString(image)
+	}
+	images := offsetVector(b, offsets, fb.HostViewStartImagesVector)
+	fb.HostViewStart(b)
+	fb.HostViewAddName(b, name)
+	fb.HostViewAddStint(b, m.Incarnation)
+	fb.HostViewAddAgeMs(b, durationToMillis(m.SinceHeard))
+	fb.HostViewAddSilent(b, m.Silent)
+	fb.HostViewAddProven(b, m.TokenAcknowledged)
+	fb.HostViewAddWarningMs(b, durationToMillis(m.TerminationNotice))
+	fb.HostViewAddSuspect(b, m.Quarantined)
+	fb.HostViewAddImages(b, images)
+	return fb.HostViewEnd(b)
+}
+
 // DecodeStatus reads a status.
-func DecodeStatus(b []byte) (s Status, err error) {
+func DecodeStatus(message []byte) (s Status, err error) {
 	defer recoverMalformed(&err)
-	if len(b) < 8 {
+	if len(message) < minMessageSize {
 		return s, ErrMalformed
 	}
-	f := fb.GetRootAsStatus(b, 0)
-	s = Status{Label: string(f.Label()), Incarnation: f.Incarnation(), FencingToken: f.Baton(), Revision: f.Epoch(), HasStore: f.HasState(),
-		ReportsCancellations: f.Counts(), LastCancellation: f.Cancelled(), Recovering: f.Recovering(), QueuedChanges: f.Want(), MachinesVersion: f.View(), AllMachines: f.Whole(), Known: MachinesVersion{f.Seen(), f.SeenBaton(), f.SeenIncarnation()}}
-	if f.HostsLength() > len(b)/4 {
-		return Status{}, ErrMalformed
+	f := fb.GetRootAsStatus(message, 0)
+	s = Status{
+		Label:                string(f.Label()),
+		Incarnation:          f.Incarnation(),
+		FencingToken:         f.Baton(),
+		Revision:             f.Epoch(),
+		HasStore:             f.HasState(),
+		QueuedChanges:        f.Want(),
+		MachinesVersion:      f.View(),
+		AllMachines:          f.Whole(),
+		Known:                MachinesVersion{Number: f.Seen(), FencingToken: f.SeenBaton(), Incarnation: f.SeenIncarnation()},
+		ReportsCancellations: f.Counts(),
+		LastCancellation:     f.Cancelled(),
+		Recovering:           f.Recovering(),
+	}
+	if err := checkVectorLength(f.HostsLength(), message); err != nil {
+		return Status{}, err
 	}
 	for i := range f.HostsLength() {
-		var h fb.HostView
-		f.Hosts(&h, i)
-		v := MachineStatus{Name: string(h.Name()), Incarnation: h.Stint(), SinceHeard: millisToDuration(h.AgeMs()), Silent: h.Silent(), TokenAcknowledged: h.Proven(),
-			TerminationNotice: millisToDuration(h.WarningMs()), Quarantined: h.Suspect()}
-		if h.ImagesLength() > len(b)/4 {
-			return Status{}, ErrMalformed
+		var host fb.HostView
+		f.Hosts(&host, i)
+		machine, err := decodeMachine(&host, message)
+		if err != nil {
+			return Status{}, err
 		}
-		for k := range h.ImagesLength() {
-			v.Images = append(v.Images, string(h.Images(k)))
-		}
-		s.Machines = append(s.Machines, v)
+		s.Machines = append(s.Machines, machine)
 	}
 	return s, nil
 }
+
+// decodeMachine reads a machine of a status, whose bytes are message.
+func decodeMachine(f *fb.HostView, message []byte) (MachineStatus, error) {
+	m := MachineStatus{
+		Name:              string(f.Name()),
+		Incarnation:       f.Stint(),
+		SinceHeard:        millisToDuration(f.AgeMs()),
+		Silent:            f.Silent(),
+		TokenAcknowledged: f.Proven(),
+		TerminationNotice: millisToDuration(f.WarningMs()),
+		Quarantined:       f.Suspect(),
+	}
+	if err := checkVectorLength(f.ImagesLength(), message); err != nil {
+		return MachineStatus{}, err
+	}
+	for i := range f.ImagesLength() {
+		m.Images = append(m.Images, string(f.Images(i)))
+	}
+	return m, nil
+}
