--- /dev/null
+++ b/internal/autoscale/helpers_test.go
@@ -0,0 +1,98 @@
+package autoscale
+
+import (
+	"testing"
+	"time"
+
+	"wheatspur/internal/config"
+	"wheatspur/internal/jobs"
+	"wheatspur/internal/placement"
+	"wheatspur/wire"
+)
+
+var t0 = time.Unix(1000, 0)
+
+// testTypes are types of eight GPUs, so of eight tasks of newDemand.
+var testTypes = []wire.MachineType{
+	{Label: "big", CPUs: 16, GPUs: 8, RAMGB: 128, Price: 8, SpotPrice: 2, StartupS: 40, Zones: []string{"z1", "z2"}},
+	{Label: "dear", CPUs: 16, GPUs: 8, RAMGB: 128, Price: 16, SpotPrice: 6, StartupS: 40, Zones: []string{"z1"}},
+}
+
+// newDemand is the demand of a job of the kind for count tasks with a GPU each;
+// arrays may use spot machines.
+func newDemand(kind string, count int) Demand {
+	spec := &wire.JobSpec{
+		ID:       "wk-1",
+		Team:     "x",
+		Kind:     kind,
+		Priority: wire.PriorityNormal,
+		Tasks:    count,
+		CPUs:     1,
+		GPUs:     1,
+		RAMGB:    1,
+		Spot:     kind == wire.KindArray,
+	}
+	record := jobs.Record{Phase: jobs.Open, Tasks: count, Spec: spec}
+	return Demand{Job: &jobs.Job{ID: spec.ID, Record: record, Need: jobs.ResourcesPerTask(spec)}, Count: count}
+}
+
+// newLoad is the load of a number of tasks of such a job.
+func newLoad(kind string, tasks float64) Load {
+	job := newDemand(kind, 1).Job
+	return Load{Tasks: tasks, Need: job.Need, Spec: job.Record.Spec}
+}
+
+// newInput has both roles active and no headroom.
+func newInput(machines ...Machine) Input {
+	operator := config.DefaultOperator()
+	operator.ServiceHeadroom, operator.BatchHeadroom = 0, 0
+	return Input{
+		Now:             t0,
+		Operator:        operator,
+		Types:           testTypes,
+		Machines:        machines,
+		NoCapacitySince: map[MachineKind]time.Time{},
+		SurplusSince:    map[string]time.Time{},
+		ActiveRoles:     map[placement.Role]bool{placement.Batch: true, placement.Service: true},
+	}
+}
+
+// newMachine is an empty schedulable machine of type big in zone z1, idle for an hour.
+func newMachine(name string, role placement.Role, spot bool) Machine {
+	return Machine{
+		Name:        name,
+		Kind:        MachineKind{"big", "z1", spot},
+		Role:        role,
+		Schedulable: true,
+		Free:        capacity(testTypes[0]),
+		Idle:        time.Hour,
+	}
+}
+
+// refuse notes that the cloud has just had no machine of any type, spot or
+// on-demand.
+func refuse(in Input, spot bool) {
+	for _, machineType := range testTypes {
+		for _, zone := range machineType.Zones {
+			in.NoCapacitySince[MachineKind{machineType.Label, zone, spot}] = t0
+		}
+	}
+}
+
+// totalCount is the number of machines to add.
+func totalCount(scaleOuts []ScaleOut) int {
+	total := 0
+	for _, s := range scaleOuts {
+		total += s.Count
+	}
+	return total
+}
+
+// wantScaleIn checks that one machine is terminated, for the reason; none if it is "".
+func wantScaleIn(t *testing.T, in Input, reason, when string) {
+	t.Helper()
+	got := Plan(in).ScaleIn
+	if reason == "" && len(got) != 0 || reason != "" && (len(got) != 1 || got[0].Reason != reason) {
+		t.Fatalf("%s: scale in %v, want reason %q", when, got, reason)
+	}
+}
