--- /dev/null
+++ b/internal/peer/forward_test.go
@@ -0,0 +1,20 @@
+package peer
+
+import (
+	"reflect"
+	"testing"
+)
+
+func TestForwardRequestIsDecodedAsItWasEncoded(t *testing.T) {
+	request := ForwardRequest{"POST", "/work", []byte{1, 2, 0, 3}}
+	if got, err := DecodeForwardRequest(request.Encode()); err != nil || !reflect.DeepEqual(got, request) {
+		t.Fatalf("%+v %v", got, err)
+	}
+}
+
+func TestForwardResponseIsDecodedAsItWasEncoded(t *testing.T) {
+	response := ForwardResponse{503, "2", []byte{9}}
+	if got, err := DecodeForwardResponse(response.Encode()); err != nil || !reflect.DeepEqual(got, response) {
+		t.Fatalf("%+v %v", got, err)
+	}
+}
