--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,7 +1,9 @@
 // Package httpclient is how this program calls others over HTTP: IPv4 only, a
-// deadline on every call, bounded connections, and no repeats by the library:
-// a repeat must be a decision of the caller, who knows what a lost answer
-// means.
+// deadline on every call, bounded connections, and no retries by the library: a
+// retry must be a decision of the caller, who knows what a lost answer means.
+//
+// It knows no protocol but HTTP: the callers encode requests, read statuses and
+// decode answers.
 package httpclient
 
 import (
@@ -14,7 +16,7 @@
 	"wheatspur/wire"
 )
 
-// Doer sends a request within a time.
+// Doer sends a request and waits for its answer for at most a time.
 type Doer interface {
 	DoTimeout(req *fasthttp.Request, resp *fasthttp.Response, timeout time.Duration) error
 }
@@ -23,24 +25,43 @@
 	return net.DialTimeout("tcp4", addr, tuning.DialTimeout)
 }
 
-func noRetry(*fasthttp.Request, int, error) (bool, bool) { return false, false }
+// noRetry refuses every retry, whatever the bound on attempts allows.
+func noRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// Host returns a client of one address.
+// maxAttempts is the library's bound on attempts; unset, it is five for
+// idempotent methods.
+const maxAttempts = 1
+
+// Host returns a client of one address with at most so many connections.
 func Host(addr string, conns int) *fasthttp.HostClient {
-	return &fasthttp.HostClient{Addr: addr, Dial: dial, MaxConns: conns, MaxIdleConnDuration: tuning.IdleTimeout,
-		RetryIfErr: noRetry, MaxIdemponentCallAttempts: 1, MaxResponseBodySize: tuning.MaxResponse,
-		NoDefaultUserAgentHeader: true}
+	return &fasthttp.HostClient{
+		Addr:                      addr,
+		Dial:                      dial,
+		MaxConns:                  conns,
+		MaxIdleConnDuration:       tuning.IdleTimeout,
+		RetryIfErr:                noRetry,
+		MaxIdemponentCallAttempts: maxAttempts,
+		MaxResponseBodySize:       tuning.MaxResponse,
+		NoDefaultUserAgentHeader:  true,
+	}
 }
 
-// Many returns a client of many addresses, with few connections to each.
+// Many returns a client of many addresses with at most so many connections to each.
 func Many(conns int) *fasthttp.Client {
-	return &fasthttp.Client{Dial: dial, MaxConnsPerHost: conns, MaxIdleConnDuration: tuning.WorkerIdle,
-		RetryIfErr: noRetry, MaxIdemponentCallAttempts: 1, MaxResponseBodySize: tuning.MaxResponse,
-		NoDefaultUserAgentHeader: true}
+	return &fasthttp.Client{
+		Dial:                      dial,
+		MaxConnsPerHost:           conns,
+		MaxIdleConnDuration:       tuning.WorkerIdle,
+		RetryIfErr:                noRetry,
+		MaxIdemponentCallAttempts: maxAttempts,
+		MaxResponseBodySize:       tuning.MaxResponse,
+		NoDefaultUserAgentHeader:  true,
+	}
 }
 
-// Do sends one request and returns the answer's status and a copy of its body.
-func Do(c Doer, method, addr, path string, body []byte, timeout time.Duration) (int, []byte, error) {
+// Do sends one request, with a body unless that is nil, and returns the
+// answer's status and a copy of its body. The error is the library's, as it is.
+func Do(client Doer, method, addr, path string, body []byte, timeout time.Duration) (status int, answer []byte, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -50,7 +71,7 @@
 		req.Header.SetContentType(wire.ContentType)
 		req.SetBody(body)
 	}
-	if err := c.DoTimeout(req, resp, timeout); err != nil {
+	if err := client.DoTimeout(req, resp, timeout); err != nil {
 		return 0, nil, err
 	}
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
