--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -141,18 +141,6 @@
 	}
 }
 
-func (l *Limits) negative() bool { return l.RPS < 0 || l.WriteRPS < 0 || l.ValueKB < 0 || l.TxnOps < 0 }
-
-// bounds are those of the limits, whose fields' names begin with prefix.
-func (l *Limits) bounds(prefix string) []bound {
-	return []bound{
-		{prefix + "rps", l.RPS, 1, 1e6},
-		{prefix + "write_rps", l.WriteRPS, 1, 1e6},
-		{prefix + "value_kb", l.ValueKB, 1, 64},
-		{prefix + "txn_ops", float64(l.TxnOps), 4, 10000},
-	}
-}
-
 // bytesPerKB is the state service's kilobyte.
 const bytesPerKB = 1024
 
