--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// checkAddresses checks this node's label and the addresses it uses.
+// checkAddresses checks this controller's label and the addresses it uses.
 func (s *Settings) checkAddresses() error {
 	if s.Label == "" {
 		return errors.New("label: is missing")
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// checkSiblings checks that the nodes have different labels, and addresses.
+// checkSiblings checks that the controllers have different labels, and addresses.
 func (s *Settings) checkSiblings() error {
 	seen := map[string]bool{s.Label: true}
 	for i, sibling := range s.Siblings {
@@ -75,6 +75,8 @@
 	return nil
 }
 
+// checkTeams checks that teams have different names, which are fit for a key of the
+// key-value store, and amounts.
 func (s *Settings) checkTeams() error {
 	seen := map[string]bool{}
 	for i, team := range s.Params.Teams {
@@ -95,19 +97,22 @@
 
 // bound is the range in which a field must lie.
 type bound struct {
-	field    string
-	value    float64
-	min, max float64
+	field       string
+	value       float64
+	least, most float64
 }
 
 // check fails for NaN, too.
 func (b bound) check() error {
-	if b.value >= b.min && b.value <= b.max {
+	if b.value >= b.least && b.value <= b.most {
 		return nil
 	}
-	return fmt.Errorf("%s: %v is not between %v and %v", b.field, b.value, b.min, b.max)
+	return fmt.Errorf("%s: %v is not between %v and %v", b.field, b.value, b.least, b.most)
 }
 
+// checkBounds checks the fields that must lie in a range. The limits that come later
+// are checked together with the present ones that stay, so that what would not fit
+// them is found out before they come.
 func (s *Settings) checkBounds() error {
 	next := s.Params.State.Next
 	if next != nil && next.negative() {
@@ -127,7 +132,7 @@
 	return nil
 }
 
-// paramBounds are the bounds of all but the state service's limits.
+// paramBounds are the bounds of all but the key-value store's limits.
 func (s *Settings) paramBounds() []bound {
 	p := &s.Params
 	return []bound{
@@ -141,11 +146,12 @@
 	}
 }
 
-// bytesPerKB is the state service's kilobyte.
+// bytesPerKB is a kilobyte of the key-value store's value limit.
 const bytesPerKB = 1024
 
-// checkValueSize checks that the state service's values hold what must stand
-// in one of them.
+// checkValueSize checks that a value of the key-value store holds what must stand in
+// one. Under a smaller limit that comes later, chunk records of running jobs must
+// still be writable.
 func (s *Settings) checkValueSize() error {
 	present, least := s.Params.State.ValueKB, s.StateLimits().ValueKB
 	field := "params.state.value_kb"
@@ -155,30 +161,31 @@
 			return fmt.Errorf("%s: %v does not hold the chunk records that were written under params.state.value_kb (%d bytes)", field, least, need)
 		}
 	}
-	nodes := len(s.Siblings) + 1
-	if need := s.nodesRecordBytes(); float64(need) > least*bytesPerKB {
-		return fmt.Errorf("%s: %v is too small for a record that names %d nodes (%d bytes)", field, least, nodes, need)
+	controllers := len(s.Siblings) + 1
+	if need := s.controllersRecordBytes(); float64(need) > least*bytesPerKB {
+		return fmt.Errorf("%s: %v is too small for a record that names %d nodes (%d bytes)", field, least, controllers, need)
 	}
 	return nil
 }
 
-// valueBase and valueNode bound the JSON of a record with an entry a node.
+// Bytes that bound the JSON form of a record with an entry for every controller.
 const (
-	valueBase = 160
-	valueNode = 64
+	recordBytes = 160 // all but the entries
+	entryBytes  = 64  // an entry, all but the controller's label
 )
 
-// nodesRecordBytes bounds the size of a record that names every node: a team's
-// limit is shared out, and the membership stored, in one value.
-func (s *Settings) nodesRecordBytes() int {
-	size := valueBase + len(s.Label) + valueNode
+// controllersRecordBytes bounds the size of a record that names every controller:
+// the shares of a team's quota limit, and the membership, are stored in one value.
+func (s *Settings) controllersRecordBytes() int {
+	size := recordBytes + len(s.Label) + entryBytes
 	for _, sibling := range s.Siblings {
-		size += len(sibling.Label) + valueNode
+		size += len(sibling.Label) + entryBytes
 	}
 	return size
 }
 
-// checkLease checks that a lease ends before cancel_s has passed.
+// checkLease checks that a worker's lease expires before cancel_s has passed, within
+// which a cancellation must take effect.
 func (s *Settings) checkLease() error {
 	if s.Params.Workers.CancelS <= s.Params.Workers.LeaseS {
 		return errors.New("params.workers.cancel_s: must exceed lease_s")
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,33 +1,35 @@
 package config
 
-// Limits are those of the state service.
+// Limits are those of the key-value store.
 type Limits struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`       // calls a second
+	WriteRPS float64 `toml:"write_rps"` // calls a second that write
+	ValueKB  float64 `toml:"value_kb"`  // size of a value in its JSON form
+	TxnOps   int     `toml:"txn_ops"`   // operations of a transaction
 }
 
-// StateLimits are the limits that everything keeps to: the smaller of the
-// present ones and those that come at a moment which nobody tells.
+// StateLimits are the limits to keep to: the smaller of the present ones and those
+// that come at a moment which nobody announces.
 func (s *Settings) StateLimits() Limits {
-	l, next := s.Params.State.Limits, s.Params.State.Next
+	present, next := s.Params.State.Limits, s.Params.State.Next
 	if next == nil {
-		return l
+		return present
 	}
-	if next.RPS != 0 {
-		l.RPS = min(l.RPS, next.RPS)
+	return Limits{
+		RPS:      smallerIfSet(present.RPS, next.RPS),
+		WriteRPS: smallerIfSet(present.WriteRPS, next.WriteRPS),
+		ValueKB:  smallerIfSet(present.ValueKB, next.ValueKB),
+		TxnOps:   smallerIfSet(present.TxnOps, next.TxnOps),
 	}
-	if next.WriteRPS != 0 {
-		l.WriteRPS = min(l.WriteRPS, next.WriteRPS)
-	}
-	if next.ValueKB != 0 {
-		l.ValueKB = min(l.ValueKB, next.ValueKB)
-	}
-	if next.TxnOps != 0 {
-		l.TxnOps = min(l.TxnOps, next.TxnOps)
+}
+
+// smallerIfSet is the smaller of a present limit and its next value, which is 0 if
+// the limit stays as it is.
+func smallerIfSet[N int | float64](present, next N) N {
+	if next == 0 {
+		return present
 	}
-	return l
+	return min(present, next)
 }
 
 func (l *Limits) negative() bool { return l.RPS < 0 || l.WriteRPS < 0 || l.ValueKB < 0 || l.TxnOps < 0 }
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -3,7 +3,8 @@
 import (
 	"errors"
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -11,129 +12,177 @@
 	"github.com/magiconair/properties"
 )
 
-// key is one operator setting: how it is set and its allowed range.
-type key struct {
-	set func(o *Operator, v string) error
+// property is one of the operators' properties: how its value is parsed and set,
+// and what its type, range and meaning are.
+type property struct {
+	set func(o *Operator, value string) error
 	doc string
 }
 
-func number(min, max float64, dst func(*Operator) *float64, doc string) key {
-	return key{func(o *Operator, v string) error {
-		f, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(f >= min && f <= max) {
-			return fmt.Errorf("%q is no number between %v and %v", v, min, max)
+func numberProperty(least, most float64, field func(*Operator) *float64, doc string) property {
+	return property{func(o *Operator, value string) error {
+		number, err := strconv.ParseFloat(value, 64)
+		if err != nil || !(number >= least && number <= most) { // also NaN
+			return fmt.Errorf("%q is no number between %v and %v", value, least, most)
 		}
-		*dst(o) = f
+		*field(o) = number
 		return nil
-	}, fmt.Sprintf("number %v..%v; %s", min, max, doc)}
+	}, fmt.Sprintf("number %v..%v; %s", least, most, doc)}
 }
 
-func flag(dst func(*Operator) *bool, doc string) key {
-	return key{func(o *Operator, v string) error {
-		if v != "true" && v != "false" {
-			return fmt.Errorf("%q is neither true nor false", v)
+func booleanProperty(field func(*Operator) *bool, doc string) property {
+	return property{func(o *Operator, value string) error {
+		if value != "true" && value != "false" {
+			return fmt.Errorf("%q is neither true nor false", value)
 		}
-		*dst(o) = v == "true"
+		*field(o) = value == "true"
 		return nil
 	}, "true or false; " + doc}
 }
 
-func whole(min, max int, dst func(*Operator) *int, doc string) key {
-	return key{func(o *Operator, v string) error {
-		n, err := strconv.Atoi(v)
-		if err != nil || n < min || n > max {
-			return fmt.Errorf("%q is no whole number between %d and %d", v, min, max)
+func integerProperty(least, most int, field func(*Operator) *int, doc string) property {
+	return property{func(o *Operator, value string) error {
+		number, err := strconv.Atoi(value)
+		if err != nil || number < least || number > most {
+			return fmt.Errorf("%q is no whole number between %d and %d", value, least, most)
 		}
-		*dst(o) = n
+		*field(o) = number
 		return nil
-	}, fmt.Sprintf("whole number %d..%d; %s", min, max, doc)}
+	}, fmt.Sprintf("whole number %d..%d; %s", least, most, doc)}
 }
 
-func span(min, max time.Duration, dst func(*Operator) *time.Duration, doc string) key {
-	return key{func(o *Operator, v string) error {
-		d, err := time.ParseDuration(v)
-		if err != nil || d < min || d > max {
-			return fmt.Errorf("%q is no duration between %v and %v (such as 20s)", v, min, max)
+func durationProperty(least, most time.Duration, field func(*Operator) *time.Duration, doc string) property {
+	return property{func(o *Operator, value string) error {
+		duration, err := time.ParseDuration(value)
+		if err != nil || duration < least || duration > most {
+			return fmt.Errorf("%q is no duration between %v and %v (such as 20s)", value, least, most)
 		}
-		*dst(o) = d
+		*field(o) = duration
 		return nil
-	}, fmt.Sprintf("duration %v..%v; %s", min, max, doc)}
+	}, fmt.Sprintf("duration %v..%v; %s", least, most, doc)}
 }
 
-var keys = map[string]key{
-	"log.level": {func(o *Operator, v string) error {
-		switch v {
+func logLevelProperty(doc string) property {
+	return property{func(o *Operator, value string) error {
+		switch value {
 		case "error", "warn", "info", "debug":
-			o.LogLevel = v
+			o.LogLevel = value
 			return nil
 		}
-		return fmt.Errorf("%q is none of error, warn, info, debug", v)
-	}, "error, warn, info or debug; LOG_LEVEL wins"},
-	"roles.advisory":      flag(func(o *Operator) *bool { return &o.RoleAdvisory }, "record proposals, move nothing"),
-	"recovery.hold":       flag(func(o *Operator) *bool { return &o.RecoveryHold }, "nothing is stopped, moved or rented while machines have not reported after a start"),
-	"recovery.starts":     whole(0, 100000, func(o *Operator) *int { return &o.RecoveryStarts }, "starts of tasks a second and node while it recovers, 0: no bound"),
-	"quota.reservations":  flag(func(o *Operator) *bool { return &o.QuotaReservations }, "the leader stores how long teams have waited within their guarantees"),
-	"quota.transfers":     flag(func(o *Operator) *bool { return &o.QuotaTransfers }, "nodes give shares of a team's limit that they do not need to one that is short"),
-	"roles.expand":        number(0.01, 100, func(o *Operator) *float64 { return &o.RoleExpand }, "batch load that permits a mixed-pressure move"),
-	"roles.shrink":        number(0, 0.99, func(o *Operator) *float64 { return &o.RoleShrink }, "most source load of a consolidation"),
-	"roles.margin":        number(0, 0.99, func(o *Operator) *float64 { return &o.RoleMargin }, "least drop of the worst ratio"),
-	"roles.confirmations": whole(1, 100, func(o *Operator) *int { return &o.RoleConfirm }, "matching proposals before a move"),
-	"roles.cooldown":      span(0, time.Hour, func(o *Operator) *time.Duration { return &o.RoleCooldown }, "between batch-to-service moves"),
-	"roles.evidence.min":  span(time.Second, time.Hour, func(o *Operator) *time.Duration { return &o.RoleEvidenceMin }, "evidence window with enough arrivals"),
-	"roles.evidence.max":  span(time.Second, time.Hour, func(o *Operator) *time.Duration { return &o.RoleEvidenceMax }, "evidence window without"),
-	"roles.demand.rise":   number(0, 10, func(o *Operator) *float64 { return &o.RoleDemandRise }, "tolerated rise of short over long demand"),
-	"roles.usable":        number(0.05, 1, func(o *Operator) *float64 { return &o.RoleUsable }, "usable share of a service machine"),
-	"roles.start.target":  span(time.Second, time.Hour, func(o *Operator) *time.Duration { return &o.RoleStartTarget }, "start-time target of batch work"),
-	"fleet.headroom.service": number(0, 5, func(o *Operator) *float64 { return &o.ServiceHeadroom },
+		return fmt.Errorf("%q is none of error, warn, info, debug", value)
+	}, "error, warn, info or debug; " + doc}
+}
+
+// propertyByKey holds every property by its key in the file. The texts are shown
+// to operators.
+var propertyByKey = map[string]property{
+	"log.level": logLevelProperty("LOG_LEVEL wins"),
+	"roles.advisory": booleanProperty(
+		func(o *Operator) *bool { return &o.RoleAdvisory },
+		"record proposals, move nothing"),
+	"recovery.hold": booleanProperty(
+		func(o *Operator) *bool { return &o.RecoveryHold },
+		"nothing is stopped, moved or rented while machines have not reported after a start"),
+	"recovery.starts": integerProperty(0, 100000,
+		func(o *Operator) *int { return &o.RecoveryStarts },
+		"starts of tasks a second and node while it recovers, 0: no bound"),
+	"quota.reservations": booleanProperty(
+		func(o *Operator) *bool { return &o.QuotaReservations },
+		"the leader stores how long teams have waited within their guarantees"),
+	"quota.transfers": booleanProperty(
+		func(o *Operator) *bool { return &o.QuotaTransfers },
+		"nodes give shares of a team's limit that they do not need to one that is short"),
+	"roles.expand": numberProperty(0.01, 100,
+		func(o *Operator) *float64 { return &o.RoleExpand },
+		"batch load that permits a mixed-pressure move"),
+	"roles.shrink": numberProperty(0, 0.99,
+		func(o *Operator) *float64 { return &o.RoleShrink },
+		"most source load of a consolidation"),
+	"roles.margin": numberProperty(0, 0.99,
+		func(o *Operator) *float64 { return &o.RoleMargin },
+		"least drop of the worst ratio"),
+	"roles.confirmations": integerProperty(1, 100,
+		func(o *Operator) *int { return &o.RoleConfirm },
+		"matching proposals before a move"),
+	"roles.cooldown": durationProperty(0, time.Hour,
+		func(o *Operator) *time.Duration { return &o.RoleCooldown },
+		"between batch-to-service moves"),
+	"roles.evidence.min": durationProperty(time.Second, time.Hour,
+		func(o *Operator) *time.Duration { return &o.RoleEvidenceMin },
+		"evidence window with enough arrivals"),
+	"roles.evidence.max": durationProperty(time.Second, time.Hour,
+		func(o *Operator) *time.Duration { return &o.RoleEvidenceMax },
+		"evidence window without"),
+	"roles.demand.rise": numberProperty(0, 10,
+		func(o *Operator) *float64 { return &o.RoleDemandRise },
+		"tolerated rise of short over long demand"),
+	"roles.usable": numberProperty(0.05, 1,
+		func(o *Operator) *float64 { return &o.RoleUsable },
+		"usable share of a service machine"),
+	"roles.start.target": durationProperty(time.Second, time.Hour,
+		func(o *Operator) *time.Duration { return &o.RoleStartTarget },
+		"start-time target of batch work"),
+	"fleet.headroom.service": numberProperty(0, 5,
+		func(o *Operator) *float64 { return &o.ServiceHeadroom },
 		"spare service capacity as a share of what is held"),
-	"fleet.headroom.batch": number(0, 5, func(o *Operator) *float64 { return &o.BatchHeadroom },
+	"fleet.headroom.batch": numberProperty(0, 5,
+		func(o *Operator) *float64 { return &o.BatchHeadroom },
 		"spare batch capacity as a share of what is held"),
-	"fleet.idle.spot":     span(time.Second, time.Hour, func(o *Operator) *time.Duration { return &o.IdleSpot }, "before an idle spot machine goes back"),
-	"fleet.idle.ordinary": span(time.Second, time.Hour, func(o *Operator) *time.Duration { return &o.IdleOrdinary }, "before an idle ordinary machine goes back"),
-	"intake.queue":        whole(1, 10000, func(o *Operator) *int { return &o.IntakeQueue }, "submissions waiting for their durable write"),
-	"polls.queue":         whole(1, 100000, func(o *Operator) *int { return &o.PollQueue }, "polls waiting for a read barrier"),
-	"retry.after":         whole(1, 30, func(o *Operator) *int { return &o.RetryAfterSecond }, "seconds that refused users are told to wait"),
+	"fleet.idle.spot": durationProperty(time.Second, time.Hour,
+		func(o *Operator) *time.Duration { return &o.IdleSpot },
+		"before an idle spot machine goes back"),
+	"fleet.idle.ordinary": durationProperty(time.Second, time.Hour,
+		func(o *Operator) *time.Duration { return &o.IdleOrdinary },
+		"before an idle ordinary machine goes back"),
+	"intake.queue": integerProperty(1, 10000,
+		func(o *Operator) *int { return &o.IntakeQueue },
+		"submissions waiting for their durable write"),
+	"polls.queue": integerProperty(1, 100000,
+		func(o *Operator) *int { return &o.PollQueue },
+		"polls waiting for a read barrier"),
+	"retry.after": integerProperty(1, 30,
+		func(o *Operator) *int { return &o.RetryAfterSecond },
+		"seconds that refused users are told to wait"),
 }
 
-// ParseOperator decodes and checks a properties file.
-func ParseOperator(b []byte) (Operator, error) {
-	o := DefaultOperator()
-	l := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
-	p, err := l.LoadBytes(b)
+// ParseOperator decodes and checks a properties file. Of several faults it reports
+// that of the first key in alphabetical order.
+func ParseOperator(text []byte) (Operator, error) {
+	operator := DefaultOperator()
+	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
+	parsed, err := loader.LoadBytes(text)
 	if err != nil {
-		return o, err
+		return operator, err
 	}
-	names := p.Keys()
-	sort.Strings(names)
-	for _, name := range names {
-		k, ok := keys[name]
+	for _, key := range slices.Sorted(slices.Values(parsed.Keys())) {
+		p, ok := propertyByKey[key]
 		if !ok {
-			return o, fmt.Errorf("%s: unknown key", name)
+			return operator, fmt.Errorf("%s: unknown key", key)
 		}
-		v, _ := p.Get(name)
-		if err := k.set(&o, strings.TrimSpace(v)); err != nil {
-			return o, fmt.Errorf("%s: %w", name, err)
+		value, _ := parsed.Get(key) // which is among its keys
+		if err := p.set(&operator, strings.TrimSpace(value)); err != nil {
+			return operator, fmt.Errorf("%s: %w", key, err)
 		}
 	}
+	return operator, operator.check()
+}
+
+// check checks the properties that depend on each other.
+func (o Operator) check() error {
 	if o.RoleEvidenceMax < o.RoleEvidenceMin {
-		return o, errors.New("roles.evidence.max: is less than roles.evidence.min")
+		return errors.New("roles.evidence.max: is less than roles.evidence.min")
 	}
 	if o.RoleShrink >= o.RoleExpand {
-		return o, errors.New("roles.shrink: must be below roles.expand")
+		return errors.New("roles.shrink: must be below roles.expand")
 	}
-	return o, nil
+	return nil
 }
 
-// OperatorHelp lists the operator keys with type, range and meaning.
+// OperatorHelp lists the operators' properties with type, range and meaning.
 func OperatorHelp() string {
-	names := make([]string, 0, len(keys))
-	for n := range keys {
-		names = append(names, n)
-	}
-	sort.Strings(names)
-	var sb strings.Builder
-	for _, n := range names {
-		fmt.Fprintf(&sb, "%-24s %s\n", n, keys[n].doc)
+	var help strings.Builder
+	for _, key := range slices.Sorted(maps.Keys(propertyByKey)) {
+		fmt.Fprintf(&help, "%-24s %s\n", key, propertyByKey[key].doc)
 	}
-	return sb.String()
+	return help.String()
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,14 +12,14 @@
 	"wheatspur/internal/tuning"
 )
 
-// Sibling is another controller node.
+// Sibling is another controller.
 type Sibling struct {
 	Label    string `toml:"label"`
-	Domain   string `toml:"domain"`
-	Endpoint string `toml:"endpoint"`
+	Domain   string `toml:"domain"`   // its failure domain
+	Endpoint string `toml:"endpoint"` // host:port of its peer server
 }
 
-// Team has a guarantee and a limit per resource; 0 means none.
+// Team has a quota guarantee and a quota limit per resource; 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -28,7 +28,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is one of the users' aims.
+// Objective is a service-level objective of the users.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -36,7 +36,8 @@
 	Share   float64 `toml:"share"`
 }
 
-// Settings is what the platform hands over.
+// Settings are those of one controller, as the platform hands them over. Fields
+// that end in S are seconds, in KB and MB kilobytes and megabytes.
 type Settings struct {
 	Label      string    `toml:"label"`
 	Domain     string    `toml:"domain"`
@@ -60,8 +61,8 @@
 		} `toml:"workers"`
 		State struct {
 			Limits
-			// Next holds the limits that the state service will have from some
-			// moment on, which nobody tells; what is absent stays as it is.
+			// Next holds the limits that the key-value store will have from some
+			// moment on, which nobody announces; what is absent stays as it is.
 			Next *Limits `toml:"next"`
 		} `toml:"state"`
 		Cloud struct {
@@ -75,65 +76,75 @@
 		} `toml:"limits"`
 	} `toml:"params"`
 
+	// Operator is read from a file of its own.
 	Operator Operator `toml:"-"`
 }
 
 // Load reads the settings file and, if named, the properties file.
-func Load(path, propsPath string) (*Settings, error) {
-	b, err := os.ReadFile(path)
+func Load(path, propertiesPath string) (*Settings, error) {
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s, err := Parse(b)
+	s, err := Parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if s.Operator, err = LoadOperator(propsPath); err != nil {
+	if s.Operator, err = LoadOperator(propertiesPath); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
 // Parse decodes and checks a settings file; unknown fields are ignored.
-func Parse(b []byte) (*Settings, error) {
+func Parse(text []byte) (*Settings, error) {
 	var s Settings
-	if err := toml.Unmarshal(b, &s); err != nil {
-		var de *toml.DecodeError
-		if errors.As(err, &de) {
-			row, col := de.Position()
-			key := strings.Join(de.Key(), ".")
-			if key != "" {
-				key += ": "
-			}
-			return nil, fmt.Errorf("line %d column %d: %s%s", row, col, key, de.Error())
-		}
-		return nil, err
+	if err := toml.Unmarshal(text, &s); err != nil {
+		return nil, withPosition(err)
 	}
 	return &s, s.check()
 }
 
-// WorkerLease returns the workers' lease.
+// withPosition adds the place in the file, and the key, to an error of the decoder.
+func withPosition(err error) error {
+	decodeError, ok := errors.AsType[*toml.DecodeError](err)
+	if !ok {
+		return err
+	}
+	row, column := decodeError.Position()
+	key := strings.Join(decodeError.Key(), ".")
+	if key != "" {
+		key += ": "
+	}
+	return fmt.Errorf("line %d column %d: %s%w", row, column, key, decodeError)
+}
+
+// WorkerLease returns how long a worker's lease lasts without a renewal.
 func (s *Settings) WorkerLease() time.Duration { return Seconds(s.Params.Workers.LeaseS) }
 
-// HeartbeatInterval returns the workers' report interval.
+// HeartbeatInterval returns the pause between a worker's heartbeats.
 func (s *Settings) HeartbeatInterval() time.Duration { return Seconds(s.Params.Workers.ReportS) }
 
-// RenewalBound is how long after its last fresh read a node may go on answering
-// workers with 200: the leases that it renews must end before cancel_s.
+// RenewalBound is how long after the moment up to which it knows every cancellation
+// a controller may go on renewing workers' leases. The last lease that it renews
+// must expire before cancel_s has passed, even on a worker whose clock drifts, so
+// that a cancellation which it does not know still takes effect in time.
 func (s *Settings) RenewalBound() time.Duration {
-	d := Seconds(s.Params.Workers.CancelS-s.Params.Workers.LeaseS*tuning.DriftFactor) - tuning.CancelMargin
-	return max(d, 0)
+	workers := &s.Params.Workers
+	return max(Seconds(workers.CancelS-workers.LeaseS*tuning.DriftFactor)-tuning.CancelMargin, 0)
 }
 
 // Team finds a team by name.
 func (s *Settings) Team(name string) (Team, bool) {
-	for _, t := range s.Params.Teams {
-		if t.Name == name {
-			return t, true
+	for _, team := range s.Params.Teams {
+		if team.Name == name {
+			return team, true
 		}
 	}
 	return Team{}, false
 }
 
 // Seconds turns a number of seconds into a duration.
-func Seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
+func Seconds(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
+}
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -152,7 +152,7 @@
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	for name := range keys {
+	for name := range propertyByKey {
 		if !strings.Contains(OperatorHelp(), name) {
 			t.Errorf("%s is not in the help", name)
 		}
