--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -120,9 +120,9 @@
 		return Status{}, err
 	}
 	for i := range f.HostsLength() {
-		var host fb.HostView
-		f.Hosts(&host, i)
-		machine, err := decodeMachine(&host, message)
+		var view fb.HostView
+		f.Hosts(&view, i)
+		machine, err := decodeMachine(&view, message)
 		if err != nil {
 			return Status{}, err
 		}
