--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,36 +1,36 @@
-// Package tuning holds every constant of the service, with unit and reason.
+// Package tuning holds the service's constants, each with its unit and its reason.
 // What an operator may change has a key in config.Operator and takes its
-// default from here.
+// default from here. It holds no logic, and nothing specific to a site.
 package tuning
 
 import "time"
 
-// Version of the program.
+// Version is the version of the program.
 const Version = "0.3.0"
 
-// Membership and the state service.
+// Membership and the key-value store.
 const (
-	// SessionTTL is how long a node's lease in the state service lasts without
-	// a renewal. Short, so that a dead node's machines pass on within seconds;
-	// long enough for a renewal that takes a few hundred milliseconds and one
-	// that is lost.
+	// SessionTTL is how long a controller's lease in the store lasts without a
+	// renewal. Short, so that the machines of a controller that has failed pass on
+	// within seconds; long enough for a renewal that takes a few hundred milliseconds
+	// and one that is lost.
 	SessionTTL = 3500 * time.Millisecond
 	// SessionRenewEvery is the pause between renewals: three tries fit in the TTL.
 	SessionRenewEvery = 1000 * time.Millisecond
 	// MembershipCheckEvery is the longest pause between two looks at the membership, and
-	// MemberPause the least, which batches what a watch brings.
+	// MembershipCheckPause the least, which batches what a watch brings.
 	MembershipCheckEvery = 1000 * time.Millisecond
 	MembershipCheckPause = 10 * time.Millisecond
-	// StoreCallTimeout bounds one call to the state service other than a watch.
-	// The service usually answers in 10 ms, at times in a few hundred.
+	// StoreCallTimeout bounds one call to the store other than a watch or a page of a
+	// full read. The store usually answers in 10 ms, at times in a few hundred.
 	StoreCallTimeout = 1500 * time.Millisecond
 	// WatchHold is how long a watch may stay open. Short, so that the send
 	// time of the last answered one stays recent enough to prove freshness.
 	WatchHold = 1000 * time.Millisecond
-	// WatchPause is the least time between two watches of a node: it batches
-	// changes and bounds the node's share of the request budget.
+	// WatchPause is the least time between two watches of a controller: it batches
+	// events and bounds the controller's share of the request budget.
 	WatchPause = 60 * time.Millisecond
-	// BarrierPause is the least time between two read barriers of a node; all
+	// BarrierPause is the least time between two read barriers of a controller; all
 	// polls that arrive meanwhile share the next one.
 	BarrierPause = 80 * time.Millisecond
 	// BarrierWait is how long a poll waits for its read barrier before it is
@@ -39,66 +39,66 @@
 	// DecisionWait is how long a submission or cancellation waits for its
 	// durable write before it is refused. Users wait 5 s for an answer.
 	DecisionWait = 3 * time.Second
-	// BudgetShare is the part of the state service's published limits that
-	// the nodes plan to use; the rest absorbs clock drift and uneven shares.
+	// BudgetShare is the part of the store's published limits that the controllers
+	// plan to use; the rest absorbs clock drift and uneven shares.
 	BudgetShare = 0.95
-	// BudgetQueue is how many calls may wait in a node's limiter per class
+	// BudgetQueue is how many calls may wait in a controller's limiter per class
 	// before new ones are refused at once.
 	BudgetQueue = 64
 	// ListPage is the number of keys per page of a full read: a page of
-	// values of the usual size stays under the service's 512 KiB.
+	// values of the usual size stays under the store's 512 KiB.
 	ListPage = 400
 	// ChunkMax is the most tasks of a chunk record: several records fit one
 	// transaction of 64 KiB.
 	ChunkMax = 70
 	// MachinesPerGroup is the most machines whose records share a key: more save
-	// changes when a fleet starts, fewer fail less often by each other's changes.
+	// writes when a fleet starts, fewer fail less often by each other's writes.
 	MachinesPerGroup = 32
 	// GroupsPerBatch is the most groups of machine records that are stored for
 	// one decision: a few seconds of the leader's budget.
 	GroupsPerBatch = 16
-	// GroupSplitsPerPlan is how many machine groups that are larger than the state
-	// service will take the leader cuts in one plan, two or more changes each,
-	// while nothing else changes them.
+	// GroupSplitsPerPlan is how many machine groups that are larger than the store
+	// will take the leader splits in one plan, two or more writes each, while nothing
+	// else changes them.
 	GroupSplitsPerPlan = 2
 	// GroupFillShare is the part of the value limit that a group of machine
 	// records may fill.
 	GroupFillShare = 0.9
-	// WriteReserve is the number of changes that claims and releases leave in
-	// the budget for submissions, which then never wait behind them.
+	// WriteReserve is the number of writes that claims and releases leave in the
+	// budget for submissions, which then never wait behind them.
 	WriteReserve = 1.0
 	// ReleaseGather is how long the ends of tasks of one chunk are gathered
-	// before they are stored in one change; a user expects a job's end within
-	// 3 s, so the change that ends a job goes at once.
+	// before they are stored in one write; a user expects a job's end within 3 s,
+	// so the write that ends a job goes at once.
 	ReleaseGather = 1500 * time.Millisecond
 	// ReleaseOverdue is when a gathered release goes before new claims.
 	ReleaseOverdue = 12 * time.Second
-	// RebalancePause separates two times that a team's limit is shared out anew
-	// under the same membership: its two writes fail the admissions that are
-	// under way, and take changes from the budget.
+	// RebalancePause separates two rebalances of a team's quota under the same
+	// membership: the two writes of each fail the admissions that are under way,
+	// and take from the write budget.
 	RebalancePause = 3 * time.Second
-	// TransferPause separates two transfers of a team's share by the same node:
+	// TransferPause separates two transfers of a team's share by the same controller:
 	// its last one is read, and used, by then.
 	TransferPause = 250 * time.Millisecond
-	// TransferPatience is how long transfers may try to end a shortage before a
-	// team's limit is shared out anew: a few of them.
+	// TransferPatience is how long transfers may try to end a shortfall before a
+	// team's quota is rebalanced: a few of them.
 	TransferPatience = 1200 * time.Millisecond
-	// ReserveAfter is how long work within a guarantee lacks room before its
-	// team's reservation is stored: a few passes, so that waits which end by
-	// themselves cost no change.
+	// ReserveAfter is how long work within a guarantee lacks room before its team's
+	// reservation is stored: a few passes, so that waits which end by themselves
+	// cost no write.
 	ReserveAfter = 3 * time.Second
 	// ReserveHold is how long a reservation stays once no work lacks room, so
 	// that a moment without does not begin the wait anew.
 	ReserveHold = 10 * time.Second
 	// ReservePause separates two changes of the reservations.
 	ReservePause = 2 * time.Second
-	// TransactionBytes is the most JSON that a transaction may hold; the service's
+	// TransactionBytes is the most JSON that a transaction may hold; the store's
 	// limit is 64 KiB.
 	TransactionBytes = 48 << 10
-	// RetryPause separates tries after a refusal or a lost reply.
+	// RetryPause separates tries after a rejection or a lost answer.
 	RetryPause = 250 * time.Millisecond
-	// StoreStaleAfter is the time without a fresh read after which a node holds
-	// that it has lost the state service: two watches would have come back.
+	// StoreStaleAfter is the time without a fresh read after which a controller takes
+	// the store for lost: two watches would have come back.
 	StoreStaleAfter = 2500 * time.Millisecond
 )
 
@@ -107,17 +107,17 @@
 	// DriftFactor bounds how much longer a second takes on another machine's
 	// steady clock (0.05% each way, doubled for the two clocks and rounded up).
 	DriftFactor = 1.002
-	// LeaseMargin is added to every proof that rests on a worker's lease
-	// having ended: timers fire late on a busy processor.
+	// LeaseMargin is added to every bound that rests on the expiry of a worker's
+	// lease: timers fire late on a busy processor.
 	LeaseMargin = 1500 * time.Millisecond
-	// CancelMargin is kept between the end of the last lease that a node cut
-	// off from the state service may renew and the cancellation limit. It
-	// covers report travel time, clock drift and late timers.
+	// CancelMargin is kept between the expiry of the last lease that a controller cut
+	// off from the store may renew and the cancellation limit. It covers the travel
+	// time of heartbeats, clock drift and late timers.
 	CancelMargin = 4 * time.Second
-	// FencingStep is by how much an owner raises the token of one of its machines
-	// to make void what may still be under way there. Versions that know nothing
-	// of it take the next token after a membership's first: they must not come
-	// upon a raised one and hold it for their own.
+	// FencingStep is by how much an owner raises the fencing token of one of its
+	// machines to fence off commands that may still be under way there. Versions that
+	// know nothing of it take the next token after a membership's first: they must
+	// not come upon a raised one and take it for their own.
 	FencingStep = 1 << 10
 	// TokenSpan is how many tokens a membership has: room for fifteen steps.
 	TokenSpan = 16 * FencingStep
@@ -125,26 +125,27 @@
 	WorkerCallTimeout = 2 * time.Second
 	// TokenAnnouncePause separates direct calls to one worker that does not answer.
 	TokenAnnouncePause = 2 * time.Second
-	// ConfirmAfter is how long after an answer with a command a report must
-	// show its effect: workers drop answers after 4 s and report changes
-	// within half a second.
+	// ConfirmAfter is how long after an answer with a command a heartbeat must show
+	// its effect: workers drop answers after 4 s and send changes within half a
+	// second.
 	ConfirmAfter = 6 * time.Second
-	// UnresponsivePause separates direct calls that ask whether a machine whose reports
-	// show nothing of what it is told hears again.
+	// UnresponsivePause separates direct calls that probe whether a machine whose
+	// heartbeats show no effect of any command receives commands again.
 	UnresponsivePause = 5 * time.Second
-	// QuarantineLeases is after how many leases a machine that reports but takes no
-	// tasks is given back.
+	// QuarantineLeases is after how many lease times a machine that sends heartbeats
+	// but takes no tasks is terminated.
 	QuarantineLeases = 2
-	// WorkerCallsMax is how many direct calls a node has open at once; bounds
+	// WorkerCallsMax is how many direct calls a controller has open at once; bounds
 	// sockets and memory.
 	WorkerCallsMax = 32
-	// SilentHeartbeats is how many report intervals without any message make a
-	// machine unfit for new tasks.
+	// SilentHeartbeats is how many heartbeat intervals without any message make a
+	// machine unschedulable.
 	SilentHeartbeats = 2.2
-	// UnreachableMin is how long a node that has said that it hears no worker owns
-	// no machines, so that a shaky network does not move them to and fro.
+	// UnreachableMin is the least time for which a controller that has told that it
+	// hears no worker owns no machines, so that a shaky network does not move them
+	// to and fro.
 	UnreachableMin = 10 * time.Second
-	// ReachabilityProbes is the number of workers that it asks whether it hears again.
+	// ReachabilityProbes is the number of workers that such a controller probes.
 	ReachabilityProbes = 4
 	// MachineFailuresMax is the number of failed tasks of different jobs, without
 	// a success between, after which a machine is taken for faulty.
@@ -153,9 +154,9 @@
 	// again; it doubles with each failure.
 	RetryBase = 500 * time.Millisecond
 	RetryCap  = 30 * time.Second
-	// RefusalPause keeps tasks off a machine that refused one for want of room.
+	// RefusalPause keeps tasks off a machine that refused one for lack of capacity.
 	RefusalPause = 5 * time.Second
-	// ImagesKept bounds the images that a node remembers per machine; how many
+	// ImagesKept bounds the images that a controller remembers per machine; how many
 	// the machine holds follows from its disk.
 	ImagesKept = 64
 	// TerminationNoticeFactor is the share of a spot notice that a task must be
@@ -167,61 +168,63 @@
 const (
 	// TickEvery is the pause between passes when nothing happens.
 	TickEvery = 500 * time.Millisecond
-	// SweepEvery is how often a pass looks at every machine, for what follows
-	// from time alone: the end of a lease, a machine that falls silent. Other
-	// passes look at those that something has changed for.
+	// SweepEvery is how often a pass looks at every machine, for what follows from
+	// time alone: the expiry of a lease, a machine that falls silent. Other passes
+	// look at those that something has changed for.
 	SweepEvery = 500 * time.Millisecond
 	// PassPause is the least time between two passes; it batches events.
 	PassPause = 80 * time.Millisecond
-	// RecoveryQuietHeartbeats is how many report intervals without a start that waits
-	// end the catching up of a node: what an outage has ended is released with the
-	// reports, and claimed again after that.
+	// RecoveryQuietHeartbeats is how many heartbeat intervals without a start that
+	// waits end the recovery of a controller: what an outage has ended is released
+	// with the heartbeats, and claimed again after that.
 	RecoveryQuietHeartbeats = 2.0
 	// StartCallGrace is how long a direct call that holds a start may be under way
-	// before the answer to a report holds the start, too. Calls usually take
+	// before the answer to a heartbeat holds the start, too. Calls usually take
 	// milliseconds; one that takes longer may not arrive at all.
 	StartCallGrace = 500 * time.Millisecond
-	// RecoveryHeartbeats is how many report intervals a machine has to report after
-	// a node that has begun anew became a member. A report comes within one and a
-	// quarter, at a node that sends it on, and again after the token has changed.
+	// RecoveryHeartbeats is how many heartbeat intervals a machine has to send a
+	// heartbeat after a restarted controller became a member. One comes within one
+	// and a quarter, at a controller that redirects it, and again after the token has
+	// changed.
 	RecoveryHeartbeats = 4.0
-	// StallAfter is how long a loop of a node may stand still before the service
-	// manager is not told any more that it goes on: a call to the state service
-	// that waits for its whole time, several times over.
+	// StallAfter is how long a loop of a controller may make no progress before the
+	// service manager's watchdog is no longer notified: a call to the store that
+	// waits for its whole timeout, several times over.
 	StallAfter = 20 * time.Second
-	// ShutdownLimit is how long a clean stop waits for what is under way: a decision
-	// write takes DecisionWait at most, and what follows from it once more.
+	// ShutdownLimit is how long a graceful shutdown waits for what is under way: a
+	// decision write takes DecisionWait at most, and what follows from it once more.
 	ShutdownLimit = 8 * time.Second
-	// ShutdownPoll is how often a clean stop looks whether all has ended.
+	// ShutdownPoll is how often a graceful shutdown looks whether all has ended.
 	ShutdownPoll = 20 * time.Millisecond
-	// ConflictPause is the mean wait after a placement lost a race for a
-	// record; jittered, so that two nodes don't meet again.
+	// ConflictPause is the mean wait after a placement lost a race for a record;
+	// jittered, so that two controllers don't conflict again.
 	ConflictPause = 120 * time.Millisecond
-	// JobsPerPass bounds the jobs placed in one pass, and with them the
-	// processor time that it takes; all nodes together store fewer in a second.
+	// JobsPerPass bounds the jobs placed in one pass, and with them the processor time
+	// that it takes; all controllers together store fewer in a second.
 	JobsPerPass = 24
-	// PassRest is how many times as long as a pass the node rests after it:
-	// passes take little of its processor, and there is no more than
-	// a handful of changes a second to decide on.
+	// PassRest is how many times as long as a pass the controller rests after it:
+	// passes take little of its processor, and there is no more than a handful of
+	// writes a second to decide on.
 	PassRest = 30
 	// PassPauseMax bounds that rest.
 	PassPauseMax = 400 * time.Millisecond
-	// StarvedAfter is how long a job waits without any task begun before nothing
-	// of its priority goes before it: half of the four minutes that users grant.
+	// StarvedAfter is how long a job waits without any task started before nothing of
+	// its priority goes before it: half of the four minutes that users grant.
 	StarvedAfter = 100 * time.Second
-	// GuaranteePreemptAfter is how long work within a guarantee waits before
-	// another team's borrowed work is stopped for it: by then the cloud has had
-	// time for two boots.
+	// GuaranteePreemptAfter is how long work within a guarantee waits before another
+	// team's borrowed work is preempted for it: by then the cloud has had time for
+	// two boots.
 	GuaranteePreemptAfter = 120 * time.Second
-	// PreemptPause is how long a node waits, after it stopped tasks for a job,
-	// before it stops more for it: a stop, its report and the next claim.
+	// PreemptPause is how long a controller waits, after it preempted tasks for a job,
+	// before it preempts more for it: a stop, its heartbeat and the next claim.
 	PreemptPause = 8 * time.Second
-	// StepGap is what passes between the end of a job and the first start of
-	// one that depends on it: the end is stored, seen, placed, claimed and started.
+	// StepGap is what passes between the end of a job and the first start of one that
+	// depends on it: the end is stored, seen, and the next job placed, claimed and
+	// started.
 	StepGap = 3 * time.Second
-	// TasksPerMachine bounds the tasks of a machine, and the commands of an
-	// answer to it: a report of twice as many, exited ones among them, holds
-	// 64 KiB, the most that a message may.
+	// TasksPerMachine bounds the tasks of a machine, and the commands of an answer to
+	// it: a heartbeat with twice as many, exited ones among them, holds 64 KiB, the
+	// most that a message may.
 	TasksPerMachine = 400
 	// TasksPerJob bounds the tasks of one job that a pass tries to place.
 	TasksPerJob = 128
@@ -232,7 +235,8 @@
 const (
 	// RoleStep is the pause between evaluations of adjacent splits.
 	RoleStep = 5 * time.Second
-	// RoleExpand is the batch load at which a mixed-pressure move may start.
+	// RoleExpand is the batch load at which a mixed-pressure move may start, which
+	// takes a machine from services that are under load, too.
 	RoleExpand = 1.0
 	// RoleShrink is the most load that a consolidation leaves on its source.
 	RoleShrink = 0.5
@@ -259,8 +263,8 @@
 	RoleUsable = 0.8
 	// RoleFloor is the number of machines each role keeps.
 	RoleFloor = 1
-	// RoleLapse is how long after its last open job a role needs neither floor
-	// nor headroom: a machine without work costs as much as one with it.
+	// RoleLapse is how long after its last open job a role needs neither floor nor
+	// headroom: an idle machine costs as much as a busy one.
 	RoleLapse = 25 * time.Second
 	// RoleStartTarget is the start-time target of batch work where the
 	// settings state none (ours).
@@ -271,78 +275,78 @@
 const (
 	// CloudCallTimeout bounds one call to the cloud.
 	CloudCallTimeout = 4 * time.Second
-	// ListEvery is the pause between reads of the machine list, longer for a
-	// list of more than three pages: a quarter of the smallest published call
-	// budget. What was taken without a notice shows here first.
+	// ListEvery is the pause between reads of the machine list, longer for a list of
+	// more than three pages: a quarter of the smallest published call budget. A spot
+	// machine that the cloud took without a notice shows here first.
 	ListEvery = 2 * time.Second
 	// TypesEvery is the pause between reads of the machine types; spot prices
 	// move slowly.
 	TypesEvery = 60 * time.Second
-	// PlanEvery is the pause between capacity decisions.
+	// PlanEvery is the pause between autoscaling decisions.
 	PlanEvery = 1 * time.Second
-	// NoCapacityPause keeps a type, zone and kind out of the plan after the cloud
-	// had none.
+	// NoCapacityPause keeps a type in a zone, spot or on-demand, out of the plan after
+	// the cloud had no capacity for it.
 	NoCapacityPause = 20 * time.Second
-	// SlowBootFactor times a type's boot time is when a machine that has not
-	// reported is deleted: the usual range ends at 1.5.
+	// SlowBootFactor times a type's boot time is when a machine without a heartbeat is
+	// terminated: the usual range ends at 1.5.
 	SlowBootFactor = 2.5
 	// SlowBootMin is the least such time.
 	SlowBootMin = 20 * time.Second
 	// LateBootFactor times a type's boot time is when a machine no longer
 	// counts as coming: the end of the usual range.
 	LateBootFactor = 1.5
-	// IdleSpot and IdleOrdinary are how long an unneeded machine stays before
-	// it is returned; a deleted machine costs at least 60 s, and a new one a boot.
+	// IdleSpot and IdleOnDemand are how long a surplus machine stays before it is
+	// terminated; a terminated machine costs at least 60 s, and a new one a boot.
 	IdleSpot     = 25 * time.Second
 	IdleOnDemand = 30 * time.Second
-	// OnDemandBatchAfter is how long a task that may use spot machines waits
-	// before an ordinary one, several times as dear, is rented for it.
+	// OnDemandBatchAfter is how long a task that may use spot machines waits before
+	// an on-demand one, several times as expensive, is scaled out for it.
 	OnDemandBatchAfter = 15 * time.Second
-	// ListLagFactor times the list's lag is how long after its first listing
-	// a machine's absence from a list starts to count; the lag at times doubles.
+	// ListLagFactor times the list's lag is how long after its first listing a
+	// machine's absence from a list starts to count; the lag at times doubles.
 	ListLagFactor = 3
-	// MissingLists is the number of lists in a row that must omit a machine that
-	// was listed before it is taken to be gone and returned for proof.
+	// MissingLists is the number of lists in a row that must omit a machine that was
+	// listed before it is taken to be gone, and terminated to be certain.
 	MissingLists = 2
-	// MissingHeartbeats is how many report intervals a machine that lists omit must
-	// be silent: reports come up to a quarter late, so one was missed.
+	// MissingHeartbeats is how many heartbeat intervals a machine that lists omit must
+	// be silent: heartbeats come up to a quarter late, so one was missed.
 	MissingHeartbeats = 1.25
-	// TerminateMax is the most machines named in one return.
+	// TerminateMax is the most machines named in one call to terminate.
 	TerminateMax = 100
 	// ScaleOutMax is the most machines asked for in one call.
 	ScaleOutMax = 50
 	// DrainableTries is how many half-empty service machines a plan looks at, at
-	// least; in a large fleet, as many as may be emptied at once.
+	// least; in a large fleet, as many as may drain at once.
 	DrainableTries = 6
-	// DrainGroups is how many groups of machine records one plan may touch to
-	// give idle machines back, and DrainGroupsMost how many while the budget
-	// of changes has room.
+	// DrainGroups is how many groups of machine records one plan may write to
+	// terminate idle machines, and DrainGroupsMax how many while the write budget
+	// has room.
 	DrainGroups    = 2
 	DrainGroupsMax = 6
-	// DrainingShare is the part of the service machines that may be emptied at
-	// once, at least one; each owner still moves its tasks singly.
+	// DrainingShare is the part of the service machines that may drain at once, at
+	// least one machine; each owner still moves its tasks one by one.
 	DrainingShare = 0.03
-	// TerminatedKept is how long the leader remembers that a machine was given back,
+	// TerminatedKept is how long the leader remembers that a machine was terminated,
 	// while lists that are late still show it.
 	TerminatedKept = 60 * time.Second
 	// ServiceHeadroom is the spare service capacity kept, as a share of what
 	// services hold.
 	ServiceHeadroom = 0.12
-	// LateBootShare is the share of machines that take much longer to boot than
-	// usual, and LateBootSpread how many deviations of their number are rented
-	// beside it: each costs a minute's price if all boot in time.
+	// LateBootShare is the share of machines that take much longer to boot than usual,
+	// and LateBootSpread how many standard deviations of their number are scaled out
+	// beside it: each machine costs a minute's price if all boot in time.
 	LateBootShare  = 0.1
 	LateBootSpread = 1.2
 	// BatchHeadroom is the spare batch capacity kept, as a share of the mean
 	// of what batch holds.
 	BatchHeadroom = 0.25
-	// BatchHeadroomJobs is the least headroom for batch, in arrays of the mean
-	// size: arrays arrive whole, and most are smaller than this. The headroom
-	// is of spot machines only, which are cheap.
+	// BatchHeadroomJobs is the least headroom for batch, in job arrays of the mean
+	// size: arrays arrive whole, and most are smaller than this. The headroom is of
+	// spot machines only, which are cheap.
 	BatchHeadroomJobs = 1.5
-	// BatchSizeAlpha is the weight of a new array in that mean.
+	// BatchSizeAlpha is the weight of a new job array in that mean.
 	BatchSizeAlpha = 0.1
-	// BatchHeadroomHold is how long after the last array this headroom stays.
+	// BatchHeadroomHold is how long after the last job array this headroom stays.
 	BatchHeadroomHold = 60 * time.Second
 	// BatchWindow is the horizon over which that mean is taken.
 	BatchWindow = 60 * time.Second
@@ -350,19 +354,19 @@
 
 // Calls to others.
 const (
-	// DialTimeout bounds a connection attempt; a machine behind a cut says
-	// nothing.
+	// DialTimeout bounds a connection attempt; a machine behind a network partition
+	// does not even refuse it.
 	DialTimeout = 1 * time.Second
 	// MaxResponse is the largest response read, in bytes; a watch response has
 	// no limit of its own.
 	MaxResponse = 64 << 20
-	// StoreConns and CloudConns bound the connections to the services.
+	// StoreConns and CloudConns bound the connections to the store and to the cloud.
 	StoreConns = 48
 	CloudConns = 6
-	// WorkerConns bounds the connections to one worker, and WorkerIdle how
-	// long they stay open: the next call to the same worker is seldom near, and
-	// at a hundred calls a second, which one node makes that stands in for all,
-	// five seconds were more sockets than are left for its own calls.
+	// WorkerConns bounds the connections to one worker, and WorkerIdle how long they
+	// stay open: the next call to the same worker is seldom near, and at a hundred
+	// calls a second, which one controller makes when the others have failed, five
+	// seconds were more sockets than are left for its own calls.
 	WorkerConns = 2
 	WorkerIdle  = 1 * time.Second
 )
@@ -371,8 +375,8 @@
 const (
 	// ReadTimeout bounds the reading of one request.
 	ReadTimeout = 5 * time.Second
-	// IdleTimeout closes connections that carry nothing; longer than the
-	// pause between two polls or reports.
+	// IdleTimeout closes connections that carry nothing; longer than the pause between
+	// two polls or heartbeats.
 	IdleTimeout = 30 * time.Second
 	// WriteTimeout bounds the writing of one answer.
 	WriteTimeout = 3 * time.Second
@@ -381,8 +385,8 @@
 	// IntakeQueue is how many submissions may wait for their durable write at
 	// once; more are refused with RetryAfter.
 	IntakeQueue = 48
-	// IntakeLanes is how many writes of submissions a node has under way: a
-	// slow answer of the state service does not hold up the next.
+	// IntakeLanes is how many writes of submissions a controller has under way: a slow
+	// answer of the store does not hold up the next.
 	IntakeLanes = 3
 	// IntakeGroup is the most submissions that one record holds.
 	IntakeGroup = 32
@@ -392,7 +396,7 @@
 	RetryAfter = 2
 	// PeerEvery is the pause between two exchanges of status with a sibling.
 	PeerEvery = 700 * time.Millisecond
-	// MachineStatusEvery is how often a node looks over its machines for what has
+	// MachineStatusEvery is how often a controller looks over its machines for what has
 	// changed for its siblings.
 	MachineStatusEvery = 300 * time.Millisecond
 	// PeerTimeout bounds one exchange.
@@ -400,16 +404,16 @@
 	// PeerConns bounds the connections to one sibling; forwarded requests
 	// beyond it are refused at once.
 	PeerConns = 16
-	// ForwardTimeout bounds a user's request that is passed on to a sibling:
-	// with a barrier's wait before it, a poll still ends within 2 s.
+	// ForwardTimeout bounds a user's request that is forwarded to a sibling: with a
+	// barrier's wait before it, a poll still ends within 2 s.
 	ForwardTimeout = 1500 * time.Millisecond
-	// PeerFresh is how long a sibling's status is believed.
+	// PeerFresh is how long a sibling's status counts as current.
 	PeerFresh = 3 * time.Second
 	// ConnectionShare is the share of the socket limit that the user and worker
 	// side may hold; the rest is for our own calls.
 	ConnectionShare = 0.8
 	// CrowdedConnShare is the share of those connections from which workers'
-	// connections are closed after each report.
+	// connections are closed after each heartbeat.
 	CrowdedConnShare = 0.6
 	// MemoryShare is the share of the memory limit given to the Go runtime as
 	// its soft limit; the rest covers the binary, stacks and the C library.
