--- a/internal/store/syncer.go
+++ b/internal/store/syncer.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"wheatspur/internal/logging"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -63,7 +64,7 @@
 	for ctx.Err() == nil {
 		if !loaded {
 			if err := s.Load(ctx); err != nil {
-				s.log.Info("state load failed", "err", err)
+				s.log.Info(logging.EventStoreLoadFailed, logging.KeyError, err)
 				pause(ctx, tuning.RetryPause)
 				continue
 			}
@@ -73,7 +74,7 @@
 		case errors.Is(err, ErrCompacted):
 			loaded = false
 		case err != nil:
-			s.log.Debug("watch failed", "err", err)
+			s.log.Debug(logging.EventStoreWatchFailed, logging.KeyError, err)
 			pause(ctx, tuning.RetryPause)
 		default:
 			pause(ctx, tuning.WatchPause)
