--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -9,10 +9,10 @@
 	"wheatspur/internal/jobs"
 )
 
-// spread chooses machines of as few owners as it can, those with the most
+// fitAcrossOwners chooses machines of as few owners as it can, those with the most
 // places first: every owner stores the ends of its tasks by itself, so a job
 // spread thin over all of them costs several times the changes.
-func (in *Input) spread(d *Demand, tasks []int) []*Machine {
+func (in *Input) fitAcrossOwners(d *Demand, tasks []int) []*Machine {
 	if w := d.Job.Record.Spec; w.SpreadZones || w.SameZone {
 		return in.fit(d, tasks, "") // zones count across owners
 	}
@@ -30,10 +30,10 @@
 	return picks
 }
 
-// holdMachine keeps the machine that comes closest to holding a task of the job from
+// reserveMachine keeps the machine that comes closest to holding a task of the job from
 // what comes later in the pass. It guards against small tasks taking all room
 // as it comes free, so that a large one never finds enough on one machine.
-func (in *Input) holdMachine(d *Demand) {
+func (in *Input) reserveMachine(d *Demand) {
 	var best *Machine
 	for _, p := range in.Fleet.pools {
 		if !p.eligible(d.Job) {
@@ -84,18 +84,18 @@
 		}
 	}
 	if w.SameZone {
-		return fitOneZone(d, tasks, cand, zones)
+		return fitSameZone(d, tasks, cand, zones)
 	}
-	return greedy(d, tasks, cand, zones, "")
+	return fillBestFirst(d, tasks, cand, zones, "")
 }
 
 // candidates lists the machines of one node (or all) that a task of the demand
 // fits, in memory that the next call uses again. It notes what room is left in
 // the pools that it looks through.
 func (in *Input) candidates(d *Demand, node string) []candidate {
-	cand := in.Fleet.scratch[:0]
+	cand := in.Fleet.candidateBuffer[:0]
 	for _, p := range in.Fleet.pools {
-		if node != "" && p.Owner != node || !p.eligible(d.Job) || !d.Job.Need.Fits(p.room) {
+		if node != "" && p.Owner != node || !p.eligible(d.Job) || !d.Job.Need.Fits(p.maxFree) {
 			continue
 		}
 		var room jobs.Resources
@@ -108,26 +108,26 @@
 				cand = append(cand, candidate{m, m.imageWait(d.Job), m.Free.Sub(d.Job.Need).Share(m.Total)})
 			}
 		}
-		if in.trackRoom && p.room != room {
-			p.room, p.stale = room, true
+		if in.trackMaxFree && p.maxFree != room {
+			p.maxFree, p.stale = room, true
 		}
 	}
-	in.Fleet.scratch = cand
+	in.Fleet.candidateBuffer = cand
 	return cand
 }
 
-// fitOneZone chooses machines in the zone that holds the most of the tasks; if
+// fitSameZone chooses machines in the zone that holds the most of the tasks; if
 // the job has tasks already, in theirs.
-func fitOneZone(d *Demand, tasks []int, cand []candidate, zones map[string]int) []*Machine {
+func fitSameZone(d *Demand, tasks []int, cand []candidate, zones map[string]int) []*Machine {
 	var best []*Machine
 	seen := map[string]bool{}
 	for _, c := range cand {
-		zone := c.m.Zone
+		zone := c.machine.Zone
 		if seen[zone] || len(zones) > 0 && zones[zone] == 0 {
 			continue
 		}
 		seen[zone] = true
-		if picks := greedy(d, tasks, cand, zones, zone); len(picks) > len(best) {
+		if picks := fillBestFirst(d, tasks, cand, zones, zone); len(picks) > len(best) {
 			best = picks
 		}
 	}
@@ -136,29 +136,29 @@
 
 // candidate is a machine that a task of the demand fits.
 type candidate struct {
-	m    *Machine
-	wait float64
-	left float64 // share that stays free
+	machine   *Machine
+	imageWait float64
+	freeShare float64 // share that stays free
 }
 
 // before orders candidates: the shortest wait, least free room left, the name.
 func (c *candidate) before(o *candidate) bool {
-	if c.wait != o.wait {
-		return c.wait < o.wait
+	if c.imageWait != o.imageWait {
+		return c.imageWait < o.imageWait
 	}
-	if c.left != o.left {
-		return c.left < o.left
+	if c.freeShare != o.freeShare {
+		return c.freeShare < o.freeShare
 	}
-	return c.m.Name < o.m.Name
+	return c.machine.Name < o.machine.Name
 }
 
 // MaxTasksPerZone is the most tasks that an apart job may have in one zone.
 func MaxTasksPerZone(tasks int) int { return (tasks + 1) / 2 }
 
-// greedy chooses machines for as many of the tasks as fit, in one zone if only
+// fillBestFirst chooses machines for as many of the tasks as fit, in one zone if only
 // names it: the best candidate is filled before the next. zones counts the
 // job's tasks that have a place already, and stays as it is.
-func greedy(d *Demand, tasks []int, cand []candidate, zones map[string]int, only string) []*Machine {
+func fillBestFirst(d *Demand, tasks []int, cand []candidate, zones map[string]int, only string) []*Machine {
 	used := zones
 	if d.Job.Record.Spec.SpreadZones {
 		// maps.Clone would move the callers' maps to the heap.
@@ -177,7 +177,7 @@
 			break
 		}
 		full[best] = true
-		picks = fill(d.Job, cand[best].m, used, picks, len(tasks))
+		picks = fillMachine(d.Job, cand[best].machine, used, picks, len(tasks))
 	}
 	return picks
 }
@@ -187,8 +187,8 @@
 func bestCandidate(j *jobs.Job, cand []candidate, full []bool, used map[string]int, only string) int {
 	best := -1
 	for i := range cand {
-		zone := cand[i].m.Zone
-		if full[i] || only != "" && zone != only || spreadFull(j, used, zone) {
+		zone := cand[i].machine.Zone
+		if full[i] || only != "" && zone != only || zoneFull(j, used, zone) {
 			continue
 		}
 		if best < 0 || cand[i].before(&cand[best]) {
@@ -198,12 +198,12 @@
 	return best
 }
 
-// fill picks the machine for as many tasks as it holds, until there are most
+// fillMachine picks the machine for as many tasks as it holds, until there are most
 // picks, and counts them in used if the job is to be spread over zones.
-func fill(j *jobs.Job, m *Machine, used map[string]int, picks []*Machine, most int) []*Machine {
+func fillMachine(j *jobs.Job, m *Machine, used map[string]int, picks []*Machine, most int) []*Machine {
 	free := m.Free
 	for n := 0; len(picks) < most && n < m.freeTaskSlots() && j.Need.Fits(free); n++ {
-		if spreadFull(j, used, m.Zone) {
+		if zoneFull(j, used, m.Zone) {
 			break
 		}
 		if j.Record.Spec.SpreadZones {
@@ -215,9 +215,9 @@
 	return picks
 }
 
-// spreadFull reports whether the job is to be spread over zones, and has as
+// zoneFull reports whether the job is to be spread over zones, and has as
 // many tasks in this one as it may.
-func spreadFull(j *jobs.Job, used map[string]int, zone string) bool {
+func zoneFull(j *jobs.Job, used map[string]int, zone string) bool {
 	return j.Record.Spec.SpreadZones && used[zone] >= MaxTasksPerZone(j.Record.Tasks)
 }
 
--- a/internal/placement/fleet.go
+++ b/internal/placement/fleet.go
@@ -12,11 +12,11 @@
 // whose tasks or images have changed are entered anew (Machine.Enter), and what
 // the last pass has placed is undone (Rewind).
 type Fleet struct {
-	Machines []*Machine // by name
-	byName   map[string]*Machine
-	pools    []*pool
-	scratch  []candidate // of the last search, for its memory
-	changed  []*Machine  // machines that the pass has placed on, or plans to stop tasks on
+	Machines        []*Machine // by name
+	byName          map[string]*Machine
+	pools           []*pool
+	candidateBuffer []candidate // of the last search, for its memory
+	changed         []*Machine  // machines that the pass has placed on, or plans to stop tasks on
 }
 
 // poolKey is what a pool's machines have in common.
@@ -30,7 +30,7 @@
 	poolKey
 	machines       []*Machine
 	stale          bool           // what follows is to be summed up again
-	room           jobs.Resources // no open machine has more free, in any resource
+	maxFree        jobs.Resources // no open machine has more free, in any resource
 	freeing        bool           // some room is being freed
 	lowestPriority int            // the lowest priority, as a number, of what could be stopped
 }
@@ -95,21 +95,21 @@
 // summarize works out what the pool's machines have in common.
 func (p *pool) summarize() {
 	p.stale = false
-	p.room, p.freeing, p.lowestPriority = jobs.Resources{}, false, -1
+	p.maxFree, p.freeing, p.lowestPriority = jobs.Resources{}, false, -1
 	for _, m := range p.machines {
 		if !m.Schedulable {
 			continue
 		}
-		p.room = p.room.Max(m.Free)
+		p.maxFree = p.maxFree.Max(m.Free)
 		p.freeing = p.freeing || m.Freeing.GPUs > 0 || m.Freeing.CPUs > 0 || m.Freeing.RAM > 0
 		p.lowestPriority = max(p.lowestPriority, m.snapshot.lowestPriority)
 	}
 }
 
-// mayHold reports whether some machine might have room for a task of the job.
-func (f *Fleet) mayHold(j *jobs.Job) bool {
+// mayFit reports whether some machine might have room for a task of the job.
+func (f *Fleet) mayFit(j *jobs.Job) bool {
 	for _, p := range f.pools {
-		if p.eligible(j) && j.Need.Fits(p.room) {
+		if p.eligible(j) && j.Need.Fits(p.maxFree) {
 			return true
 		}
 	}
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -44,28 +44,28 @@
 	FetchGBPerS             float64        // 0: not known
 	Tasks                   []ClaimedTask
 
-	imagePulls []imagePull // images that its tasks wait for
-	placed     int         // tasks placed on it in this pass
-	preempts   bool        // the pass stops some of its tasks
-	changed    bool        // the pass has changed it
-	snapshot   machineSnapshot
-	pool       *pool
+	imagePulls  []imagePull // images that its tasks wait for
+	placedTasks int         // tasks placed on it in this pass
+	preempting  bool        // the pass stops some of its tasks
+	changed     bool        // the pass has changed it
+	snapshot    machineSnapshot
+	pool        *pool
 }
 
 // machineSnapshot is what a machine was like before a pass began to place on it.
 type machineSnapshot struct {
 	free, freeing  jobs.Resources
-	pulls          int
+	imagePulls     int
 	lowestPriority int // the lowest rank, as a number, of the tasks that could be stopped; -1: none
 }
 
 // freeTaskSlots is how many more tasks the machine's reports can name.
-func (m *Machine) freeTaskSlots() int { return tuning.TasksPerMachine - len(m.Tasks) - m.placed }
+func (m *Machine) freeTaskSlots() int { return tuning.TasksPerMachine - len(m.Tasks) - m.placedTasks }
 
 // imagePull is an image that a machine is to fetch.
 type imagePull struct {
-	image string
-	gb    float64
+	image  string
+	sizeGB float64
 }
 
 // HasImage reports whether the machine holds an image.
@@ -81,7 +81,7 @@
 // Snapshot takes the machine's room, tasks and images, as its fields hold them, for
 // what the next passes begin with.
 func (m *Machine) Snapshot() {
-	m.imagePulls, m.placed, m.preempts = m.imagePulls[:0], 0, false
+	m.imagePulls, m.placedTasks, m.preempting = m.imagePulls[:0], 0, false
 	worst := -1
 	for i := range m.Tasks {
 		r := &m.Tasks[i]
@@ -109,11 +109,11 @@
 func (m *Machine) rollback() {
 	m.changed, m.pool.stale = false, true
 	m.Free, m.Freeing = m.snapshot.free, m.snapshot.freeing
-	m.imagePulls, m.placed = m.imagePulls[:m.snapshot.pulls], 0
-	if !m.preempts {
+	m.imagePulls, m.placedTasks = m.imagePulls[:m.snapshot.imagePulls], 0
+	if !m.preempting {
 		return
 	}
-	m.preempts = false
+	m.preempting = false
 	for i := range m.Tasks {
 		if r := &m.Tasks[i]; r.preempted {
 			r.Stopping, r.preempted = false, false
@@ -134,9 +134,9 @@
 	m.imagePulls = append(m.imagePulls, imagePull{w.Image, w.ImageGB})
 }
 
-// fetchBucket is the difference in expected fetch time, in seconds, below
+// imageWaitBucketS is the difference in expected fetch time, in seconds, below
 // which two machines count as equal and the least free room decides.
-const fetchBucket = 2.0
+const imageWaitBucketS = 2.0
 
 // imageWait is the expected time until the machine has the job's image, in buckets:
 // nothing if it holds it, else the fetch together with those under way, which
@@ -155,8 +155,8 @@
 		if p.image == w.Image {
 			gb -= w.ImageGB / 2 // joins a fetch that is under way
 		} else {
-			gb += p.gb
+			gb += p.sizeGB
 		}
 	}
-	return math.Ceil(gb / rate / fetchBucket)
+	return math.Ceil(gb / rate / imageWaitBucketS)
 }
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -7,13 +7,13 @@
 )
 
 // reclaims reports whether others' borrowed work may be stopped for the demand.
-func (d *Demand) reclaims() bool { return d.guaranteed && d.MayReclaim }
+func (d *Demand) reclaims() bool { return d.guaranteedAtStart && d.MayReclaim }
 
-// less orders demands: priority, then pressed work within its team's guarantee,
+// demandBefore orders demands: priority, then pressed work within its team's guarantee,
 // then what has waited too long, by age; then other work within its guarantee,
 // then the latest start that keeps the deadline; what can't keep it any more, and what has none, by age
 // after that.
-func less(a, b *Demand) bool {
+func demandBefore(a, b *Demand) bool {
 	if a.priority != b.priority {
 		return a.priority < b.priority
 	}
@@ -32,8 +32,8 @@
 	if a.Starved && a.Job.ReadyAtMs != b.Job.ReadyAtMs {
 		return a.Job.ReadyAtMs < b.Job.ReadyAtMs
 	}
-	if a.guaranteed != b.guaranteed {
-		return a.guaranteed
+	if a.guaranteedAtStart != b.guaranteedAtStart {
+		return a.guaranteedAtStart
 	}
 	if a.latestStart != b.latestStart {
 		return a.latestStart < b.latestStart
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -24,9 +24,9 @@
 	WriteInFlight bool            // a write of this node about it is under way
 	Starved       bool            // has waited so long that nothing of its priority goes before it
 
-	priority    int
-	guaranteed  bool
-	latestStart int64
+	priority          int
+	guaranteedAtStart bool
+	latestStart       int64
 }
 
 // Input of a pass.
@@ -45,9 +45,9 @@
 	// it, since other nodes can't know.
 	MinimizeLoss bool
 
-	reservedPriority int  // priority from which borrowed room is kept for a guarantee; see one
-	scansLeft        int  // how often makeRoom may still look through the machines
-	trackRoom        bool // room only shrinks: pools may note what is left
+	reservedPriority    int  // priority from which borrowed room is kept for a guarantee; see one
+	preemptionScansLeft int  // how often makeRoom may still look through the machines
+	trackMaxFree        bool // room only shrinks: pools may note what is left
 }
 
 // Claim is a placement for this node to store.
@@ -92,11 +92,11 @@
 // Schedule places pending tasks.
 func Schedule(in Input) Output {
 	out := Output{Unplaced: map[string]int{}, Reasons: map[string]string{}}
-	in.reservedPriority, in.scansLeft, in.trackRoom = noPriority, scansPerPass, true
+	in.reservedPriority, in.preemptionScansLeft, in.trackMaxFree = noPriority, preemptionScansPerPass, true
 	for _, d := range in.Demands {
-		d.priority, d.guaranteed, d.latestStart = d.Job.Priority, in.guaranteed(d.Job), in.latestStart(d.Job)
+		d.priority, d.guaranteedAtStart, d.latestStart = d.Job.Priority, in.guaranteed(d.Job), in.latestStart(d.Job)
 	}
-	sort.Slice(in.Demands, func(a, b int) bool { return less(in.Demands[a], in.Demands[b]) })
+	sort.Slice(in.Demands, func(a, b int) bool { return demandBefore(in.Demands[a], in.Demands[b]) })
 	for _, d := range in.Demands {
 		in.scheduleDemand(d, &out)
 	}
@@ -123,41 +123,41 @@
 		out.recordUnplaced(d, len(d.Tasks), ReasonNoQuota)
 		return
 	}
-	var choice nodeChoice
-	if in.Fleet.mayHold(d.Job) {
+	var choice machineChoice
+	if in.Fleet.mayFit(d.Job) {
 		if in.MaxJobs <= 0 {
 			out.recordUnplaced(d, len(tasks), ReasonNoTurn)
 			return
 		}
-		choice = in.choose(d, team, tasks)
+		choice = in.chooseMachines(d, team, tasks)
 	}
 	if len(choice.machines) > 0 {
 		in.MaxJobs--
-		in.commit(d, team, tasks, choice, out)
+		in.applyChoice(d, team, tasks, choice, out)
 	}
 	if out.explainUnplaced(d, tasks, choice) {
 		in.findRoom(d, guaranteed, tasks, choice, out)
 	}
 }
 
-// nodeChoice is the machines chosen for a demand's first tasks, and the node
+// machineChoice is the machines chosen for a demand's first tasks, and the node
 // that stores the claims.
-type nodeChoice struct {
-	node           string
+type machineChoice struct {
+	controller     string
 	machines       []*Machine
 	shareLimited   bool         // its place is limited by the shares of the limit
 	shareShortfall quota.Amount // what the leader lacks of the limit, if that alone is so
 }
 
-// choose finds machines for the tasks: those of one node if they hold all of
+// chooseMachines finds machines for the tasks: those of one node if they hold all of
 // them, else those of any.
-func (in *Input) choose(d *Demand, team *quota.Allowance, tasks []int) nodeChoice {
-	choice := in.chooseNode(d, team, tasks)
-	if choice.node == "" {
+func (in *Input) chooseMachines(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
+	choice := in.chooseOwner(d, team, tasks)
+	if choice.controller == "" {
 		granted := team.AtNode(in.Leader, d.Job.Need.Amount(), len(tasks))
-		choice.node = in.Leader
+		choice.controller = in.Leader
 		choice.shareLimited = granted < len(tasks)
-		choice.machines = in.spread(d, tasks[:granted])
+		choice.machines = in.fitAcrossOwners(d, tasks[:granted])
 		if choice.shareLimited && len(choice.machines) == granted {
 			choice.shareShortfall = d.Job.Need.Amount().Times(float64(len(tasks))).Sub(team.Left[in.Leader])
 		}
@@ -168,11 +168,11 @@
 	return choice
 }
 
-// chooseNode finds the first node whose machines hold all tasks, the shortest
+// chooseOwner finds the first node whose machines hold all tasks, the shortest
 // waits for the image coming first: a fetch costs more than any other choice
 // here. Without such a node the placement is empty.
-func (in *Input) chooseNode(d *Demand, team *quota.Allowance, tasks []int) nodeChoice {
-	var best nodeChoice
+func (in *Input) chooseOwner(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
+	var best machineChoice
 	leastWait := 0.0
 	for _, node := range in.RankNodes(d.Job.ID) {
 		if team.AtNode(node, d.Job.Need.Amount(), len(tasks)) < len(tasks) {
@@ -186,27 +186,27 @@
 		for _, m := range picks {
 			wait += m.imageWait(d.Job)
 		}
-		if best.node == "" || wait < leastWait {
-			best.node, best.machines = node, picks
+		if best.controller == "" || wait < leastWait {
+			best.controller, best.machines = node, picks
 			leastWait = wait
 		}
 	}
 	return best
 }
 
-// commit enters the placement into the machines and the team's use, and claims
+// applyChoice enters the placement into the machines and the team's use, and claims
 // the tasks if this node is to store them.
-func (in *Input) commit(d *Demand, team *quota.Allowance, tasks []int, choice nodeChoice, out *Output) {
+func (in *Input) applyChoice(d *Demand, team *quota.Allowance, tasks []int, choice machineChoice, out *Output) {
 	for i, m := range choice.machines {
 		in.Fleet.markChanged(m)
 		m.Free = m.Free.Sub(d.Job.Need)
 		m.addImagePull(d.Job.Record.Spec)
-		m.placed++
-		if choice.node == in.Self && !d.WriteInFlight {
+		m.placedTasks++
+		if choice.controller == in.Self && !d.WriteInFlight {
 			out.Claims = append(out.Claims, Claim{d.Job, tasks[i], m.Name, m.Incarnation})
 		}
 	}
-	team.Take(choice.node, d.Job.Need.Amount().Times(float64(len(choice.machines))))
+	team.Take(choice.controller, d.Job.Need.Amount().Times(float64(len(choice.machines))))
 }
 
 // recordUnplaced notes that tasks of the demand have no place, and why.
@@ -218,7 +218,7 @@
 // explainUnplaced notes why tasks of the demand were left without a place, of
 // which tasks are within its team's limit. It reports whether machines with
 // more room would help.
-func (out *Output) explainUnplaced(d *Demand, tasks []int, choice nodeChoice) bool {
+func (out *Output) explainUnplaced(d *Demand, tasks []int, choice machineChoice) bool {
 	placed := len(choice.machines)
 	switch {
 	case len(d.Tasks) == placed:
@@ -226,7 +226,7 @@
 	case choice.shareLimited:
 		name := d.Job.Record.Spec.Team
 		if _, known := out.ShareShortfall[name]; !known {
-			out.ShareShortfall = withEntry(out.ShareShortfall, name, choice.shareShortfall)
+			out.ShareShortfall = withAmount(out.ShareShortfall, name, choice.shareShortfall)
 		}
 		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonNoShare)
 		return false
@@ -238,8 +238,8 @@
 	return true
 }
 
-// withEntry is the map with an entry; it is made when the first one comes.
-func withEntry(m map[string]quota.Amount, key string, amount quota.Amount) map[string]quota.Amount {
+// withAmount is the map with an entry; it is made when the first one comes.
+func withAmount(m map[string]quota.Amount, key string, amount quota.Amount) map[string]quota.Amount {
 	if m == nil {
 		m = map[string]quota.Amount{}
 	}
@@ -249,20 +249,20 @@
 
 // findRoom sees to it that the tasks without a place get one: what comes later
 // in the pass may not take it, and other tasks are stopped for it.
-func (in *Input) findRoom(d *Demand, guaranteed bool, tasks []int, choice nodeChoice, out *Output) {
+func (in *Input) findRoom(d *Demand, guaranteed bool, tasks []int, choice machineChoice, out *Output) {
 	placed := len(choice.machines)
 	if guaranteed {
 		name := d.Job.Record.Spec.Team
 		team := in.Teams[name]
 		lack := d.Job.Need.Amount().Times(float64(len(tasks) - placed))
 		open := team.Guarantee.Sub(team.Used).Max(quota.Amount{})
-		out.GuaranteeShortfall = withEntry(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(lack).Min(open))
+		out.GuaranteeShortfall = withAmount(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(lack).Min(open))
 	}
 	if d.MayReclaim && guaranteed {
 		in.reservedPriority = min(in.reservedPriority, d.priority)
 	}
 	if d.Starved && placed == 0 && len(d.Job.Claims) == 0 {
-		in.holdMachine(d)
+		in.reserveMachine(d)
 	}
 	for range len(tasks) - placed {
 		if !in.makeRoom(d, out) {
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -10,9 +10,9 @@
 	"wheatspur/internal/jobs"
 )
 
-// scansPerPass bounds how often a pass looks through all machines for tasks
+// preemptionScansPerPass bounds how often a pass looks through all machines for tasks
 // to stop.
-const scansPerPass = 16
+const preemptionScansPerPass = 16
 
 // mayPreempt reports whether the protocol lets the job displace the resident.
 func (in *Input) mayPreempt(d *Demand, r ClaimedTask) bool {
@@ -44,7 +44,7 @@
 			continue
 		}
 		if !scanned {
-			if in.scansLeft--; in.scansLeft < 0 {
+			if in.preemptionScansLeft--; in.preemptionScansLeft < 0 {
 				return false
 			}
 			scanned = true
@@ -83,7 +83,7 @@
 	if p.freeing {
 		return true
 	}
-	return !d.PreemptedFor && (p.lowestPriority > d.priority || d.MayReclaim && d.guaranteed)
+	return !d.PreemptedFor && (p.lowestPriority > d.priority || d.MayReclaim && d.guaranteedAtStart)
 }
 
 // zonesInUse counts the job's tasks by zone, if it matters for others of them.
@@ -98,7 +98,7 @@
 // guards against stopping tasks for room that the job may not use: they came
 // back to it and were stopped again, every few seconds.
 func zoneAllowed(j *jobs.Job, zones map[string]int, zone string) bool {
-	if spreadFull(j, zones, zone) {
+	if zoneFull(j, zones, zone) {
 		return false
 	}
 	return !j.Record.Spec.SameZone || len(zones) == 0 || zones[zone] > 0
@@ -113,7 +113,7 @@
 	in.Fleet.markChanged(m)
 	for _, victim := range victims {
 		m.markPreempted(victim.ID)
-		m.preempts = true
+		m.preempting = true
 		m.Freeing = m.Freeing.Add(victim.Job.Need)
 		if m.Owner == in.Self {
 			out.Preemptions = append(out.Preemptions, Preemption{victim, d.Job.ID})
