--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -44,18 +44,18 @@
 // Within reports whether the amount stays inside a limit, in which 0 stands for
 // no limit.
 func (a Amount) Within(limit Amount) bool {
-	return within(a.CPUs, limit.CPUs) && within(a.GPUs, limit.GPUs)
+	return withinLimit(a.CPUs, limit.CPUs) && withinLimit(a.GPUs, limit.GPUs)
 }
 
-func within(v, limit float64) bool { return limit <= 0 || v <= limit+epsilon }
+func withinLimit(v, limit float64) bool { return limit <= 0 || v <= limit+epsilon }
 
 // finite reports whether both numbers are neither infinite nor NaN.
 func (a Amount) finite() bool {
 	return !math.IsInf(a.CPUs, 0) && !math.IsNaN(a.CPUs) && !math.IsInf(a.GPUs, 0) && !math.IsNaN(a.GPUs)
 }
 
-// in keeps the resources that a limit names.
-func (a Amount) in(limit Amount) Amount {
+// onlyLimited keeps the resources that a limit names.
+func (a Amount) onlyLimited(limit Amount) Amount {
 	if limit.CPUs <= 0 {
 		a.CPUs = 0
 	}
@@ -68,7 +68,7 @@
 // fits reports whether the amount is no more than the room, in the resources
 // that the limit names.
 func (a Amount) fits(room, limit Amount) bool {
-	a, room = a.in(limit), room.in(limit)
+	a, room = a.onlyLimited(limit), room.onlyLimited(limit)
 	return a.CPUs <= room.CPUs+epsilon && a.GPUs <= room.GPUs+epsilon
 }
 
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -22,9 +22,9 @@
 	ledgers []*Ledger
 	byTeam  map[string]*Ledger
 
-	reserved   Reservations // as stored
-	reserving  bool         // a write of the reservations by this node is under way
-	reservedAt time.Time    // of the last decision to write them
+	reservations             Reservations // as stored
+	reservationWriteInFlight bool         // a write of the reservations by this node is under way
+	reservationDecidedAt     time.Time    // of the last decision to write them
 }
 
 // NewManager returns a book of the teams, with nothing stored.
@@ -45,7 +45,7 @@
 			l = &Ledger{}
 		}
 		l.team, l.options = t, o
-		l.fault = l.record.Check(t)
+		l.checkErr = l.record.Check(t)
 		b.byTeam[t.Name] = l
 		b.ledgers = append(b.ledgers, l)
 	}
@@ -68,13 +68,13 @@
 	if l == nil {
 		return nil
 	}
-	l.record, l.damage, l.fault, l.version = Record{}, nil, nil, version
+	l.record, l.decodeErr, l.checkErr, l.version = Record{}, nil, nil, version
 	if raw == nil {
 		return nil
 	}
 	if err := wire.Unmarshal(raw, &l.record); err != nil {
-		l.record, l.damage = Record{}, fmt.Errorf("%w: %v", ErrDamaged, err)
+		l.record, l.decodeErr = Record{}, fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
-	l.fault = l.record.Check(l.team)
+	l.checkErr = l.record.Check(l.team)
 	return l.Damage()
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -34,21 +34,21 @@
 // Ledger is what a node knows of one team's limit: the stored shares, and its
 // own admissions that are not seen among the stored claims yet.
 type Ledger struct {
-	team      Team
-	options   Options
-	record    Record
-	version   uint64               // of the stored record
-	damage    error                // why the stored record can't be read
-	fault     error                // what Record.Check finds in it
-	inFlight  Amount               // admitted, the write is under way
-	uncertain []UncertainAdmission // admitted, the write's answer was lost
-	writing   bool                 // a write of the record by this node is under way
+	team          Team
+	options       Options
+	record        Record
+	version       uint64               // of the stored record
+	decodeErr     error                // why the stored record can't be read
+	checkErr      error                // what Record.Check finds in it
+	inFlight      Amount               // admitted, the write is under way
+	uncertain     []UncertainAdmission // admitted, the write's answer was lost
+	writeInFlight bool                 // a write of the record by this node is under way
 
-	shortSince    time.Time // since when work waits though the limit is not used up
+	shortageSince time.Time // since when work waits though the limit is not used up
 	frozenAt      time.Time // when this node last froze the shares
 	transferredAt time.Time // when this node last gave part of its share away
 
-	reservation reservation // of the leader
+	waitTimes waitTimes // of the leader
 }
 
 // UncertainAdmission is an admission whose write got no answer. It may be applied until
@@ -58,7 +58,7 @@
 	Guards map[string]uint64
 	Amount Amount
 
-	closed uint64 // revision by which a guard has changed; 0: none seen to have
+	closedAtRevision uint64 // revision by which a guard has changed; 0: none seen to have
 }
 
 // Cache is what a node has read of the state service. The versions of keys may be
@@ -98,11 +98,11 @@
 
 // Damage says why the stored record can't be used; nil if it can.
 func (l *Ledger) Damage() error {
-	if l.damage != nil {
-		return l.damage
+	if l.decodeErr != nil {
+		return l.decodeErr
 	}
-	if errors.Is(l.fault, ErrDamaged) {
-		return l.fault
+	if errors.Is(l.checkErr, ErrDamaged) {
+		return l.checkErr
 	}
 	return nil
 }
@@ -112,22 +112,22 @@
 	switch {
 	case !l.team.Limited():
 		return Unlimited
-	case l.damage != nil:
+	case l.decodeErr != nil:
 		return Damaged
 	case l.record.FencingToken != token:
 		return Unshared
 	case l.record.Frozen:
 		return Frozen
-	case errors.Is(l.fault, ErrOverLimit):
+	case errors.Is(l.checkErr, ErrOverLimit):
 		return OverLimit
-	case l.fault != nil:
+	case l.checkErr != nil:
 		return Damaged
 	}
 	return Shared
 }
 
 // Writing reports whether this node has a write of the record under way.
-func (l *Ledger) Writing() bool { return l.writing }
+func (l *Ledger) Writing() bool { return l.writeInFlight }
 
 // Pending is what this node has admitted and does not see among the stored
 // claims yet: with writes under way, and with writes whose answer was lost.
@@ -146,10 +146,10 @@
 func (l *Ledger) Forget(c Cache) {
 	kept := l.uncertain[:0]
 	for _, d := range l.uncertain {
-		if d.closed == 0 && d.guardChanged(c) {
-			d.closed = c.NewestRevision()
+		if d.closedAtRevision == 0 && d.guardChanged(c) {
+			d.closedAtRevision = c.NewestRevision()
 		}
-		if d.closed == 0 || c.Revision() < d.closed {
+		if d.closedAtRevision == 0 || c.Revision() < d.closedAtRevision {
 			kept = append(kept, d)
 		}
 	}
@@ -167,8 +167,8 @@
 	return false
 }
 
-// left is what a node may still admit within its share.
-func (l *Ledger) left(v View, node string) Amount {
+// remaining is what a node may still admit within its share.
+func (l *Ledger) remaining(v View, node string) Amount {
 	left := l.record.Shares[node].Amount().Sub(v.Claimed[node][l.team.Name])
 	if node != v.Self {
 		return left // what others have under way is not known here
@@ -189,7 +189,7 @@
 		return a
 	}
 	for node := range l.record.Shares {
-		a.Left[node] = l.left(v, node)
+		a.Left[node] = l.remaining(v, node)
 	}
 	return a
 }
@@ -215,19 +215,19 @@
 	if phase := l.Phase(v.FencingToken); phase != Shared {
 		return nil, fmt.Errorf("%w: admission from shares that are %s", ErrPhase, phase)
 	}
-	if l.writing {
+	if l.writeInFlight {
 		return nil, ErrBusy
 	}
-	if left := l.left(v, v.Self); !amount.fits(left, l.team.Limit) {
+	if left := l.remaining(v, v.Self); !amount.fits(left, l.team.Limit) {
 		return nil, fmt.Errorf("%w: %+v of %+v", ErrShareUsed, amount, left)
 	}
 	admission := &Admission{Team: l.team.Name, Amount: amount}
 	if len(others) > 0 {
 		next := l.record
 		for node, part := range others {
-			next = next.moved(v.Self, node, part)
+			next = next.transferred(v.Self, node, part)
 		}
-		if err := l.begin(v, HandOver, next); err != nil {
+		if err := l.beginWrite(v, HandOver, next); err != nil {
 			return nil, err
 		}
 		admission.Next = &next
@@ -240,7 +240,7 @@
 func (l *Ledger) ResolveAdmission(a *Admission, outcome Outcome, guards map[string]uint64) {
 	l.inFlight = l.inFlight.Sub(a.Amount)
 	if a.Next != nil {
-		l.writing = false
+		l.writeInFlight = false
 	}
 	if outcome == Unknown {
 		// Guards against a late application beside claims that took its place.
@@ -248,9 +248,9 @@
 	}
 }
 
-// begin starts a write of the record; it is the one place where that happens.
-func (l *Ledger) begin(v View, e Event, next Record) error {
-	if l.writing {
+// beginWrite starts a write of the record; it is the one place where that happens.
+func (l *Ledger) beginWrite(v View, e Event, next Record) error {
+	if l.writeInFlight {
 		return ErrBusy
 	}
 	if _, err := l.Phase(v.FencingToken).Next(e); err != nil {
@@ -259,7 +259,7 @@
 	if err := next.Check(l.team); err != nil && !errors.Is(err, ErrOverLimit) {
 		return err
 	}
-	l.writing = true
+	l.writeInFlight = true
 	return nil
 }
 
@@ -268,7 +268,7 @@
 // admitting from it, which does not change the record, before the transfer is
 // applied late.
 func (l *Ledger) ResolveWrite(w *Write, outcome Outcome, guards map[string]uint64) {
-	l.writing = false
+	l.writeInFlight = false
 	if outcome == Unknown && !w.Given.IsZero() {
 		l.uncertain = append(l.uncertain, UncertainAdmission{Guards: guards, Amount: w.Given})
 	}
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -192,7 +192,7 @@
 			a := n.book.Ledger(h.team).Allowance(n.view(h.team), Amount{}, Amount{1, 1})
 			left = left.Add(a.Left[n.label])
 		}
-		if free := limit.Sub(left).in(limit); !free.IsZero() {
+		if free := limit.Sub(left).onlyLimited(limit); !free.IsZero() {
 			t.Fatalf("%+v of %+v can't be used once all is calm", free, limit)
 		}
 	})
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -39,8 +39,8 @@
 	return sum
 }
 
-// moved is the record with an amount moved from one node's share to another's.
-func (r Record) moved(from, to string, amount Amount) Record {
+// transferred is the record with an amount moved from one node's share to another's.
+func (r Record) transferred(from, to string, amount Amount) Record {
 	next := r
 	next.Shares = maps.Clone(r.Shares)
 	if next.Shares == nil {
@@ -68,11 +68,11 @@
 		if !share.finite() {
 			return fmt.Errorf("%w: share of %s is no number", ErrDamaged, node)
 		}
-		if share = share.in(t.Limit); share.CPUs < -epsilon || share.GPUs < -epsilon {
+		if share = share.onlyLimited(t.Limit); share.CPUs < -epsilon || share.GPUs < -epsilon {
 			return fmt.Errorf("%w: share of %s is %+v", ErrDamaged, node, share)
 		}
 	}
-	if total := r.total().in(t.Limit); !total.Within(t.Limit) {
+	if total := r.total().onlyLimited(t.Limit); !total.Within(t.Limit) {
 		return fmt.Errorf("%w: %+v of %+v", ErrOverLimit, total, t.Limit)
 	}
 	return nil
--- a/internal/quota/reservation.go
+++ b/internal/quota/reservation.go
@@ -32,17 +32,17 @@
 // Amount is the room that is waited for.
 func (r Reservation) Amount() Amount { return Amount{r.CPUs, r.GPUs} }
 
-// reservation is what the leader remembers of a team between two decisions.
-type reservation struct {
-	unmet time.Time // since when work within the guarantee lacks room; zero: it does not
-	met   time.Time // since when none does, while a reservation is stored
+// waitTimes is what the leader remembers of a team between two decisions.
+type waitTimes struct {
+	lackingSince   time.Time // since when work within the guarantee lacks room; zero: it does not
+	satisfiedSince time.Time // since when none does, while a reservation is stored
 }
 
 // ApplyReservations enters the stored record; nil says that there is none. One
 // that can't be read counts as none: guarantees are then pressed as by a node
 // that has just begun.
 func (b *Manager) ApplyReservations(raw wire.Raw) error {
-	b.reserved = Reservations{}
+	b.reservations = Reservations{}
 	if raw == nil {
 		return nil
 	}
@@ -55,13 +55,13 @@
 			return fmt.Errorf("reservations: %w: %s waits for %+v", ErrDamaged, team, r.Amount())
 		}
 	}
-	b.reserved = read
+	b.reservations = read
 	return nil
 }
 
 // Reserved is a team's stored reservation.
 func (b *Manager) Reserved(team string) (Reservation, bool) {
-	r, ok := b.reserved.Teams[team]
+	r, ok := b.reservations.Teams[team]
 	return r, ok
 }
 
@@ -69,7 +69,7 @@
 // guarantee that others' borrowed work is stopped for it: by then the cloud has
 // had the time to bring room.
 func (b *Manager) MayReclaim(team string, now time.Time) bool {
-	r, ok := b.reserved.Teams[team]
+	r, ok := b.reservations.Teams[team]
 	return ok && now.Sub(time.UnixMilli(r.Since)) > tuning.GuaranteePreemptAfter
 }
 
@@ -78,17 +78,17 @@
 // will do. After a result that is not nil, nothing is decided until
 // ReservationsWritten.
 func (b *Manager) Reserve(now time.Time, short map[string]Amount) *Reservations {
-	if !b.options.Reservations || b.reserving || now.Sub(b.reservedAt) < tuning.ReservePause {
+	if !b.options.Reservations || b.reservationWriteInFlight || now.Sub(b.reservationDecidedAt) < tuning.ReservePause {
 		return nil
 	}
-	next := Reservations{Teams: maps.Clone(b.reserved.Teams)}
+	next := Reservations{Teams: maps.Clone(b.reservations.Teams)}
 	if next.Teams == nil {
 		next.Teams = map[string]Reservation{}
 	}
 	changed := false
 	for _, l := range b.ledgers {
 		if l.team.Guaranteed() {
-			changed = l.reserve(now, short[l.team.Name], next.Teams) || changed
+			changed = l.updateReservation(now, short[l.team.Name], next.Teams) || changed
 		}
 	}
 	for team := range next.Teams {
@@ -100,52 +100,52 @@
 	if !changed {
 		return nil
 	}
-	b.reserving, b.reservedAt = true, now
+	b.reservationWriteInFlight, b.reservationDecidedAt = true, now
 	return &next
 }
 
 // ReservationsWritten ends a write of the reservations.
-func (b *Manager) ReservationsWritten() { b.reserving = false }
+func (b *Manager) ReservationsWritten() { b.reservationWriteInFlight = false }
 
-// reserve makes, changes or drops the team's reservation; false if it stays as
+// updateReservation makes, changes or drops the team's reservation; false if it stays as
 // it is. A wait that has just begun or ended is not stored: most are over in a
 // moment.
-func (l *Ledger) reserve(now time.Time, lack Amount, teams map[string]Reservation) bool {
-	name, r := l.team.Name, &l.reservation
+func (l *Ledger) updateReservation(now time.Time, lack Amount, teams map[string]Reservation) bool {
+	name, r := l.team.Name, &l.waitTimes
 	stored, ok := teams[name]
 	if lack.IsZero() {
-		r.unmet = time.Time{}
-		if ok && r.met.IsZero() {
-			r.met = now
+		r.lackingSince = time.Time{}
+		if ok && r.satisfiedSince.IsZero() {
+			r.satisfiedSince = now
 		}
-		if !ok || now.Sub(r.met) < tuning.ReserveHold {
+		if !ok || now.Sub(r.satisfiedSince) < tuning.ReserveHold {
 			return false
 		}
-		r.met = time.Time{}
+		r.satisfiedSince = time.Time{}
 		delete(teams, name)
 		return true
 	}
-	r.met = time.Time{}
-	if r.unmet.IsZero() {
-		r.unmet = now
+	r.satisfiedSince = time.Time{}
+	if r.lackingSince.IsZero() {
+		r.lackingSince = now
 	}
 	if ok {
-		if !lack.differs(stored.Amount()) {
+		if !lack.differsTwofold(stored.Amount()) {
 			return false
 		}
 		teams[name] = Reservation{CPUs: lack.CPUs, GPUs: lack.GPUs, Since: stored.Since}
 		return true
 	}
-	if now.Sub(r.unmet) < tuning.ReserveAfter {
+	if now.Sub(r.lackingSince) < tuning.ReserveAfter {
 		return false
 	}
-	teams[name] = Reservation{CPUs: lack.CPUs, GPUs: lack.GPUs, Since: r.unmet.UnixMilli()}
+	teams[name] = Reservation{CPUs: lack.CPUs, GPUs: lack.GPUs, Since: r.lackingSince.UnixMilli()}
 	return true
 }
 
-// differs reports whether an amount is twice another or half of it, in any
+// differsTwofold reports whether an amount is twice another or half of it, in any
 // resource: smaller changes are not worth a write.
-func (a Amount) differs(b Amount) bool {
+func (a Amount) differsTwofold(b Amount) bool {
 	far := func(x, y float64) bool { return max(x, y) > epsilon && max(x, y) >= 2*min(x, y) }
 	return far(a.CPUs, b.CPUs) || far(a.GPUs, b.GPUs)
 }
@@ -166,7 +166,7 @@
 func (b *Manager) Scale(capacity func() Amount, now time.Time) Amount {
 	full := Amount{1, 1}
 	pressed := false
-	for team := range b.reserved.Teams {
+	for team := range b.reservations.Teams {
 		pressed = pressed || b.MayReclaim(team, now)
 	}
 	if !pressed {
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -25,7 +25,7 @@
 // for that.
 func (l *Ledger) Rebalance(now time.Time, v View, pending iter.Seq[Amount], room bool) *Write {
 	phase := l.Phase(v.FencingToken)
-	if l.writing || phase == Unlimited || !room && phase != Unshared {
+	if l.writeInFlight || phase == Unlimited || !room && phase != Unshared {
 		return nil
 	}
 	next := Record{FencingToken: v.FencingToken}
@@ -34,26 +34,26 @@
 	case phase == Unshared, phase == Frozen && v.Revision >= l.version:
 		// Nobody admits before this is stored, and every claim before is known.
 		event = ShareOut
-		next.Shares = l.divide(v, pending)
-	case l.mustFreeze(now, v, phase):
+		next.Shares = l.divideLimit(v, pending)
+	case l.needsRebalance(now, v, phase):
 		next.Frozen = true
 	default:
 		return nil
 	}
-	if err := l.begin(v, event, next); err != nil {
+	if err := l.beginWrite(v, event, next); err != nil {
 		return nil
 	}
 	if event == Freeze {
 		l.frozenAt = now
 	} else {
-		l.shortSince = time.Time{}
+		l.shortageSince = time.Time{}
 	}
 	return &Write{Team: l.team.Name, Event: event, Record: next}
 }
 
-// mustFreeze reports whether the shares have to be shared out anew. Pauses guard
+// needsRebalance reports whether the shares have to be shared out anew. Pauses guard
 // against a budget of changes that goes into sharing out alone.
-func (l *Ledger) mustFreeze(now time.Time, v View, phase Phase) bool {
+func (l *Ledger) needsRebalance(now time.Time, v View, phase Phase) bool {
 	if now.Sub(l.frozenAt) <= tuning.RebalancePause {
 		return false
 	}
@@ -62,10 +62,10 @@
 		return true
 	case OverLimit:
 		// Until something is released, the shares would stay what they are.
-		held := v.Claimed.Of(l.team.Name).in(l.team.Limit)
-		return !l.record.total().in(l.team.Limit).Sub(held).IsZero()
+		held := v.Claimed.Of(l.team.Name).onlyLimited(l.team.Limit)
+		return !l.record.total().onlyLimited(l.team.Limit).Sub(held).IsZero()
 	case Shared:
-		return !l.shortSince.IsZero() && now.Sub(l.shortSince) >= l.rebalanceDelay()
+		return !l.shortageSince.IsZero() && now.Sub(l.shortageSince) >= l.rebalanceDelay()
 	}
 	return false
 }
@@ -79,11 +79,11 @@
 	return 0
 }
 
-// divide shares the limit out: what each node holds, and the rest in equal
+// divideLimit shares the limit out: what each node holds, and the rest in equal
 // parts, two of them to the leader, which admits jobs that are too large for
 // one node. Where a part would not hold the largest waiting job, the leader
 // gets all the rest and admits for all.
-func (l *Ledger) divide(v View, pending iter.Seq[Amount]) map[string]Share {
+func (l *Ledger) divideLimit(v View, pending iter.Seq[Amount]) map[string]Share {
 	rest := l.team.Limit.Sub(v.Claimed.Of(l.team.Name)).Max(Amount{})
 	part := rest.Times(1 / float64(len(v.Nodes)+1))
 	for need := range pending {
@@ -109,8 +109,8 @@
 func (l *Ledger) RecordShortage(short bool, now time.Time, token uint64) {
 	switch {
 	case !short || l.Phase(token) != Shared:
-		l.shortSince = time.Time{}
-	case l.shortSince.IsZero():
-		l.shortSince = now
+		l.shortageSince = time.Time{}
+	case l.shortageSince.IsZero():
+		l.shortageSince = now
 	}
 }
--- a/internal/quota/summary.go
+++ b/internal/quota/summary.go
@@ -40,8 +40,8 @@
 		s.Reserved = &r
 	}
 	for _, node := range slices.Sorted(maps.Keys(l.record.Shares)) {
-		share := l.record.Shares[node].Amount().in(l.team.Limit)
-		s.Shares = append(s.Shares, NodeShare{node, share, v.Claimed[node][team].in(l.team.Limit)})
+		share := l.record.Shares[node].Amount().onlyLimited(l.team.Limit)
+		s.Shares = append(s.Shares, NodeShare{node, share, v.Claimed[node][team].onlyLimited(l.team.Limit)})
 	}
 	return s
 }
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -13,18 +13,18 @@
 // unused is what the node's own work leaves of its share. Of all nodes the one
 // that can cover the most gives, so that givers seldom race.
 func (l *Ledger) Transfer(now time.Time, v View, taker string, lack, unused Amount) *Write {
-	if l.writing || taker == v.Self || l.Phase(v.FencingToken) != Shared || now.Sub(l.transferredAt) < tuning.TransferPause {
+	if l.writeInFlight || taker == v.Self || l.Phase(v.FencingToken) != Shared || now.Sub(l.transferredAt) < tuning.TransferPause {
 		return nil
 	}
 	if l.chooseGiver(v, taker, lack) != v.Self {
 		return nil
 	}
-	give := l.left(v, v.Self).Min(unused).Min(lack).Max(Amount{}).in(l.team.Limit)
+	give := l.remaining(v, v.Self).Min(unused).Min(lack).Max(Amount{}).onlyLimited(l.team.Limit)
 	if give.IsZero() {
 		return nil
 	}
-	next := l.record.moved(v.Self, taker, give)
-	if err := l.begin(v, Transfer, next); err != nil {
+	next := l.record.transferred(v.Self, taker, give)
+	if err := l.beginWrite(v, Transfer, next); err != nil {
 		return nil
 	}
 	l.transferredAt = now
@@ -40,7 +40,7 @@
 			continue
 		}
 		spare := l.record.Shares[node].Amount().Sub(v.Claimed[node][l.team.Name])
-		covered := lack.covered(spare, l.team.Limit)
+		covered := lack.coverage(spare, l.team.Limit)
 		if covered > most || covered == most && covered > 0 && node < best {
 			best, most = node, covered
 		}
@@ -48,9 +48,9 @@
 	return best
 }
 
-// covered is how much of the amount some room covers, from 0 to 1, in the
+// coverage is how much of the amount some room covers, from 0 to 1, in the
 // resource that it covers least.
-func (a Amount) covered(room, limit Amount) float64 {
+func (a Amount) coverage(room, limit Amount) float64 {
 	least := 1.0
 	if limit.CPUs > 0 && a.CPUs > epsilon {
 		least = min(least, room.CPUs/a.CPUs)
