--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -9,11 +9,11 @@
 const (
 	ServiceStart Class = iota
 	ArrayStart
-	classes
+	classCount
 )
 
 // Backlog is how many starts wait, by class.
-type Backlog [classes]int
+type Backlog [classCount]int
 
 // Total is the sum of all classes.
 func (b Backlog) Total() (sum int) {
@@ -28,15 +28,15 @@
 // need. Orders that protect limits and cancellations, kills and reaps, are not
 // paced. The zero value lets everything pass.
 type Pacer struct {
-	rate    float64 // starts a second; 0: no bound
-	tokens  float64
-	at      time.Time // of the last refill
-	backlog Backlog
+	rate       float64 // starts a second; 0: no bound
+	tokens     float64
+	refilledAt time.Time // of the last refill
+	backlog    Backlog
 }
 
 // NewPacer returns a pacer of a rate.
 func NewPacer(rate float64, now time.Time) *Pacer {
-	return &Pacer{rate: rate, tokens: rate, at: now}
+	return &Pacer{rate: rate, tokens: rate, refilledAt: now}
 }
 
 // SetBacklog tells how many starts wait of each class.
@@ -61,6 +61,6 @@
 }
 
 func (p *Pacer) refill(now time.Time) {
-	p.tokens = min(p.rate, p.tokens+p.rate*max(0, now.Sub(p.at).Seconds()))
-	p.at = now
+	p.tokens = min(p.rate, p.tokens+p.rate*max(0, now.Sub(p.refilledAt).Seconds()))
+	p.refilledAt = now
 }
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -59,13 +59,13 @@
 // StateOf is a machine's state. heard says whether it has been heard since the
 // node became a member, proven whether its session is, waited how long ago the
 // node became a member, and patience how long a machine has time to report.
-func StateOf(heard, proven bool, waited, patience time.Duration) MachineState {
+func StateOf(reported, tokenAcknowledged bool, waited, timeout time.Duration) MachineState {
 	switch {
-	case heard && proven:
+	case reported && tokenAcknowledged:
 		return Reconciled
-	case waited > patience:
+	case waited > timeout:
 		return Missing
-	case heard:
+	case reported:
 		return Reported
 	}
 	return Unknown
@@ -85,7 +85,7 @@
 	Machines      Count
 	PendingStarts Backlog   // starts that wait
 	sawOpenJobs   bool      // open jobs have been seen
-	lastPending   time.Time // when starts last waited
+	lastPendingAt time.Time // when starts last waited
 }
 
 // NewProgress is the recovery of a node that begins.
@@ -112,7 +112,7 @@
 	n.Machines, n.PendingStarts = machines, left
 	n.sawOpenJobs = n.sawOpenJobs || jobs > 0
 	if left.Total() > 0 {
-		n.lastPending = now
+		n.lastPendingAt = now
 	}
 }
 
@@ -121,7 +121,7 @@
 // Guards against an end in the moment between the release of what an outage has
 // ended and its claims.
 func (n *Progress) Quiet(now time.Time, d time.Duration) bool {
-	return !n.sawOpenJobs || now.Sub(n.lastPending) >= d && now.Sub(n.Since) >= d
+	return !n.sawOpenJobs || now.Sub(n.lastPendingAt) >= d && now.Sub(n.Since) >= d
 }
 
 // Done reports whether ordinary operation goes on.
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -108,37 +108,37 @@
 }
 
 // Adopted reports whether a task that is alive is left running.
-func (d Decision) Adopted(l ObservedTask) bool {
-	return (l.State == Alive || l.State == Checkpointing) && d.Stop == NoStop && d.Update == NoUpdate
+func (d Decision) Adopted(observed ObservedTask) bool {
+	return (observed.State == Alive || observed.State == Checkpointing) && d.Stop == NoStop && d.Update == NoUpdate
 }
 
 // Reconcile decides what becomes of a task on a machine.
-func Reconcile(c DesiredTask, l ObservedTask, s Worker) Decision {
-	d := Commands(c, l, s)
-	d.Update, d.Reason = ProvenUpdate(c, l, s)
-	return d
+func Reconcile(desired DesiredTask, observed ObservedTask, worker Worker) Decision {
+	decision := Commands(desired, observed, worker)
+	decision.Update, decision.Reason = ProvenUpdate(desired, observed, worker)
+	return decision
 }
 
 // Commands decides what the worker is told.
-func Commands(c DesiredTask, l ObservedTask, s Worker) Decision {
-	if s.State == LeaseExpired {
+func Commands(desired DesiredTask, observed ObservedTask, worker Worker) Decision {
+	if worker.State == LeaseExpired {
 		return Decision{} // nothing that is sent would be carried out
 	}
-	wanted := c.Claimed && c.Open && c.Incarnation == s.Incarnation
-	same := c.Claimed && l.Attempt == c.Attempt
-	reap := s.State == TokenAcknowledged && !s.StartPending
+	wanted := desired.Claimed && desired.Open && desired.Incarnation == worker.Incarnation
+	same := desired.Claimed && observed.Attempt == desired.Attempt
+	reap := worker.State == TokenAcknowledged && !worker.StartPending
 	switch {
-	case wanted && (l.State == NotListed || l.Attempt < c.Attempt):
-		d := Decision{Start: s.AllowStarts}
-		if l.State == Exited && reap {
+	case wanted && (observed.State == NotListed || observed.Attempt < desired.Attempt):
+		d := Decision{Start: worker.AllowStarts}
+		if observed.State == Exited && reap {
 			d.Stop = Reap
-		} else if l.State == Alive || l.State == Checkpointing {
+		} else if observed.State == Alive || observed.State == Checkpointing {
 			d.Stop = Kill
 		}
 		return d
-	case l.State == NotListed:
+	case observed.State == NotListed:
 		return Decision{}
-	case l.State == Exited:
+	case observed.State == Exited:
 		// Only once its end is stored: then no claim names the attempt. Guards
 		// against a late start that runs a forgotten attempt again.
 		if !same && reap {
@@ -146,7 +146,7 @@
 		}
 		return Decision{}
 	case wanted && same:
-		if s.Stopping && l.State != Checkpointing {
+		if worker.Stopping && observed.State != Checkpointing {
 			return Decision{Stop: KillWithCheckpoint}
 		}
 		return Decision{}
@@ -157,19 +157,19 @@
 
 // ProvenUpdate decides what is stored: only what the report, or the end of the session,
 // proves.
-func ProvenUpdate(c DesiredTask, l ObservedTask, s Worker) (TaskUpdate, Reason) {
+func ProvenUpdate(desired DesiredTask, observed ObservedTask, worker Worker) (TaskUpdate, Reason) {
 	switch {
-	case !c.Claimed:
+	case !desired.Claimed:
 		return NoUpdate, ReasonNone
-	case s.State == LeaseExpired && c.Incarnation <= s.Incarnation:
+	case worker.State == LeaseExpired && desired.Incarnation <= worker.Incarnation:
 		return UpdateReleased, ReasonLeaseExpired
-	case s.State != TokenAcknowledged:
+	case worker.State != TokenAcknowledged:
 		return NoUpdate, ReasonNone // a former owner's commands may still be under way
-	case c.Incarnation < s.Incarnation:
+	case desired.Incarnation < worker.Incarnation:
 		return UpdateReleased, ReasonNewIncarnation
-	case l.State == Exited && l.Attempt == c.Attempt:
-		return updateOf(l.Cause), ReasonExited
-	case c.Cancelled && (l.State == NotListed || l.Attempt < c.Attempt) && s.NeverRan:
+	case observed.State == Exited && observed.Attempt == desired.Attempt:
+		return updateOf(observed.Cause), ReasonExited
+	case desired.Cancelled && (observed.State == NotListed || observed.Attempt < desired.Attempt) && worker.NeverRan:
 		// Nobody starts a cancelled job's task any more. Guards against a claim
 		// that counted against its team, and filled its machine, for as long as
 		// the machine's session lasted.
