--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -135,19 +135,19 @@
 // Controller is the role controller of one type. Its counters live in the
 // leader's memory and restart empty with a new leader.
 type Controller struct {
-	op       config.Operator
-	state    State
-	pending  Proposal
-	matches  int
-	evidence time.Time // start of the evidence window
-	lastToS  time.Time
-	arrivals []arrival // service arrivals
-	born     time.Time
+	settings          config.Operator
+	state             State
+	proposal          Proposal
+	confirmations     int
+	evidenceSince     time.Time // start of the evidence window
+	lastMoveToService time.Time
+	arrivals          []arrival // service arrivals
+	startedAt         time.Time
 }
 
 // New returns a controller whose evidence window starts now.
 func New(op config.Operator, now time.Time) *Controller {
-	return &Controller{op: op, state: Steady, evidence: now, born: now}
+	return &Controller{settings: op, state: Steady, evidenceSince: now, startedAt: now}
 }
 
 // Arrive notes a service arrival that asks for load machines.
@@ -160,10 +160,10 @@
 	c.arrivals = c.arrivals[cut:]
 }
 
-// demand is the arriving service load per second over a horizon, and the
+// arrivalRate is the arriving service load per second over a horizon, and the
 // number of arrivals in it.
-func (c *Controller) demand(now time.Time, window time.Duration) (float64, int) {
-	window = min(window, max(now.Sub(c.born), time.Second))
+func (c *Controller) arrivalRate(now time.Time, window time.Duration) (float64, int) {
+	window = min(window, max(now.Sub(c.startedAt), time.Second))
 	sum, n := 0.0, 0
 	for _, a := range c.arrivals {
 		if now.Sub(a.at) <= window {
@@ -176,27 +176,27 @@
 
 // evidenceClosed reports whether the arrival-evidence window has closed.
 func (c *Controller) evidenceClosed(now time.Time) bool {
-	age := now.Sub(c.evidence)
-	if age >= c.op.RoleEvidenceMax {
+	age := now.Sub(c.evidenceSince)
+	if age >= c.settings.RoleEvidenceMax {
 		return true
 	}
 	n := 0
 	for _, a := range c.arrivals {
-		if !a.at.Before(c.evidence) {
+		if !a.at.Before(c.evidenceSince) {
 			n++
 		}
 	}
-	return age >= c.op.RoleEvidenceMin && n >= tuning.RoleEvidenceArrivals
+	return age >= c.settings.RoleEvidenceMin && n >= tuning.RoleEvidenceArrivals
 }
 
 // Evaluate prices the adjacent splits and says whether to move one machine
 // now. fits reports whether the tasks of the machine that would leave the
 // service role have room on the others.
 func (c *Controller) Evaluate(now time.Time, s Split, fits func() bool) Decision {
-	op := c.op
+	op := c.settings
 	bl, sl := s.batchLoad(s.Batch, op.RoleStartTarget), s.serviceLoad(s.Service, op.RoleUsable)
-	short, shortN := c.demand(now, tuning.RoleShortWindow)
-	long, _ := c.demand(now, tuning.RoleLongWindow)
+	short, shortN := c.arrivalRate(now, tuning.RoleShortWindow)
+	long, _ := c.arrivalRate(now, tuning.RoleLongWindow)
 	d := Decision{Type: s.Type, Batch: s.Batch, Service: s.Service, BatchLoad: bl, ServiceLoad: sl,
 		Short: short, Long: long, EvidenceOpen: !c.evidenceClosed(now)}
 
@@ -210,20 +210,20 @@
 		// A role without a machine is restored at once, one per evaluation.
 		return c.move(now, d)
 	}
-	if c.state == Confirming && c.pending == p {
-		c.matches++
+	if c.state == Confirming && c.proposal == p {
+		c.confirmations++
 	} else {
-		c.pending, c.matches = p, 1
+		c.proposal, c.confirmations = p, 1
 	}
 	c.state = c.state.Next(Proposed)
-	d.Confirmations = c.matches
-	if c.matches < op.RoleConfirm {
+	d.Confirmations = c.confirmations
+	if c.confirmations < op.RoleConfirm {
 		d.Gate = Confirm
 		return d
 	}
 	switch p.Direction {
 	case ToService:
-		if now.Sub(c.lastToS) < op.RoleCooldown {
+		if now.Sub(c.lastMoveToService) < op.RoleCooldown {
 			d.Gate = Cooldown
 			return d
 		}
@@ -245,29 +245,29 @@
 }
 
 func (c *Controller) move(now time.Time, d Decision) Decision {
-	if c.op.RoleAdvisory {
+	if c.settings.RoleAdvisory {
 		d.Gate = Advisory
 		return d
 	}
 	d.Gate, d.Move = Open, d.Proposal.Direction
 	c.state = c.state.Next(Moved)
-	c.pending, c.matches = Proposal{}, 0
+	c.proposal, c.confirmations = Proposal{}, 0
 	if d.Move == ToService {
-		c.lastToS = now
+		c.lastMoveToService = now
 		// A recovery toward services restarts the evidence.
-		c.evidence = now
+		c.evidenceSince = now
 	}
 	return d
 }
 
 func (c *Controller) clear() {
 	c.state = c.state.Next(Cleared)
-	c.pending, c.matches = Proposal{}, 0
+	c.proposal, c.confirmations = Proposal{}, 0
 }
 
 // propose finds the eligible adjacent split, or the gate that stops it.
 func (c *Controller) propose(s Split) (Proposal, Gate) {
-	op := c.op
+	op := c.settings
 	if s.Batch+s.Service >= 2*tuning.RoleFloor {
 		if s.Service+s.ServiceComing < tuning.RoleFloor && s.Batch > tuning.RoleFloor {
 			return Proposal{ToService, Floor, s.Complete, s.Batch - 1, s.Service + 1}, Open
@@ -281,7 +281,7 @@
 	gate := NoGain
 	if s.Batch > 0 && s.Batch+s.Spot > tuning.RoleFloor {
 		nb, ns := s.batchLoad(s.Batch-1, op.RoleStartTarget), s.serviceLoad(s.Service+1, op.RoleUsable)
-		if drop(worst, nb, ns) >= op.RoleMargin {
+		if worstLoadDrop(worst, nb, ns) >= op.RoleMargin {
 			if nb <= op.RoleShrink {
 				return Proposal{ToService, Consolidate, s.Complete, s.Batch - 1, s.Service + 1}, Open
 			}
@@ -292,7 +292,7 @@
 	}
 	if s.Service > tuning.RoleFloor {
 		nb, ns := s.batchLoad(s.Batch+1, op.RoleStartTarget), s.serviceLoad(s.Service-1, op.RoleUsable)
-		if drop(worst, nb, ns) >= op.RoleMargin {
+		if worstLoadDrop(worst, nb, ns) >= op.RoleMargin {
 			if ns <= op.RoleShrink {
 				return Proposal{ToBatch, Consolidate, s.Complete, s.Batch + 1, s.Service - 1}, Open
 			}
@@ -307,8 +307,8 @@
 	return Proposal{}, gate
 }
 
-// drop is how much the worst ratio falls; a load without machines is endless.
-func drop(worst, nb, ns float64) float64 {
+// worstLoadDrop is how much the worst ratio falls; a load without machines is endless.
+func worstLoadDrop(worst, nb, ns float64) float64 {
 	next := max(nb, ns)
 	if worst > 1e300 {
 		if next > 1e300 {
@@ -322,15 +322,15 @@
 // Victim chooses the service machine to flip: the one with the fewest service
 // tasks (ours); names break ties.
 func Victim(machines []*placement.Machine) *placement.Machine {
-	return fewest(machines, func(r placement.ClaimedTask) bool { return r.Job.Service() })
+	return fewestTasks(machines, func(r placement.ClaimedTask) bool { return r.Job.Service() })
 }
 
 // Emptiest chooses the batch machine to flip: the one with the fewest tasks.
 func Emptiest(machines []*placement.Machine) *placement.Machine {
-	return fewest(machines, func(placement.ClaimedTask) bool { return true })
+	return fewestTasks(machines, func(placement.ClaimedTask) bool { return true })
 }
 
-func fewest(machines []*placement.Machine, counts func(placement.ClaimedTask) bool) *placement.Machine {
+func fewestTasks(machines []*placement.Machine, counts func(placement.ClaimedTask) bool) *placement.Machine {
 	var best *placement.Machine
 	n := 0
 	for _, m := range machines {
--- a/internal/roles/roles_test.go
+++ b/internal/roles/roles_test.go
@@ -39,7 +39,7 @@
 	}
 	// The next move waits for matches and the cooldown, whichever is later.
 	s.Batch, s.Service, s.ServiceBooked = 3, 3, 3
-	c.lastToS = now.Add(3*tuning.RoleStep - tuning.RoleCooldown + time.Second)
+	c.lastMoveToService = now.Add(3*tuning.RoleStep - tuning.RoleCooldown + time.Second)
 	if d := step(c, now, 3, s, yes); d.Move != None || d.Gate != Cooldown {
 		t.Fatalf("moved during the cooldown: %+v", d)
 	}
