--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -65,3 +65,18 @@
 
 // noPriority is beyond the lowest priority.
 const noPriority = 1 << 10
+
+// Demand is a job with pending tasks.
+type Demand struct {
+	Job           *jobs.Job
+	Tasks         []int
+	Avoid         map[string]bool // machines that lately refused or failed it
+	MayReclaim    bool            // has waited long enough to displace borrowed work
+	PreemptedFor  bool            // tasks were stopped for it lately; their room comes
+	WriteInFlight bool            // a write of this node about it is under way
+	Starved       bool            // has waited so long that nothing of its priority goes before it
+
+	priority          int
+	guaranteedAtStart bool
+	latestStart       int64
+}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -7,28 +7,12 @@
 package placement
 
 import (
-	"sort"
 	"time"
 
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/quota"
 )
 
-// Demand is a job with pending tasks.
-type Demand struct {
-	Job           *jobs.Job
-	Tasks         []int
-	Avoid         map[string]bool // machines that lately refused or failed it
-	MayReclaim    bool            // has waited long enough to displace borrowed work
-	PreemptedFor  bool            // tasks were stopped for it lately; their room comes
-	WriteInFlight bool            // a write of this node about it is under way
-	Starved       bool            // has waited so long that nothing of its priority goes before it
-
-	priority          int
-	guaranteedAtStart bool
-	latestStart       int64
-}
-
 // Input of a pass.
 type Input struct {
 	Self, Leader string
@@ -89,126 +73,6 @@
 	reasonKeptForGuarantee = "room is kept for another team's guarantee"
 )
 
-// Schedule places pending tasks.
-func Schedule(in Input) Output {
-	out := Output{Unplaced: map[string]int{}, Reasons: map[string]string{}}
-	in.reservedPriority, in.preemptionScansLeft, in.trackMaxFree = noPriority, preemptionScansPerPass, true
-	for _, d := range in.Demands {
-		d.priority, d.guaranteedAtStart, d.latestStart = d.Job.Priority, in.guaranteed(d.Job), in.latestStart(d.Job)
-	}
-	sort.Slice(in.Demands, func(a, b int) bool { return demandBefore(in.Demands[a], in.Demands[b]) })
-	for _, d := range in.Demands {
-		in.scheduleDemand(d, &out)
-	}
-	return out
-}
-
-// scheduleDemand places the tasks of a demand, as many as it can, and notes why the
-// others wait.
-func (in *Input) scheduleDemand(d *Demand, out *Output) {
-	team := in.Teams[d.Job.Record.Spec.Team]
-	if team == nil {
-		out.recordUnplaced(d, len(d.Tasks), reasonNoTeam)
-		return
-	}
-	guaranteed := in.guaranteed(d.Job)
-	if !guaranteed && d.priority >= in.reservedPriority {
-		// Guards against borrowed work taking back the room that was freed for
-		// a guarantee: it was stopped and placed again many times a minute.
-		out.recordUnplaced(d, len(d.Tasks), reasonKeptForGuarantee)
-		return
-	}
-	tasks := d.Tasks[:team.Total(d.Job.Need.Amount(), len(d.Tasks))]
-	if len(tasks) == 0 {
-		out.recordUnplaced(d, len(d.Tasks), ReasonNoQuota)
-		return
-	}
-	var choice machineChoice
-	if in.Fleet.mayFit(d.Job) {
-		if in.MaxJobs <= 0 {
-			out.recordUnplaced(d, len(tasks), ReasonNoTurn)
-			return
-		}
-		choice = in.chooseMachines(d, team, tasks)
-	}
-	if len(choice.machines) > 0 {
-		in.MaxJobs--
-		in.applyChoice(d, team, tasks, choice, out)
-	}
-	if out.explainUnplaced(d, tasks, choice) {
-		in.findRoom(d, guaranteed, tasks, choice, out)
-	}
-}
-
-// machineChoice is the machines chosen for a demand's first tasks, and the node
-// that stores the claims.
-type machineChoice struct {
-	controller     string
-	machines       []*Machine
-	shareLimited   bool         // its place is limited by the shares of the limit
-	shareShortfall quota.Amount // what the leader lacks of the limit, if that alone is so
-}
-
-// chooseMachines finds machines for the tasks: those of one node if they hold all of
-// them, else those of any.
-func (in *Input) chooseMachines(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
-	choice := in.chooseOwner(d, team, tasks)
-	if choice.controller == "" {
-		granted := team.AtNode(in.Leader, d.Job.Need.Amount(), len(tasks))
-		choice.controller = in.Leader
-		choice.shareLimited = granted < len(tasks)
-		choice.machines = in.fitAcrossOwners(d, tasks[:granted])
-		if choice.shareLimited && len(choice.machines) == granted {
-			choice.shareShortfall = d.Job.Need.Amount().Times(float64(len(tasks))).Sub(team.Left[in.Leader])
-		}
-	}
-	if d.Job.Gang() && (len(d.Job.Claims) > 0 || len(choice.machines) < d.Job.Record.Tasks-d.Job.Counts[jobs.Completed]) {
-		choice.machines = nil // all at once or not at all
-	}
-	return choice
-}
-
-// chooseOwner finds the first node whose machines hold all tasks, the shortest
-// waits for the image coming first: a fetch costs more than any other choice
-// here. Without such a node the placement is empty.
-func (in *Input) chooseOwner(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
-	var best machineChoice
-	leastWait := 0.0
-	for _, node := range in.RankNodes(d.Job.ID) {
-		if team.AtNode(node, d.Job.Need.Amount(), len(tasks)) < len(tasks) {
-			continue
-		}
-		picks := in.fit(d, tasks, node)
-		if len(picks) < len(tasks) {
-			continue
-		}
-		wait := 0.0
-		for _, m := range picks {
-			wait += m.imageWait(d.Job)
-		}
-		if best.controller == "" || wait < leastWait {
-			best.controller, best.machines = node, picks
-			leastWait = wait
-		}
-	}
-	return best
-}
-
-// applyChoice enters the placement into the machines and the team's use, and claims
-// the tasks if this node is to store them.
-func (in *Input) applyChoice(d *Demand, team *quota.Allowance, tasks []int, choice machineChoice, out *Output) {
-	for i, m := range choice.machines {
-		in.Fleet.markChanged(m)
-		m.Free = m.Free.Sub(d.Job.Need)
-		m.addImagePull(d.Job.Record.Spec)
-		m.placedTasks++
-		if choice.controller == in.Self && !d.WriteInFlight {
-			out.Claims = append(out.Claims, Claim{d.Job, tasks[i], m.Name, m.Incarnation})
-		}
-	}
-	team.Take(choice.controller, d.Job.Need.Amount().Times(float64(len(choice.machines))))
-}
-
 // recordUnplaced notes that tasks of the demand have no place, and why.
 func (out *Output) recordUnplaced(d *Demand, tasks int, why string) {
 	out.Unplaced[d.Job.ID] = tasks
@@ -246,27 +110,3 @@
 	m[key] = amount
 	return m
 }
-
-// findRoom sees to it that the tasks without a place get one: what comes later
-// in the pass may not take it, and other tasks are stopped for it.
-func (in *Input) findRoom(d *Demand, guaranteed bool, tasks []int, choice machineChoice, out *Output) {
-	placed := len(choice.machines)
-	if guaranteed {
-		name := d.Job.Record.Spec.Team
-		team := in.Teams[name]
-		lack := d.Job.Need.Amount().Times(float64(len(tasks) - placed))
-		open := team.Guarantee.Sub(team.Used).Max(quota.Amount{})
-		out.GuaranteeShortfall = withAmount(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(lack).Min(open))
-	}
-	if d.MayReclaim && guaranteed {
-		in.reservedPriority = min(in.reservedPriority, d.priority)
-	}
-	if d.Starved && placed == 0 && len(d.Job.Claims) == 0 {
-		in.reserveMachine(d)
-	}
-	for range len(tasks) - placed {
-		if !in.makeRoom(d, out) {
-			break
-		}
-	}
-}
