--- a/internal/placement/schedule.go
+++ b/internal/placement/schedule.go
@@ -1,20 +1,22 @@
 package placement
 
 import (
-	"sort"
+	"slices"
 
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/quota"
 )
 
-// Schedule places pending tasks.
+// Schedule runs a pass: it places pending tasks, and preempts others for them
+// where that is allowed. It changes the machines of the fleet and the
+// allowances; Fleet.Rollback restores the machines.
 func Schedule(in Input) Output {
 	out := Output{Unplaced: map[string]int{}, Reasons: map[string]string{}}
-	in.reservedPriority, in.preemptionScansLeft, in.trackMaxFree = noPriority, preemptionScansPerPass, true
+	in.reservedPriority, in.preemptionScansLeft, in.trackMaxFree = beyondLowestPriority, preemptionScansPerPass, true
 	for _, d := range in.Demands {
 		d.priority, d.guaranteedAtStart, d.latestStart = d.Job.Priority, in.guaranteed(d.Job), in.latestStart(d.Job)
 	}
-	sort.Slice(in.Demands, func(a, b int) bool { return demandBefore(in.Demands[a], in.Demands[b]) })
+	slices.SortFunc(in.Demands, compareDemands)
 	for _, d := range in.Demands {
 		in.scheduleDemand(d, &out)
 	}
@@ -32,7 +34,7 @@
 	guaranteed := in.guaranteed(d.Job)
 	if !guaranteed && d.priority >= in.reservedPriority {
 		// Guards against borrowed work taking back the room that was freed for
-		// a guarantee: it was stopped and placed again many times a minute.
+		// a guarantee: it was preempted and placed again many times a minute.
 		out.recordUnplaced(d, len(d.Tasks), reasonKeptForGuarantee)
 		return
 	}
@@ -54,49 +56,49 @@
 		in.applyChoice(d, team, tasks, choice, out)
 	}
 	if out.explainUnplaced(d, tasks, choice) {
-		in.findRoom(d, guaranteed, tasks, choice, out)
+		in.seekRoom(d, guaranteed, tasks, choice, out)
 	}
 }
 
-// machineChoice is the machines chosen for a demand's first tasks, and the node
-// that stores the claims.
+// machineChoice is the machines chosen for a demand's first tasks, and the
+// controller that stores the claims.
 type machineChoice struct {
 	controller     string
 	machines       []*Machine
-	shareLimited   bool         // its place is limited by the shares of the limit
-	shareShortfall quota.Amount // what the leader lacks of the limit, if that alone is so
+	shareLimited   bool         // the leader's share of the team's limit admits fewer tasks than the limit
+	shareShortfall quota.Amount // what the leader lacks of the limit, if that alone is in the way
 }
 
-// chooseMachines finds machines for the tasks: those of one node if they hold all of
-// them, else those of any.
+// chooseMachines finds machines for the tasks: those of one shard owner if they
+// hold all of them, else those of any.
 func (in *Input) chooseMachines(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
 	choice := in.chooseOwner(d, team, tasks)
 	if choice.controller == "" {
-		granted := team.AtNode(in.Leader, d.Job.Need.Amount(), len(tasks))
+		admitted := team.AtNode(in.Leader, d.Job.Need.Amount(), len(tasks))
 		choice.controller = in.Leader
-		choice.shareLimited = granted < len(tasks)
-		choice.machines = in.fitAcrossOwners(d, tasks[:granted])
-		if choice.shareLimited && len(choice.machines) == granted {
+		choice.shareLimited = admitted < len(tasks)
+		choice.machines = in.fitAcrossOwners(d, tasks[:admitted])
+		if choice.shareLimited && len(choice.machines) == admitted {
 			choice.shareShortfall = d.Job.Need.Amount().Times(float64(len(tasks))).Sub(team.Left[in.Leader])
 		}
 	}
 	if d.Job.Gang() && (len(d.Job.Claims) > 0 || len(choice.machines) < d.Job.Record.Tasks-d.Job.Counts[jobs.Completed]) {
-		choice.machines = nil // all at once or not at all
+		choice.machines = nil // gang scheduling: all tasks at once or none
 	}
 	return choice
 }
 
-// chooseOwner finds the first node whose machines hold all tasks, the shortest
-// waits for the image coming first: a fetch costs more than any other choice
-// here. Without such a node the placement is empty.
+// chooseOwner finds the first shard owner whose machines hold all tasks, the
+// shortest waits for the image coming first: an image pull costs more than any
+// other choice here. Without such an owner the choice is empty.
 func (in *Input) chooseOwner(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
 	var best machineChoice
 	leastWait := 0.0
-	for _, node := range in.RankNodes(d.Job.ID) {
-		if team.AtNode(node, d.Job.Need.Amount(), len(tasks)) < len(tasks) {
+	for _, owner := range in.RankNodes(d.Job.ID) {
+		if team.AtNode(owner, d.Job.Need.Amount(), len(tasks)) < len(tasks) {
 			continue
 		}
-		picks := in.fit(d, tasks, node)
+		picks := in.fit(d, tasks, owner)
 		if len(picks) < len(tasks) {
 			continue
 		}
@@ -105,15 +107,15 @@
 			wait += m.imageWait(d.Job)
 		}
 		if best.controller == "" || wait < leastWait {
-			best.controller, best.machines = node, picks
+			best.controller, best.machines = owner, picks
 			leastWait = wait
 		}
 	}
 	return best
 }
 
-// applyChoice enters the placement into the machines and the team's use, and claims
-// the tasks if this node is to store them.
+// applyChoice takes the room of the chosen machines and of the team's limit, and
+// claims the tasks if this controller is to store them.
 func (in *Input) applyChoice(d *Demand, team *quota.Allowance, tasks []int, choice machineChoice, out *Output) {
 	for i, m := range choice.machines {
 		in.Fleet.markChanged(m)
@@ -121,32 +123,39 @@
 		m.addImagePull(d.Job.Record.Spec)
 		m.placedTasks++
 		if choice.controller == in.Self && !d.WriteInFlight {
-			out.Claims = append(out.Claims, Claim{d.Job, tasks[i], m.Name, m.Incarnation})
+			out.Claims = append(out.Claims, Claim{Job: d.Job, Task: tasks[i], Machine: m.Name, Incarnation: m.Incarnation})
 		}
 	}
 	team.Take(choice.controller, d.Job.Need.Amount().Times(float64(len(choice.machines))))
 }
 
-// findRoom sees to it that the tasks without a place get one: what comes later
-// in the pass may not take it, and other tasks are stopped for it.
-func (in *Input) findRoom(d *Demand, guaranteed bool, tasks []int, choice machineChoice, out *Output) {
+// seekRoom sees to it that the tasks without a place get one: what comes later
+// in the pass may not take the room, and other tasks are preempted for it.
+func (in *Input) seekRoom(d *Demand, guaranteed bool, tasks []int, choice machineChoice, out *Output) {
 	placed := len(choice.machines)
+	unplaced := len(tasks) - placed
 	if guaranteed {
-		name := d.Job.Record.Spec.Team
-		team := in.Teams[name]
-		lack := d.Job.Need.Amount().Times(float64(len(tasks) - placed))
-		open := team.Guarantee.Sub(team.Used).Max(quota.Amount{})
-		out.GuaranteeShortfall = withAmount(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(lack).Min(open))
-	}
-	if d.MayReclaim && guaranteed {
-		in.reservedPriority = min(in.reservedPriority, d.priority)
+		in.recordGuaranteeShortfall(d, unplaced, out)
+		if d.MayReclaim {
+			in.reservedPriority = min(in.reservedPriority, d.priority)
+		}
 	}
 	if d.Starved && placed == 0 && len(d.Job.Claims) == 0 {
 		in.reserveMachine(d)
 	}
-	for range len(tasks) - placed {
+	for range unplaced {
 		if !in.makeRoom(d, out) {
 			break
 		}
 	}
 }
+
+// recordGuaranteeShortfall adds what so many tasks of the demand take to the
+// shortfall of its team, as far as the guarantee is not used up.
+func (in *Input) recordGuaranteeShortfall(d *Demand, tasks int, out *Output) {
+	name := d.Job.Record.Spec.Team
+	team := in.Teams[name]
+	lack := d.Job.Need.Amount().Times(float64(tasks))
+	unused := team.Guarantee.Sub(team.Used).Max(quota.Amount{})
+	out.GuaranteeShortfall = withAmount(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(lack).Min(unused))
+}
