--- a/internal/placement/fleet.go
+++ b/internal/placement/fleet.go
@@ -1,22 +1,23 @@
 package placement
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"wheatspur/internal/jobs"
 )
 
 // Fleet indexes the machines of a pass: by name, and in pools of machines that
 // are alike for every job, so that a job looks only at those it may use. It is
-// built when machines, roles or owners change. Before each pass the machines
-// whose tasks or images have changed are entered anew (Machine.Enter), and what
-// the last pass has placed is undone (Rewind).
+// built when machines, roles or shard owners change. Before each pass
+// Machine.Snapshot takes in the machines whose tasks or images have changed, and
+// Fleet.Rollback undoes what the last pass has placed.
 type Fleet struct {
 	Machines        []*Machine // by name
 	byName          map[string]*Machine
 	pools           []*pool
 	candidateBuffer []candidate // of the last search, for its memory
-	changed         []*Machine  // machines that the pass has placed on, or plans to stop tasks on
+	changed         []*Machine  // machines that the pass has placed on, or preempts tasks on
 }
 
 // poolKey is what a pool's machines have in common.
@@ -26,30 +27,31 @@
 	Role              Role
 }
 
+// pool is machines that are alike for every job, and what they can offer at most.
 type pool struct {
 	poolKey
 	machines       []*Machine
 	stale          bool           // what follows is to be summed up again
-	maxFree        jobs.Resources // no open machine has more free, in any resource
+	maxFree        jobs.Resources // no schedulable machine has more free, in any resource
 	freeing        bool           // some room is being freed
-	lowestPriority int            // the lowest priority, as a number, of what could be stopped
+	lowestPriority int            // of the tasks that could be preempted, as a number; or noPreemptibleTask
 }
 
 // eligible reports whether the job may use the pool's machines.
 func (p *pool) eligible(j *jobs.Job) bool { return Eligible(j, p.machines[0]) }
 
-// NewFleet indexes machines.
+// NewFleet indexes machines. It sorts the slice by name and keeps it.
 func NewFleet(machines []*Machine) *Fleet {
 	f := &Fleet{Machines: machines, byName: make(map[string]*Machine, len(machines))}
-	sort.Slice(machines, func(a, b int) bool { return machines[a].Name < machines[b].Name })
+	slices.SortFunc(machines, func(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) })
 	pools := map[poolKey]*pool{}
 	for _, m := range machines {
 		f.byName[m.Name] = m
-		k := poolKey{m.Owner, m.Type, m.Zone, m.Spot, m.Role}
-		p := pools[k]
+		key := poolKey{Owner: m.Owner, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Role: m.Role}
+		p := pools[key]
 		if p == nil {
-			p = &pool{poolKey: k}
-			pools[k] = p
+			p = &pool{poolKey: key}
+			pools[key] = p
 			f.pools = append(f.pools, p)
 		}
 		p.machines = append(p.machines, m)
@@ -62,7 +64,7 @@
 // Machine finds a machine by name; nil if it is not known.
 func (f *Fleet) Machine(name string) *Machine { return f.byName[name] }
 
-// Refresh enters every machine anew and sums up the pools.
+// Refresh takes a snapshot of every machine and sums up the pools.
 func (f *Fleet) Refresh() {
 	for _, m := range f.Machines {
 		m.Snapshot()
@@ -70,7 +72,7 @@
 	f.Rollback()
 }
 
-// Rollback undoes what a pass has placed and planned, and sums up the pools whose
+// Rollback undoes what a pass has placed and preempted, and sums up the pools whose
 // machines have changed.
 func (f *Fleet) Rollback() {
 	for _, m := range f.changed {
@@ -92,10 +94,10 @@
 	}
 }
 
-// summarize works out what the pool's machines have in common.
+// summarize works out what the pool's machines can offer at most.
 func (p *pool) summarize() {
 	p.stale = false
-	p.maxFree, p.freeing, p.lowestPriority = jobs.Resources{}, false, -1
+	p.maxFree, p.freeing, p.lowestPriority = jobs.Resources{}, false, noPreemptibleTask
 	for _, m := range p.machines {
 		if !m.Schedulable {
 			continue
@@ -119,13 +121,13 @@
 // Zones counts the live claims of a job per zone. A machine that is not known
 // counts for the zone "": such a job gets no constrained placement.
 func (f *Fleet) Zones(j *jobs.Job) map[string]int {
-	out := map[string]int{}
-	for _, t := range j.Claims {
+	tasksByZone := map[string]int{}
+	for _, task := range j.Claims {
 		zone := ""
-		if m := f.byName[t.Machine]; m != nil {
+		if m := f.byName[task.Machine]; m != nil {
 			zone = m.Zone
 		}
-		out[zone]++
+		tasksByZone[zone]++
 	}
-	return out
+	return tasksByZone
 }
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -1,5 +1,3 @@
-// This file holds a machine as the pass sees it, and what it would cost a task to start there.
-
 package placement
 
 import (
@@ -23,66 +21,70 @@
 	ID           jobs.TaskID
 	Job          *jobs.Job
 	Stopping     bool
-	RunningSince time.Time // since when it runs, as its machine's owner knows; zero: it does not, or nobody knows here
+	RunningSince time.Time // since when it runs, as the shard owner knows; zero: it does not, or this controller doesn't know
 
-	preempted bool // Stopping was set by the pass
+	preemptedInPass bool // Stopping was set by the pass
 }
 
 // Machine is a machine as the pass sees it.
 type Machine struct {
-	Name, Type, Zone, Owner string
+	Name, Type, Zone, Owner string // Owner is the label of the shard owner
 	Spot                    bool
 	Role                    Role
-	Schedulable             bool // takes new tasks
-	Incarnation             uint64
+	Schedulable             bool   // takes new tasks
+	Incarnation             uint64 // of its worker
 	Total                   jobs.Resources
 	Free                    jobs.Resources // not claimed
 	Freeing                 jobs.Resources // claimed by tasks that are being stopped
-	Images                  []string       // held
-	FetchGBPerS             float64        // 0: not known
+	Images                  []string       // those that it holds
+	FetchGBPerS             float64        // rate of image pulls; 0: not known
 	Tasks                   []ClaimedTask
 
 	imagePulls  []imagePull // images that its tasks wait for
 	placedTasks int         // tasks placed on it in this pass
-	preempting  bool        // the pass stops some of its tasks
+	preempting  bool        // the pass preempts some of its tasks
 	changed     bool        // the pass has changed it
 	snapshot    machineSnapshot
 	pool        *pool
 }
 
+// noPreemptibleTask stands for the lowest priority of a machine, or of a pool,
+// that has no task to preempt. It is smaller than the number of any priority.
+const noPreemptibleTask = -1
+
 // machineSnapshot is what a machine was like before a pass began to place on it.
 type machineSnapshot struct {
 	free, freeing  jobs.Resources
-	imagePulls     int
-	lowestPriority int // the lowest rank, as a number, of the tasks that could be stopped; -1: none
+	imagePulls     int // how many
+	lowestPriority int // of the tasks that could be preempted, as a number; or noPreemptibleTask
 }
 
-// freeTaskSlots is how many more tasks the machine's reports can name.
+// freeTaskSlots is how many more tasks the machine's heartbeats can name.
 func (m *Machine) freeTaskSlots() int { return tuning.TasksPerMachine - len(m.Tasks) - m.placedTasks }
 
 // Snapshot takes the machine's room, tasks and images, as its fields hold them, for
 // what the next passes begin with.
 func (m *Machine) Snapshot() {
 	m.imagePulls, m.placedTasks, m.preempting = m.imagePulls[:0], 0, false
-	worst := -1
+	lowestPriority := noPreemptibleTask
 	for i := range m.Tasks {
-		r := &m.Tasks[i]
-		r.preempted = false
-		m.addImagePull(r.Job.Record.Spec)
-		if r.Job.Record.Spec != nil && !r.Stopping {
-			worst = max(worst, r.Job.Priority)
+		task := &m.Tasks[i]
+		task.preemptedInPass = false
+		m.addImagePull(task.Job.Record.Spec)
+		if task.Job.Record.Spec != nil && !task.Stopping {
+			lowestPriority = max(lowestPriority, task.Job.Priority)
 		}
 	}
-	m.snapshot = machineSnapshot{m.Free, m.Freeing, len(m.imagePulls), worst}
+	m.snapshot = machineSnapshot{free: m.Free, freeing: m.Freeing, imagePulls: len(m.imagePulls), lowestPriority: lowestPriority}
 	if m.pool != nil {
 		m.pool.stale = true
 	}
 }
 
 // SetSchedulable notes whether the machine takes new tasks.
-func (m *Machine) SetSchedulable(open bool) {
-	if m.Schedulable != open {
-		m.Schedulable = open
+func (m *Machine) SetSchedulable(schedulable bool) {
+	if m.Schedulable != schedulable {
+		m.Schedulable = schedulable
 		m.pool.stale = true
 	}
 }
@@ -97,8 +99,8 @@
 	}
 	m.preempting = false
 	for i := range m.Tasks {
-		if r := &m.Tasks[i]; r.preempted {
-			r.Stopping, r.preempted = false, false
+		if task := &m.Tasks[i]; task.preemptedInPass {
+			task.Stopping, task.preemptedInPass = false, false
 		}
 	}
 }
