--- a/internal/placement/builders_test.go
+++ b/internal/placement/builders_test.go
@@ -6,25 +6,53 @@
 	"wheatspur/wire"
 )
 
-func job(jobID, kind, priority string, tasks int, edit func(*wire.JobSpec)) *jobs.Job {
-	w := &wire.JobSpec{ID: jobID, Team: "x", Kind: kind, Priority: priority, Tasks: tasks, CPUs: 1, GPUs: 1, RAMGB: 1, Image: "img", ImageGB: 5, Spot: true}
+// newJob is an open job of team x whose tasks take one of each resource; edit
+// changes its spec.
+func newJob(id, kind, priority string, tasks int, edit func(*wire.JobSpec)) *jobs.Job {
+	spec := &wire.JobSpec{ID: id, Team: "x", Kind: kind, Priority: priority, Tasks: tasks, CPUs: 1, GPUs: 1, RAMGB: 1, Image: "img", ImageGB: 5, Spot: true}
 	if edit != nil {
-		edit(w)
+		edit(spec)
 	}
-	j := &jobs.Job{ID: jobID, Record: jobs.Record{Phase: jobs.Open, Tasks: tasks, ChunkSize: 64, Spec: w}, Phase: jobs.Open,
-		Priority: jobs.PriorityOrder(priority), Need: jobs.ResourcesPerTask(w), Team: w.Team, Chunks: map[int][]jobs.Task{}, Claims: map[int]jobs.Task{}}
-	if w.DeadlineS != nil {
-		j.DeadlineMs = int64(*w.DeadlineS * 1000)
+	j := &jobs.Job{ID: id, Record: jobs.Record{Phase: jobs.Open, Tasks: tasks, ChunkSize: 64, Spec: spec}, Phase: jobs.Open,
+		Priority: jobs.PriorityOrder(priority), Need: jobs.ResourcesPerTask(spec), Team: spec.Team, Chunks: map[int][]jobs.Task{}, Claims: map[int]jobs.Task{}}
+	if spec.DeadlineS != nil {
+		j.DeadlineMs = int64(*spec.DeadlineS * 1000)
 	}
 	return j
 }
 
-func machine(name, owner, zone string, role Role, gpus float64) *Machine {
-	tot := jobs.Resources{CPUs: 8, GPUs: gpus, RAM: 64}
-	return &Machine{Name: name, Owner: owner, Zone: zone, Type: "g", Role: role, Schedulable: true, Incarnation: 3, Total: tot, Free: tot}
+// newArray is a job array of normal priority.
+func newArray(id string, tasks int, edit func(*wire.JobSpec)) *jobs.Job {
+	return newJob(id, wire.KindArray, wire.PriorityNormal, tasks, edit)
 }
 
-func demand(j *jobs.Job) *Demand {
+// claim claims the job's first tasks on machines, one each.
+func claim(j *jobs.Job, machines ...string) *jobs.Job {
+	j.Chunks[0] = make([]jobs.Task, j.Record.Tasks)
+	for i, name := range machines {
+		j.Chunks[0][i] = jobs.Task{State: jobs.Claimed, Machine: name, Incarnation: 3}
+		j.Claims[i] = j.Chunks[0][i]
+	}
+	return j
+}
+
+// newMachine is an empty schedulable machine.
+func newMachine(name, owner, zone string, role Role, gpus float64) *Machine {
+	total := jobs.Resources{CPUs: 8, GPUs: gpus, RAM: 64}
+	return &Machine{Name: name, Owner: owner, Zone: zone, Type: "g", Role: role, Schedulable: true, Incarnation: 3, Total: total, Free: total}
+}
+
+// newFullMachine is a batch machine of one GPU, in zone z1, that a job's task
+// fills.
+func newFullMachine(resident *jobs.Job) *Machine {
+	m := newMachine("m", "a", "z1", Batch, 1)
+	m.Free = jobs.Resources{}
+	m.Tasks = []ClaimedTask{{ID: jobs.TaskID{Job: resident.ID}, Job: resident}}
+	return m
+}
+
+// newDemand is the demand for all pending tasks of a job.
+func newDemand(j *jobs.Job) *Demand {
 	d := &Demand{Job: j, Avoid: map[string]bool{}}
 	for i := range j.Record.Tasks {
 		if j.Task(i).State == jobs.Pending {
@@ -34,12 +62,23 @@
 	return d
 }
 
-func input(me string, machines []*Machine, js ...*jobs.Job) Input {
-	in := Input{Self: me, Leader: "L", RankNodes: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
+// newInput is a pass of a controller over machines and jobs. The leader is L, and
+// every job prefers a to b to L.
+func newInput(self string, machines []*Machine, list ...*jobs.Job) Input {
+	in := Input{Self: self, Leader: "L", RankNodes: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
 		Teams: map[string]*quota.Allowance{"x": {}}, MaxJobs: 100}
 	in.Fleet.Refresh()
-	for _, j := range js {
-		in.Demands = append(in.Demands, demand(j))
+	for _, j := range list {
+		in.Demands = append(in.Demands, newDemand(j))
 	}
 	return in
 }
+
+// claimsByMachine counts the claims of a pass.
+func claimsByMachine(out Output) map[string]int {
+	counts := map[string]int{}
+	for _, c := range out.Claims {
+		counts[c.Machine]++
+	}
+	return counts
+}
--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -9,47 +9,60 @@
 	"wheatspur/wire"
 )
 
-func TestTheTightestDeadlineThatCanBeKeptGoesFirst(t *testing.T) {
-	due := func(s float64) func(*wire.JobSpec) {
-		return func(w *wire.JobSpec) { w.DeadlineS, w.EstimateS = &s, 20 }
+func TestTightestDeadlineThatCanBeKeptGoesFirst(t *testing.T) {
+	due := func(seconds float64) func(*wire.JobSpec) {
+		return func(spec *wire.JobSpec) { spec.DeadlineS, spec.EstimateS = &seconds, 20 }
 	}
-	loose, tight, lost := job("wk-1", wire.KindArray, wire.PriorityNormal, 1, due(300)),
-		job("wk-2", wire.KindArray, wire.PriorityNormal, 1, due(100)), job("wk-3", wire.KindArray, wire.PriorityNormal, 1, due(60))
-	for i, want := range []string{"wk-2", "wk-1", "wk-3"} {
-		left := []*jobs.Job{loose, tight, lost}
-		switch i {
-		case 1:
-			left = []*jobs.Job{loose, lost}
-		case 2:
-			left = []*jobs.Job{lost}
-		}
-		in := input("a", []*Machine{machine("m", "a", "z", Batch, 1)}, left...)
-		in.Now = time.UnixMilli(0).Add(55 * time.Second)
-		if out := Schedule(in); len(out.Claims) != 1 || out.Claims[0].Job.ID != want {
-			t.Fatalf("step %d: %+v", i, out.Claims)
-		}
+	loose, tight, lost := newArray("wk-1", 1, due(300)), newArray("wk-2", 1, due(100)), newArray("wk-3", 1, due(60))
+	for _, c := range []struct {
+		name string
+		open []*jobs.Job
+		want string
+	}{
+		{"all three open", []*jobs.Job{loose, tight, lost}, "wk-2"},
+		{"the tight one is done", []*jobs.Job{loose, lost}, "wk-1"},
+		{"the one that can't be kept is left", []*jobs.Job{lost}, "wk-3"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, c.open...)
+			in.Now = time.UnixMilli(0).Add(55 * time.Second)
+			if out := Schedule(in); len(out.Claims) != 1 || out.Claims[0].Job.ID != c.want {
+				t.Fatalf("%+v, want %s", out.Claims, c.want)
+			}
+		})
 	}
 }
 
 // A team without a guarantee, and jobs that can't keep their deadline, come
-// after all others until they have waited too long.
-func TestAgeBreaksTiesAgainstAStreamOfBetterWork(t *testing.T) {
-	run := func(aged bool) string {
-		better := job("wk-1", wire.KindArray, wire.PriorityNormal, 1, nil)
-		old := job("wk-2", wire.KindArray, wire.PriorityNormal, 1, func(w *wire.JobSpec) { w.Team = "y" })
-		in := input("a", []*Machine{machine("m", "a", "z", Batch, 1)}, better, old)
-		in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
-		in.Teams["y"] = &quota.Allowance{}
-		in.Demands[1].Starved = aged
-		return Schedule(in).Claims[0].Job.ID
-	}
-	if run(false) != "wk-1" || run(true) != "wk-2" {
-		t.Fatalf("first without age %s, with age %s", run(false), run(true))
-	}
-	urgent := job("wk-1", wire.KindArray, wire.PriorityUrgent, 1, nil)
-	in := input("a", []*Machine{machine("m", "a", "z", Batch, 1)}, urgent, job("wk-2", wire.KindArray, wire.PriorityNormal, 1, nil))
-	in.Demands[1].Starved = true
-	if Schedule(in).Claims[0].Job.ID != "wk-1" {
-		t.Fatal("age goes before rank")
+// after all others until they are starved. That goes before a guarantee and not
+// before priority.
+func TestStarvedWorkGoesFirstWithinItsPriority(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		starved bool
+		want    string
+	}{
+		{"not starved, the other has a guarantee", false, "wk-1"},
+		{"starved, the other has a guarantee", true, "wk-2"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			better := newArray("wk-1", 1, nil)
+			old := newArray("wk-2", 1, func(spec *wire.JobSpec) { spec.Team = "y" })
+			in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, better, old)
+			in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
+			in.Teams["y"] = &quota.Allowance{}
+			in.Demands[1].Starved = c.starved
+			if got := Schedule(in).Claims[0].Job.ID; got != c.want {
+				t.Fatalf("%s goes first, want %s", got, c.want)
+			}
+		})
 	}
+	t.Run("starved, the other has a higher priority", func(t *testing.T) {
+		urgent := newJob("wk-1", wire.KindArray, wire.PriorityUrgent, 1, nil)
+		in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, urgent, newArray("wk-2", 1, nil))
+		in.Demands[1].Starved = true
+		if Schedule(in).Claims[0].Job.ID != "wk-1" {
+			t.Fatal("a starved demand goes before one of a higher priority")
+		}
+	})
 }
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -11,79 +11,82 @@
 	"wheatspur/wire"
 )
 
-func TestPreemptionFollowsTheProtocol(t *testing.T) {
-	low := job("wk-9", wire.KindArray, wire.PriorityNormal, 1, func(w *wire.JobSpec) { w.Team = "y" })
-	full := func() *Machine {
-		m := machine("m", "a", "z", Batch, 1)
-		m.Free = jobs.Resources{}
-		m.Tasks = []ClaimedTask{{ID: jobs.TaskID{Job: "wk-9"}, Job: low}}
-		return m
-	}
-	run := func(priority string, pressed, borrowed bool) int {
-		in := input("a", []*Machine{full()}, job("wk-1", wire.KindArray, priority, 1, nil))
-		in.Demands[0].MayReclaim = pressed
-		in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
-		in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 1}, Guarantee: quota.Amount{GPUs: 1}}
-		if borrowed {
-			in.Teams["y"].Used.GPUs = 2
-		}
-		return len(Schedule(in).Preemptions)
-	}
+func TestPreemptionOfWorkOfAnotherTeam(t *testing.T) {
 	for _, c := range []struct {
-		rank              string
-		pressed, borrowed bool
-		want              int
+		name                 string
+		priority             string
+		mayReclaim, borrowed bool
+		want                 int
 	}{
-		{wire.PriorityUrgent, false, false, 1}, // higher priority
-		{wire.PriorityNormal, true, false, 0},  // same priority within the other's guarantee
-		{wire.PriorityNormal, false, true, 0},  // the cloud may still bring room
-		{wire.PriorityNormal, true, true, 1},   // borrowed work for a guarantee
+		{"higher priority", wire.PriorityUrgent, false, false, 1},
+		{"same priority within the other's guarantee", wire.PriorityNormal, true, false, 0},
+		{"the cloud may still bring room", wire.PriorityNormal, false, true, 0},
+		{"borrowed work for a guarantee", wire.PriorityNormal, true, true, 1},
 	} {
-		if got := run(c.rank, c.pressed, c.borrowed); got != c.want {
-			t.Errorf("%+v: %d stopped", c, got)
-		}
-	}
-	m := full()
-	m.Freeing = jobs.Resources{CPUs: 1, GPUs: 1, RAM: 1}
-	m.Tasks[0].Stopping = true
-	if out := Schedule(input("a", []*Machine{m}, job("wk-1", wire.KindArray, wire.PriorityUrgent, 1, nil))); len(out.Preemptions) != 0 {
-		t.Error("a task was stopped for room that is being freed")
+		t.Run(c.name, func(t *testing.T) {
+			resident := newArray("wk-9", 1, func(spec *wire.JobSpec) { spec.Team = "y" })
+			in := newInput("a", []*Machine{newFullMachine(resident)}, newJob("wk-1", wire.KindArray, c.priority, 1, nil))
+			in.Demands[0].MayReclaim = c.mayReclaim
+			in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
+			in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 1}, Guarantee: quota.Amount{GPUs: 1}}
+			if c.borrowed {
+				in.Teams["y"].Used.GPUs = 2
+			}
+			if got := len(Schedule(in).Preemptions); got != c.want {
+				t.Errorf("%d preempted, want %d", got, c.want)
+			}
+		})
 	}
 }
 
-func TestNothingIsStoppedForRoomInAForbiddenZone(t *testing.T) {
-	low := job("wk-9", wire.KindArray, wire.PriorityLow, 1, nil)
-	m := machine("m", "a", "z1", Batch, 1)
-	m.Free = jobs.Resources{}
-	m.Tasks = []ClaimedTask{{ID: jobs.TaskID{Job: "wk-9"}, Job: low}}
-	j := job("wk-1", wire.KindArray, wire.PriorityUrgent, 2, func(w *wire.JobSpec) { w.SpreadZones = true })
-	j.Chunks[0] = []jobs.Task{{State: jobs.Claimed, Machine: "m", Incarnation: 3}, {}}
-	j.Claims[0] = j.Chunks[0][0]
-	if out := Schedule(input("a", []*Machine{m}, j)); len(out.Preemptions) != 0 {
-		t.Fatal("a task was stopped in the zone that the job's other task holds")
+func TestNothingIsPreemptedForRoomThatIsBeingFreed(t *testing.T) {
+	resident := newArray("wk-9", 1, func(spec *wire.JobSpec) { spec.Team = "y" })
+	urgent := newJob("wk-1", wire.KindArray, wire.PriorityUrgent, 1, nil)
+	t.Run("a task of the machine is being stopped", func(t *testing.T) {
+		m := newFullMachine(resident)
+		m.Freeing = jobs.Resources{CPUs: 1, GPUs: 1, RAM: 1}
+		m.Tasks[0].Stopping = true
+		if out := Schedule(newInput("a", []*Machine{m}, urgent)); len(out.Preemptions) != 0 {
+			t.Error("a task was preempted for room that is being freed")
+		}
+	})
+	t.Run("tasks were preempted for the job lately", func(t *testing.T) {
+		low := newJob("wk-9", wire.KindArray, wire.PriorityLow, 1, nil)
+		in := newInput("a", []*Machine{newFullMachine(low)}, urgent)
+		in.Demands[0].PreemptedFor = true
+		if out := Schedule(in); len(out.Preemptions) != 0 {
+			t.Fatal("more was preempted for a job before the first preemption could help it")
+		}
+	})
+}
+
+func TestNothingIsPreemptedInAZoneThatTheJobMayNotUse(t *testing.T) {
+	low := newJob("wk-9", wire.KindArray, wire.PriorityLow, 1, nil)
+	spread := newJob("wk-1", wire.KindArray, wire.PriorityUrgent, 2, func(spec *wire.JobSpec) { spec.SpreadZones = true })
+	if out := Schedule(newInput("a", []*Machine{newFullMachine(low)}, claim(spread, "m"))); len(out.Preemptions) != 0 {
+		t.Fatal("a task was preempted in the zone that the job's other task holds")
 	}
 }
 
-func TestAServiceIsNeverStoppedForAGuarantee(t *testing.T) {
-	svc := job("wk-9", wire.KindService, wire.PriorityCritical, 1, func(w *wire.JobSpec) { w.Team = "y" })
-	m := machine("m", "a", "z", Service, 1)
-	m.Free = jobs.Resources{}
-	m.Tasks = []ClaimedTask{{ID: jobs.TaskID{Job: "wk-9"}, Job: svc}}
-	in := input("a", []*Machine{m}, job("wk-1", wire.KindService, wire.PriorityCritical, 1, nil))
+func TestServiceIsNeverPreemptedForAGuarantee(t *testing.T) {
+	resident := newJob("wk-9", wire.KindService, wire.PriorityCritical, 1, func(spec *wire.JobSpec) { spec.Team = "y" })
+	m := newFullMachine(resident)
+	m.Role = Service
+	in := newInput("a", []*Machine{m}, newJob("wk-1", wire.KindService, wire.PriorityCritical, 1, nil))
 	in.Demands[0].MayReclaim = true
 	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
 	in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 2}, Guarantee: quota.Amount{GPUs: 1}}
 	if out := Schedule(in); len(out.Preemptions) != 0 {
-		t.Fatal("a running service was stopped for one of the same rank")
+		t.Fatal("a running service was preempted for one of the same priority")
 	}
 }
 
-func TestRoomFreedForAGuaranteeIsNotTakenBack(t *testing.T) {
-	mine := job("wk-1", wire.KindArray, wire.PriorityNormal, 2, nil)
-	theirs := job("wk-2", wire.KindArray, wire.PriorityNormal, 1, func(w *wire.JobSpec) { w.Team, w.CPUs = "y", 0.5 })
-	m := machine("m", "a", "z", Batch, 1)
+func TestBorrowedWorkDoesNotTakeRoomFreedForAGuarantee(t *testing.T) {
+	mine := newArray("wk-1", 2, nil)
+	theirs := newArray("wk-2", 1, func(spec *wire.JobSpec) { spec.Team, spec.CPUs = "y", 0.5 })
+	m := newMachine("m", "a", "z", Batch, 1)
 	m.Free = jobs.Resources{CPUs: 0.5, GPUs: 1, RAM: 64} // too small for mine, freed for it
-	in := input("a", []*Machine{m}, mine, theirs)
+	in := newInput("a", []*Machine{m}, mine, theirs)
 	in.Demands[0].MayReclaim = true
 	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
 	in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 2}, Guarantee: quota.Amount{GPUs: 1}}
@@ -92,33 +95,24 @@
 	}
 }
 
-// Of two jobs within their guarantees the one that others were stopped for
-// takes the room; the other once did, and more were stopped.
-func TestPressedWorkTakesTheRoomThatWasFreedForIt(t *testing.T) {
-	a, b := job("wk-1", wire.KindArray, wire.PriorityNormal, 1, nil), job("wk-2", wire.KindArray, wire.PriorityNormal, 1, nil)
-	in := input("a", []*Machine{machine("m", "a", "z", Batch, 1)}, a, b)
+// Of two jobs within their guarantees the one that others were preempted for
+// takes the room; the other once did, and more were preempted.
+func TestReclaimingWorkTakesTheRoomThatWasFreedForIt(t *testing.T) {
+	first, reclaiming := newArray("wk-1", 1, nil), newArray("wk-2", 1, nil)
+	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, first, reclaiming)
 	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
 	in.Demands[1].MayReclaim = true
-	if out := Schedule(in); len(out.Claims) != 1 || out.Claims[0].Job != b {
+	if out := Schedule(in); len(out.Claims) != 1 || out.Claims[0].Job != reclaiming {
 		t.Fatalf("%+v", out.Claims)
 	}
-	low := job("wk-9", wire.KindArray, wire.PriorityLow, 1, nil)
-	m := machine("m", "a", "z", Batch, 1)
-	m.Free, m.Tasks = jobs.Resources{}, []ClaimedTask{{ID: jobs.TaskID{Job: "wk-9"}, Job: low}}
-	in = input("a", []*Machine{m}, job("wk-1", wire.KindArray, wire.PriorityUrgent, 1, nil))
-	in.Demands[0].PreemptedFor = true
-	if out := Schedule(in); len(out.Preemptions) != 0 {
-		t.Fatal("more was stopped for a job before the first stop could help it")
-	}
 }
 
-// Borrowed tasks that were stopped for a guarantee wait again, and their job is
-// older than what they were stopped for: it does not take the room back. Guards
+// Borrowed tasks that were preempted for a guarantee wait again, and their job is
+// older than what they were preempted for: it does not take the room back. Guards
 // against a livelock in which a team never got its guarantee.
-func TestWhatIsStoppedForAGuaranteeDoesNotTakeTheRoomBack(t *testing.T) {
-	borrowed := job("wk-1", wire.KindArray, wire.PriorityNormal, 4, nil)
-	waiting := job("wk-2", wire.KindArray, wire.PriorityNormal, 4, nil)
-	in := input("a", []*Machine{machine("m", "a", "z", Batch, 4)}, borrowed, waiting)
+func TestPreemptedWorkDoesNotTakeTheRoomBack(t *testing.T) {
+	borrowed, waiting := newArray("wk-1", 4, nil), newArray("wk-2", 4, nil)
+	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 4)}, borrowed, waiting)
 	borrowed.ReadyAtMs, waiting.ReadyAtMs = 1000, 2000
 	waiting.Team, waiting.Record.Spec.Team = "y", "y"
 	in.Teams["y"] = &quota.Allowance{Guarantee: quota.Amount{GPUs: 4}}
@@ -136,42 +130,46 @@
 	}
 }
 
-// On its own machines a node stops what loses the least: what has not begun, what
-// can save, then what has run the shortest; never a lower rank after a higher, and
-// no more tasks than are needed. Other nodes' machines go by age alone.
-func TestWhatLosesTheLeastIsStoppedFirst(t *testing.T) {
+// On its own machines a controller preempts what loses the least: what has not
+// begun, what can write a checkpoint, then what has run the shortest; the lowest
+// priority still goes before all that, and no more tasks go than are needed. On
+// other controllers' machines age alone decides.
+func TestVictimsThatLoseTheLeastComeFirst(t *testing.T) {
 	now := time.Unix(10_000, 0)
-	for _, owner := range []string{"a", "b"} {
-		m := machine("m", owner, "z", Batch, 4)
-		m.Free = jobs.Resources{}
-		began := []time.Duration{50 * time.Second, 300 * time.Second, 0, 400 * time.Second}
-		for i, ran := range began {
-			j := job(fmt.Sprintf("wk-%d", 10+i), wire.KindArray, wire.PriorityNormal, 1, nil)
-			j.ReadyAtMs = int64(1000 * (i + 1))
-			if i == 1 {
-				j.Record.Spec.CheckpointIntervalS, j.Record.Spec.CheckpointWriteS = 30, 4
+	for _, c := range []struct {
+		name  string
+		owner string
+		want  []string
+	}{
+		{"own machine", "a", []string{"wk-12", "wk-11", "wk-10"}},
+		{"machine of another owner, who preempts them", "b", nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			m := newMachine("m", c.owner, "z", Batch, 4)
+			m.Free = jobs.Resources{}
+			for i, ran := range []time.Duration{50 * time.Second, 300 * time.Second, 0, 400 * time.Second} {
+				j := newArray(fmt.Sprintf("wk-%d", 10+i), 1, nil)
+				j.ReadyAtMs = int64(1000 * (i + 1))
+				if i == 1 {
+					j.Record.Spec.CheckpointIntervalS, j.Record.Spec.CheckpointWriteS = 30, 4
+				}
+				task := ClaimedTask{ID: jobs.TaskID{Job: j.ID}, Job: j}
+				if ran > 0 {
+					task.RunningSince = now.Add(-ran)
+				}
+				m.Tasks = append(m.Tasks, task)
 			}
-			r := ClaimedTask{ID: jobs.TaskID{Job: j.ID}, Job: j}
-			if ran > 0 {
-				r.RunningSince = now.Add(-ran)
+			m.Snapshot()
+			in := newInput("a", []*Machine{m}, newJob("wk-1", wire.KindArray, wire.PriorityUrgent, 3, nil))
+			in.Now, in.MinimizeLoss = now, true
+			in.Teams["x"] = &quota.Allowance{}
+			var preempted []string
+			for _, p := range Schedule(in).Preemptions {
+				preempted = append(preempted, p.ID.Job)
 			}
-			m.Tasks = append(m.Tasks, r)
-		}
-		m.Snapshot()
-		waiting := job("wk-1", wire.KindArray, wire.PriorityUrgent, 3, nil)
-		in := input("a", []*Machine{m}, waiting)
-		in.Now, in.MinimizeLoss = now, true
-		in.Teams["x"] = &quota.Allowance{}
-		var stopped []string
-		for _, e := range Schedule(in).Preemptions {
-			stopped = append(stopped, e.ID.Job)
-		}
-		want := []string{"wk-12", "wk-11", "wk-10"}
-		if owner == "b" {
-			want = nil // its owner stops them
-		}
-		if !slices.Equal(stopped, want) {
-			t.Errorf("on a machine of %s: %v are stopped, want %v", owner, stopped, want)
-		}
+			if !slices.Equal(preempted, c.want) {
+				t.Errorf("%v are preempted, want %v", preempted, c.want)
+			}
+		})
 	}
 }
