--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -5,6 +5,7 @@
 	"iter"
 	"maps"
 	"slices"
+	"testing"
 	"time"
 
 	"wheatspur/wire"
@@ -387,3 +388,51 @@
 
 // oneUnit is a waiting job that takes one unit.
 func oneUnit(yield func(Amount) bool) { yield(Amount{GPUs: 1}) }
+
+// newShared is a model whose limit has been shared out to all nodes, which have
+// read it.
+func newShared(t *testing.T, gpus float64, nodes ...string) *model {
+	t.Helper()
+	m := newModel(Amount{GPUs: gpus}, nodes...)
+	m.settle()
+	for _, n := range m.nodes {
+		if phase := n.book.Ledger(m.team).Phase(m.members.token); phase != Shared {
+			t.Fatalf("the shares are %s at %s", phase, n.label)
+		}
+	}
+	return m
+}
+
+// mustAdmit lets a node decide on a claim of one unit.
+func (m *model) mustAdmit(t *testing.T, label string, machine int) *write {
+	t.Helper()
+	w := m.admit(m.nodes[label], machine, Amount{GPUs: 1})
+	if w == nil {
+		t.Fatalf("%s admits nothing on machine %d", label, machine)
+	}
+	return w
+}
+
+// The checker must see a violation: here the state service ignores guards.
+func TestTheCheckerSeesAPlantedViolation(t *testing.T) {
+	m := newShared(t, 4, "a", "b")
+	m.unsafe = true
+	stale := m.mustAdmit(t, "b", 1)
+	m.restart("b")
+	m.settle()
+	for range 4 {
+		if w := m.admit(m.nodes["a"], 0, Amount{GPUs: 1}); w != nil {
+			m.deliver(w)
+		}
+		if w := m.admit(m.nodes["b"], 1, Amount{GPUs: 1}); w != nil {
+			m.deliver(w)
+		}
+	}
+	for range 3 {
+		stale.changes[0].key += "again" // the same claim, carried out several times
+		m.apply(stale)
+	}
+	if m.broken == nil {
+		t.Fatalf("%d claims of a limit of 4 went unseen", len(m.claims))
+	}
+}
--- a/internal/quota/share.go
+++ b/internal/quota/rebalance.go
@@ -7,15 +7,6 @@
 	"wheatspur/internal/tuning"
 )
 
-// Write is a record that is to be stored, guarded by the version of the one that
-// it was decided on and by the membership. It must be ended by Ledger.Written.
-type Write struct {
-	Team   string
-	Event  Event
-	Record Record
-	Given  Amount // of this node's share, by a transfer
-}
-
 // Rebalance lets the leader share the limit out: at once under a new
 // membership; and in two steps when work waits while the limit is not used up,
 // or when the record can't be admitted from. The first step freezes the shares;
