--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -1,17 +1,3 @@
-// Package quota keeps teams within their limits, and gives them what they are
-// guaranteed, while several controller nodes admit work at the same moment.
-//
-// A team's limit is divided into shares, one for each member of the membership,
-// in one stored record. A node admits work on its own machines within its share
-// and guards the write by the version of the record, without writing it, so
-// admissions of different nodes do not conflict. Whoever changes the shares
-// writes the record, which fails every admission that was decided on the
-// shares before. The safety argument is in docs/protocol-notes.md, the ways
-// that were weighed are in docs/design/quota.md.
-//
-// The package is pure: stored records, the picture of the claims and the time
-// go in, admissions and records to write come out. Package server carries them
-// out.
 package quota
 
 import "math"
@@ -47,7 +33,7 @@
 	return withinLimit(a.CPUs, limit.CPUs) && withinLimit(a.GPUs, limit.GPUs)
 }
 
-func withinLimit(v, limit float64) bool { return limit <= 0 || v <= limit+epsilon }
+func withinLimit(value, limit float64) bool { return limit <= 0 || value <= limit+epsilon }
 
 // finite reports whether both numbers are neither infinite nor NaN.
 func (a Amount) finite() bool {
@@ -71,3 +57,26 @@
 	a, room = a.onlyLimited(limit), room.onlyLimited(limit)
 	return a.CPUs <= room.CPUs+epsilon && a.GPUs <= room.GPUs+epsilon
 }
+
+// coverage is how much of the amount some room covers, from 0 to 1, in the
+// resource that it covers least.
+func (a Amount) coverage(room, limit Amount) float64 {
+	least := 1.0
+	if limit.CPUs > 0 && a.CPUs > epsilon {
+		least = min(least, room.CPUs/a.CPUs)
+	}
+	if limit.GPUs > 0 && a.GPUs > epsilon {
+		least = min(least, room.GPUs/a.GPUs)
+	}
+	return max(0, least)
+}
+
+// differsTwofold reports whether an amount is twice another or half of it, in
+// any resource.
+func (a Amount) differsTwofold(b Amount) bool {
+	twofold := func(x, y float64) bool { return max(x, y) > epsilon && max(x, y) >= 2*min(x, y) }
+	return twofold(a.CPUs, b.CPUs) || twofold(a.GPUs, b.GPUs)
+}
+
+// scaled is an amount multiplied by a factor for each resource.
+func (a Amount) scaled(by Amount) Amount { return Amount{a.CPUs * by.CPUs, a.GPUs * by.GPUs} }
--- a/internal/quota/rebalance.go
+++ b/internal/quota/rebalance.go
@@ -10,20 +10,19 @@
 // Rebalance lets the leader share the limit out: at once under a new
 // membership; and in two steps when work waits while the limit is not used up,
 // or when the record can't be admitted from. The first step freezes the shares;
-// what every node holds is then known, and the second shares out the rest.
-// pending is what each waiting job of the team takes. Without room in the
-// budget of changes only a new membership is served, since all admissions wait
-// for that.
-func (l *Ledger) Rebalance(now time.Time, v View, pending iter.Seq[Amount], room bool) *Write {
+// what every controller has claimed is then known, and the second shares out the
+// rest. pending is what each waiting job of the team takes. Without budget for
+// writes only a new membership is served, since all admissions wait for that.
+func (l *Ledger) Rebalance(now time.Time, v View, pending iter.Seq[Amount], budget bool) *Write {
 	phase := l.Phase(v.FencingToken)
-	if l.writeInFlight || phase == Unlimited || !room && phase != Unshared {
+	if l.writeInFlight || phase == Unlimited || !budget && phase != Unshared {
 		return nil
 	}
 	next := Record{FencingToken: v.FencingToken}
 	event := Freeze
 	switch {
 	case phase == Unshared, phase == Frozen && v.Revision >= l.version:
-		// Nobody admits before this is stored, and every claim before is known.
+		// No controller admits before this is stored, and every claim before is known.
 		event = ShareOut
 		next.Shares = l.divideLimit(v, pending)
 	case l.needsRebalance(now, v, phase):
@@ -32,7 +31,7 @@
 		return nil
 	}
 	if err := l.beginWrite(v, event, next); err != nil {
-		return nil
+		return nil // a later call decides anew
 	}
 	if event == Freeze {
 		l.frozenAt = now
@@ -42,8 +41,8 @@
 	return &Write{Team: l.team.Name, Event: event, Record: next}
 }
 
-// needsRebalance reports whether the shares have to be shared out anew. Pauses guard
-// against a budget of changes that goes into sharing out alone.
+// needsRebalance reports whether the shares have to be shared out anew. Pauses
+// guard against spending the budget for writes on rebalancing alone.
 func (l *Ledger) needsRebalance(now time.Time, v View, phase Phase) bool {
 	if now.Sub(l.frozenAt) <= tuning.RebalancePause {
 		return false
@@ -53,8 +52,8 @@
 		return true
 	case OverLimit:
 		// Until something is released, the shares would stay what they are.
-		held := v.Claimed.Of(l.team.Name).onlyLimited(l.team.Limit)
-		return !l.record.total().onlyLimited(l.team.Limit).Sub(held).IsZero()
+		claimed := v.Claimed.Of(l.team.Name).onlyLimited(l.team.Limit)
+		return !l.record.total().onlyLimited(l.team.Limit).Sub(claimed).IsZero()
 	case Shared:
 		return !l.shortageSince.IsZero() && now.Sub(l.shortageSince) >= l.rebalanceDelay()
 	}
@@ -70,9 +69,9 @@
 	return 0
 }
 
-// divideLimit shares the limit out: what each node holds, and the rest in equal
-// parts, two of them to the leader, which admits jobs that are too large for
-// one node. Where a part would not hold the largest waiting job, the leader
+// divideLimit shares the limit out: what each controller has claimed, and the rest
+// in equal parts, two of them to the leader, which admits jobs that are too large
+// for one shard. Where a part would not cover the largest waiting job, the leader
 // gets all the rest and admits for all.
 func (l *Ledger) divideLimit(v View, pending iter.Seq[Amount]) map[string]Share {
 	rest := l.team.Limit.Sub(v.Claimed.Of(l.team.Name)).Max(Amount{})
@@ -84,19 +83,19 @@
 		}
 	}
 	shares := make(map[string]Share, len(v.Nodes))
-	for _, node := range v.Nodes {
+	for _, controller := range v.Nodes {
 		extra := part
-		if node == v.Leader {
+		if controller == v.Leader {
 			extra = rest.Sub(part.Times(float64(len(v.Nodes) - 1)))
 		}
-		shares[node] = ShareOf(v.Claimed[node][l.team.Name].Add(extra))
+		shares[controller] = ShareOf(v.claimedBy(controller, l.team.Name).Add(extra))
 	}
 	return shares
 }
 
 // RecordShortage notes whether work waits for other shares though the limit is not
 // used up. Shares that are about to be shared out count as none: guards against
-// sharing out again what has just been shared out.
+// rebalancing again what has just been rebalanced.
 func (l *Ledger) RecordShortage(short bool, now time.Time, token uint64) {
 	switch {
 	case !short || l.Phase(token) != Shared:
--- a/internal/quota/reservation.go
+++ b/internal/quota/reservation.go
@@ -13,11 +13,11 @@
 const ReservationsKey = "w/reserved"
 
 // Reservations is the stored form of the room that teams wait for within their
-// guarantees. It is written by the leader alone and read by every node, so that
-// neither a restart of a node nor a new leader begins the wait anew. It belongs
-// to no membership.
+// guarantees. It is written by the leader alone and read by every controller, so
+// that neither a restart of a controller nor a failover begins the wait anew. It
+// belongs to no membership.
 type Reservations struct {
-	Teams map[string]Reservation `cbor:"t,omitempty"`
+	Teams map[string]Reservation `cbor:"t,omitempty"` // by name
 }
 
 // Reservation is the stored form of one team's: the room that it waits for, and
@@ -39,10 +39,10 @@
 }
 
 // ApplyReservations enters the stored record; nil says that there is none. One
-// that can't be read counts as none: guarantees are then pressed as by a node
-// that has just begun.
-func (b *Manager) ApplyReservations(raw wire.Raw) error {
-	b.reservations = Reservations{}
+// that can't be read counts as none: guarantees are then reclaimed as by a
+// controller that has just begun.
+func (m *Manager) ApplyReservations(raw wire.Raw) error {
+	m.reservations = Reservations{}
 	if raw == nil {
 		return nil
 	}
@@ -55,21 +55,21 @@
 			return fmt.Errorf("reservations: %w: %s waits for %+v", ErrDamaged, team, r.Amount())
 		}
 	}
-	b.reservations = read
+	m.reservations = read
 	return nil
 }
 
 // Reserved is a team's stored reservation.
-func (b *Manager) Reserved(team string) (Reservation, bool) {
-	r, ok := b.reservations.Teams[team]
+func (m *Manager) Reserved(team string) (Reservation, bool) {
+	r, ok := m.reservations.Teams[team]
 	return r, ok
 }
 
 // MayReclaim reports whether a team has waited so long for room within its
-// guarantee that others' borrowed work is stopped for it: by then the cloud has
+// guarantee that others' borrowed work is preempted for it: by then the cloud has
 // had the time to bring room.
-func (b *Manager) MayReclaim(team string, now time.Time) bool {
-	r, ok := b.reservations.Teams[team]
+func (m *Manager) MayReclaim(team string, now time.Time) bool {
+	r, ok := m.Reserved(team)
 	return ok && now.Sub(time.UnixMilli(r.Since)) > tuning.GuaranteePreemptAfter
 }
 
@@ -77,22 +77,22 @@
 // team's work lacks within its guarantee. It is nil while the stored record
 // will do. After a result that is not nil, nothing is decided until
 // ReservationsWritten.
-func (b *Manager) Reserve(now time.Time, short map[string]Amount) *Reservations {
-	if !b.options.Reservations || b.reservationWriteInFlight || now.Sub(b.reservationDecidedAt) < tuning.ReservePause {
+func (m *Manager) Reserve(now time.Time, short map[string]Amount) *Reservations {
+	if !m.options.Reservations || m.reservationWriteInFlight || now.Sub(m.reservationDecidedAt) < tuning.ReservePause {
 		return nil
 	}
-	next := Reservations{Teams: maps.Clone(b.reservations.Teams)}
+	next := Reservations{Teams: maps.Clone(m.reservations.Teams)}
 	if next.Teams == nil {
 		next.Teams = map[string]Reservation{}
 	}
 	changed := false
-	for _, l := range b.ledgers {
+	for _, l := range m.ledgers {
 		if l.team.Guaranteed() {
 			changed = l.updateReservation(now, short[l.team.Name], next.Teams) || changed
 		}
 	}
 	for team := range next.Teams {
-		if l := b.byTeam[team]; l == nil || !l.team.Guaranteed() {
+		if l := m.byTeam[team]; l == nil || !l.team.Guaranteed() {
 			delete(next.Teams, team) // the operators have taken the guarantee away
 			changed = true
 		}
@@ -100,52 +100,50 @@
 	if !changed {
 		return nil
 	}
-	b.reservationWriteInFlight, b.reservationDecidedAt = true, now
+	m.reservationWriteInFlight, m.reservationDecidedAt = true, now
 	return &next
 }
 
 // ReservationsWritten ends a write of the reservations.
-func (b *Manager) ReservationsWritten() { b.reservationWriteInFlight = false }
+func (m *Manager) ReservationsWritten() { m.reservationWriteInFlight = false }
 
-// updateReservation makes, changes or drops the team's reservation; false if it stays as
-// it is. A wait that has just begun or ended is not stored: most are over in a
-// moment.
-func (l *Ledger) updateReservation(now time.Time, lack Amount, teams map[string]Reservation) bool {
-	name, r := l.team.Name, &l.waitTimes
-	stored, ok := teams[name]
+// updateReservation makes, changes or drops the team's reservation; false if it
+// stays as it is.
+func (l *Ledger) updateReservation(now time.Time, lack Amount, byTeam map[string]Reservation) bool {
 	if lack.IsZero() {
-		r.lackingSince = time.Time{}
-		if ok && r.satisfiedSince.IsZero() {
-			r.satisfiedSince = now
-		}
-		if !ok || now.Sub(r.satisfiedSince) < tuning.ReserveHold {
-			return false
-		}
-		r.satisfiedSince = time.Time{}
-		delete(teams, name)
-		return true
+		return l.dropReservation(now, byTeam)
 	}
-	r.satisfiedSince = time.Time{}
-	if r.lackingSince.IsZero() {
-		r.lackingSince = now
+	w := &l.waitTimes
+	w.satisfiedSince = time.Time{}
+	if w.lackingSince.IsZero() {
+		w.lackingSince = now
 	}
-	if ok {
+	since := w.lackingSince.UnixMilli()
+	if stored, ok := byTeam[l.team.Name]; ok {
 		if !lack.differsTwofold(stored.Amount()) {
-			return false
+			return false // smaller changes are not worth a write
 		}
-		teams[name] = Reservation{CPUs: lack.CPUs, GPUs: lack.GPUs, Since: stored.Since}
-		return true
-	}
-	if now.Sub(r.lackingSince) < tuning.ReserveAfter {
-		return false
+		since = stored.Since
+	} else if now.Sub(w.lackingSince) < tuning.ReserveAfter {
+		return false // most waits are over in a moment
 	}
-	teams[name] = Reservation{CPUs: lack.CPUs, GPUs: lack.GPUs, Since: r.lackingSince.UnixMilli()}
+	byTeam[l.team.Name] = Reservation{CPUs: lack.CPUs, GPUs: lack.GPUs, Since: since}
 	return true
 }
 
-// differsTwofold reports whether an amount is twice another or half of it, in any
-// resource: smaller changes are not worth a write.
-func (a Amount) differsTwofold(b Amount) bool {
-	far := func(x, y float64) bool { return max(x, y) > epsilon && max(x, y) >= 2*min(x, y) }
-	return far(a.CPUs, b.CPUs) || far(a.GPUs, b.GPUs)
+// dropReservation drops the team's reservation once no work of it has lacked room
+// for a time; false if it stays as it is.
+func (l *Ledger) dropReservation(now time.Time, byTeam map[string]Reservation) bool {
+	w := &l.waitTimes
+	w.lackingSince = time.Time{}
+	_, stored := byTeam[l.team.Name]
+	if stored && w.satisfiedSince.IsZero() {
+		w.satisfiedSince = now
+	}
+	if !stored || now.Sub(w.satisfiedSince) < tuning.ReserveHold {
+		return false
+	}
+	w.satisfiedSince = time.Time{}
+	delete(byTeam, l.team.Name)
+	return true
 }
--- a/internal/quota/scale.go
+++ b/internal/quota/scale.go
@@ -3,36 +3,40 @@
 import "time"
 
 // TotalGuarantees is the sum of all teams' guarantees.
-func (b *Manager) TotalGuarantees() Amount {
+func (m *Manager) TotalGuarantees() Amount {
 	var sum Amount
-	for _, l := range b.ledgers {
+	for _, l := range m.ledgers {
 		sum = sum.Add(l.team.Guarantee)
 	}
 	return sum
 }
 
 // Scale is how much of its guarantee each team has in each resource while the
-// fleet, grown as far as it goes, can't hold all guarantees together: equal
-// parts of each. Until a team has waited so long that others would be stopped for
-// it, all guarantees count in full, since the fleet may still grow.
-func (b *Manager) Scale(capacity func() Amount, now time.Time) Amount {
-	full := Amount{1, 1}
-	pressed := false
-	for team := range b.reservations.Teams {
-		pressed = pressed || b.MayReclaim(team, now)
+// fleet, scaled out as far as it goes, can't hold all guarantees together: equal
+// parts of each. Until a team has waited so long that others' work would be
+// preempted for it, all guarantees count in full, since the fleet may still grow.
+// capacity is asked for only after that.
+func (m *Manager) Scale(capacity func() Amount, now time.Time) Amount {
+	scale := Amount{CPUs: 1, GPUs: 1}
+	if !m.anyMayReclaim(now) {
+		return scale
 	}
-	if !pressed {
-		return full
-	}
-	promised, fleet := b.TotalGuarantees(), capacity()
+	promised, fleet := m.TotalGuarantees(), capacity()
 	if promised.CPUs > fleet.CPUs {
-		full.CPUs = fleet.CPUs / promised.CPUs
+		scale.CPUs = fleet.CPUs / promised.CPUs
 	}
 	if promised.GPUs > fleet.GPUs {
-		full.GPUs = fleet.GPUs / promised.GPUs
+		scale.GPUs = fleet.GPUs / promised.GPUs
 	}
-	return full
+	return scale
 }
 
-// scaled is an amount multiplied by a factor for each resource.
-func (a Amount) scaled(by Amount) Amount { return Amount{a.CPUs * by.CPUs, a.GPUs * by.GPUs} }
+// anyMayReclaim reports whether some team may reclaim its guarantee.
+func (m *Manager) anyMayReclaim(now time.Time) bool {
+	for team := range m.reservations.Teams {
+		if m.MayReclaim(team, now) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/quota/write.go
+++ b/internal/quota/write.go
@@ -2,6 +2,16 @@
 
 import "errors"
 
+// Write is a record that is to be stored by a compare-and-swap on the version of
+// the one that it was decided on, and on the membership. It must be ended by
+// Ledger.ResolveWrite.
+type Write struct {
+	Team   string
+	Event  Event
+	Record Record
+	Given  Amount // of this controller's share, by a transfer
+}
+
 // Outcome is what became of a write.
 type Outcome int
 
@@ -27,22 +37,13 @@
 	return nil
 }
 
-// ResolveWrite ends a write of the record. guards are those that it had. What a
-// transfer gives away counts while its outcome is in doubt: guards against
-// admitting from it, which does not change the record, before the transfer is
-// applied late.
-func (l *Ledger) ResolveWrite(w *Write, outcome Outcome, guards map[string]uint64) {
+// ResolveWrite ends a write of the record. compared is the versions that it
+// compares, by key. What a transfer gives away counts while its outcome is not
+// known: guards against admitting from it, which does not change the record,
+// before the transfer is applied late.
+func (l *Ledger) ResolveWrite(w *Write, outcome Outcome, compared map[string]uint64) {
 	l.writeInFlight = false
 	if outcome == Unknown && !w.Given.IsZero() {
-		l.uncertain = append(l.uncertain, UncertainAdmission{Guards: guards, Amount: w.Given})
+		l.addUncertain(w.Given, compared)
 	}
 }
-
-// Write is a record that is to be stored, guarded by the version of the one that
-// it was decided on and by the membership. It must be ended by Ledger.Written.
-type Write struct {
-	Team   string
-	Event  Event
-	Record Record
-	Given  Amount // of this node's share, by a transfer
-}
