--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -5,24 +5,25 @@
 	Used      Amount // by the team's claims on all machines
 	Limit     Amount // 0: none
 	Guarantee Amount // 0: none
-	// Left is what each node may still admit; nil: the team has no limit.
+	// Left is what each controller may still admit, by label; nil: the team has
+	// no limit.
 	Left map[string]Amount
 }
 
-// Take enters an admission at a node.
-func (a *Allowance) Take(node string, amount Amount) {
+// Take enters an admission at a controller.
+func (a *Allowance) Take(controller string, amount Amount) {
 	a.Used = a.Used.Add(amount)
 	if a.Left != nil {
-		a.Left[node] = a.Left[node].Sub(amount)
+		a.Left[controller] = a.Left[controller].Sub(amount)
 	}
 }
 
-// AtNode is how many of so many like tasks a node may still admit.
-func (a *Allowance) AtNode(node string, need Amount, tasks int) int {
+// AtNode is how many of so many like tasks a controller may still admit.
+func (a *Allowance) AtNode(controller string, need Amount, tasks int) int {
 	if a.Left == nil {
 		return tasks
 	}
-	left, count := a.Left[node], 0
+	left, count := a.Left[controller], 0
 	for count < tasks && need.fits(left, a.Limit) {
 		left = left.Sub(need)
 		count++
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -8,16 +8,16 @@
 )
 
 // Record is the stored form of a team's shares. It belongs to the membership
-// whose token it names. Two things hold at any time: the shares sum to no more
-// than the limit, and the claims on a node's machines sum to no more than its
-// share. So the team's claims never exceed its limit.
+// whose fencing token it names. Two things hold at any time: the shares sum to no
+// more than the limit, and the claims on a controller's machines sum to no more
+// than its share. So the team's claims never exceed its limit.
 type Record struct {
 	FencingToken uint64           `cbor:"b"`
-	Frozen       bool             `cbor:"f,omitempty"` // about to be shared out anew: nobody admits
-	Shares       map[string]Share `cbor:"g,omitempty"` // by node
+	Frozen       bool             `cbor:"f,omitempty"` // about to be shared out anew: no controller admits
+	Shares       map[string]Share `cbor:"g,omitempty"` // by label of the controller
 }
 
-// Share is the stored form of a node's part of a team's limit.
+// Share is the stored form of a controller's part of a team's limit.
 type Share struct {
 	_    struct{} `cbor:",toarray"`
 	CPUs float64
@@ -39,7 +39,8 @@
 	return sum
 }
 
-// transferred is the record with an amount moved from one node's share to another's.
+// transferred is the record with an amount moved from one controller's share to
+// another's.
 func (r Record) transferred(from, to string, amount Amount) Record {
 	next := r
 	next.Shares = maps.Clone(r.Shares)
@@ -51,7 +52,7 @@
 	return next
 }
 
-// Faults of a record. Nobody admits from a record that has one.
+// Faults of a record. No controller admits from a record that has one.
 var (
 	// ErrDamaged says that a record can't be read, or holds an impossible share.
 	ErrDamaged = errors.New("damaged record of shares")
@@ -63,13 +64,13 @@
 // Check is the one statement of what holds of a record by itself. Resources
 // without a limit are left out.
 func (r Record) Check(t Team) error {
-	for _, node := range slices.Sorted(maps.Keys(r.Shares)) {
-		share := r.Shares[node].Amount()
+	for _, controller := range slices.Sorted(maps.Keys(r.Shares)) {
+		share := r.Shares[controller].Amount()
 		if !share.finite() {
-			return fmt.Errorf("%w: share of %s is no number", ErrDamaged, node)
+			return fmt.Errorf("%w: share of %s is no number", ErrDamaged, controller)
 		}
 		if share = share.onlyLimited(t.Limit); share.CPUs < -epsilon || share.GPUs < -epsilon {
-			return fmt.Errorf("%w: share of %s is %+v", ErrDamaged, node, share)
+			return fmt.Errorf("%w: share of %s is %+v", ErrDamaged, controller, share)
 		}
 	}
 	if total := r.total().onlyLimited(t.Limit); !total.Within(t.Limit) {
