--- a/internal/recovery/decision.go
+++ b/internal/recovery/decision.go
@@ -1,17 +1,17 @@
 package recovery
 
-// Stop is the order that ends something on a machine.
+// Stop is the command that ends something on a machine.
 type Stop int
 
-// Orders that end something.
+// Commands that end something.
 const (
 	NoStop             Stop = iota
 	Kill                    // the task ends at once
-	KillWithCheckpoint      // the task may save before it ends
-	Reap                    // an exited task leaves the reports
+	KillWithCheckpoint      // the task may write a checkpoint before it ends
+	Reap                    // an exited task leaves the heartbeats
 )
 
-// TaskUpdate is the change of the stored state that the report proves.
+// TaskUpdate is the change of the stored state that the heartbeat proves.
 type TaskUpdate int
 
 // Changes of the stored state.
@@ -40,10 +40,10 @@
 	Stop   Stop
 	Start  bool
 	Update TaskUpdate
-	Reason Reason // of Record
+	Reason Reason // of Update
 }
 
 // Adopted reports whether a task that is alive is left running.
 func (d Decision) Adopted(observed ObservedTask) bool {
-	return (observed.State == Alive || observed.State == Checkpointing) && d.Stop == NoStop && d.Update == NoUpdate
+	return observed.running() && d.Stop == NoStop && d.Update == NoUpdate
 }
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -1,10 +1,12 @@
-// Package recovery reconciles what the state service has stored with what the
-// workers report, above all when every controller starts anew: it says what
-// becomes of each task, in which order and how fast orders go out, and when a
-// node knows its machines again.
+// Package recovery reconciles the desired state, which is stored, with the
+// observed state, which workers' heartbeats tell, above all when every controller
+// starts anew. It owns three decisions: what becomes of each task (Reconcile), in
+// which order and how fast starts go out (Pacer), and when a controller knows its
+// machines again (Progress).
 //
 // The table of docs/design/recovery.md is Reconcile; ordinary operation uses the
-// same. The package is pure.
+// same. The package is pure: it neither sends commands nor writes the key-value
+// store, which packages worker and controller do.
 package recovery
 
 // Reconcile decides what becomes of a task on a machine.
@@ -14,33 +16,26 @@
 	return decision
 }
 
-// Commands decides what the worker is told.
+// Commands decides which commands the worker is sent.
 func Commands(desired DesiredTask, observed ObservedTask, worker Worker) Decision {
 	if worker.State == LeaseExpired {
-		return Decision{} // nothing that is sent would be carried out
+		return Decision{} // no command would be carried out
 	}
-	wanted := desired.Claimed && desired.Open && desired.Incarnation == worker.Incarnation
-	same := desired.Claimed && observed.Attempt == desired.Attempt
-	reap := worker.State == TokenAcknowledged && !worker.StartPending
+	wanted := desired.wantedBy(worker)
+	sameAttempt := desired.Claimed && observed.Attempt == desired.Attempt
 	switch {
-	case wanted && (observed.State == NotListed || observed.Attempt < desired.Attempt):
-		d := Decision{Start: worker.AllowStarts}
-		if observed.State == Exited && reap {
-			d.Stop = Reap
-		} else if observed.State == Alive || observed.State == Checkpointing {
-			d.Stop = Kill
-		}
-		return d
+	case wanted && observed.missing(desired):
+		return Decision{Start: worker.AllowStarts, Stop: stopOlderAttempt(observed, worker)}
 	case observed.State == NotListed:
 		return Decision{}
 	case observed.State == Exited:
 		// Only once its end is stored: then no claim names the attempt. Guards
 		// against a late start that runs a forgotten attempt again.
-		if !same && reap {
+		if !sameAttempt && worker.mayReap() {
 			return Decision{Stop: Reap}
 		}
 		return Decision{}
-	case wanted && same:
+	case wanted && sameAttempt:
 		if worker.Stopping && observed.State != Checkpointing {
 			return Decision{Stop: KillWithCheckpoint}
 		}
@@ -50,8 +45,19 @@
 	return Decision{Stop: Kill}
 }
 
-// ProvenUpdate decides what is stored: only what the report, or the end of the session,
-// proves.
+// stopOlderAttempt ends what the worker lists of an attempt before the desired one.
+func stopOlderAttempt(observed ObservedTask, worker Worker) Stop {
+	switch {
+	case observed.State == Exited && worker.mayReap():
+		return Reap
+	case observed.running():
+		return Kill
+	}
+	return NoStop
+}
+
+// ProvenUpdate decides what is stored: only what the heartbeat, or the expiry of
+// the worker's lease, proves.
 func ProvenUpdate(desired DesiredTask, observed ObservedTask, worker Worker) (TaskUpdate, Reason) {
 	switch {
 	case !desired.Claimed:
@@ -59,22 +65,22 @@
 	case worker.State == LeaseExpired && desired.Incarnation <= worker.Incarnation:
 		return UpdateReleased, ReasonLeaseExpired
 	case worker.State != TokenAcknowledged:
-		return NoUpdate, ReasonNone // a former owner's commands may still be under way
+		return NoUpdate, ReasonNone // a former shard owner's commands may still be under way
 	case desired.Incarnation < worker.Incarnation:
 		return UpdateReleased, ReasonNewIncarnation
 	case observed.State == Exited && observed.Attempt == desired.Attempt:
-		return updateOf(observed.Cause), ReasonExited
-	case desired.Cancelled && (observed.State == NotListed || observed.Attempt < desired.Attempt) && worker.NeverRan:
-		// Nobody starts a cancelled job's task any more. Guards against a claim
-		// that counted against its team, and filled its machine, for as long as
-		// the machine's session lasted.
+		return updateAfterExit(observed.Cause), ReasonExited
+	case desired.Cancelled && observed.missing(desired) && worker.NeverRan:
+		// No controller starts a cancelled job's task any more. Guards against a
+		// claim that counted against its team, and filled its machine, for as long
+		// as the machine's incarnation lasted.
 		return UpdateReleased, ReasonNeverStarted
 	}
 	return NoUpdate, ReasonNone
 }
 
-// updateOf is the change that an exit leads to.
-func updateOf(cause ExitCause) TaskUpdate {
+// updateAfterExit is the change that an exit leads to.
+func updateAfterExit(cause ExitCause) TaskUpdate {
 	switch cause {
 	case ExitDone:
 		return UpdateDone
--- a/internal/recovery/state.go
+++ b/internal/recovery/state.go
@@ -1,6 +1,6 @@
 package recovery
 
-// DesiredTask is the stored state of a task on a machine.
+// DesiredTask is the desired state of a task on a machine, as it is stored.
 type DesiredTask struct {
 	Claimed     bool // the task is claimed for this machine
 	Open        bool // and its job is neither done nor cancelled
@@ -9,14 +9,20 @@
 	Incarnation uint64 // of the machine's worker that the claim is for
 }
 
-// TaskState is the state of a task in a worker's report.
+// wantedBy reports whether the task is claimed for this incarnation of the worker,
+// and its job is open.
+func (d DesiredTask) wantedBy(w Worker) bool {
+	return d.Claimed && d.Open && d.Incarnation == w.Incarnation
+}
+
+// TaskState is the state of a task in a worker's heartbeat.
 type TaskState int
 
-// States of a task in a report.
+// States of a task in a heartbeat.
 const (
 	NotListed     TaskState = iota
-	Alive                   // it waits for its image, runs or saves
-	Checkpointing           // it was told to stop and saves
+	Alive                   // it waits for its image, runs or writes a checkpoint
+	Checkpointing           // it is being stopped and writes a checkpoint
 	Exited
 )
 
@@ -30,29 +36,43 @@
 	ExitFailed
 )
 
-// ObservedTask is a task in a worker's newest report.
+// ObservedTask is the observed state of a task: that in the worker's newest
+// heartbeat.
 type ObservedTask struct {
 	State   TaskState
 	Attempt uint64
 	Cause   ExitCause // of Exited
 }
 
-// WorkerState is what the owner of a machine knows of its worker's session.
+// running reports whether an attempt takes up the machine.
+func (o ObservedTask) running() bool { return o.State == Alive || o.State == Checkpointing }
+
+// missing reports whether the worker knows nothing yet of the desired attempt.
+func (o ObservedTask) missing(desired DesiredTask) bool {
+	return o.State == NotListed || o.Attempt < desired.Attempt
+}
+
+// WorkerState is what the shard owner of a machine knows of its worker's
+// incarnation.
 type WorkerState int
 
-// States of a session.
+// States of an incarnation.
 const (
-	TokenUnacknowledged WorkerState = iota // commands of former owners may be under way
-	TokenAcknowledged                      // the worker has shown our token
-	LeaseExpired                           // its lease has ended for certain
+	TokenUnacknowledged WorkerState = iota // commands of former shard owners may be under way
+	TokenAcknowledged                      // the worker has acknowledged our fencing token
+	LeaseExpired                           // its lease has expired for certain
 )
 
-// Worker is the worker's session, and what may be under way to it.
+// Worker is the worker's incarnation, and what may be under way to it.
 type Worker struct {
 	Incarnation  uint64
 	State        WorkerState
-	AllowStarts  bool // this node may send starts: it reads the state service
+	AllowStarts  bool // this controller may send starts: it reads the key-value store
 	StartPending bool // a direct start of the listed attempt may yet arrive
 	NeverRan     bool // the claimed attempt has not begun, and can't without a new start
 	Stopping     bool // the task is wanted off the machine
 }
+
+// mayReap reports whether an exited task may leave the heartbeats: no command of a
+// former shard owner, and no start of ours, can run it again.
+func (w Worker) mayReap() bool { return w.State == TokenAcknowledged && !w.StartPending }
