--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -16,21 +16,27 @@
 type Backlog [classCount]int
 
 // Total is the sum of all classes.
-func (b Backlog) Total() (sum int) {
-	for _, k := range b {
-		sum += k
+func (b Backlog) Total() int { return sum(b[:]) }
+
+// moreUrgent is how many starts wait of classes before one.
+func (b Backlog) moreUrgent(c Class) int { return sum(b[:c]) }
+
+func sum(counts []int) int {
+	total := 0
+	for _, count := range counts {
+		total += count
 	}
-	return sum
+	return total
 }
 
-// Pacer bounds the rate of starts of one node: so many a second, and at most a
-// second's worth at once. Starts of a class leave what more urgent ones that wait
-// need. Orders that protect limits and cancellations, kills and reaps, are not
-// paced. The zero value lets everything pass.
+// Pacer bounds the rate of starts of one controller, as a token bucket: so many a
+// second, and at most a second's worth at once. Starts of a class leave what more
+// urgent ones that wait need. Commands that protect limits and cancellations,
+// kills and reaps, are not paced. The zero value lets everything pass.
 type Pacer struct {
 	rate       float64 // starts a second; 0: no bound
 	tokens     float64
-	refilledAt time.Time // of the last refill
+	refilledAt time.Time
 	backlog    Backlog
 }
 
@@ -48,11 +54,7 @@
 		return true
 	}
 	p.refill(now)
-	urgent := 0
-	for _, waiting := range p.backlog[:c] {
-		urgent += waiting
-	}
-	if p.tokens-float64(urgent) < 1 {
+	if p.tokens-float64(p.backlog.moreUrgent(c)) < 1 {
 		return false
 	}
 	p.tokens--
@@ -60,6 +62,7 @@
 	return true
 }
 
+// refill adds the tokens of the time since the last refill.
 func (p *Pacer) refill(now time.Time) {
 	p.tokens = min(p.rate, p.tokens+p.rate*max(0, now.Sub(p.refilledAt).Seconds()))
 	p.refilledAt = now
--- a/internal/recovery/progress.go
+++ b/internal/recovery/progress.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Phase is how far a node is in knowing its machines.
+// Phase is how far a controller is in knowing its machines.
 type Phase string
 
-// Phases of a node's recovery.
+// Phases of a controller's recovery.
 const (
-	// Loading: the stored state is not read yet, or the node is no member.
+	// Loading: the stored state is not read yet, or the controller is no member.
 	Loading Phase = "loading"
-	// Reconciling: machines with claims have not all reported yet. What runs is
-	// kept; nothing is stopped, moved or rented on a picture with gaps.
+	// Reconciling: not all machines with claims have sent a heartbeat yet. What
+	// runs is kept; nothing is stopped or moved, and nothing is scaled out, on a
+	// view with gaps.
 	Reconciling Phase = "reconciling"
-	// CatchingUp: every machine is accounted for; orders that have piled up go
+	// CatchingUp: every machine is accounted for; commands that have piled up go
 	// out at a bounded rate.
 	CatchingUp Phase = "catching up"
 	// Recovered: ordinary operation.
 	Recovered Phase = "recovered"
 )
 
-// Event changes a node's phase.
+// Event changes a controller's phase.
 type Event string
 
-// Events of a node's recovery.
+// Events of a controller's recovery.
 const (
-	Loaded    Event = "loaded"    // the stored state is read, and the node is a member
-	Accounted Event = "accounted" // every machine has reported or is missing
-	CaughtUp  Event = "caught up" // no orders are left over
-	Lost      Event = "lost"      // the node is a member no longer
+	Loaded    Event = "loaded"    // the stored state is read, and the controller is a member
+	Accounted Event = "accounted" // every machine is reconciled or missing
+	CaughtUp  Event = "caught up" // no commands are left over
+	Lost      Event = "lost"      // the controller is a member no longer
 )
 
-// Next is the one function that changes a node's phase.
+// Next is the one function that changes a controller's phase.
 func (p Phase) Next(e Event) Phase {
 	switch {
 	case p == Loading && e == Loaded:
@@ -45,20 +46,21 @@
 	return p
 }
 
-// MachineState is what a node knows of one of its machines.
+// MachineState is what a controller knows of one of its machines.
 type MachineState string
 
 // States of a machine.
 const (
-	Unknown    MachineState = "unknown"    // not heard since the node began
-	Reported   MachineState = "reported"   // heard; its session is not proven yet
-	Reconciled MachineState = "reconciled" // heard and proven: what it runs is known
-	Missing    MachineState = "missing"    // not heard though it had the time
+	Unknown    MachineState = "unknown"    // no heartbeat since the controller became a member
+	Reported   MachineState = "reported"   // heartbeats come; our fencing token is not acknowledged yet
+	Reconciled MachineState = "reconciled" // our fencing token is acknowledged: what the machine runs is known
+	Missing    MachineState = "missing"    // not reconciled though it had the time
 )
 
-// StateOf is a machine's state. heard says whether it has been heard since the
-// node became a member, proven whether its session is, waited how long ago the
-// node became a member, and patience how long a machine has time to report.
+// StateOf is a machine's state. reported says whether heartbeats have come since
+// the controller became a member, tokenAcknowledged whether the worker has
+// acknowledged its fencing token, waited how long ago the controller became a
+// member, and timeout how long a machine has time to be reconciled.
 func StateOf(reported, tokenAcknowledged bool, waited, timeout time.Duration) MachineState {
 	switch {
 	case reported && tokenAcknowledged:
@@ -77,55 +79,56 @@
 // Accounted reports whether every machine is reconciled or missing.
 func (c Count) Accounted() bool { return c[Unknown] == 0 && c[Reported] == 0 }
 
-// Progress is the state of a node's recovery.
+// Progress is the state of a controller's recovery.
 type Progress struct {
 	Phase         Phase
 	Since         time.Time // of the phase
-	Began         time.Time // when the node last became a member while it recovered
+	Began         time.Time // when the controller last became a member while it recovered
 	Machines      Count
-	PendingStarts Backlog   // starts that wait
-	sawOpenJobs   bool      // open jobs have been seen
+	PendingStarts Backlog
+
+	sawOpenJobs   bool
 	lastPendingAt time.Time // when starts last waited
 }
 
-// NewProgress is the recovery of a node that begins.
+// NewProgress is the recovery of a controller that begins.
 func NewProgress(now time.Time) *Progress {
 	return &Progress{Phase: Loading, Since: now, Machines: Count{}}
 }
 
 // Apply enters an event; true if it has changed the phase.
-func (n *Progress) Apply(e Event, now time.Time) bool {
-	next := n.Phase.Next(e)
-	if next == n.Phase {
+func (p *Progress) Apply(e Event, now time.Time) bool {
+	next := p.Phase.Next(e)
+	if next == p.Phase {
 		return false
 	}
-	n.Phase, n.Since = next, now
+	p.Phase, p.Since = next, now
 	if next == Reconciling {
-		n.Began = now
+		p.Began = now
 	}
 	return true
 }
 
 // RecordCounts enters how many machines are in each state, how many jobs are open, and
 // how many starts wait.
-func (n *Progress) RecordCounts(machines Count, jobs int, left Backlog, now time.Time) {
-	n.Machines, n.PendingStarts = machines, left
-	n.sawOpenJobs = n.sawOpenJobs || jobs > 0
-	if left.Total() > 0 {
-		n.lastPendingAt = now
+func (p *Progress) RecordCounts(machines Count, openJobs int, pending Backlog, now time.Time) {
+	p.Machines, p.PendingStarts = machines, pending
+	p.sawOpenJobs = p.sawOpenJobs || openJobs > 0
+	if pending.Total() > 0 {
+		p.lastPendingAt = now
 	}
 }
 
 // Quiet reports whether no start has waited for a time, in the present phase; a
-// node that has seen no open job since it began has nothing to wait for.
-// Guards against an end in the moment between the release of what an outage has
-// ended and its claims.
-func (n *Progress) Quiet(now time.Time, d time.Duration) bool {
-	return !n.sawOpenJobs || now.Sub(n.lastPendingAt) >= d && now.Sub(n.Since) >= d
+// controller that has seen no open job since it began has nothing to wait for.
+// Guards against an end of the recovery in the moment between the release of what
+// an outage has ended and its new claims.
+func (p *Progress) Quiet(now time.Time, d time.Duration) bool {
+	return !p.sawOpenJobs || now.Sub(p.lastPendingAt) >= d && now.Sub(p.Since) >= d
 }
 
 // Done reports whether ordinary operation goes on.
-func (n *Progress) Done() bool { return n.Phase == Recovered }
+func (p *Progress) Done() bool { return p.Phase == Recovered }
 
 // MachinesUnknown reports whether machines that may hold work are not accounted for.
-func (n *Progress) MachinesUnknown() bool { return n.Phase == Loading || n.Phase == Reconciling }
+func (p *Progress) MachinesUnknown() bool { return p.Phase == Loading || p.Phase == Reconciling }
