--- a/internal/recovery/progress_test.go
+++ b/internal/recovery/progress_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// A node's recovery goes through its phases in order, begins anew when it loses
-// its membership, and never comes back once it is over.
-func TestPhases(t *testing.T) {
+// A controller's recovery goes through its phases in order, begins anew when it
+// loses its membership, and never comes back once it is over.
+func TestRecoveryPhases(t *testing.T) {
 	now := time.UnixMilli(0)
-	n := NewProgress(now)
+	p := NewProgress(now)
 	step := func(e Event, want Phase) {
 		t.Helper()
 		now = now.Add(time.Second)
-		before := n.Phase
-		if changed := n.Apply(e, now); n.Phase != want || changed != (before != want) {
-			t.Fatalf("%s in %s: %s", e, before, n.Phase)
+		before := p.Phase
+		if changed := p.Apply(e, now); p.Phase != want || changed != (before != want) {
+			t.Fatalf("%s in %s: %s", e, before, p.Phase)
 		}
-		if before != want && n.Since != now {
-			t.Fatalf("since %v", n.Since)
+		if before != want && p.Since != now {
+			t.Fatalf("since %v", p.Since)
 		}
 	}
 	step(Accounted, Loading)
@@ -28,15 +28,15 @@
 	step(CaughtUp, Reconciling)
 	step(Lost, Loading)
 	step(Loaded, Reconciling)
-	if n.Began == began || !n.MachinesUnknown() || n.Done() {
-		t.Fatal("a new membership does not begin the time to report anew")
+	if p.Began == began || !p.MachinesUnknown() || p.Done() {
+		t.Fatal("a new membership does not begin the time for heartbeats anew")
 	}
 	step(Accounted, CatchingUp)
 	step(Lost, Loading)
 	step(Loaded, Reconciling)
 	step(Accounted, CatchingUp)
-	if n.MachinesUnknown() || n.Done() {
-		t.Fatal("catching up is blind, or over")
+	if p.MachinesUnknown() || p.Done() {
+		t.Fatal("machines are unknown while catching up, or recovery is over")
 	}
 	step(CaughtUp, Recovered)
 	for _, e := range []Event{Lost, Loaded, Accounted, CaughtUp} {
@@ -44,25 +44,43 @@
 	}
 }
 
-func TestStatesOfAMachine(t *testing.T) {
-	const patience = 12 * time.Second
+func TestMachineStates(t *testing.T) {
+	const timeout = 12 * time.Second
 	for _, c := range []struct {
-		heard, proven bool
-		waited        time.Duration
-		want          MachineState
+		name                        string
+		reported, tokenAcknowledged bool
+		waited                      time.Duration
+		want                        MachineState
 	}{
-		{false, false, time.Second, Unknown},
-		{true, false, time.Second, Reported},
-		{true, true, time.Second, Reconciled},
-		{true, true, time.Minute, Reconciled},
-		{false, false, time.Minute, Missing},
-		{true, false, time.Minute, Missing}, // it reports, and does not take our token
+		{"no heartbeat yet", false, false, time.Second, Unknown},
+		{"heartbeat without our token", true, false, time.Second, Reported},
+		{"token acknowledged", true, true, time.Second, Reconciled},
+		{"token acknowledged, after the timeout", true, true, time.Minute, Reconciled},
+		{"no heartbeat, after the timeout", false, false, time.Minute, Missing},
+		{"heartbeats that don't acknowledge our token, after the timeout", true, false, time.Minute, Missing},
 	} {
-		if got := StateOf(c.heard, c.proven, c.waited, patience); got != c.want {
-			t.Errorf("%+v: %s", c, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := StateOf(c.reported, c.tokenAcknowledged, c.waited, timeout); got != c.want {
+				t.Errorf("%s, want %s", got, c.want)
+			}
+		})
 	}
-	if (Count{Unknown: 1}).Accounted() || (Count{Reported: 1}).Accounted() || !(Count{Reconciled: 3, Missing: 1}).Accounted() {
-		t.Error("what counts as accounted")
+}
+
+func TestAccountedMachines(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		count Count
+		want  bool
+	}{
+		{"one unknown", Count{Unknown: 1}, false},
+		{"one not reconciled yet", Count{Reported: 1}, false},
+		{"reconciled and missing", Count{Reconciled: 3, Missing: 1}, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.count.Accounted(); got != c.want {
+				t.Errorf("%v is accounted: %v", c.count, got)
+			}
+		})
 	}
 }
--- a/internal/recovery/reconcile_test.go
+++ b/internal/recovery/reconcile_test.go
@@ -6,100 +6,106 @@
 	"pgregory.net/rapid"
 )
 
-// The rows of the table in docs/design/recovery.md, in its order. The session is
-// number 5 and proven, starts may be sent and nothing is under way, unless the
-// row says otherwise.
-func TestTable(t *testing.T) {
+// The rows of the table in docs/design/recovery.md, in its order. The worker's
+// incarnation is 5 and has acknowledged the fencing token, starts may be sent and
+// nothing is under way, unless the row says otherwise.
+func TestReconcileTable(t *testing.T) {
 	claim := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 5}
 	cancelled := DesiredTask{Claimed: true, Cancelled: true, Attempt: 3, Incarnation: 5}
-	older := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 4}
+	earlier := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 4}
+	later := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 6}
+	checkpointing := ObservedTask{State: Checkpointing, Attempt: 3}
 	alive := func(attempt uint64) ObservedTask { return ObservedTask{State: Alive, Attempt: attempt} }
 	exited := func(attempt uint64, cause ExitCause) ObservedTask {
 		return ObservedTask{State: Exited, Attempt: attempt, Cause: cause}
 	}
-	with := func(change func(*Worker)) func(*Worker) { return change }
+	unacknowledged := func(w *Worker) { w.State = TokenUnacknowledged }
+	leaseExpired := func(w *Worker) { w.State = LeaseExpired }
+	startPending := func(w *Worker) { w.StartPending = true }
 	for _, row := range []struct {
-		name   string
-		claim  DesiredTask
-		listed ObservedTask
-		change func(*Worker)
-		want   Decision
+		name     string
+		desired  DesiredTask
+		observed ObservedTask
+		change   func(*Worker)
+		want     Decision
 	}{
 		{"1 claimed, alive: kept", claim, alive(3), nil, Decision{}},
-		{"2 claimed, saving: kept until it ends", claim, ObservedTask{State: Checkpointing, Attempt: 3}, nil, Decision{}},
-		{"3 claimed, alive, wanted off: stopped, may save", claim, alive(3), with(func(s *Worker) { s.Stopping = true }), Decision{Stop: KillWithCheckpoint}},
+		{"2 claimed, checkpointing: kept until it ends", claim, checkpointing, nil, Decision{}},
+		{"3 claimed, alive, wanted off: killed, may write a checkpoint", claim, alive(3), func(w *Worker) { w.Stopping = true }, Decision{Stop: KillWithCheckpoint}},
 		{"4 claimed, not listed: started", claim, ObservedTask{}, nil, Decision{Start: true}},
-		{"5 claimed, not listed, no state service: waits", claim, ObservedTask{}, with(func(s *Worker) { s.AllowStarts = false }), Decision{}},
-		{"6 claimed, not listed, session not proven: started, nothing stored", claim, ObservedTask{}, with(func(s *Worker) { s.State = TokenUnacknowledged }), Decision{Start: true}},
+		{"5 claimed, not listed, no key-value store: waits", claim, ObservedTask{}, func(w *Worker) { w.AllowStarts = false }, Decision{}},
+		{"6 claimed, not listed, token not acknowledged: started, nothing stored", claim, ObservedTask{}, unacknowledged, Decision{Start: true}},
 		{"7 claimed, older attempt alive: that is killed, the claim started", claim, alive(2), nil, Decision{Stop: Kill, Start: true}},
 		{"8 claimed, older attempt exited: that is reaped, the claim started", claim, exited(2, ExitOther), nil, Decision{Stop: Reap, Start: true}},
-		{"9 claimed, older attempt exited, a start of it held up: not reaped", claim, exited(2, ExitOther), with(func(s *Worker) { s.StartPending = true }), Decision{Start: true}},
+		{"9 claimed, older attempt exited, a start of it pending: not reaped", claim, exited(2, ExitOther), startPending, Decision{Start: true}},
 		{"10 claimed, newer attempt alive: killed", claim, alive(4), nil, Decision{Stop: Kill}},
 		{"11 claimed, done: stored, not reaped before", claim, exited(3, ExitDone), nil, Decision{Update: UpdateDone, Reason: ReasonExited}},
 		{"12 claimed, failed: stored", claim, exited(3, ExitFailed), nil, Decision{Update: UpdateFailed, Reason: ReasonExited}},
-		{"13 claimed, stopped or refused: the claim is free", claim, exited(3, ExitOther), nil, Decision{Update: UpdateReleased, Reason: ReasonExited}},
-		{"14 claimed, done, session not proven: waits", claim, exited(3, ExitDone), with(func(s *Worker) { s.State = TokenUnacknowledged }), Decision{}},
-		{"15 claimed for an earlier session: free", older, ObservedTask{}, nil, Decision{Update: UpdateReleased, Reason: ReasonNewIncarnation}},
-		{"16 claimed for an earlier session, not proven: waits", older, ObservedTask{}, with(func(s *Worker) { s.State = TokenUnacknowledged }), Decision{}},
-		{"17 claimed, the lease has ended: free, nothing sent", claim, alive(3), with(func(s *Worker) { s.State = LeaseExpired }), Decision{Update: UpdateReleased, Reason: ReasonLeaseExpired}},
-		{"18 claimed for a later session than the ended one: waits", DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 6}, ObservedTask{}, with(func(s *Worker) { s.State = LeaseExpired }), Decision{}},
-		{"19 claimed for a later session, not listed: waits", DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 6}, ObservedTask{}, nil, Decision{}},
+		{"13 claimed, stopped or refused: released", claim, exited(3, ExitOther), nil, Decision{Update: UpdateReleased, Reason: ReasonExited}},
+		{"14 claimed, done, token not acknowledged: waits", claim, exited(3, ExitDone), unacknowledged, Decision{}},
+		{"15 claimed for an earlier incarnation: released", earlier, ObservedTask{}, nil, Decision{Update: UpdateReleased, Reason: ReasonNewIncarnation}},
+		{"16 claimed for an earlier incarnation, token not acknowledged: waits", earlier, ObservedTask{}, unacknowledged, Decision{}},
+		{"17 claimed, lease expired: released, nothing sent", claim, alive(3), leaseExpired, Decision{Update: UpdateReleased, Reason: ReasonLeaseExpired}},
+		{"18 claimed for a later incarnation than the expired one: waits", later, ObservedTask{}, leaseExpired, Decision{}},
+		{"19 claimed for a later incarnation, not listed: waits", later, ObservedTask{}, nil, Decision{}},
 		{"20 cancelled, alive: killed", cancelled, alive(3), nil, Decision{Stop: Kill}},
-		{"21 cancelled, saving: killed", cancelled, ObservedTask{State: Checkpointing, Attempt: 3}, nil, Decision{Stop: Kill}},
+		{"21 cancelled, checkpointing: killed", cancelled, checkpointing, nil, Decision{Stop: Kill}},
 		{"22 cancelled, not listed, a start may arrive: waits", cancelled, ObservedTask{}, nil, Decision{}},
-		{"23 cancelled, not listed, never ran: free", cancelled, ObservedTask{}, with(func(s *Worker) { s.NeverRan = true }), Decision{Update: UpdateReleased, Reason: ReasonNeverStarted}},
-		{"24 cancelled, exited: free", cancelled, exited(3, ExitOther), nil, Decision{Update: UpdateReleased, Reason: ReasonExited}},
+		{"23 cancelled, not listed, never ran: released", cancelled, ObservedTask{}, func(w *Worker) { w.NeverRan = true }, Decision{Update: UpdateReleased, Reason: ReasonNeverStarted}},
+		{"24 cancelled, exited: released", cancelled, exited(3, ExitOther), nil, Decision{Update: UpdateReleased, Reason: ReasonExited}},
 		{"25 no claim, alive: killed", DesiredTask{}, alive(3), nil, Decision{Stop: Kill}},
-		{"26 no claim, alive, not proven: killed", DesiredTask{}, alive(3), with(func(s *Worker) { s.State = TokenUnacknowledged }), Decision{Stop: Kill}},
+		{"26 no claim, alive, token not acknowledged: killed", DesiredTask{}, alive(3), unacknowledged, Decision{Stop: Kill}},
 		{"27 no claim, exited: reaped", DesiredTask{}, exited(3, ExitDone), nil, Decision{Stop: Reap}},
-		{"28 no claim, exited, a start of it held up: waits", DesiredTask{}, exited(3, ExitDone), with(func(s *Worker) { s.StartPending = true }), Decision{}},
-		{"29 no claim, exited, not proven: waits", DesiredTask{}, exited(3, ExitDone), with(func(s *Worker) { s.State = TokenUnacknowledged }), Decision{}},
+		{"28 no claim, exited, a start of it pending: waits", DesiredTask{}, exited(3, ExitDone), startPending, Decision{}},
+		{"29 no claim, exited, token not acknowledged: waits", DesiredTask{}, exited(3, ExitDone), unacknowledged, Decision{}},
 		{"30 no claim, not listed: nothing", DesiredTask{}, ObservedTask{}, nil, Decision{}},
 	} {
-		session := Worker{Incarnation: 5, State: TokenAcknowledged, AllowStarts: true}
-		if row.change != nil {
-			row.change(&session)
-		}
-		if got := Reconcile(row.claim, row.listed, session); got != row.want {
-			t.Errorf("%s: %+v, want %+v", row.name, got, row.want)
-		}
+		t.Run(row.name, func(t *testing.T) {
+			worker := Worker{Incarnation: 5, State: TokenAcknowledged, AllowStarts: true}
+			if row.change != nil {
+				row.change(&worker)
+			}
+			if got := Reconcile(row.desired, row.observed, worker); got != row.want {
+				t.Errorf("%+v, want %+v", got, row.want)
+			}
+		})
 	}
 }
 
-// What holds of every decision, whatever is stored, reported and under way.
-func TestDecisionsKeepTheRules(t *testing.T) {
+// What holds of every decision, whatever is desired, observed and under way.
+func TestReconcileInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bool := func(name string) bool { return rapid.Bool().Draw(t, name) }
+		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		number := func(name string) uint64 { return rapid.Uint64Range(1, 3).Draw(t, name) }
-		c := DesiredTask{Claimed: bool("stored"), Open: bool("open"), Attempt: number("attempt"), Incarnation: number("claimed session")}
-		c.Cancelled = !c.Open && bool("cancelled")
-		l := ObservedTask{State: TaskState(rapid.IntRange(0, 3).Draw(t, "state")), Attempt: number("listed attempt"), Cause: ExitCause(rapid.IntRange(0, 2).Draw(t, "cause"))}
-		s := Worker{Incarnation: number("session"), State: WorkerState(rapid.IntRange(0, 2).Draw(t, "session state")), AllowStarts: bool("may start"),
-			StartPending: bool("held"), NeverRan: bool("never ran"), Stopping: bool("stopping")}
-		d := Reconcile(c, l, s)
-		live := l.State == Alive || l.State == Checkpointing
-		covered := c.Claimed && c.Open && c.Incarnation == s.Incarnation && c.Attempt == l.Attempt
+		desired := DesiredTask{Claimed: flag("stored"), Open: flag("open"), Attempt: number("attempt"), Incarnation: number("claimed incarnation")}
+		desired.Cancelled = !desired.Open && flag("cancelled")
+		observed := ObservedTask{State: TaskState(rapid.IntRange(0, 3).Draw(t, "state")), Attempt: number("observed attempt"), Cause: ExitCause(rapid.IntRange(0, 2).Draw(t, "cause"))}
+		worker := Worker{Incarnation: number("incarnation"), State: WorkerState(rapid.IntRange(0, 2).Draw(t, "worker state")), AllowStarts: flag("allow starts"),
+			StartPending: flag("start pending"), NeverRan: flag("never ran"), Stopping: flag("stopping")}
+		d := Reconcile(desired, observed, worker)
+		running := observed.State == Alive || observed.State == Checkpointing
+		covered := desired.Claimed && desired.Open && desired.Incarnation == worker.Incarnation && desired.Attempt == observed.Attempt
 		switch {
-		case d.Start && (!c.Claimed || !c.Open || c.Incarnation != s.Incarnation || !s.AllowStarts):
-			t.Fatalf("started without an open claim for the session: %+v", d)
-		case d.Start && live && d.Stop != Kill:
+		case d.Start && (!desired.Claimed || !desired.Open || desired.Incarnation != worker.Incarnation || !worker.AllowStarts):
+			t.Fatalf("started without an open claim for the incarnation: %+v", d)
+		case d.Start && running && d.Stop != Kill:
 			t.Fatalf("started beside another attempt: %+v", d)
-		case d.Start && l.State != NotListed && l.Attempt >= c.Attempt:
+		case d.Start && observed.State != NotListed && observed.Attempt >= desired.Attempt:
 			t.Fatalf("started again: %+v", d)
-		case live && covered && !s.Stopping && d.Stop != NoStop:
+		case running && covered && !worker.Stopping && d.Stop != NoStop:
 			t.Fatalf("a task that runs correctly is stopped: %+v", d)
-		case live && !covered && s.State != LeaseExpired && d.Stop != Kill:
+		case running && !covered && worker.State != LeaseExpired && d.Stop != Kill:
 			t.Fatalf("a task without an open claim goes on: %+v", d)
-		case d.Stop == Reap && (l.State != Exited || s.StartPending || s.State != TokenAcknowledged || c.Claimed && c.Attempt == l.Attempt):
-			t.Fatalf("forgotten too early: %+v", d)
-		case d.Update != NoUpdate && (!c.Claimed || s.State == TokenUnacknowledged):
+		case d.Stop == Reap && (observed.State != Exited || worker.StartPending || worker.State != TokenAcknowledged || desired.Claimed && desired.Attempt == observed.Attempt):
+			t.Fatalf("reaped too early: %+v", d)
+		case d.Update != NoUpdate && (!desired.Claimed || worker.State == TokenUnacknowledged):
 			t.Fatalf("stored without proof: %+v", d)
-		case d.Update == UpdateDone && (l.State != Exited || l.Cause != ExitDone || l.Attempt != c.Attempt):
+		case d.Update == UpdateDone && (observed.State != Exited || observed.Cause != ExitDone || observed.Attempt != desired.Attempt):
 			t.Fatalf("done without an end: %+v", d)
-		case d.Update != NoUpdate && live && l.Attempt == c.Attempt && c.Incarnation == s.Incarnation && s.State == TokenAcknowledged:
-			t.Fatalf("the claim of a task that runs ends: %+v", d)
-		case s.State == LeaseExpired && (d.Start || d.Stop != NoStop):
-			t.Fatalf("an order to a session that has ended: %+v", d)
+		case d.Update != NoUpdate && running && observed.Attempt == desired.Attempt && desired.Incarnation == worker.Incarnation && worker.State == TokenAcknowledged:
+			t.Fatalf("the claim of a running task ends: %+v", d)
+		case worker.State == LeaseExpired && (d.Start || d.Stop != NoStop):
+			t.Fatalf("a command to a worker whose lease has expired: %+v", d)
 		}
 	})
 }
