--- a/internal/roles/choose.go
+++ b/internal/roles/choose.go
@@ -2,29 +2,32 @@
 
 import "wheatspur/internal/placement"
 
-// Victim chooses the service machine to flip: the one with the fewest service
-// tasks (ours); names break ties.
+// Victim chooses the service machine to move to the batch role: the one with the
+// fewest service tasks (ours); names break ties. It is nil without machines.
 func Victim(machines []*placement.Machine) *placement.Machine {
-	return fewestTasks(machines, func(r placement.ClaimedTask) bool { return r.Job.Service() })
+	return fewestTasks(machines, func(task placement.ClaimedTask) bool { return task.Job.Service() })
 }
 
-// Emptiest chooses the batch machine to flip: the one with the fewest tasks.
+// Emptiest chooses the batch machine to move to the service role: the one with the
+// fewest tasks; names break ties. It is nil without machines.
 func Emptiest(machines []*placement.Machine) *placement.Machine {
 	return fewestTasks(machines, func(placement.ClaimedTask) bool { return true })
 }
 
+// fewestTasks is the machine with the fewest tasks that count, the first by name
+// among equals.
 func fewestTasks(machines []*placement.Machine, counts func(placement.ClaimedTask) bool) *placement.Machine {
 	var best *placement.Machine
-	n := 0
+	fewest := 0
 	for _, m := range machines {
-		k := 0
-		for _, r := range m.Tasks {
-			if counts(r) {
-				k++
+		count := 0
+		for _, task := range m.Tasks {
+			if counts(task) {
+				count++
 			}
 		}
-		if best == nil || k < n || k == n && m.Name < best.Name {
-			best, n = m, k
+		if best == nil || count < fewest || count == fewest && m.Name < best.Name {
+			best, fewest = m, count
 		}
 	}
 	return best
--- a/internal/roles/propose.go
+++ b/internal/roles/propose.go
@@ -2,56 +2,91 @@
 
 import "wheatspur/internal/tuning"
 
-// propose finds the eligible adjacent split, or the gate that stops it.
+// endlessLoad is beyond every load of a role that has machines.
+const endlessLoad = 1e300
+
+// propose finds the eligible adjacent split, or the gate that stops it: the one of
+// the move to batch if both directions have one.
 func (c *Controller) propose(s Split) (Proposal, Gate) {
-	op := c.settings
-	if s.Batch+s.Service >= 2*tuning.RoleFloor {
-		if s.Service+s.ServiceComing < tuning.RoleFloor && s.Batch > tuning.RoleFloor {
-			return Proposal{ToService, Floor, s.Complete, s.Batch - 1, s.Service + 1}, Open
-		}
-		if s.Batch+s.BatchComing+s.Spot < tuning.RoleFloor && s.Service > tuning.RoleFloor && s.BatchWork > 0 {
-			return Proposal{ToBatch, Floor, s.Complete, s.Batch + 1, s.Service - 1}, Open
-		}
+	if p := proposeFloor(s); p.Direction != None {
+		return p, Open
 	}
-	bl, sl := s.batchLoad(s.Batch, op.RoleStartTarget), s.serviceLoad(s.Service, op.RoleUsable)
-	worst := max(bl, sl)
-	gate := NoGain
-	if s.Batch > 0 && s.Batch+s.Spot > tuning.RoleFloor {
-		nb, ns := s.batchLoad(s.Batch-1, op.RoleStartTarget), s.serviceLoad(s.Service+1, op.RoleUsable)
-		if worstLoadDrop(worst, nb, ns) >= op.RoleMargin {
-			if nb <= op.RoleShrink {
-				return Proposal{ToService, Consolidate, s.Complete, s.Batch - 1, s.Service + 1}, Open
-			}
-			gate = SourceBusy
-		}
-	} else if sl > bl {
-		gate = AtFloor
-	}
-	if s.Service > tuning.RoleFloor {
-		nb, ns := s.batchLoad(s.Batch+1, op.RoleStartTarget), s.serviceLoad(s.Service-1, op.RoleUsable)
-		if worstLoadDrop(worst, nb, ns) >= op.RoleMargin {
-			if ns <= op.RoleShrink {
-				return Proposal{ToBatch, Consolidate, s.Complete, s.Batch + 1, s.Service - 1}, Open
-			}
-			if bl >= op.RoleExpand {
-				return Proposal{ToBatch, Mixed, s.Complete, s.Batch + 1, s.Service - 1}, Open
-			}
-			gate = SourceBusy
-		}
-	} else if bl > sl {
-		gate = AtFloor
+	current := s.loads(c.settings, s.Batch, s.Service)
+	p, gate := c.proposeToService(s, current)
+	if p.Direction != None {
+		return p, Open
+	}
+	p, toBatchGate := c.proposeToBatch(s, current)
+	if p.Direction != None {
+		return p, Open
+	}
+	if toBatchGate != NoGain {
+		gate = toBatchGate
 	}
 	return Proposal{}, gate
 }
 
-// worstLoadDrop is how much the worst ratio falls; a load without machines is endless.
-func worstLoadDrop(worst, nb, ns float64) float64 {
-	next := max(nb, ns)
-	if worst > 1e300 {
-		if next > 1e300 {
-			return 0
+// proposeFloor restores a role without a machine, if the other one has machines to
+// spare.
+func proposeFloor(s Split) Proposal {
+	switch {
+	case s.Batch+s.Service < 2*tuning.RoleFloor:
+	case s.Service+s.ServiceComing < tuning.RoleFloor && s.Batch > tuning.RoleFloor:
+		return s.adjacent(ToService, Floor)
+	case s.Batch+s.BatchComing+s.Spot < tuning.RoleFloor && s.Service > tuning.RoleFloor && s.BatchWork > 0:
+		return s.adjacent(ToBatch, Floor)
+	}
+	return Proposal{}
+}
+
+// proposeToService moves a batch machine if the worst load falls by the margin, and
+// what is left of the batch role is lightly loaded.
+func (c *Controller) proposeToService(s Split, current loads) (Proposal, Gate) {
+	if s.Batch == 0 || s.Batch+s.Spot <= tuning.RoleFloor {
+		if current.service > current.batch {
+			return Proposal{}, AtFloor
 		}
-		return 1e300
+		return Proposal{}, NoGain
+	}
+	next := s.loads(c.settings, s.Batch-1, s.Service+1)
+	switch {
+	case worstLoadDrop(current, next) < c.settings.RoleMargin:
+		return Proposal{}, NoGain
+	case next.batch <= c.settings.RoleShrink:
+		return s.adjacent(ToService, Consolidate), Open
+	}
+	return Proposal{}, SourceBusy
+}
+
+// proposeToBatch moves a service machine if the worst load falls by the margin, and
+// what is left of the service role is lightly loaded or batch work waits too long.
+func (c *Controller) proposeToBatch(s Split, current loads) (Proposal, Gate) {
+	if s.Service <= tuning.RoleFloor {
+		if current.batch > current.service {
+			return Proposal{}, AtFloor
+		}
+		return Proposal{}, NoGain
+	}
+	next := s.loads(c.settings, s.Batch+1, s.Service-1)
+	switch {
+	case worstLoadDrop(current, next) < c.settings.RoleMargin:
+		return Proposal{}, NoGain
+	case next.service <= c.settings.RoleShrink:
+		return s.adjacent(ToBatch, Consolidate), Open
+	case current.batch >= c.settings.RoleExpand:
+		return s.adjacent(ToBatch, Mixed), Open
+	}
+	return Proposal{}, SourceBusy
+}
+
+// worstLoadDrop is how much the worst load falls; a load without machines is
+// endless.
+func worstLoadDrop(current, next loads) float64 {
+	switch {
+	case current.worst() > endlessLoad && next.worst() > endlessLoad:
+		return 0
+	case current.worst() > endlessLoad:
+		return endlessLoad
 	}
-	return worst - next
+	return current.worst() - next.worst()
 }
