--- a/internal/quota/admission_test.go
+++ b/internal/quota/admission_test.go
@@ -3,49 +3,55 @@
 import "testing"
 
 // The leader's claim on a machine of its own gets no answer and is applied after
-// all; before its watch shows that, its own next write changes the record, a
-// guard of the first. The first claim still counts. Guards against two claims
+// all; before its watch shows that, its own next write changes the record, which
+// the first compares. The first claim still counts. Guards against two claims
 // in a share of one.
-func TestAnAppliedClaimInDoubtCountsUntilItIsRead(t *testing.T) {
+func TestUncertainAdmissionCountsUntilItsClaimIsRead(t *testing.T) {
 	m := newShared(t, 4, "a", "b", "c") // a leads and has two, the others one
 	lost := m.mustAdmit(t, "a", 0)
 	handOver := m.mustAdmit(t, "a", 1) // b's machine
-	m.lose(lost, false)
-	m.apply(lost)
+	m.loseAnswer(lost, false)
+	m.applyWrite(lost)
 	m.deliver(handOver)
-	if w := m.admit(m.nodes["a"], 0, Amount{GPUs: 1}); w != nil {
-		m.deliver(w)
+	m.tryAdmit("a", 0)
+	if m.violation != nil {
+		t.Fatal(m.violation)
 	}
-	if m.broken != nil {
-		t.Fatal(m.broken)
-	}
-	// Once it is read, nothing is in doubt any more.
-	m.settle()
-	if _, inDoubt := m.nodes["a"].book.Ledger("x").Pending(); !inDoubt.IsZero() {
-		t.Fatalf("%+v stays in doubt", inDoubt)
+	// Once it is read, nothing is uncertain any more.
+	m.converge()
+	if _, uncertain := m.controllers["a"].manager.Ledger("x").Pending(); !uncertain.IsZero() {
+		t.Fatalf("%+v stays uncertain", uncertain)
 	}
 }
 
-// Two nodes admit the last free unit in the same instant: one that leads, and one
-// that takes the lead. Whichever write comes first, one unit is claimed.
-func TestTheLastUnitIsAdmittedOnce(t *testing.T) {
-	for _, formerFirst := range []bool{true, false} {
-		m := newShared(t, 1, "a", "b")
-		former := m.mustAdmit(t, "a", 0)
-		m.join([]string{"a", "b"}, "b")
-		next := m.nodes["b"]
-		next.readTo(m.log, len(m.log))
-		m.deliver(m.redistribute(next, oneUnit, false))
-		latter := m.mustAdmit(t, "b", 1)
-		if formerFirst {
-			m.deliver(former)
-			m.deliver(latter)
-		} else {
-			m.deliver(latter)
-			m.deliver(former)
-		}
-		if len(m.claims) != 1 || m.broken != nil {
-			t.Fatalf("%d claims, %v", len(m.claims), m.broken)
-		}
+// Two controllers admit the last free unit in the same instant: the former leader
+// and the next one. Whichever write comes first, one unit is claimed.
+func TestLastUnitIsAdmittedOnceAcrossFailover(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		formerFirst bool
+	}{
+		{"the former leader's write comes first", true},
+		{"the next leader's write comes first", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			m := newShared(t, 1, "a", "b")
+			former := m.mustAdmit(t, "a", 0)
+			m.join([]string{"a", "b"}, "b")
+			leader := m.controllers["b"]
+			leader.readTo(m.log, len(m.log))
+			m.deliver(m.rebalance(leader, onePendingUnit, false))
+			latter := m.mustAdmit(t, "b", 1)
+			writes := []*write{latter, former}
+			if c.formerFirst {
+				writes = []*write{former, latter}
+			}
+			for _, w := range writes {
+				m.deliver(w)
+			}
+			if len(m.claims) != 1 || m.violation != nil {
+				t.Fatalf("%d claims, %v", len(m.claims), m.violation)
+			}
+		})
 	}
 }
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -9,7 +9,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden bytes")
 
-// What a node has stored must stay readable to every later version, and to the
+// What a controller has stored must stay readable to every later version, and to the
 // version that works beside it.
 func TestGoldenRecords(t *testing.T) {
 	golden.Check(t, []golden.Sample{
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -11,25 +11,25 @@
 	"wheatspur/wire"
 )
 
-// model is a state service, and nodes that each have read a part of what is
-// stored. Writes are delivered in any order, their answers get lost, and they
+// model is a key-value store, and controllers that each have read a part of what
+// is stored. Writes are delivered in any order, their answers get lost, and they
 // may be applied late. The checker sees stored changes only.
 type model struct {
-	team     string
-	now      time.Time
-	revision uint64
-	log      []change
-	versions map[string]uint64
-	claims   map[string]claim
-	record   wire.Raw
-	members  membership
-	nodes    map[string]*modelNode
-	waiting  []*write // decided on; not applied yet
-	late     []*write // their node has given up on them
-	serial   int
-	unused   Amount // of a giver's share by its own work
-	unsafe   bool   // a planted fault: writes are applied whatever their guards say
-	broken   error  // the first violation that the checker saw
+	team           string
+	now            time.Time
+	revision       uint64
+	log            []change
+	versions       map[string]uint64
+	claims         map[string]claim
+	record         wire.Raw
+	membership     membership
+	controllers    map[string]*modelController
+	inFlight       []*write // decided on; not applied yet
+	abandoned      []*write // their controller has given up on them
+	claimCount     int
+	unused         Amount // of a giver's share by its own work
+	ignoreCompares bool   // a planted fault: writes are applied whatever their compares say
+	violation      error  // the first violation that the checker saw
 }
 
 // claim is a stored claim on a machine.
@@ -40,18 +40,18 @@
 
 // membership is the stored membership.
 type membership struct {
-	token  uint64
-	leader string
-	nodes  []string
+	token   uint64
+	leader  string
+	members []string
 }
 
 // owner is the member that a machine is hashed to.
-func (m membership) owner(machine int) string { return m.nodes[machine%len(m.nodes)] }
+func (m membership) owner(machine int) string { return m.members[machine%len(m.members)] }
 
-// Keys of the model's state service.
+// Keys of the model's key-value store.
 const (
-	memberKey = "member"
-	recordKey = "record"
+	membershipKey = "member"
+	recordKey     = "record"
 )
 
 // change is one stored change of one key.
@@ -63,31 +63,31 @@
 	members  membership
 }
 
-// write is a guarded transaction.
+// write is a compare-and-swap.
 type write struct {
-	node      *modelNode
-	guards    map[string]uint64
-	changes   []change
-	limit     Amount     // that the node decided under
-	admission *Admission // of claims
-	shares    *Write     // of the leader's shares, or a transfer
-}
-
-// modelNode is a process of a node, with its cache.
-type modelNode struct {
-	label    string
-	book     *Manager
-	read     int // changes of the log that it has read
-	revision uint64
-	newest   uint64 // of its own writes
-	versions map[string]uint64
-	claims   map[string]claim
-	members  membership
-	limit    Amount
+	controller  *modelController
+	compares    map[string]uint64
+	changes     []change
+	limit       Amount     // that the controller decided under
+	admission   *Admission // of claims
+	recordWrite *Write     // of the leader's shares, or a transfer
+}
+
+// modelController is a process of a controller, with its cache.
+type modelController struct {
+	label          string
+	manager        *Manager
+	readCount      int // changes of the log that it has read
+	revision       uint64
+	newestOwnWrite uint64 // of its own writes
+	versions       map[string]uint64
+	claims         map[string]claim
+	membership     membership
+	limit          Amount
 }
 
 func newModel(limit Amount, nodes ...string) *model {
-	m := &model{team: "x", now: time.Unix(1000, 0), unused: Amount{CPUs: 1e9, GPUs: 1e9}, versions: map[string]uint64{}, claims: map[string]claim{}, nodes: map[string]*modelNode{}}
+	m := &model{team: "x", now: time.Unix(1000, 0), unused: Amount{CPUs: 1e9, GPUs: 1e9}, versions: map[string]uint64{}, claims: map[string]claim{}, controllers: map[string]*modelController{}}
 	for _, label := range nodes {
 		m.start(label, limit)
 	}
@@ -95,43 +95,43 @@
 	return m
 }
 
-// start begins a process of a node, which has read nothing.
+// start begins a process of a controller, which has read nothing.
 func (m *model) start(label string, limit Amount) {
-	n := &modelNode{label: label, book: &Manager{}, versions: map[string]uint64{}, claims: map[string]claim{}}
+	n := &modelController{label: label, manager: &Manager{}, versions: map[string]uint64{}, claims: map[string]claim{}}
 	n.configure(m.team, limit)
-	m.nodes[label] = n
+	m.controllers[label] = n
 }
 
-// configure gives the node a limit of the team.
-func (n *modelNode) configure(team string, limit Amount) {
+// configure gives the controller a limit of the team.
+func (n *modelController) configure(team string, limit Amount) {
 	n.limit = limit
-	n.book.Configure([]Team{{Name: team, Limit: limit}}, Options{Transfers: true})
+	n.manager.Configure([]Team{{Name: team, Limit: limit}}, Options{Transfers: true})
 }
 
-// restart ends a node's process and begins another; the writes of the former
-// one may still arrive.
+// restart ends a controller's process and begins another; the writes of the
+// former one may still arrive.
 func (m *model) restart(label string) {
-	old := m.nodes[label]
-	kept := m.waiting[:0]
-	for _, w := range m.waiting {
-		if w.node == old {
-			m.late = append(m.late, w)
+	old := m.controllers[label]
+	kept := m.inFlight[:0]
+	for _, w := range m.inFlight {
+		if w.controller == old {
+			m.abandoned = append(m.abandoned, w)
 		} else {
 			kept = append(kept, w)
 		}
 	}
-	m.waiting = kept
+	m.inFlight = kept
 	m.start(label, old.limit)
-	m.join(m.members.nodes, m.members.leader)
+	m.join(m.membership.members, m.membership.leader)
 }
 
-// join stores a membership with the next token.
+// join stores a membership with the next fencing token.
 func (m *model) join(nodes []string, leader string) {
-	m.members = membership{m.members.token + 1, leader, slices.Clone(nodes)}
-	m.store([]change{{key: memberKey, members: m.members}})
+	m.membership = membership{m.membership.token + 1, leader, slices.Clone(nodes)}
+	m.storeChanges([]change{{key: membershipKey, members: m.membership}})
 }
 
-func (m *model) store(changes []change) {
+func (m *model) storeChanges(changes []change) {
 	m.revision++
 	for _, c := range changes {
 		c.revision = m.revision
@@ -140,7 +140,7 @@
 		switch {
 		case c.key == recordKey:
 			m.record = c.record
-		case c.key == memberKey:
+		case c.key == membershipKey:
 		case c.claim == nil:
 			delete(m.claims, c.key)
 		default:
@@ -149,22 +149,22 @@
 	}
 }
 
-// apply carries a write out if its guards hold, and lets the checker look.
-func (m *model) apply(w *write) bool {
-	for key, version := range w.guards {
-		if m.versions[key] != version && !m.unsafe {
+// applyWrite carries a write out if its compares hold, and checks the invariants.
+func (m *model) applyWrite(w *write) bool {
+	for key, version := range w.compares {
+		if m.versions[key] != version && !m.ignoreCompares {
 			return false
 		}
 	}
-	m.store(w.changes)
-	if err := m.check(w); err != nil && m.broken == nil {
-		m.broken = err
+	m.storeChanges(w.changes)
+	if err := m.checkInvariants(w); err != nil && m.violation == nil {
+		m.violation = err
 	}
 	return true
 }
 
-// held is what the stored claims on each node's machines take.
-func held(team string, claims map[string]claim, members membership) ClaimedByNode {
+// claimedByController is what the stored claims on each controller's machines take.
+func claimedByController(team string, claims map[string]claim, members membership) ClaimedByNode {
 	out := ClaimedByNode{}
 	for _, c := range claims {
 		owner := members.owner(c.machine)
@@ -176,44 +176,44 @@
 	return out
 }
 
-// check looks at what is stored after a write: claims stay within the limit that
-// they were decided under, and each node's within its share.
-func (m *model) check(w *write) error {
-	holdings := held(m.team, m.claims, m.members)
-	if total := holdings.Of(m.team); w.admission != nil && !total.Within(w.limit) {
-		return fmt.Errorf("claims of %+v after an admission by %s under a limit of %+v", total, w.node.label, w.limit)
+// checkInvariants looks at what is stored after a write: claims stay within the
+// limit that they were decided under, and each controller's within its share.
+func (m *model) checkInvariants(w *write) error {
+	claimed := claimedByController(m.team, m.claims, m.membership)
+	if total := claimed.Of(m.team); w.admission != nil && !total.Within(w.limit) {
+		return fmt.Errorf("claims of %+v after an admission by %s under a limit of %+v", total, w.controller.label, w.limit)
 	}
 	var record Record
-	if m.record == nil || wire.Unmarshal(m.record, &record) != nil || record.FencingToken != m.members.token || record.Frozen {
+	if m.record == nil || wire.Unmarshal(m.record, &record) != nil || record.FencingToken != m.membership.token || record.Frozen {
 		return nil
 	}
-	for node, teams := range holdings {
-		if share := record.Shares[node].Amount(); !teams[m.team].fits(share, w.limit) {
-			return fmt.Errorf("%s holds %+v, its share is %+v", node, teams[m.team], share)
+	for label, byTeam := range claimed {
+		if share := record.Shares[label].Amount(); !byTeam[m.team].fits(share, w.limit) {
+			return fmt.Errorf("%s has claims of %+v, its share is %+v", label, byTeam[m.team], share)
 		}
 	}
 	return nil
 }
 
-// readTo lets a node read the log up to some change of it. A later change of a
+// readTo lets a controller read the log up to some change of it. A later change of a
 // key that it knows already, as its own write, stays.
-func (n *modelNode) readTo(log []change, count int) {
-	for ; n.read < count; n.read++ {
-		n.enter(log[n.read])
-		n.revision = log[n.read].revision
+func (n *modelController) readTo(log []change, count int) {
+	for ; n.readCount < count; n.readCount++ {
+		n.applyChange(log[n.readCount])
+		n.revision = log[n.readCount].revision
 	}
 }
 
-func (n *modelNode) enter(c change) {
+func (n *modelController) applyChange(c change) {
 	if c.revision <= n.versions[c.key] {
 		return
 	}
-	n.versions[c.key], n.newest = c.revision, max(n.newest, c.revision)
+	n.versions[c.key], n.newestOwnWrite = c.revision, max(n.newestOwnWrite, c.revision)
 	switch {
 	case c.key == recordKey:
-		_ = n.book.Apply("x", c.record, c.revision)
-	case c.key == memberKey:
-		n.members = c.members
+		_ = n.manager.Apply("x", c.record, c.revision)
+	case c.key == membershipKey:
+		n.membership = c.members
 	case c.claim == nil:
 		delete(n.claims, c.key)
 	default:
@@ -221,34 +221,35 @@
 	}
 }
 
-// Version, Revision and Newest are those of the node's cache.
-func (n *modelNode) Version(key string) uint64 { return n.versions[key] }
-func (n *modelNode) Revision() uint64          { return n.revision }
-func (n *modelNode) NewestRevision() uint64    { return max(n.revision, n.newest) }
+// Version, Revision and NewestRevision are those of the controller's cache.
+
+func (n *modelController) Version(key string) uint64 { return n.versions[key] }
+func (n *modelController) Revision() uint64          { return n.revision }
+func (n *modelController) NewestRevision() uint64    { return max(n.revision, n.newestOwnWrite) }
 
-func (n *modelNode) view(team string) View {
-	return View{Self: n.label, Leader: n.members.leader, Nodes: n.members.nodes, FencingToken: n.members.token,
-		Claimed: held(team, n.claims, n.members), Revision: n.revision}
+func (n *modelController) view(team string) View {
+	return View{Self: n.label, Leader: n.membership.leader, Nodes: n.membership.members, FencingToken: n.membership.token,
+		Claimed: claimedByController(team, n.claims, n.membership), Revision: n.revision}
 }
 
-// member reports whether the node, as far as it has read, is a member.
-func (n *modelNode) member() bool { return slices.Contains(n.members.nodes, n.label) }
+// isMember reports whether the controller, as far as it has read, is a member.
+func (n *modelController) isMember() bool { return slices.Contains(n.membership.members, n.label) }
 
-// guards are those of every write of the team.
-func (n *modelNode) guards() map[string]uint64 {
-	return map[string]uint64{memberKey: n.versions[memberKey], recordKey: n.versions[recordKey]}
+// compares is what every write of the team compares.
+func (n *modelController) compares() map[string]uint64 {
+	return map[string]uint64{membershipKey: n.versions[membershipKey], recordKey: n.versions[recordKey]}
 }
 
-// admit lets a node decide on a claim on a machine; nil if it may not.
-func (m *model) admit(n *modelNode, machine int, amount Amount) *write {
-	ledger := n.book.Ledger(m.team)
+// admit lets a controller decide on a claim on a machine; nil if it may not.
+func (m *model) admit(n *modelController, machine int, amount Amount) *write {
+	ledger := n.manager.Ledger(m.team)
 	ledger.Forget(n)
-	if !n.member() {
+	if !n.isMember() {
 		return nil
 	}
 	var others map[string]Amount
-	if owner := n.members.owner(machine); owner != n.label {
-		if n.members.leader != n.label {
+	if owner := n.membership.owner(machine); owner != n.label {
+		if n.membership.leader != n.label {
 			return nil
 		}
 		others = map[string]Amount{owner: amount}
@@ -257,182 +258,193 @@
 	if err != nil {
 		return nil
 	}
-	m.serial++
-	key := fmt.Sprintf("claim/%d", m.serial)
-	w := &write{node: n, guards: n.guards(), limit: n.limit, admission: admission,
+	m.claimCount++
+	key := fmt.Sprintf("claim/%d", m.claimCount)
+	w := &write{controller: n, compares: n.compares(), limit: n.limit, admission: admission,
 		changes: []change{{key: key, claim: &claim{machine, amount}}}}
-	w.guards[key] = 0
+	w.compares[key] = 0
 	if admission.Next != nil {
 		w.changes = append(w.changes, change{key: recordKey, record: wire.MustMarshal(*admission.Next)})
 	}
-	m.waiting = append(m.waiting, w)
+	m.inFlight = append(m.inFlight, w)
 	return w
 }
 
-// redistribute lets a node that holds itself for the leader share out; nil if
+// rebalance lets a controller that takes itself for the leader share out; nil if
 // there is nothing to do.
-func (m *model) redistribute(n *modelNode, pending iter.Seq[Amount], short bool) *write {
-	if !n.member() || n.members.leader != n.label {
+func (m *model) rebalance(n *modelController, pending iter.Seq[Amount], short bool) *write {
+	if !n.isMember() || n.membership.leader != n.label {
 		return nil
 	}
-	ledger := n.book.Ledger(m.team)
-	ledger.RecordShortage(short, m.now, n.members.token)
+	ledger := n.manager.Ledger(m.team)
+	ledger.RecordShortage(short, m.now, n.membership.token)
 	m.now = m.now.Add(4 * time.Second)
-	return m.sendShares(n, ledger.Rebalance(m.now, n.view(m.team), pending, true))
+	return m.sendRecord(n, ledger.Rebalance(m.now, n.view(m.team), pending, true))
 }
 
-// transfer lets a node give part of its share; nil if it does not.
-func (m *model) transfer(n *modelNode, taker string, lack Amount) *write {
-	if !n.member() {
+// transfer lets a controller give part of its share; nil if it does not.
+func (m *model) transfer(n *modelController, taker string, lack Amount) *write {
+	if !n.isMember() {
 		return nil
 	}
 	m.now = m.now.Add(time.Second)
 	v := n.view(m.team)
-	ledger := n.book.Ledger(m.team)
+	ledger := n.manager.Ledger(m.team)
 	ledger.Forget(n)
-	return m.sendShares(n, ledger.Transfer(m.now, v, taker, lack, m.unused))
+	return m.sendRecord(n, ledger.Transfer(m.now, v, taker, lack, m.unused))
 }
 
-// sendShares sends a write of the record on its way.
-func (m *model) sendShares(n *modelNode, decided *Write) *write {
+// sendRecord sends a write of the record on its way.
+func (m *model) sendRecord(n *modelController, decided *Write) *write {
 	if decided == nil {
 		return nil
 	}
-	w := &write{node: n, guards: n.guards(), limit: n.limit, shares: decided,
+	w := &write{controller: n, compares: n.compares(), limit: n.limit, recordWrite: decided,
 		changes: []change{{key: recordKey, record: wire.MustMarshal(decided.Record)}}}
-	m.waiting = append(m.waiting, w)
+	m.inFlight = append(m.inFlight, w)
 	return w
 }
 
-// deliver applies a waiting write and answers its node.
+// deliver applies a write that is in flight and answers its controller.
 func (m *model) deliver(w *write) {
-	m.drop(w)
-	if m.apply(w) {
+	m.removeInFlight(w)
+	if m.applyWrite(w) {
 		m.answer(w, Stored)
 	} else {
 		m.answer(w, Failed)
 	}
 }
 
-// lose lets a write go without an answer: applied now, or perhaps later.
-func (m *model) lose(w *write, applied bool) {
-	m.drop(w)
+// loseAnswer lets a write go without an answer: applied now, or perhaps later.
+func (m *model) loseAnswer(w *write, applied bool) {
+	m.removeInFlight(w)
 	if applied {
-		m.apply(w)
+		m.applyWrite(w)
 	} else {
-		m.late = append(m.late, w)
+		m.abandoned = append(m.abandoned, w)
 	}
 	m.answer(w, Unknown)
 }
 
-func (m *model) drop(w *write) {
-	m.waiting = slices.DeleteFunc(m.waiting, func(o *write) bool { return o == w })
+func (m *model) removeInFlight(w *write) {
+	m.inFlight = slices.DeleteFunc(m.inFlight, func(o *write) bool { return o == w })
 }
 
-// answer tells a node what became of its write.
+// answer tells a controller what became of its write.
 func (m *model) answer(w *write, outcome Outcome) {
-	n := w.node
+	n := w.controller
 	if outcome == Stored {
 		for _, c := range w.changes {
 			c.revision = m.revision
-			n.enter(c)
+			n.applyChange(c)
 		}
 	} else {
 		n.readTo(m.log, len(m.log)) // what is stored now decides
 	}
-	ledger := n.book.Ledger(m.team)
-	if w.shares != nil {
-		ledger.ResolveWrite(w.shares, outcome, w.guards)
+	ledger := n.manager.Ledger(m.team)
+	if w.recordWrite != nil {
+		ledger.ResolveWrite(w.recordWrite, outcome, w.compares)
 	}
 	if w.admission != nil {
-		ledger.ResolveAdmission(w.admission, outcome, w.guards)
+		ledger.ResolveAdmission(w.admission, outcome, w.compares)
 	}
 }
 
 // release ends a stored claim.
-func (m *model) release(key string) { m.store([]change{{key: key}}) }
+func (m *model) release(key string) { m.storeChanges([]change{{key: key}}) }
+
+// storeRaw stores something else in the record's place.
+func (m *model) storeRaw(raw wire.Raw) { m.storeChanges([]change{{key: recordKey, record: raw}}) }
 
-// damage stores something else in the record's place.
-func (m *model) damage(raw wire.Raw) { m.store([]change{{key: recordKey, record: raw}}) }
+// claimKeys lists the stored claims, in order.
+func (m *model) claimKeys() []string { return slices.Sorted(maps.Keys(m.claims)) }
+
+// deliverAll lets every write in flight arrive.
+func (m *model) deliverAll() {
+	for len(m.inFlight) > 0 {
+		m.deliver(m.inFlight[0])
+	}
+}
 
-// keys lists the stored claims, in order.
-func (m *model) keys() []string { return slices.Sorted(maps.Keys(m.claims)) }
+// readAll lets every controller read all changes.
+func (m *model) readAll() {
+	for _, n := range m.controllers {
+		n.readTo(m.log, len(m.log))
+	}
+}
 
-// settle lets every write arrive and every node read, and the leader share out
-// until nothing changes.
-func (m *model) settle() {
-	for _, w := range m.late {
-		m.apply(w)
+// converge lets every write arrive and every controller read, and the leader share
+// out until nothing changes.
+func (m *model) converge() {
+	for _, w := range m.abandoned {
+		m.applyWrite(w)
 	}
-	m.late = nil
+	m.abandoned = nil
 	for round := range 8 {
-		for len(m.waiting) > 0 {
-			m.deliver(m.waiting[0])
-		}
-		for _, n := range m.nodes {
+		m.deliverAll()
+		for _, n := range m.controllers {
 			n.readTo(m.log, len(m.log))
-			n.book.Ledger(m.team).Forget(n)
+			n.manager.Ledger(m.team).Forget(n)
 		}
-		m.redistribute(m.nodes[m.members.leader], oneUnit, round < 4)
-	}
-	for len(m.waiting) > 0 {
-		m.deliver(m.waiting[0])
-	}
-	for _, n := range m.nodes {
-		n.readTo(m.log, len(m.log))
+		m.rebalance(m.controllers[m.membership.leader], onePendingUnit, round < 4)
 	}
+	m.deliverAll()
+	m.readAll()
 }
 
-// none is no waiting work.
-func none(func(Amount) bool) {}
+// noPendingWork is no waiting work.
+func noPendingWork(func(Amount) bool) {}
 
-// oneUnit is a waiting job that takes one unit.
-func oneUnit(yield func(Amount) bool) { yield(Amount{GPUs: 1}) }
+// onePendingUnit is a waiting job that takes one unit.
+func onePendingUnit(yield func(Amount) bool) { yield(Amount{GPUs: 1}) }
 
-// newShared is a model whose limit has been shared out to all nodes, which have
-// read it.
-func newShared(t *testing.T, gpus float64, nodes ...string) *model {
+// newShared is a model whose limit has been shared out to all controllers, which
+// have read it.
+func newShared(t *testing.T, gpus float64, labels ...string) *model {
 	t.Helper()
-	m := newModel(Amount{GPUs: gpus}, nodes...)
-	m.settle()
-	for _, n := range m.nodes {
-		if phase := n.book.Ledger(m.team).Phase(m.members.token); phase != Shared {
+	m := newModel(Amount{GPUs: gpus}, labels...)
+	m.converge()
+	for _, n := range m.controllers {
+		if phase := n.manager.Ledger(m.team).Phase(m.membership.token); phase != Shared {
 			t.Fatalf("the shares are %s at %s", phase, n.label)
 		}
 	}
 	return m
 }
 
-// mustAdmit lets a node decide on a claim of one unit.
+// tryAdmit lets a controller claim one unit on a machine, if it may.
+func (m *model) tryAdmit(label string, machine int) {
+	if w := m.admit(m.controllers[label], machine, Amount{GPUs: 1}); w != nil {
+		m.deliver(w)
+	}
+}
+
+// mustAdmit lets a controller decide on a claim of one unit.
 func (m *model) mustAdmit(t *testing.T, label string, machine int) *write {
 	t.Helper()
-	w := m.admit(m.nodes[label], machine, Amount{GPUs: 1})
+	w := m.admit(m.controllers[label], machine, Amount{GPUs: 1})
 	if w == nil {
 		t.Fatalf("%s admits nothing on machine %d", label, machine)
 	}
 	return w
 }
 
-// The checker must see a violation: here the state service ignores guards.
-func TestTheCheckerSeesAPlantedViolation(t *testing.T) {
+// The checker must see a violation: here the key-value store ignores compares.
+func TestCheckerSeesAPlantedViolation(t *testing.T) {
 	m := newShared(t, 4, "a", "b")
-	m.unsafe = true
+	m.ignoreCompares = true
 	stale := m.mustAdmit(t, "b", 1)
 	m.restart("b")
-	m.settle()
+	m.converge()
 	for range 4 {
-		if w := m.admit(m.nodes["a"], 0, Amount{GPUs: 1}); w != nil {
-			m.deliver(w)
-		}
-		if w := m.admit(m.nodes["b"], 1, Amount{GPUs: 1}); w != nil {
-			m.deliver(w)
-		}
+		m.tryAdmit("a", 0)
+		m.tryAdmit("b", 1)
 	}
 	for range 3 {
 		stale.changes[0].key += "again" // the same claim, carried out several times
-		m.apply(stale)
+		m.applyWrite(stale)
 	}
-	if m.broken == nil {
+	if m.violation == nil {
 		t.Fatalf("%d claims of a limit of 4 went unseen", len(m.claims))
 	}
 }
--- a/internal/quota/phase_test.go
+++ b/internal/quota/phase_test.go
@@ -1,9 +1,12 @@
 package quota
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
-// Every phase allows the writes of the design note's table, and no others.
-func TestPhasesAllowTheirWritesOnly(t *testing.T) {
+// Every phase allows the writes of the table in docs/design/quota.md, and no others.
+func TestPhaseTransitions(t *testing.T) {
 	allowed := map[Phase]map[Event]Phase{
 		Unlimited: {},
 		Unshared:  {ShareOut: Shared},
@@ -14,11 +17,13 @@
 	}
 	for phase, events := range allowed {
 		for _, event := range []Event{ShareOut, Freeze, HandOver, Transfer} {
-			next, err := phase.Next(event)
-			want, ok := events[event]
-			if ok != (err == nil) || ok && next != want || !ok && next != phase {
-				t.Errorf("%s of shares that are %s: %s, %v", event, phase, next, err)
-			}
+			t.Run(fmt.Sprintf("%s of shares that are %s", event, phase), func(t *testing.T) {
+				next, err := phase.Next(event)
+				want, ok := events[event]
+				if ok != (err == nil) || ok && next != want || !ok && next != phase {
+					t.Errorf("%s, %v", next, err)
+				}
+			})
 		}
 	}
 }
--- a/internal/quota/reservation_test.go
+++ b/internal/quota/reservation_test.go
@@ -9,8 +9,8 @@
 	"wheatspur/wire"
 )
 
-// reserving is a book of two teams with guarantees and one without.
-func reserving() *Manager {
+// newReservingManager is a manager of two teams with guarantees and one without.
+func newReservingManager() *Manager {
 	return NewManager([]Team{
 		{Name: "x", Guarantee: Amount{GPUs: 8}},
 		{Name: "y", Guarantee: Amount{CPUs: 10, GPUs: 16}},
@@ -18,41 +18,41 @@
 	}, Options{Reservations: true})
 }
 
-// store carries a decision out and lets the book read it.
-func (b *Manager) store(t *testing.T, r *Reservations) {
+// storeReservations carries a decision out and lets the manager read it.
+func storeReservations(t *testing.T, m *Manager, decided *Reservations) {
 	t.Helper()
-	if r == nil {
+	if decided == nil {
 		t.Fatal("nothing is to be stored")
 	}
-	if err := b.ApplyReservations(wire.MustMarshal(*r)); err != nil {
+	if err := m.ApplyReservations(wire.MustMarshal(*decided)); err != nil {
 		t.Fatal(err)
 	}
-	b.ReservationsWritten()
+	m.ReservationsWritten()
 }
 
 // A wait is stored once it has lasted, keeps its beginning while its amount
 // changes or a new leader goes on, and is dropped some time after its end.
-func TestAReservationKeepsTheBeginningOfItsWait(t *testing.T) {
-	b, begin := reserving(), time.UnixMilli(1_000_000)
+func TestReservationKeepsTheStartOfItsWaitAcrossFailover(t *testing.T) {
+	m, begin := newReservingManager(), time.UnixMilli(1_000_000)
 	short := map[string]Amount{"x": {GPUs: 3}, "z": {GPUs: 5}}
-	if b.Reserve(begin, short) != nil {
+	if m.Reserve(begin, short) != nil {
 		t.Fatal("a wait that has just begun is stored")
 	}
 	now := begin.Add(tuning.ReserveAfter)
-	decided := b.Reserve(now, short)
-	if b.Reserve(now.Add(time.Minute), short) != nil {
+	decided := m.Reserve(now, short)
+	if m.Reserve(now.Add(time.Minute), short) != nil {
 		t.Fatal("decided again while the write is under way")
 	}
-	b.store(t, decided)
-	if r, ok := b.Reserved("x"); !ok || r.Since != begin.UnixMilli() || r.GPUs != 3 {
+	storeReservations(t, m, decided)
+	if r, ok := m.Reserved("x"); !ok || r.Since != begin.UnixMilli() || r.GPUs != 3 {
 		t.Fatalf("stored %+v", r)
 	}
-	if _, ok := b.Reserved("z"); ok {
+	if _, ok := m.Reserved("z"); ok {
 		t.Fatal("a team without a guarantee has a reservation")
 	}
 
 	// A new leader knows nothing but the record; the amount has doubled.
-	next := reserving()
+	next := newReservingManager()
 	if err := next.ApplyReservations(wire.MustMarshal(*decided)); err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		t.Fatal("a small change of the amount is stored")
 	}
 	short["x"] = Amount{GPUs: 6}
-	next.store(t, next.Reserve(now.Add(tuning.ReservePause), short))
+	storeReservations(t, next, next.Reserve(now.Add(tuning.ReservePause), short))
 	if r, _ := next.Reserved("x"); r.Since != begin.UnixMilli() || r.GPUs != 6 {
 		t.Fatalf("a new leader stored %+v", r)
 	}
@@ -80,63 +80,69 @@
 		t.Fatal("the same need again is stored")
 	}
 	now = now.Add(time.Minute)
-	_ = next.Reserve(now, nil)
-	next.store(t, next.Reserve(now.Add(tuning.ReserveHold), nil))
+	_ = next.Reserve(now, nil) // the wait ends
+	storeReservations(t, next, next.Reserve(now.Add(tuning.ReserveHold), nil))
 	if _, ok := next.Reserved("x"); ok {
 		t.Fatal("it stays when nothing lacks room")
 	}
 }
 
 // A guarantee that operators take away takes its reservation along.
-func TestAReservationEndsWithItsGuarantee(t *testing.T) {
-	b, now := reserving(), time.UnixMilli(1_000_000)
-	_ = b.Reserve(now, map[string]Amount{"y": {GPUs: 1}})
-	b.store(t, b.Reserve(now.Add(tuning.ReserveAfter), map[string]Amount{"y": {GPUs: 1}}))
-	b.Configure([]Team{{Name: "x", Guarantee: Amount{GPUs: 8}}, {Name: "y"}}, Options{Reservations: true})
-	b.store(t, b.Reserve(now.Add(time.Minute), nil))
-	if _, ok := b.Reserved("y"); ok {
+func TestReservationEndsWithItsGuarantee(t *testing.T) {
+	m, now := newReservingManager(), time.UnixMilli(1_000_000)
+	_ = m.Reserve(now, map[string]Amount{"y": {GPUs: 1}}) // the wait begins
+	storeReservations(t, m, m.Reserve(now.Add(tuning.ReserveAfter), map[string]Amount{"y": {GPUs: 1}}))
+	m.Configure([]Team{{Name: "x", Guarantee: Amount{GPUs: 8}}, {Name: "y"}}, Options{Reservations: true})
+	storeReservations(t, m, m.Reserve(now.Add(time.Minute), nil))
+	if _, ok := m.Reserved("y"); ok {
 		t.Fatal("it stays")
 	}
 }
 
 // Guarantees beyond what the fleet holds are cut in equal parts, once it is shown
 // that the fleet does not grow.
-func TestGuaranteesBeyondTheFleetAreSharedInEqualParts(t *testing.T) {
-	b, begin := reserving(), time.UnixMilli(1_000_000)
+func TestGuaranteesBeyondTheFleetAreScaledEqually(t *testing.T) {
+	m, begin := newReservingManager(), time.UnixMilli(1_000_000)
 	fleet := func() Amount { return Amount{CPUs: 100, GPUs: 12} }
 	late := begin.Add(tuning.GuaranteePreemptAfter + time.Minute)
-	if scale := b.Scale(fleet, late); scale != (Amount{1, 1}) {
+	if scale := m.Scale(fleet, late); scale != (Amount{1, 1}) {
 		t.Fatalf("scale %+v though nobody waits", scale)
 	}
-	_ = b.Reserve(begin, map[string]Amount{"x": {GPUs: 8}})
-	b.store(t, b.Reserve(begin.Add(tuning.ReserveAfter), map[string]Amount{"x": {GPUs: 8}}))
-	if scale := b.Scale(fleet, begin.Add(time.Minute)); scale != (Amount{1, 1}) {
+	_ = m.Reserve(begin, map[string]Amount{"x": {GPUs: 8}}) // the wait begins
+	storeReservations(t, m, m.Reserve(begin.Add(tuning.ReserveAfter), map[string]Amount{"x": {GPUs: 8}}))
+	if scale := m.Scale(fleet, begin.Add(time.Minute)); scale != (Amount{1, 1}) {
 		t.Fatalf("scale %+v while the fleet may grow", scale)
 	}
-	scale := b.Scale(fleet, late)
+	scale := m.Scale(fleet, late)
 	if scale != (Amount{1, 0.5}) {
-		t.Fatalf("scale %+v for guarantees of %+v and a fleet of %+v", scale, b.TotalGuarantees(), fleet())
+		t.Fatalf("scale %+v for guarantees of %+v and a fleet of %+v", scale, m.TotalGuarantees(), fleet())
 	}
-	y := b.Ledger("y").Allowance(View{}, Amount{GPUs: 9}, scale)
+	y := m.Ledger("y").Allowance(View{}, Amount{GPUs: 9}, scale)
 	if y.WithinGuarantee(y.Used) || !y.WithinGuarantee(Amount{GPUs: 8}) {
 		t.Fatalf("half of a guarantee of 16: %+v", y)
 	}
 }
 
-// What can't be read, or can't be, counts as no reservation and ends nothing.
+// Reservations that can't be read, or can't be, count as none and end nothing.
 func TestDamagedReservationsCountAsNone(t *testing.T) {
-	for name, raw := range map[string]wire.Raw{
-		"no cbor":  {0xff},
-		"a list":   wire.MustMarshal([]int{1}),
-		"negative": wire.MustMarshal(Reservations{Teams: map[string]Reservation{"x": {GPUs: -1, Since: 1}}}),
+	for _, c := range []struct {
+		name string
+		raw  wire.Raw
+		want error // nil: any
+	}{
+		{"no cbor", wire.Raw{0xff}, nil},
+		{"a list", wire.MustMarshal([]int{1}), nil},
+		{"negative", wire.MustMarshal(Reservations{Teams: map[string]Reservation{"x": {GPUs: -1, Since: 1}}}), ErrDamaged},
 	} {
-		b := reserving()
-		err := b.ApplyReservations(raw)
-		if err == nil || b.MayReclaim("x", time.Now()) {
-			t.Errorf("%s: %v", name, err)
-		}
-		if name == "negative" && !errors.Is(err, ErrDamaged) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			m := newReservingManager()
+			err := m.ApplyReservations(c.raw)
+			if err == nil || m.MayReclaim("x", time.Now()) {
+				t.Error(err)
+			}
+			if c.want != nil && !errors.Is(err, c.want) {
+				t.Errorf("%v, want %v", err, c.want)
+			}
+		})
 	}
 }
