--- a/internal/quota/transfer_test.go
+++ b/internal/quota/transfer_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Only the controller that can cover the most gives, no more than it has left over,
-// and no more than is lacking.
+// Only the controller that can cover the most gives, and no more than it has left
+// over.
 func TestTransferGiverAndAmount(t *testing.T) {
 	m := newShared(t, 8, "a", "b", "c") // a has four, the others two
 	m.deliver(m.mustAdmit(t, "c", 2))
@@ -87,3 +87,10 @@
 		t.Errorf("b, with 1.5 to spare, gives %+v", w)
 	}
 }
+
+func TestTransferGivesNoMoreThanIsLacking(t *testing.T) {
+	m := newShared(t, 8, "a", "b", "c") // a has four, the others two
+	if w := m.transfer(m.controllers["b"], "a", Amount{GPUs: 0.5}); w == nil || w.recordWrite.Given.GPUs != 0.5 {
+		t.Errorf("b, asked for 0.5, gives %+v", w)
+	}
+}
