--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -1,4 +1,6 @@
-// Command wheatspur runs one controller of the cluster scheduler.
+// Command wheatspur runs one controller of the cluster scheduler: it reads the
+// settings, sets the limits of the Go runtime, and hands the controller to
+// package daemon. What the controller does is package controller's.
 package main
 
 import (
@@ -19,10 +21,19 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // wrong settings, or the program failed
-	exitForced = 3 // stopped by a signal before all that was under way had ended
+	exitFailed = 1 // invalid settings, or the controller failed
+	exitForced = 3 // a signal stopped the controller before its drain was complete
 )
 
+// Environment variables.
+const (
+	propertiesVariable = "WHEATSPUR_PROPERTIES" // default of --properties
+	logLevelVariable   = "LOG_LEVEL"            // overrides the properties file
+)
+
+// bytesPerMB converts the memory limit of the settings.
+const bytesPerMB = 1 << 20
+
 func main() {
 	err := command().Execute()
 	if err == nil {
@@ -35,9 +46,10 @@
 	os.Exit(exitFailed)
 }
 
+// command is the command line: its flags, and what runs after they are parsed.
 func command() *cobra.Command {
-	var settings, props string
-	var check bool
+	var settingsPath, propertiesPath string
+	var checkOnly bool
 	cmd := &cobra.Command{
 		Use:   "wheatspur --config FILE",
 		Short: "A cluster scheduler with Narwhal role control",
@@ -49,74 +61,90 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if settings == "" {
-				return fmt.Errorf("--config is missing (see --help)")
+			if settingsPath == "" {
+				return errors.New("--config is missing (see --help)")
 			}
-			set, err := config.Load(settings, props)
+			settings, err := config.Load(settingsPath, propertiesPath)
 			if err != nil {
 				return err
 			}
-			if check {
+			if checkOnly {
 				fmt.Fprintln(cmd.OutOrStdout(), "settings are valid")
 				return nil
 			}
-			return run(set, props)
+			return run(settings, propertiesPath)
 		},
 	}
-	cmd.Flags().StringVar(&settings, "config", "", "the platform's settings `file` (TOML)")
-	cmd.Flags().StringVar(&props, "properties", os.Getenv("WHEATSPUR_PROPERTIES"), "the operators' own settings `file` (Java-style properties)")
-	cmd.Flags().BoolVar(&check, "check", false, "check the settings and exit")
+	cmd.Flags().StringVar(&settingsPath, "config", "", "the platform's settings `file` (TOML)")
+	cmd.Flags().StringVar(&propertiesPath, "properties", os.Getenv(propertiesVariable), "the operators' own settings `file` (Java-style properties)")
+	cmd.Flags().BoolVar(&checkOnly, "check", false, "check the settings and exit")
 	return cmd
 }
 
-// process is a controller as the daemon runs it.
+// process adds the reload of settings to a controller, so that it is a
+// daemon.Service.
 type process struct {
 	*controller.Controller
-	set   *config.Settings
-	props string         // the operators' properties file
-	level *slog.LevelVar // of the log
+	settings       *config.Settings
+	propertiesPath string         // the operators' properties file
+	logLevel       *slog.LevelVar // of the controller's log
 }
 
-// Reload takes over what a running process can of a changed properties file.
-func (c *process) Reload() error {
-	next, err := config.LoadOperator(c.props)
+// Reload applies those changes of the properties file that a running controller
+// can take over. The error of any other change leaves everything as it was.
+func (p *process) Reload() error {
+	changed, err := config.LoadOperator(p.propertiesPath)
 	if err != nil {
 		return err
 	}
-	if next, err = c.set.Operator.Reloaded(next); err != nil {
+	reloaded, err := p.settings.Operator.Reloaded(changed)
+	if err != nil {
 		return err
 	}
-	level, err := logLevel(next.LogLevel)
+	level, err := parseLogLevel(reloaded.LogLevel)
 	if err != nil {
 		return err
 	}
-	c.set.Operator.LogLevel = next.LogLevel
-	c.level.Set(level)
+	p.settings.Operator.LogLevel = reloaded.LogLevel
+	p.logLevel.Set(level)
 	return nil
 }
 
-func run(set *config.Settings, props string) error {
-	var level slog.LevelVar
-	first, err := logLevel(set.Operator.LogLevel)
+// run runs a controller until it ends or a signal stops it.
+func run(settings *config.Settings, propertiesPath string) error {
+	level, err := parseLogLevel(settings.Operator.LogLevel)
 	if err != nil {
 		return err
 	}
-	level.Set(first)
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: &level})).With("node", set.Label)
-	// One thread runs at a time on the machines this is for; more would only
-	// add switches.
+	var logLevel slog.LevelVar
+	logLevel.Set(level)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: &logLevel})).With("node", settings.Label)
+	limitRuntime(settings.Params.Limits.MemMB)
+	p := &process{
+		Controller:     controller.New(settings, log),
+		settings:       settings,
+		propertiesPath: propertiesPath,
+		logLevel:       &logLevel,
+	}
+	return daemon.Run(p, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.HostManager{Log: log}})
+}
+
+// limitRuntime keeps the Go runtime within the share of a machine that a
+// controller may use.
+func limitRuntime(memoryMB float64) {
+	// A controller's machine runs one thread at a time; more threads would only
+	// add context switches.
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(set.Params.Limits.MemMB * tuning.MemoryShare * (1 << 20)))
-	// With that limit, garbage may pile up to several times the live memory
-	// before it is collected: processor time is scarcer than memory here.
+	debug.SetMemoryLimit(int64(memoryMB * tuning.MemoryShare * bytesPerMB))
+	// With that limit, garbage may grow to several times the live memory before
+	// it is collected: processor time is scarcer than memory here.
 	debug.SetGCPercent(tuning.GCPercent)
-	node := &process{controller.New(set, log), set, props, &level}
-	return daemon.Run(node, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.HostManager{Log: log}})
 }
 
-// logLevel is the level of the log; LOG_LEVEL wins over the properties file.
-func logLevel(name string) (slog.Level, error) {
-	if variable := os.Getenv("LOG_LEVEL"); variable != "" {
+// parseLogLevel returns the level that the environment names, else the one of
+// the given name, else info.
+func parseLogLevel(name string) (slog.Level, error) {
+	if variable := os.Getenv(logLevelVariable); variable != "" {
 		name = variable
 	}
 	level := slog.LevelInfo
@@ -124,6 +152,7 @@
 		return level, nil
 	}
 	if err := level.UnmarshalText([]byte(name)); err != nil {
+		// The cause names slog's own levels; operators are told those of the settings.
 		return level, fmt.Errorf("LOG_LEVEL: %q is none of error, warn, info, debug", name)
 	}
 	return level, nil
