--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,9 @@
-// Package daemon runs a service under the host's service manager: it says when
-// the service is ready, feeds the manager's watchdog from the service's own
-// progress, reloads settings on SIGHUP, and stops cleanly on SIGTERM or SIGINT.
-// Without a service manager it does the same and tells nobody.
+// Package daemon runs a service under the machine's service manager. It owns the
+// process's signals and lifecycle: it notifies the manager of readiness, feeds
+// the manager's watchdog from the service's own progress, reloads settings on
+// SIGHUP, and drains on SIGTERM or SIGINT. Without a service manager it does the
+// same and notifies nobody. What the service does, and which settings can be
+// reloaded, is the service's concern.
 package daemon
 
 import (
@@ -13,6 +15,8 @@
 	"os/signal"
 	"syscall"
 	"time"
+
+	sd "github.com/coreos/go-systemd/v22/daemon"
 )
 
 // State is the state of a daemon.
@@ -20,9 +24,9 @@
 
 // States of a daemon.
 const (
-	Starting State = "starting" // runs, and can't serve yet
+	Starting State = "starting" // the service runs and can't serve yet
 	Serving  State = "serving"
-	Draining State = "draining" // takes nothing new, ends what is under way
+	Draining State = "draining" // the service accepts no new work and finishes what is in flight
 	Stopped  State = "stopped"
 )
 
@@ -33,11 +37,12 @@
 const (
 	BecameReady   Event = "became ready"
 	StopRequested Event = "stop requested" // by a signal
-	Drained       Event = "drained"        // also when the time for it is over
-	Ended         Event = "ended"          // the service ended by itself
+	Drained       Event = "drained"        // or the drain limit has passed
+	Ended         Event = "ended"          // the service returned by itself
 )
 
-// Next is the one function that changes a daemon's state.
+// Next returns the state after an event. All transitions are here; an event that
+// a state doesn't expect changes nothing.
 func (s State) Next(e Event) State {
 	switch {
 	case s == Starting && e == BecameReady:
@@ -45,7 +50,7 @@
 	case (s == Starting || s == Serving) && e == StopRequested:
 		return Draining
 	case s == Draining && (e == Drained || e == StopRequested):
-		return Stopped // a second signal does not wait
+		return Stopped // a second signal cuts the drain short
 	case e == Ended:
 		return Stopped
 	}
@@ -58,12 +63,13 @@
 	Run(ctx context.Context) error
 	// Ready reports whether requests are served.
 	Ready() bool
-	// Progress is nil while the service's loops go on.
+	// Progress returns nil while the service's loops make progress, else what
+	// has stalled.
 	Progress() error
-	// Reload takes over changed settings: all of them, or none and an error.
+	// Reload applies changed settings: all of them, or none and an error.
 	Reload() error
-	// Drain takes nothing new and returns when what is under way has ended, or
-	// ctx has.
+	// Drain accepts no new work and returns when what is in flight has finished
+	// or ctx has ended.
 	Drain(ctx context.Context) error
 }
 
@@ -71,25 +77,34 @@
 type Manager interface {
 	// Tell sends a state in the manager's notify protocol.
 	Tell(state string)
-	// Watchdog is how often it wants to hear from the service; 0: never.
+	// Watchdog returns the interval in which the manager expects a keep-alive,
+	// else takes the service for hung; 0 without a watchdog.
 	Watchdog() time.Duration
 }
 
-// Options of a daemon.
+// Options configure a daemon.
 type Options struct {
-	DrainLimit time.Duration // for Drain
+	DrainLimit time.Duration // longest time that Drain may take
 	Log        *slog.Logger
 	Manager    Manager
 	Signals    <-chan os.Signal // nil: those of the process
 }
 
-// ErrForced says that a stop did not wait for what was under way.
+// ErrForced is the error of a stop that did not wait until the drain was complete.
 var ErrForced = errors.New("stopped before all that was under way had ended")
 
-// pollEvery is how often readiness is looked at until it is there.
-const pollEvery = 200 * time.Millisecond
+// readyPollInterval is the time between two checks of readiness until the service
+// is ready.
+const readyPollInterval = 200 * time.Millisecond
+
+// signalBuffer is how many signals may wait for the daemon: the os/signal package
+// drops what does not fit.
+const signalBuffer = 4
 
-// daemon is a running service.
+// statusPrefix begins the line of a notification that people read.
+const statusPrefix = "STATUS="
+
+// daemon is a running service. Its fields belong to the goroutine of Run.
 type daemon struct {
 	Options
 	service Service
@@ -97,65 +112,65 @@
 }
 
 // Run runs the service until it ends or a signal stops it. It returns nil after a
-// clean stop, ErrForced after one that did not wait, else the service's error.
+// complete drain, ErrForced after a stop that did not wait for one, else the
+// service's error.
 func Run(service Service, o Options) error {
 	if o.Signals == nil {
-		signals := make(chan os.Signal, 4)
+		signals := make(chan os.Signal, signalBuffer)
 		signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 		defer signal.Stop(signals)
 		o.Signals = signals
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	ended := make(chan error, 1)
-	go func() { ended <- service.Run(ctx) }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- service.Run(ctx) }()
 	d := &daemon{Options: o, service: service, state: Starting}
-	if err, over := d.serve(ended); over {
+	if ended, err := d.serve(runResult); ended {
 		return err
 	}
 	err := d.drain()
 	stop()
-	return errors.Join(err, <-ended)
+	return errors.Join(err, <-runResult)
 }
 
-// serve goes on until a stop is asked for, or the service has ended: over.
-func (d *daemon) serve(ended <-chan error) (err error, over bool) {
-	var ready, watchdog <-chan time.Time
-	if every := d.Manager.Watchdog(); every > 0 {
-		ticker := time.NewTicker(every / 2)
+// serve returns when a stop is requested, or when the service has ended by itself:
+// then ended is true, and err is what Run of the service returned.
+func (d *daemon) serve(runResult <-chan error) (ended bool, err error) {
+	var watchdog <-chan time.Time
+	if interval := d.Manager.Watchdog(); interval > 0 {
+		ticker := time.NewTicker(interval / 2) // as sd_watchdog_enabled(3) recommends
 		defer ticker.Stop()
 		watchdog = ticker.C
 	}
-	poll := time.NewTicker(pollEvery)
-	defer poll.Stop()
-	ready = poll.C
+	readyPoll := time.NewTicker(readyPollInterval)
+	defer readyPoll.Stop()
 	for {
 		select {
-		case err := <-ended:
+		case err := <-runResult:
 			d.apply(Ended)
-			return err, true
-		case <-ready:
+			return true, err
+		case <-readyPoll.C:
 			if d.service.Ready() {
-				poll.Stop()
-				ready = nil
+				readyPoll.Stop()
 				d.apply(BecameReady)
-				d.Manager.Tell("READY=1\nSTATUS=serving")
+				d.notify(sd.SdNotifyReady, "serving")
 			}
 		case <-watchdog:
 			d.feedWatchdog()
-		case s := <-d.Signals:
-			if s == syscall.SIGHUP {
+		case sig := <-d.Signals:
+			if sig == syscall.SIGHUP {
 				d.reload()
 				continue
 			}
-			d.Log.Info("stop requested", "signal", s.String())
+			d.Log.Info("stop requested", "signal", sig.String())
 			d.apply(StopRequested)
-			return nil, false
+			return false, nil
 		}
 	}
 }
 
-// apply enters an event.
+// apply changes the state after an event and logs the change.
 func (d *daemon) apply(e Event) {
 	if next := d.state.Next(e); next != d.state {
 		d.Log.Info("daemon", "state", string(next), "after", string(d.state))
@@ -163,20 +178,26 @@
 	}
 }
 
-// feedWatchdog tells the manager that the service goes on, if it does. Guards
-// against a process that is there and does nothing.
+// notify sends the manager a state with a status text.
+func (d *daemon) notify(state, status string) {
+	d.Manager.Tell(state + "\n" + statusPrefix + status)
+}
+
+// feedWatchdog sends a keep-alive if the service makes progress. Guards against a
+// process that is alive and does nothing: without a keep-alive the manager
+// restarts it.
 func (d *daemon) feedWatchdog() {
 	if err := d.service.Progress(); err != nil {
 		d.Log.Error("no progress", "err", err)
-		d.Manager.Tell("STATUS=no progress: " + err.Error())
+		d.Manager.Tell(statusPrefix + "no progress: " + err.Error())
 		return
 	}
-	d.Manager.Tell("WATCHDOG=1")
+	d.Manager.Tell(sd.SdNotifyWatchdog)
 }
 
-// reload takes over changed settings, and tells the manager before and after.
+// reload applies changed settings, and notifies the manager before and after.
 func (d *daemon) reload() {
-	d.Manager.Tell("RELOADING=1")
+	d.Manager.Tell(sd.SdNotifyReloading)
 	status := "serving"
 	if err := d.service.Reload(); err != nil {
 		d.Log.Error("settings not reloaded, those of before stay", "err", err)
@@ -184,32 +205,33 @@
 	} else {
 		d.Log.Info("settings reloaded")
 	}
-	d.Manager.Tell("READY=1\nSTATUS=" + status)
+	d.notify(sd.SdNotifyReady, status)
 }
 
-// drain ends what is under way, within the limit and until a second signal.
+// drain lets the service finish what is in flight, within the drain limit and
+// until a second signal.
 func (d *daemon) drain() error {
-	d.Manager.Tell("STOPPING=1\nSTATUS=draining")
-	ctx, stop := context.WithTimeout(context.Background(), d.DrainLimit)
-	defer stop()
-	drained := make(chan error, 1)
-	begun := time.Now()
-	go func() { drained <- d.service.Drain(ctx) }()
+	d.notify(sd.SdNotifyStopping, "draining")
+	ctx, cancel := context.WithTimeout(context.Background(), d.DrainLimit)
+	defer cancel()
+	started := time.Now()
+	drainResult := make(chan error, 1) // buffered: after a second signal nobody receives
+	go func() { drainResult <- d.service.Drain(ctx) }()
 	for {
 		select {
-		case err := <-drained:
+		case err := <-drainResult:
 			d.apply(Drained)
-			d.Log.Info("drained", "took", time.Since(begun).Round(time.Millisecond), "err", err)
+			d.Log.Info("drained", "took", time.Since(started).Round(time.Millisecond), "err", err)
 			if err != nil {
-				return fmt.Errorf("%w: %v", ErrForced, err)
+				return fmt.Errorf("%w: %w", ErrForced, err)
 			}
 			return nil
-		case s := <-d.Signals:
-			if s == syscall.SIGHUP {
-				continue
+		case sig := <-d.Signals:
+			if sig == syscall.SIGHUP {
+				continue // settings are not reloaded any more
 			}
 			d.apply(StopRequested)
-			d.Log.Info("stopped at once", "signal", s.String())
+			d.Log.Info("stopped at once", "signal", sig.String())
 			return ErrForced
 		}
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"errors"
-	"io"
+	"fmt"
 	"log/slog"
 	"net"
 	"os"
@@ -13,118 +13,132 @@
 	"sync"
 	"syscall"
 	"testing"
+	"testing/synctest"
 	"time"
 )
 
-// scripted is a service whose parts a test sets.
-type scripted struct {
-	mu       sync.Mutex
-	ready    bool
-	progress error
-	reload   error
-	reloads  int
-	drain    chan error // Drain returns what comes from it
-	end      chan error // so does Run
+// scriptedService is a service whose results a test sets.
+type scriptedService struct {
+	mu          sync.Mutex // guards the four below
+	ready       bool
+	progressErr error
+	reloadErr   error
+	reloads     int
+
+	drainResult chan error // Drain returns what it receives from it
+	runResult   chan error // so does Run
 }
 
-func newScripted() *scripted {
-	return &scripted{drain: make(chan error, 1), end: make(chan error, 1)}
+func newScriptedService() *scriptedService {
+	return &scriptedService{drainResult: make(chan error, 1), runResult: make(chan error, 1)}
 }
 
-func (s *scripted) Run(ctx context.Context) error {
+func (s *scriptedService) Run(ctx context.Context) error {
 	select {
-	case err := <-s.end:
+	case err := <-s.runResult:
 		return err
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-func (s *scripted) Ready() bool {
+func (s *scriptedService) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ready
 }
 
-func (s *scripted) Progress() error {
+func (s *scriptedService) Progress() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.progress
+	return s.progressErr
 }
 
-func (s *scripted) Reload() error {
+func (s *scriptedService) Reload() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reloads++
-	return s.reload
+	return s.reloadErr
 }
 
-func (s *scripted) Drain(ctx context.Context) error {
+func (s *scriptedService) Drain(ctx context.Context) error {
 	select {
-	case err := <-s.drain:
+	case err := <-s.drainResult:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (s *scripted) set(change func()) {
+// set changes results while the daemon runs.
+func (s *scriptedService) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// recorder is a service manager that notes what it is told.
-type recorder struct {
-	mu    sync.Mutex
-	told  []string
-	every time.Duration
+// recordingManager is a service manager that records its notifications.
+type recordingManager struct {
+	mu               sync.Mutex
+	notifications    []string
+	watchdogInterval time.Duration
 }
 
-func (r *recorder) Tell(state string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.told = append(r.told, state)
+func (m *recordingManager) Tell(state string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.notifications = append(m.notifications, state)
 }
 
-func (r *recorder) Watchdog() time.Duration { return r.every }
+func (m *recordingManager) Watchdog() time.Duration { return m.watchdogInterval }
+
+func (m *recordingManager) recorded() []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.Clone(m.notifications)
+}
 
-// heard waits until the manager was told something that begins like this.
-func (r *recorder) heard(t *testing.T, begin string) {
+func (m *recordingManager) clear() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.notifications = nil
+}
+
+// await waits for a notification with a prefix.
+func (m *recordingManager) await(t *testing.T, prefix string) {
 	t.Helper()
+	hasPrefix := func(notification string) bool { return strings.HasPrefix(notification, prefix) }
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		r.mu.Lock()
-		ok := slices.ContainsFunc(r.told, func(s string) bool { return strings.HasPrefix(s, begin) })
-		told := slices.Clone(r.told)
-		r.mu.Unlock()
-		if ok {
+		recorded := m.recorded()
+		if slices.ContainsFunc(recorded, hasPrefix) {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the manager was not told %q but %q", begin, told)
+			t.Fatalf("no notification %q among %q", prefix, recorded)
 		}
 	}
 }
 
-func (r *recorder) clear() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.told = nil
+// runningDaemon is a daemon that a test has started.
+type runningDaemon struct {
+	signals chan<- os.Signal
+	result  <-chan error // of Run
 }
 
-// start runs a daemon and returns its signals and outcome.
-func start(s *scripted, r *recorder, limit time.Duration) (chan<- os.Signal, <-chan error) {
-	signals, out := make(chan os.Signal, 4), make(chan error, 1)
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	go func() { out <- Run(s, Options{DrainLimit: limit, Log: log, Manager: r, Signals: signals}) }()
-	return signals, out
+// start runs a daemon. Tests call it in a synctest bubble, so that its tickers
+// and limits run on the bubble's clock.
+func start(service *scriptedService, manager *recordingManager, drainLimit time.Duration) runningDaemon {
+	signals, result := make(chan os.Signal, signalBuffer), make(chan error, 1)
+	options := Options{DrainLimit: drainLimit, Log: slog.New(slog.DiscardHandler), Manager: manager, Signals: signals}
+	go func() { result <- Run(service, options) }()
+	return runningDaemon{signals, result}
 }
 
-// outcome waits for a daemon's end.
-func outcome(t *testing.T, out <-chan error) error {
+// wait waits for the daemon's end and returns its result.
+func (d runningDaemon) wait(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-out:
+	case err := <-d.result:
 		return err
 	case <-time.After(10 * time.Second):
 		t.Fatal("the daemon does not end")
@@ -132,146 +146,168 @@
 	}
 }
 
-func TestReadinessComesOnceTheServiceServes(t *testing.T) {
-	s, r := newScripted(), &recorder{}
-	signals, out := start(s, r, time.Second)
-	time.Sleep(2 * pollEvery)
-	r.mu.Lock()
-	early := len(r.told)
-	r.mu.Unlock()
-	if early != 0 {
-		t.Fatal("ready before it serves")
-	}
-	s.set(func() { s.ready = true })
-	r.heard(t, "READY=1")
-	s.drain <- nil
-	signals <- syscall.SIGTERM
-	r.heard(t, "STOPPING=1")
-	if err := outcome(t, out); err != nil {
-		t.Fatal(err)
-	}
+func TestReadyIsNotifiedOnlyOnceTheServiceIsReady(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		service, manager := newScriptedService(), &recordingManager{}
+		d := start(service, manager, time.Second)
+		time.Sleep(2 * readyPollInterval)
+		synctest.Wait()
+		if early := manager.recorded(); len(early) != 0 {
+			t.Fatalf("notifications before the service is ready: %q", early)
+		}
+		service.set(func() { service.ready = true })
+		manager.await(t, "READY=1")
+		service.drainResult <- nil
+		d.signals <- syscall.SIGTERM
+		manager.await(t, "STOPPING=1")
+		if err := d.wait(t); err != nil {
+			t.Fatal(err)
+		}
+	})
 }
 
-func TestTheWatchdogIsFedByProgressAlone(t *testing.T) {
-	s, r := newScripted(), &recorder{every: 20 * time.Millisecond}
-	signals, out := start(s, r, time.Second)
-	r.heard(t, "WATCHDOG=1")
-	s.set(func() { s.progress = errors.New("passes stand still") })
-	r.heard(t, "STATUS=no progress: passes stand still")
-	r.clear()
-	r.heard(t, "STATUS=no progress")
-	r.mu.Lock()
-	fed := slices.Contains(r.told, "WATCHDOG=1")
-	r.mu.Unlock()
-	if fed {
-		t.Error("fed without progress")
-	}
-	s.set(func() { s.progress = nil })
-	r.heard(t, "WATCHDOG=1")
-	s.drain <- nil
-	signals <- syscall.SIGINT
-	if err := outcome(t, out); err != nil {
-		t.Fatal(err)
-	}
+func TestWatchdogIsFedOnlyWhileTheServiceMakesProgress(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		service, manager := newScriptedService(), &recordingManager{watchdogInterval: 20 * time.Millisecond}
+		d := start(service, manager, time.Second)
+		manager.await(t, "WATCHDOG=1")
+		service.set(func() { service.progressErr = errors.New("passes stand still") })
+		manager.await(t, "STATUS=no progress: passes stand still")
+		manager.clear()
+		manager.await(t, "STATUS=no progress")
+		if slices.Contains(manager.recorded(), "WATCHDOG=1") {
+			t.Error("watchdog fed without progress")
+		}
+		service.set(func() { service.progressErr = nil })
+		manager.await(t, "WATCHDOG=1")
+		service.drainResult <- nil
+		d.signals <- syscall.SIGINT
+		if err := d.wait(t); err != nil {
+			t.Fatal(err)
+		}
+	})
 }
 
-func TestAReloadIsToldBeforeAndAfter(t *testing.T) {
-	s, r := newScripted(), &recorder{}
-	s.ready = true
-	signals, out := start(s, r, time.Second)
-	r.heard(t, "READY=1")
-	r.clear()
-	signals <- syscall.SIGHUP
-	r.heard(t, "RELOADING=1")
-	r.heard(t, "READY=1\nSTATUS=serving")
-	s.set(func() { s.reload = errors.New("log.level: wrong") })
-	signals <- syscall.SIGHUP
-	r.heard(t, "READY=1\nSTATUS=settings not reloaded: log.level: wrong")
-	s.drain <- nil
-	signals <- syscall.SIGTERM
-	if err := outcome(t, out); err != nil || s.reloads != 2 {
-		t.Fatalf("%v, %d reloads", err, s.reloads)
-	}
+func TestReloadIsNotifiedBeforeAndAfter(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		service, manager := newScriptedService(), &recordingManager{}
+		service.ready = true
+		d := start(service, manager, time.Second)
+		manager.await(t, "READY=1")
+		manager.clear()
+		d.signals <- syscall.SIGHUP
+		manager.await(t, "RELOADING=1")
+		manager.await(t, "READY=1\nSTATUS=serving")
+		service.set(func() { service.reloadErr = errors.New("log.level: wrong") })
+		d.signals <- syscall.SIGHUP
+		manager.await(t, "READY=1\nSTATUS=settings not reloaded: log.level: wrong")
+		service.drainResult <- nil
+		d.signals <- syscall.SIGTERM
+		if err := d.wait(t); err != nil || service.reloads != 2 {
+			t.Fatalf("%v, %d reloads", err, service.reloads)
+		}
+	})
 }
 
-func TestStopsThatDoNotWait(t *testing.T) {
-	for name, c := range map[string]struct {
-		limit time.Duration
-		again bool
-		drain error
+func TestIncompleteDrainIsAForcedStop(t *testing.T) {
+	failed := errors.New("session not ended")
+	for _, c := range []struct {
+		name         string
+		drainLimit   time.Duration
+		secondSignal bool
+		drainErr     error // nil: the drain does not end by itself
+		cause        error // nil: ErrForced alone
 	}{
-		"the time is over":  {30 * time.Millisecond, false, nil},
-		"a second signal":   {time.Minute, true, nil},
-		"it could not tell": {time.Minute, false, errors.New("session not ended")},
+		{"the drain limit passes", 30 * time.Millisecond, false, nil, context.DeadlineExceeded},
+		{"a second signal comes", time.Minute, true, nil, nil},
+		{"the drain fails", time.Minute, false, failed, failed},
 	} {
-		s, r := newScripted(), &recorder{}
-		signals, out := start(s, r, c.limit)
-		if c.drain != nil {
-			s.drain <- c.drain
-		}
-		signals <- syscall.SIGTERM
-		if c.again {
-			signals <- syscall.SIGHUP // changes nothing
-			signals <- syscall.SIGTERM
-		}
-		if err := outcome(t, out); !errors.Is(err, ErrForced) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				service, manager := newScriptedService(), &recordingManager{}
+				d := start(service, manager, c.drainLimit)
+				if c.drainErr != nil {
+					service.drainResult <- c.drainErr
+				}
+				d.signals <- syscall.SIGTERM
+				if c.secondSignal {
+					d.signals <- syscall.SIGHUP // changes nothing
+					d.signals <- syscall.SIGTERM
+				}
+				if err := d.wait(t); !errors.Is(err, ErrForced) || c.cause != nil && !errors.Is(err, c.cause) {
+					t.Errorf("%v, want %v with cause %v", err, ErrForced, c.cause)
+				}
+			})
+		})
 	}
 }
 
-func TestAServiceThatEndsByItself(t *testing.T) {
-	failed := errors.New("bind: address in use")
-	s, r := newScripted(), &recorder{}
-	_, out := start(s, r, time.Second)
-	s.end <- failed
-	if err := outcome(t, out); !errors.Is(err, failed) {
-		t.Fatal(err)
-	}
+func TestErrorOfAServiceThatEndsByItselfIsReturned(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		failed := errors.New("bind: address in use")
+		service := newScriptedService()
+		d := start(service, &recordingManager{}, time.Second)
+		service.runResult <- failed
+		if err := d.wait(t); !errors.Is(err, failed) {
+			t.Fatal(err)
+		}
+	})
 }
 
-func TestStates(t *testing.T) {
+func TestStateTransitions(t *testing.T) {
 	for _, c := range []struct {
-		from State
-		e    Event
-		to   State
+		from  State
+		event Event
+		to    State
 	}{
-		{Starting, BecameReady, Serving}, {Starting, StopRequested, Draining}, {Serving, StopRequested, Draining}, {Draining, Drained, Stopped},
-		{Draining, StopRequested, Stopped}, {Serving, Ended, Stopped}, {Starting, Ended, Stopped}, {Serving, Drained, Serving},
-		{Draining, BecameReady, Draining}, {Stopped, BecameReady, Stopped}, {Stopped, StopRequested, Stopped},
+		{Starting, BecameReady, Serving},
+		{Starting, StopRequested, Draining},
+		{Serving, StopRequested, Draining},
+		{Draining, Drained, Stopped},
+		{Draining, StopRequested, Stopped},
+		{Serving, Ended, Stopped},
+		{Starting, Ended, Stopped},
+		{Serving, Drained, Serving},
+		{Draining, BecameReady, Draining},
+		{Stopped, BecameReady, Stopped},
+		{Stopped, StopRequested, Stopped},
 	} {
-		if got := c.from.Next(c.e); got != c.to {
-			t.Errorf("%s in %s: %s, want %s", c.e, c.from, got, c.to)
-		}
+		t.Run(fmt.Sprintf("%s in %s", c.event, c.from), func(t *testing.T) {
+			if got := c.from.Next(c.event); got != c.to {
+				t.Errorf("%s, want %s", got, c.to)
+			}
+		})
 	}
 }
 
 // The published protocol: datagrams to the socket that the environment names, the
 // watchdog's interval in microseconds.
-func TestTheHostsManagerIsTold(t *testing.T) {
+func TestSystemdNotifyProtocol(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "notify")
 	conn, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: path, Net: "unixgram"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	m := HostManager{slog.New(slog.NewTextHandler(io.Discard, nil))}
+	manager := HostManager{Log: slog.New(slog.DiscardHandler)}
 	t.Setenv("NOTIFY_SOCKET", path)
 	t.Setenv("WATCHDOG_USEC", "3000000")
-	m.Tell("READY=1\nSTATUS=serving")
-	buf := make([]byte, 100)
-	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	n, err := conn.Read(buf)
-	if err != nil || string(buf[:n]) != "READY=1\nSTATUS=serving" {
-		t.Fatalf("%q %v", buf[:n], err)
+	manager.Tell("READY=1\nSTATUS=serving")
+	buffer := make([]byte, 100)
+	if err := conn.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	n, err := conn.Read(buffer)
+	if err != nil || string(buffer[:n]) != "READY=1\nSTATUS=serving" {
+		t.Fatalf("%q %v", buffer[:n], err)
 	}
-	if every := m.Watchdog(); every != 3*time.Second {
-		t.Fatalf("watchdog every %v", every)
+	if interval := manager.Watchdog(); interval != 3*time.Second {
+		t.Fatalf("watchdog interval %v", interval)
 	}
 	t.Setenv("NOTIFY_SOCKET", "")
 	t.Setenv("WATCHDOG_USEC", "")
-	m.Tell("READY=1") // nobody listens
-	if m.Watchdog() != 0 {
+	manager.Tell("READY=1") // without a manager
+	if manager.Watchdog() != 0 {
 		t.Fatal("a watchdog without a manager")
 	}
 }
--- a/internal/daemon/systemd.go
+++ b/internal/daemon/systemd.go
@@ -7,9 +7,12 @@
 	sd "github.com/coreos/go-systemd/v22/daemon"
 )
 
-// HostManager is the service manager that has started this process, after its
-// published notify protocol; without one, nothing is told.
-type HostManager struct{ Log *slog.Logger }
+// HostManager is the service manager that has started this process, spoken to in
+// systemd's notify protocol; without one, nothing is sent.
+type HostManager struct {
+	// Log takes the failures: a manager that can't be reached stops nothing.
+	Log *slog.Logger
+}
 
 // Tell sends a state.
 func (m HostManager) Tell(state string) {
@@ -18,11 +21,11 @@
 	}
 }
 
-// Watchdog is how often the manager wants to hear from this process.
+// Watchdog returns the manager's watchdog interval; 0 without a watchdog.
 func (m HostManager) Watchdog() time.Duration {
-	every, err := sd.SdWatchdogEnabled(false)
+	interval, err := sd.SdWatchdogEnabled(false)
 	if err != nil {
 		m.Log.Warn("watchdog interval not read", "err", err)
 	}
-	return every
+	return interval
 }
