--- a/internal/fake/usage_checker.go
+++ b/internal/fake/usage_checker.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -13,57 +14,55 @@
 	"wheatspur/wire"
 )
 
-// UsageChecker holds what the state service and the workers see against the
+// UsageChecker checks the usage that the store and the workers see against the
 // teams' limits, at every instant.
 type UsageChecker struct {
-	mu       sync.Mutex
-	limits   map[string]float64 // GPUs by team
-	jobs     map[string]wire.JobSpec
-	claimed  map[string]float64 // GPUs claimed, by key of a chunk
-	running  map[string]string  // machine of each task that runs
-	byTeam   map[string]float64 // GPUs of running tasks
-	stored   map[string]float64 // GPUs claimed, by team
-	highest  map[string]float64 // most ever claimed
-	admitted int
-	started  int
-	faults   []string
-
-	begun time.Time
-	at    time.Time              // of the last change of stored
-	area  map[string]float64     // GPU seconds claimed up to then, by team
-	freed map[string][]time.Time // when units of room were freed that are not used again
-	reuse *hdrhistogram.Histogram
-	full  map[string]time.Time // when each team last had all of its limit
+	mu     sync.Mutex         // guards all below
+	limits map[string]float64 // GPUs, by team
+	jobs   map[string]wire.JobSpec
+
+	claimedByChunk map[string]float64 // GPUs of claims in the store, by key of a chunk
+	claimedByTeam  map[string]float64 // GPUs of claims in the store
+	highestClaimed map[string]float64 // most GPUs ever claimed, by team
+	runningOn      map[string]string  // machine of each task that runs
+	runningByTeam  map[string]float64 // GPUs of running tasks
+	admittedTasks  int
+	startedTasks   int
+	violations     []string
+
+	begun           time.Time
+	lastChange      time.Time              // of claimedByTeam
+	claimedSeconds  map[string]float64     // GPU seconds claimed until lastChange, by team
+	freedAt         map[string][]time.Time // when GPUs were freed that are not claimed again, by team
+	reuseDelay      *hdrhistogram.Histogram
+	lastAtFullLimit map[string]time.Time // when each team last had claimed all of its limit
 }
 
-// reuseMax bounds the times from room freed to room used, in milliseconds.
-const reuseMax = 600_000
+// Range and precision of the delays from capacity freed to capacity claimed again,
+// in milliseconds.
+const (
+	reuseDelayMin    = 1
+	reuseDelayMax    = 600_000
+	reuseDelayDigits = 3
+)
 
 // NewUsageChecker returns a checker of limits, in GPUs by team.
 func NewUsageChecker(limits map[string]float64) *UsageChecker {
-	return &UsageChecker{limits: limits, jobs: map[string]wire.JobSpec{}, claimed: map[string]float64{}, running: map[string]string{},
-		byTeam: map[string]float64{}, stored: map[string]float64{}, highest: map[string]float64{},
-		begun: time.Now(), at: time.Now(), area: map[string]float64{}, freed: map[string][]time.Time{}, full: map[string]time.Time{}, reuse: hdrhistogram.New(1, reuseMax, 3)}
-}
-
-// move enters a change of what a team has claimed, in GPUs. Each unit that is
-// claimed uses the room that was freed longest ago.
-func (u *UsageChecker) move(team string, by float64) {
 	now := time.Now()
-	for t, used := range u.stored {
-		u.area[t] += used * now.Sub(u.at).Seconds()
-	}
-	u.at = now
-	u.stored[team] += by
-	if u.stored[team] >= u.limits[team] {
-		u.full[team] = now
-	}
-	for ; by < 0; by++ {
-		u.freed[team] = append(u.freed[team], now)
-	}
-	for ; by > 0 && len(u.freed[team]) > 0; by-- {
-		_ = u.reuse.RecordValue(min(max(1, now.Sub(u.freed[team][0]).Milliseconds()), reuseMax))
-		u.freed[team] = u.freed[team][1:]
+	return &UsageChecker{
+		limits:          limits,
+		jobs:            map[string]wire.JobSpec{},
+		claimedByChunk:  map[string]float64{},
+		claimedByTeam:   map[string]float64{},
+		highestClaimed:  map[string]float64{},
+		runningOn:       map[string]string{},
+		runningByTeam:   map[string]float64{},
+		begun:           now,
+		lastChange:      now,
+		claimedSeconds:  map[string]float64{},
+		freedAt:         map[string][]time.Time{},
+		reuseDelay:      hdrhistogram.New(reuseDelayMin, reuseDelayMax, reuseDelayDigits),
+		lastAtFullLimit: map[string]time.Time{},
 	}
 }
 
@@ -74,59 +73,86 @@
 	u.jobs[spec.ID] = spec
 }
 
-// Applied takes the changes of a transaction of the state service.
-func (u *UsageChecker) Applied(changes []wire.Operation) {
+// Applied takes the operations of a transaction that the store has applied.
+func (u *UsageChecker) Applied(operations []wire.Operation) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, c := range changes {
-		key := c.Put + c.Delete
-		if !strings.HasPrefix(key, jobs.ChunkPrefix) {
-			continue
+	for _, operation := range operations {
+		if key := operation.Put + operation.Delete; strings.HasPrefix(key, jobs.ChunkPrefix) {
+			u.applyChunk(key, operation)
 		}
-		jobID, _, _ := jobs.ParseChunkKey(key)
-		spec, known := u.jobs[jobID]
-		var chunk jobs.ChunkRecord
-		if !known || c.Put != "" && wire.Unmarshal(c.Value, &chunk) != nil {
-			u.fault("%s holds nothing that a user asked for", key)
-			continue
-		}
-		claims := 0
-		for _, t := range chunk.Tasks {
-			if t.State == jobs.Claimed {
-				claims++
-			}
-		}
-		now := float64(claims) * spec.GPUs
-		if now > u.claimed[key] {
-			u.admitted += int((now - u.claimed[key]) / spec.GPUs)
-		}
-		u.move(spec.Team, now-u.claimed[key])
-		u.claimed[key] = now
-		if claims == 0 {
-			delete(u.claimed, key)
+	}
+	for team, claimed := range u.claimedByTeam {
+		u.highestClaimed[team] = max(u.highestClaimed[team], claimed)
+		if claimed > u.limits[team] {
+			u.violation("%s has claims of %v GPUs, its limit is %v", team, claimed, u.limits[team])
 		}
 	}
-	for team, used := range u.stored {
-		u.highest[team] = max(u.highest[team], used)
-		if used > u.limits[team] {
-			u.fault("%s has claims of %v GPUs, its limit is %v", team, used, u.limits[team])
+}
+
+// applyChunk takes an operation on a chunk of a job's tasks; mu is held.
+func (u *UsageChecker) applyChunk(key string, operation wire.Operation) {
+	jobID, _, _ := jobs.ParseChunkKey(key) // a key that is none belongs to no known job
+	spec, known := u.jobs[jobID]
+	var chunk jobs.ChunkRecord
+	if !known || operation.Put != "" && wire.Unmarshal(operation.Value, &chunk) != nil {
+		u.violation("%s holds nothing that a user asked for", key)
+		return
+	}
+	claims := 0
+	for _, task := range chunk.Tasks {
+		if task.State == jobs.Claimed {
+			claims++
 		}
 	}
+	before, after := u.claimedByChunk[key], float64(claims)*spec.GPUs
+	if after > before {
+		u.admittedTasks += int((after - before) / spec.GPUs)
+	}
+	u.changeClaimed(spec.Team, after-before)
+	if claims == 0 {
+		delete(u.claimedByChunk, key)
+	} else {
+		u.claimedByChunk[key] = after
+	}
+}
+
+// changeClaimed enters a change of what a team has claimed, in GPUs; mu is held.
+// Each GPU that is claimed takes the place of the one that was freed longest ago.
+func (u *UsageChecker) changeClaimed(team string, change float64) {
+	now := time.Now()
+	for other, claimed := range u.claimedByTeam {
+		u.claimedSeconds[other] += claimed * now.Sub(u.lastChange).Seconds()
+	}
+	u.lastChange = now
+	u.claimedByTeam[team] += change
+	if u.claimedByTeam[team] >= u.limits[team] {
+		u.lastAtFullLimit[team] = now
+	}
+	for ; change < 0; change++ {
+		u.freedAt[team] = append(u.freedAt[team], now)
+	}
+	for ; change > 0 && len(u.freedAt[team]) > 0; change-- {
+		delay := now.Sub(u.freedAt[team][0]).Milliseconds()
+		// The clamp keeps the value in the histogram's range, its only error.
+		_ = u.reuseDelay.RecordValue(min(max(reuseDelayMin, delay), reuseDelayMax))
+		u.freedAt[team] = u.freedAt[team][1:]
+	}
 }
 
 // Starts takes the start of a task on a machine.
-func (u *UsageChecker) Starts(host, task, jobID string) {
+func (u *UsageChecker) Starts(machine, task, jobID string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.started++
-	if on := u.running[task]; on != "" {
-		u.fault("%s starts on %s while it is on %s", task, host, on)
+	u.startedTasks++
+	if other := u.runningOn[task]; other != "" {
+		u.violation("%s starts on %s while it is on %s", task, machine, other)
 	}
-	u.running[task] = host
+	u.runningOn[task] = machine
 	spec := u.jobs[jobID]
-	u.byTeam[spec.Team] += spec.GPUs
-	if used := u.byTeam[spec.Team]; used > u.limits[spec.Team] {
-		u.fault("%s uses %v GPUs, its limit is %v", spec.Team, used, u.limits[spec.Team])
+	u.runningByTeam[spec.Team] += spec.GPUs
+	if running := u.runningByTeam[spec.Team]; running > u.limits[spec.Team] {
+		u.violation("%s uses %v GPUs, its limit is %v", spec.Team, running, u.limits[spec.Team])
 	}
 }
 
@@ -134,25 +160,26 @@
 func (u *UsageChecker) Ends(task, jobID string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.running[task] == "" {
+	if u.runningOn[task] == "" {
 		return
 	}
-	delete(u.running, task)
+	delete(u.runningOn, task)
 	spec := u.jobs[jobID]
-	u.byTeam[spec.Team] -= spec.GPUs
+	u.runningByTeam[spec.Team] -= spec.GPUs
 }
 
-func (u *UsageChecker) fault(format string, args ...any) {
-	u.faults = append(u.faults, fmt.Sprintf(format, args...))
+// violation records what must never happen; mu is held.
+func (u *UsageChecker) violation(format string, args ...any) {
+	u.violations = append(u.violations, fmt.Sprintf(format, args...))
 }
 
-// FullSince reports whether every team has had all of its limit at some time after
-// the given one.
-func (u *UsageChecker) FullSince(at time.Time) bool {
+// FullSince reports whether every team has had claimed all of its limit at some
+// time after the given one.
+func (u *UsageChecker) FullSince(since time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for team := range u.limits {
-		if !u.full[team].After(at) {
+		if !u.lastAtFullLimit[team].After(since) {
 			return false
 		}
 	}
@@ -165,10 +192,11 @@
 	Started  int                // tasks that began to run
 	Claimed  map[string]float64 // GPUs claimed now, by team
 	Highest  map[string]float64 // most GPUs ever claimed, by team
-	Faults   []string
+	Faults   []string           // violations of a limit, and tasks that ran twice at once
 	// Share is the mean share of its limit that each team had claimed.
 	Share map[string]float64
-	// Reuse has the times from room freed to room used again, in milliseconds.
+	// Reuse has the delays from capacity freed to capacity claimed again, in
+	// milliseconds.
 	Reuse *hdrhistogram.Snapshot
 }
 
@@ -176,15 +204,19 @@
 func (u *UsageChecker) Seen() Usage {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := Usage{Admitted: u.admitted, Started: u.started, Claimed: map[string]float64{}, Highest: map[string]float64{}}
-	for team := range u.limits {
-		out.Claimed[team], out.Highest[team] = u.stored[team], u.highest[team]
+	out := Usage{
+		Admitted: u.admittedTasks,
+		Started:  u.startedTasks,
+		Claimed:  map[string]float64{},
+		Highest:  map[string]float64{},
+		Faults:   slices.Clone(u.violations),
+		Share:    map[string]float64{},
+		Reuse:    u.reuseDelay.Export(),
 	}
-	out.Share = map[string]float64{}
+	seconds := u.lastChange.Sub(u.begun).Seconds()
 	for team, limit := range u.limits {
-		out.Share[team] = math.Round(100*u.area[team]/u.at.Sub(u.begun).Seconds()/limit) / 100
+		out.Claimed[team], out.Highest[team] = u.claimedByTeam[team], u.highestClaimed[team]
+		out.Share[team] = math.Round(100*u.claimedSeconds[team]/seconds/limit) / 100
 	}
-	out.Reuse = u.reuse.Export()
-	out.Faults = append(out.Faults, u.faults...)
 	return out
 }
