--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,26 +1,31 @@
 package fake
 
 import (
+	"slices"
 	"sync"
 
 	"wheatspur/internal/cloud"
 	"wheatspur/wire"
 )
 
-// Cloud is a stand-in for the cloud that has no capacity beside the machines it
-// lists. It implements fleet.Cloud.
+// Cloud is a fake cloud that has no capacity beside the machines it lists.
 type Cloud struct {
-	Mu        sync.Mutex // guards all below
-	Machines  []wire.MachineType
-	Listed    []wire.Machine
-	Returned  []string
-	Rentals   []wire.ScaleOutRequest
-	OnReturn  func(hosts []string) // called with Mu held; nil: by nobody
-	keepsList bool
+	Mu       sync.Mutex // guards all below
+	Machines []wire.MachineType
+	Listed   []wire.Machine
+	Returned []string               // machines that were terminated
+	Rentals  []wire.ScaleOutRequest // requests, all of which were refused
+	// OnReturn is called with Mu held with the machines that are terminated; nil:
+	// by nobody.
+	OnReturn func(hosts []string)
+
+	keepsList bool // terminated machines stay listed
 }
 
+var _ cloud.Provider = (*Cloud)(nil)
+
 // NewCloud returns a cloud with the types of machines. With keepsList, machines
-// stay listed when they are returned.
+// stay listed when they are terminated.
 func NewCloud(types []wire.MachineType, keepsList bool) *Cloud {
 	return &Cloud{Machines: types, keepsList: keepsList}
 }
@@ -28,33 +33,30 @@
 // MachineTypes lists the types of machines.
 func (c *Cloud) MachineTypes() ([]wire.MachineType, error) { return c.Machines, nil }
 
-// ScaleOut notes the request and refuses it.
-func (c *Cloud) ScaleOut(r wire.ScaleOutRequest) ([]string, error) {
+// ScaleOut records the request and refuses it.
+func (c *Cloud) ScaleOut(request wire.ScaleOutRequest) ([]string, error) {
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
-	c.Rentals = append(c.Rentals, r)
+	c.Rentals = append(c.Rentals, request)
 	return nil, cloud.ErrNoCapacity
 }
 
-// Terminate takes machines back.
-func (c *Cloud) Terminate(hosts []string) error {
+// Terminate terminates machines.
+func (c *Cloud) Terminate(machines []string) error {
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
-	c.Returned = append(c.Returned, hosts...)
+	c.Returned = append(c.Returned, machines...)
 	if c.OnReturn != nil {
-		c.OnReturn(hosts)
+		c.OnReturn(machines)
 	}
 	if c.keepsList {
 		return nil
 	}
-	gone := map[string]bool{}
-	for _, host := range hosts {
-		gone[host] = true
-	}
+	// A new slice: callers of ListMachines hold the one before.
 	var left []wire.Machine
-	for _, h := range c.Listed {
-		if !gone[h.Name] {
-			left = append(left, h)
+	for _, machine := range c.Listed {
+		if !slices.Contains(machines, machine.Name) {
+			left = append(left, machine)
 		}
 	}
 	c.Listed = left
--- /dev/null
+++ b/internal/fake/cloud_server.go
@@ -0,0 +1,44 @@
+package fake
+
+import (
+	"net"
+
+	"github.com/valyala/fasthttp"
+
+	"wheatspur/internal/store"
+	"wheatspur/wire"
+)
+
+// noCapacity is the protocol's text for a type, zone and kind of machine that the
+// cloud has none of.
+const noCapacity = "no capacity"
+
+// ServeCloud serves a cloud behind a link until the listener is closed.
+func ServeCloud(l net.Listener, link *Link, cloud *Cloud) error { return serve(l, link, cloud.handle) }
+
+// handle answers one request in the cloud's protocol.
+func (c *Cloud) handle(ctx *fasthttp.RequestCtx) {
+	switch path := string(ctx.Path()); {
+	case path == "/machine_types":
+		types, err := c.MachineTypes()
+		respond(ctx, wire.MachineTypes{Types: types}, err)
+	case path == "/hosts/return":
+		var request wire.MachineNames
+		if err := wire.Unmarshal(ctx.PostBody(), &request); err != nil {
+			respond(ctx, nil, store.ErrMalformed)
+			return
+		}
+		respond(ctx, struct{}{}, c.Terminate(request.Machines))
+	case ctx.IsPost():
+		var request wire.ScaleOutRequest
+		if err := wire.Unmarshal(ctx.PostBody(), &request); err != nil {
+			respond(ctx, nil, store.ErrMalformed)
+			return
+		}
+		_, _ = c.ScaleOut(request) // always refused
+		respondStatus(ctx, fasthttp.StatusServiceUnavailable, wire.ErrorResponse{Error: noCapacity})
+	default:
+		machines, err := c.ListMachines()
+		respond(ctx, wire.MachinePage{Machines: machines}, err)
+	}
+}
--- a/internal/fake/link.go
+++ b/internal/fake/link.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Link is the way from one client to a stand-in, and what fails on it.
+// Link is the network path from one client to a fake, with the faults on it.
 type Link struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the two below
 	random *rand.Rand
 	faults Faults
 }
 
-// Faults are what fails on a link; the shares are of requests, from 0 to 1.
+// Faults are the faults that a link injects; the shares are of requests, from 0 to
+// 1.
 type Faults struct {
 	Refuse bool          // requests get 503 and do nothing
 	Cut    bool          // requests get no answer and do nothing
-	Lost   float64       // they are carried out, and get no answer
-	Late   float64       // they get no answer, and are carried out later
+	Lost   float64       // share that is carried out and gets no answer
+	Late   float64       // share that gets no answer and is carried out later
 	Delay  time.Duration // of every request
 }
 
@@ -32,17 +33,22 @@
 	l.faults = f
 }
 
-// fate is what becomes of one request.
-type fate struct {
+// requestFault is what a link injects into one request.
+type requestFault struct {
 	refuse, cut, lost, late bool
 	delay                   time.Duration
 }
 
-// next draws the fate of a request.
-func (l *Link) next() fate {
+// draw decides on the fault of the next request.
+func (l *Link) draw() requestFault {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	draw := l.random.Float64()
-	f := l.faults
-	return fate{refuse: f.Refuse, cut: f.Cut, lost: draw < f.Lost, late: draw >= f.Lost && draw < f.Lost+f.Late, delay: f.Delay}
+	share := l.random.Float64()
+	return requestFault{
+		refuse: l.faults.Refuse,
+		cut:    l.faults.Cut,
+		lost:   share < l.faults.Lost,
+		late:   share >= l.faults.Lost && share < l.faults.Lost+l.faults.Late,
+		delay:  l.faults.Delay,
+	}
 }
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net"
+	"slices"
 	"sync"
 	"time"
 
@@ -11,148 +12,179 @@
 	"wheatspur/wire"
 )
 
-// Machine runs a worker over HTTP: it reports to the controllers and takes
-// direct calls.
-type Machine struct {
-	worker  *Worker
-	mu      *sync.Mutex // guards the worker; machines that are watched together share it
-	nodes   []Node
-	links   map[string]*Link // to each node, by label
-	lease   time.Duration
-	report  time.Duration
-	client  *fasthttp.Client
-	current int // node that it reports to
-}
+// heartbeatPath is where controllers take heartbeats.
+const heartbeatPath = "/checkin"
+
+// Times of a machine.
+const (
+	// advanceInterval is how often a machine looks whether a task or its lease is
+	// due, and the least time between its heartbeats.
+	advanceInterval = 40 * time.Millisecond
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// nextControllerPause is the pause before the next controller is tried.
+	nextControllerPause = 200 * time.Millisecond
+)
 
-// Node is where a controller takes reports.
+// Node is where a controller takes heartbeats.
 type Node struct{ Label, Address string }
 
-// machineTick is how often a machine looks whether something is due, and the
-// least time between its reports.
-const machineTick = 40 * time.Millisecond
-
-// reportTimeout is how long a worker waits for the answer to a report.
-const reportTimeout = 4 * time.Second
-
-// tryNext is the pause before the next node is tried.
-const tryNext = 200 * time.Millisecond
+// Machine runs a worker over HTTP: it sends heartbeats to the controllers and
+// takes direct calls.
+type Machine struct {
+	worker            *Worker
+	mu                *sync.Mutex // guards the worker; machines that are watched together share it
+	controllers       []Node
+	links             map[string]*Link // to each controller, by label
+	lease             time.Duration
+	heartbeatInterval time.Duration
+	client            *fasthttp.Client
+	current           int // index of the controller that gets the heartbeats; of Run's goroutine
+}
 
-// NewMachine returns a machine for a worker, whose times are those of the
-// settings. mu guards the worker.
-func NewMachine(w *Worker, mu *sync.Mutex, nodes []Node, seed uint64, report, lease time.Duration) *Machine {
+// NewMachine returns a machine for a worker in its first incarnation. mu guards
+// the worker.
+func NewMachine(w *Worker, mu *sync.Mutex, controllers []Node, seed uint64, heartbeatInterval, lease time.Duration) *Machine {
 	links := map[string]*Link{}
-	for i, n := range nodes {
-		links[n.Label] = NewLink(seed + uint64(i))
+	for i, controller := range controllers {
+		links[controller.Label] = NewLink(seed + uint64(i))
 	}
 	w.Session, w.Tasks, w.Renewed = 1, map[string]*Task{}, time.Now()
-	return &Machine{worker: w, mu: mu, nodes: nodes, links: links, lease: lease, report: report,
-		client: &fasthttp.Client{NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1}}
+	return &Machine{
+		worker:            w,
+		mu:                mu,
+		controllers:       controllers,
+		links:             links,
+		lease:             lease,
+		heartbeatInterval: heartbeatInterval,
+		client:            &fasthttp.Client{NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1},
+	}
 }
 
-// Link is the machine's way to a node.
+// Link is the machine's network path to a controller.
 func (m *Machine) Link(label string) *Link { return m.links[label] }
 
 // Serve takes direct calls until the listener is closed.
-func (m *Machine) Serve(l net.Listener) error {
-	return serve(l, NewLink(0), func(c *fasthttp.RequestCtx) {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		status, report := 200, wire.Heartbeat{}
-		if c.IsPost() {
-			var r wire.CommandRequest
-			if err := wire.Unmarshal(c.PostBody(), &r); err != nil {
-				c.SetStatusCode(400)
-				return
-			}
-			status, report = m.worker.Take(time.Now(), r)
-		} else {
-			report = m.worker.Report()
+func (m *Machine) Serve(l net.Listener) error { return serve(l, NewLink(0), m.handleDirectCall) }
+
+// handleDirectCall answers with a heartbeat, after the commands if there are any.
+func (m *Machine) handleDirectCall(ctx *fasthttp.RequestCtx) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var status int
+	var heartbeat wire.Heartbeat
+	if ctx.IsPost() {
+		var request wire.CommandRequest
+		if err := wire.Unmarshal(ctx.PostBody(), &request); err != nil {
+			ctx.SetStatusCode(fasthttp.StatusBadRequest)
+			return
 		}
-		c.SetStatusCode(status)
-		c.SetBody(wire.MustMarshal(report))
-	})
+		status, heartbeat = m.worker.Take(time.Now(), request)
+	} else {
+		status, heartbeat = fasthttp.StatusOK, m.worker.Report()
+	}
+	ctx.SetStatusCode(status)
+	ctx.SetBody(wire.MustMarshal(heartbeat))
 }
 
-// Run lets the machine live until ctx ends.
+// Run runs the machine's worker until ctx ends.
 func (m *Machine) Run(ctx context.Context) error {
-	var reported time.Time
+	var lastHeartbeat time.Time
 	for ctx.Err() == nil {
-		m.mu.Lock()
-		now := time.Now()
-		if now.Sub(m.worker.Renewed) > m.lease {
-			m.worker.EndSession(now)
-		}
-		changed := m.worker.Advance(now)
-		m.mu.Unlock()
-		if changed || now.Sub(reported) >= m.report {
-			reported = now
-			m.tell(ctx)
+		now, changed := m.advance()
+		if changed || now.Sub(lastHeartbeat) >= m.heartbeatInterval {
+			lastHeartbeat = now
+			m.sendHeartbeat(ctx)
 		}
-		rest(ctx, machineTick)
+		sleep(ctx, advanceInterval)
 	}
 	return nil
 }
 
-// tell sends a report and follows the answer.
-func (m *Machine) tell(ctx context.Context) {
+// advance ends the incarnation if its lease has expired, and lets the worker's
+// tasks go on. It returns the time it did so for, and whether any state of a task
+// has changed.
+func (m *Machine) advance() (now time.Time, changed bool) {
 	m.mu.Lock()
-	sent, session := time.Now(), m.worker.Session
-	report := m.worker.Report()
-	m.mu.Unlock()
-	node := m.nodes[m.current]
-	status, body := m.post(node, wire.MustMarshal(report))
+	defer m.mu.Unlock()
+	now = time.Now() // with mu held: waiting for it may take long
+	if now.Sub(m.worker.Renewed) > m.lease {
+		m.worker.EndSession(now)
+	}
+	return now, m.worker.Advance(now)
+}
+
+// sendHeartbeat sends a heartbeat and follows the answer: its commands, or its
+// redirect. Without a usable answer the next controller is tried after a pause.
+func (m *Machine) sendHeartbeat(ctx context.Context) {
+	sent, heartbeat := m.nextHeartbeat()
+	status, body := m.post(m.controllers[m.current], wire.MustMarshal(heartbeat))
 	switch status {
-	case 200:
-		var r wire.HeartbeatResponse
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		if wire.Unmarshal(body, &r) == nil && m.worker.Session == session && m.worker.Answered(sent, r) {
-			m.worker.CarryOut(time.Now(), r.Commands)
-		}
+	case fasthttp.StatusOK:
+		m.handleResponse(sent, heartbeat.Incarnation, body)
 		return
-	case 421:
-		var r wire.Redirect
-		if wire.Unmarshal(body, &r) == nil && m.follow(r.Node) {
+	case fasthttp.StatusMisdirectedRequest:
+		var redirect wire.Redirect
+		if wire.Unmarshal(body, &redirect) == nil && m.redirectTo(redirect.Node) {
 			return
 		}
 	}
-	m.current = (m.current + 1) % len(m.nodes)
-	rest(ctx, tryNext)
+	m.current = (m.current + 1) % len(m.controllers)
+	sleep(ctx, nextControllerPause)
 }
 
-// follow turns to a node that was named; false if it is the present one or not
-// known.
-func (m *Machine) follow(label string) bool {
-	for i, n := range m.nodes {
-		if n.Label == label && i != m.current {
-			m.current = i
-			return true
-		}
+// nextHeartbeat returns the next heartbeat and when it was made: the lease runs
+// from then, not from the answer.
+func (m *Machine) nextHeartbeat() (time.Time, wire.Heartbeat) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return time.Now(), m.worker.Report()
+}
+
+// handleResponse carries out the commands of an answer, unless the worker has
+// begun another incarnation since it sent the heartbeat.
+func (m *Machine) handleResponse(sent time.Time, incarnation uint64, body []byte) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var response wire.HeartbeatResponse
+	if wire.Unmarshal(body, &response) == nil && m.worker.Session == incarnation && m.worker.Answered(sent, response) {
+		m.worker.CarryOut(time.Now(), response.Commands)
+	}
+}
+
+// redirectTo turns to the controller that was named. It reports false if that is
+// the present one or unknown.
+func (m *Machine) redirectTo(label string) bool {
+	i := slices.IndexFunc(m.controllers, func(controller Node) bool { return controller.Label == label })
+	if i < 0 || i == m.current {
+		return false
 	}
-	return false
+	m.current = i
+	return true
 }
 
-// post sends a report over the link to a node; 0 if there is no answer.
-func (m *Machine) post(n Node, body []byte) (int, []byte) {
-	f := m.links[n.Label].next()
-	time.Sleep(f.delay)
-	if f.cut || f.refuse {
+// post sends a heartbeat over the link to a controller; the status is 0 if there
+// is no answer.
+func (m *Machine) post(controller Node, body []byte) (int, []byte) {
+	fault := m.links[controller.Label].draw()
+	time.Sleep(fault.delay)
+	if fault.cut || fault.refuse {
 		return 0, nil
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod("POST")
-	req.SetRequestURI("http://" + n.Address + "/checkin")
+	req.Header.SetMethod(fasthttp.MethodPost)
+	req.SetRequestURI("http://" + controller.Address + heartbeatPath)
 	req.SetBody(body)
-	if err := m.client.DoTimeout(req, resp, reportTimeout); err != nil || f.lost {
+	if err := m.client.DoTimeout(req, resp, heartbeatTimeout); err != nil || fault.lost {
 		return 0, nil
 	}
-	return resp.StatusCode(), append([]byte(nil), resp.Body()...)
+	return resp.StatusCode(), slices.Clone(resp.Body())
 }
 
-// rest waits, or until ctx ends.
-func rest(ctx context.Context, d time.Duration) {
+// sleep waits for a time, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,10 +1,13 @@
-// Package fake holds stand-ins for what the controllers talk to: the state
-// service, the cloud and the workers, after the protocol's page. They are for
-// tests: in one process with a fake clock, or over HTTP on loopback with links
-// that fail.
+// Package fake holds fakes of what controllers talk to: the key-value store (the
+// protocol's state service), the cloud, and the workers. They follow the
+// protocol's page and are for tests alone: called directly in one process with a
+// fake clock, or served over HTTP on loopback behind links that fail. The package
+// also records what controllers do to them: commands and quota usage.
+// It runs no controllers: package testcluster does.
 package fake
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -17,43 +20,53 @@
 	"wheatspur/wire"
 )
 
+// comparesPerOperation is how many compares the store takes in a transaction for
+// each operation that OpsLimit allows.
+const comparesPerOperation = 4
+
 // Entry is a stored value.
 type Entry struct {
 	Value   wire.Raw
-	Version uint64
-	LeaseID uint64
+	Version uint64 // revision of the last write
+	LeaseID uint64 // the lease whose end deletes the key; 0: none
 }
 
-// Store is a stand-in for the state service. It implements store.Service.
+// Store is a fake key-value store that keeps everything in memory. Its own lease
+// clock stands still: a lease ends with RevokeLease or Expire alone.
 type Store struct {
 	Mu       sync.Mutex // guards all below
 	Revision uint64
 	Keys     map[string]Entry
 	Events   []wire.WatchEvent // in the order of their versions
-	Leases   map[uint64]bool
-	Reads    int // watches asked for
-	Down     bool
-	Lose     int // so many answers of transactions get lost after they were applied
-	Refused  int // transactions that were beyond the limits
+	Leases   map[uint64]bool   // that are alive
+	Reads    int               // watches asked for
+	Down     bool              // lists, watches and transactions are rejected
+	Lose     int               // so many transactions will be applied without their answer arriving
+	Refused  int               // transactions that were beyond the limits
 
-	ValueLimit, OpsLimit int // of a value in bytes, of a transaction's changes; 0: none
-	KeepEvents           int // events kept for watches; 0: all
+	// ValueLimit is the largest value in bytes of its JSON form, OpsLimit the most
+	// operations of a transaction; 0: no limit.
+	ValueLimit, OpsLimit int
+	// KeepEvents is how many events are kept for watches; 0: all.
+	KeepEvents int
 
 	// Applied is called with Mu held after every transaction that was applied;
 	// nil: by nobody.
 	Applied func(changes []wire.Operation)
 
-	lastLease uint64
-	changed   chan struct{} // closed with the next change
-	forgotten uint64        // version of the newest event that is not kept
+	lastLease        uint64
+	changed          chan struct{} // closed with the next change
+	compactedVersion uint64        // version of the newest event that is not kept
 }
 
+var _ store.KeyValueStore = (*Store)(nil)
+
 // NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{Keys: map[string]Entry{}, Leases: map[uint64]bool{}, changed: make(chan struct{})}
 }
 
-// List returns the keys with a prefix, after a key.
+// List returns the keys with a prefix, after a key, in their order.
 func (s *Store) List(_ context.Context, prefix, after string) (wire.ListResponse, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -61,42 +74,43 @@
 	if s.Down {
 		return out, store.ErrRejected
 	}
-	for key, e := range s.Keys {
+	for key, entry := range s.Keys {
 		if strings.HasPrefix(key, prefix) && key > after {
-			out.KeyValues = append(out.KeyValues, wire.KeyValue{Key: key, Value: e.Value, Version: e.Version})
+			out.KeyValues = append(out.KeyValues, wire.KeyValue{Key: key, Value: entry.Value, Version: entry.Version})
 		}
 	}
 	slices.SortFunc(out.KeyValues, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return out, nil
 }
 
-// CompareAndSwap applies a transaction if its guards hold.
-func (s *Store) CompareAndSwap(_ context.Context, _ store.Class, guards []wire.Compare, changes []wire.Operation) (uint64, error) {
+// CompareAndSwap applies all operations of a transaction if all its compares hold,
+// else none.
+func (s *Store) CompareAndSwap(_ context.Context, _ store.Class, compares []wire.Compare, operations []wire.Operation) (uint64, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	if s.Down {
 		return 0, store.ErrRejected
 	}
-	for _, c := range changes {
-		if c.LeaseID != 0 && !s.Leases[c.LeaseID] {
+	for _, operation := range operations {
+		if operation.LeaseID != 0 && !s.Leases[operation.LeaseID] {
 			return 0, store.ErrLeaseExpired
 		}
 	}
-	if s.beyond(guards, changes) {
+	if s.exceedsLimits(compares, operations) {
 		s.Refused++
 		return 0, store.ErrMalformed
 	}
-	for _, g := range guards {
-		if s.Keys[g.Key].Version != g.Version {
-			return s.Revision, fmt.Errorf("%w: %s", store.ErrConflict, g.Key)
+	for _, compare := range compares {
+		if s.Keys[compare.Key].Version != compare.Version {
+			return s.Revision, fmt.Errorf("%w: %s", store.ErrConflict, compare.Key)
 		}
 	}
 	s.Revision++
-	for _, c := range changes {
-		s.change(c)
+	for _, operation := range operations {
+		s.apply(operation)
 	}
 	if s.Applied != nil {
-		s.Applied(changes)
+		s.Applied(operations)
 	}
 	if s.Lose > 0 {
 		s.Lose--
@@ -105,77 +119,84 @@
 	return s.Revision, nil
 }
 
-// change makes one change at the present revision; Mu is held.
-func (s *Store) change(c wire.Operation) {
-	if c.Delete != "" {
-		delete(s.Keys, c.Delete)
-		s.Events = append(s.Events, wire.WatchEvent{Delete: c.Delete, Version: s.Revision})
+// apply applies one operation at the present revision and wakes the watches; Mu is
+// held.
+func (s *Store) apply(operation wire.Operation) {
+	if operation.Delete != "" {
+		delete(s.Keys, operation.Delete)
+		s.Events = append(s.Events, wire.WatchEvent{Delete: operation.Delete, Version: s.Revision})
 	} else {
-		s.Keys[c.Put] = Entry{c.Value, s.Revision, c.LeaseID}
-		s.Events = append(s.Events, wire.WatchEvent{Put: c.Put, Value: c.Value, Version: s.Revision})
-	}
-	if s.KeepEvents > 0 && len(s.Events) > 2*s.KeepEvents {
-		gone := len(s.Events) - s.KeepEvents
-		s.forgotten = s.Events[gone-1].Version
-		s.Events = slices.Clone(s.Events[gone:])
+		s.Keys[operation.Put] = Entry{Value: operation.Value, Version: s.Revision, LeaseID: operation.LeaseID}
+		s.Events = append(s.Events, wire.WatchEvent{Put: operation.Put, Value: operation.Value, Version: s.Revision})
 	}
+	s.compactEvents()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// beyond reports whether a transaction is larger than the service takes; Mu is
-// held.
-func (s *Store) beyond(guards []wire.Compare, changes []wire.Operation) bool {
-	if s.OpsLimit > 0 && (len(changes) > s.OpsLimit || len(guards) > 4*s.OpsLimit) {
-		return true
+// compactEvents drops the oldest events once twice as many are there as are kept,
+// so that the copy is rare; Mu is held.
+func (s *Store) compactEvents() {
+	if s.KeepEvents == 0 || len(s.Events) <= 2*s.KeepEvents {
+		return
 	}
-	for _, c := range changes {
-		if s.ValueLimit > 0 && c.Put != "" && JSONSize(c.Value) > s.ValueLimit {
-			return true
-		}
+	dropped := len(s.Events) - s.KeepEvents
+	s.compactedVersion = s.Events[dropped-1].Version
+	s.Events = slices.Clone(s.Events[dropped:])
+}
+
+// exceedsLimits reports whether a transaction is larger than the store takes; Mu
+// is held.
+func (s *Store) exceedsLimits(compares []wire.Compare, operations []wire.Operation) bool {
+	if s.OpsLimit > 0 && (len(operations) > s.OpsLimit || len(compares) > comparesPerOperation*s.OpsLimit) {
+		return true
 	}
-	return false
+	return s.ValueLimit > 0 && slices.ContainsFunc(operations, func(operation wire.Operation) bool {
+		return operation.Put != "" && JSONSize(operation.Value) > s.ValueLimit
+	})
 }
 
-// JSONSize is the size of a value's JSON form.
+// JSONSize is the size of a value's JSON form, by which the store measures it; 0
+// if it can't be decoded.
 func JSONSize(raw wire.Raw) int {
-	var v any
-	if err := wire.Unmarshal(raw, &v); err != nil {
+	var value any
+	if err := wire.Unmarshal(raw, &value); err != nil {
 		return 0
 	}
-	b, err := json.Marshal(textKeys(v))
+	encoded, err := json.Marshal(withStringKeys(value))
 	if err != nil {
-		panic(err)
+		panic(err) // everything that CBOR decodes to has a JSON form
 	}
-	return len(b)
+	return len(encoded)
 }
 
-// textKeys gives the maps of a decoded value keys that JSON takes.
-func textKeys(v any) any {
-	switch v := v.(type) {
+// withStringKeys gives the maps of a decoded value the string keys that JSON asks
+// for.
+func withStringKeys(value any) any {
+	switch value := value.(type) {
 	case map[any]any:
-		out := map[string]any{}
-		for k, e := range v {
-			out[fmt.Sprint(k)] = textKeys(e)
+		out := make(map[string]any, len(value))
+		for key, element := range value {
+			out[fmt.Sprint(key)] = withStringKeys(element)
 		}
 		return out
 	case []any:
-		for i := range v {
-			v[i] = textKeys(v[i])
+		for i := range value {
+			value[i] = withStringKeys(value[i])
 		}
 	}
-	return v
+	return value
 }
 
-// Put stores a value of any size without guards, as an earlier version did.
+// Put stores a value of any size without compares, as an earlier version did.
 func (s *Store) Put(key string, value wire.Raw) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	s.Revision++
-	s.change(wire.Operation{Put: key, Value: value})
+	s.apply(wire.Operation{Put: key, Value: value})
 }
 
-// GrantLease opens a lease; it ends with Expire alone.
+// GrantLease grants a lease, which does not run out by itself.
 func (s *Store) GrantLease(context.Context, time.Duration) (uint64, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -184,34 +205,34 @@
 	return s.lastLease, nil
 }
 
-// RenewLease renews a lease.
-func (s *Store) RenewLease(_ context.Context, id uint64) error {
+// RenewLease fails if the lease has ended.
+func (s *Store) RenewLease(_ context.Context, leaseID uint64) error {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	if !s.Leases[id] {
+	if !s.Leases[leaseID] {
 		return store.ErrLeaseExpired
 	}
 	return nil
 }
 
 // RevokeLease ends a lease at its holder's wish.
-func (s *Store) RevokeLease(ctx context.Context, id uint64) error {
-	if err := s.RenewLease(ctx, id); err != nil {
+func (s *Store) RevokeLease(ctx context.Context, leaseID uint64) error {
+	if err := s.RenewLease(ctx, leaseID); err != nil {
 		return err
 	}
-	s.Expire(id)
+	s.Expire(leaseID)
 	return nil
 }
 
-// Expire ends a lease and drops its keys.
-func (s *Store) Expire(id uint64) {
+// Expire ends a lease and deletes its keys.
+func (s *Store) Expire(leaseID uint64) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	delete(s.Leases, id)
-	for key, e := range s.Keys {
-		if e.LeaseID == id {
+	delete(s.Leases, leaseID)
+	for key, entry := range s.Keys {
+		if entry.LeaseID == leaseID {
 			s.Revision++
-			s.change(wire.Operation{Delete: key})
+			s.apply(wire.Operation{Delete: key})
 		}
 	}
 }
@@ -224,21 +245,30 @@
 	if s.Down {
 		return wire.WatchResponse{Revision: s.Revision}, store.ErrRejected
 	}
-	return s.since(prefix, after)
+	return s.eventsSince(prefix, after)
+}
+
+// poll returns what has changed below a prefix after a revision, and a channel that
+// is closed with the next change.
+func (s *Store) poll(prefix string, after uint64) (wire.WatchResponse, <-chan struct{}, error) {
+	s.Mu.Lock()
+	defer s.Mu.Unlock()
+	events, err := s.eventsSince(prefix, after)
+	return events, s.changed, err
 }
 
-// since is what has changed below a prefix after a revision; Mu is held.
-func (s *Store) since(prefix string, after uint64) (wire.WatchResponse, error) {
-	if after < s.forgotten {
+// eventsSince returns what has changed below a prefix after a revision; Mu is held.
+func (s *Store) eventsSince(prefix string, after uint64) (wire.WatchResponse, error) {
+	if after < s.compactedVersion {
 		return wire.WatchResponse{}, store.ErrCompacted
 	}
 	out := wire.WatchResponse{Revision: s.Revision}
-	first, _ := slices.BinarySearchFunc(s.Events, after+1, func(e wire.WatchEvent, version uint64) int {
-		return int(int64(e.Version) - int64(version))
+	first, _ := slices.BinarySearchFunc(s.Events, after+1, func(event wire.WatchEvent, version uint64) int {
+		return cmp.Compare(event.Version, version)
 	})
-	for _, e := range s.Events[first:] {
-		if strings.HasPrefix(e.Put+e.Delete, prefix) {
-			out.Events = append(out.Events, e)
+	for _, event := range s.Events[first:] {
+		if strings.HasPrefix(event.Put+event.Delete, prefix) {
+			out.Events = append(out.Events, event)
 		}
 	}
 	return out, nil
--- a/internal/fake/store_server.go
+++ b/internal/fake/store_server.go
@@ -1,7 +1,6 @@
 package fake
 
 import (
-	"errors"
 	"net"
 	"strconv"
 	"strings"
@@ -14,189 +13,142 @@
 	"wheatspur/wire"
 )
 
-// silence is how long a request without an answer keeps its client waiting:
-// longer than any client of the controllers does.
-const silence = 6 * time.Second
-
-// lateBy is how much later a late request is carried out.
-const lateBy = 2500 * time.Millisecond
+// servedEvents is how many events a store keeps for watches according to the
+// protocol.
+const servedEvents = 10_000
+
+// Paths of the store's protocol.
+const (
+	keysPath        = "/keys"
+	transactionPath = "/multi"
+	leasesPath      = "/leases"
+	leasePrefix     = leasesPath + "/"
+	renewSuffix     = "/touch"
+	watchPath       = "/watch"
+)
 
-// StoreServer serves a store over HTTP, each client over a link of its own.
+// StoreServer serves a store over HTTP, each client over a link of its own. It
+// adds what the store itself lacks: leases that expire with time, and watches
+// that wait.
 type StoreServer struct {
 	store  *Store
-	mu     sync.Mutex
+	mu     sync.Mutex // guards timers
 	timers map[uint64]*leaseTimer
 }
 
-// leaseTimer ends a lease that nobody renews.
+// leaseTimer expires a lease that nobody renews.
 type leaseTimer struct {
 	timer *time.Timer
 	ttl   time.Duration
 }
 
-// NewStoreServer returns a server of the store, which keeps as many events as
-// the protocol says.
+// NewStoreServer returns a server of the store, and lets the store keep as many
+// events as the protocol says.
 func NewStoreServer(s *Store) *StoreServer {
-	s.KeepEvents = 10_000
+	s.KeepEvents = servedEvents
 	return &StoreServer{store: s, timers: map[uint64]*leaseTimer{}}
 }
 
 // Serve serves one client's link until the listener is closed.
 func (s *StoreServer) Serve(l net.Listener, link *Link) error { return serve(l, link, s.handle) }
 
-func (s *StoreServer) handle(c *fasthttp.RequestCtx) {
-	path := string(c.Path())
+// handle answers one request in the store's protocol.
+func (s *StoreServer) handle(ctx *fasthttp.RequestCtx) {
+	path := string(ctx.Path())
 	switch {
-	case path == "/keys":
-		page, err := s.store.List(c, string(c.QueryArgs().Peek("starts")), string(c.QueryArgs().Peek("after")))
-		answer(c, page, err)
-	case path == "/multi":
-		s.transaction(c)
-	case path == "/leases":
-		s.openLease(c)
-	case c.IsDelete():
-		id, _ := strconv.ParseUint(strings.TrimPrefix(path, "/leases/"), 10, 64)
-		answer(c, struct{}{}, s.store.RevokeLease(c, id))
-	case strings.HasSuffix(path, "/touch"):
-		s.touch(c, strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch"))
-	case path == "/watch":
-		s.watch(c)
+	case path == keysPath:
+		s.list(ctx)
+	case path == transactionPath:
+		s.compareAndSwap(ctx)
+	case path == leasesPath:
+		s.grantLease(ctx)
+	case ctx.IsDelete():
+		respond(ctx, struct{}{}, s.store.RevokeLease(ctx, parseLeaseID(path)))
+	case strings.HasSuffix(path, renewSuffix):
+		s.renewLease(ctx, parseLeaseID(strings.TrimSuffix(path, renewSuffix)))
+	case path == watchPath:
+		s.watch(ctx)
 	default:
-		c.SetStatusCode(404)
+		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-func (s *StoreServer) transaction(c *fasthttp.RequestCtx) {
-	var t wire.Transaction
-	if err := wire.Unmarshal(c.PostBody(), &t); err != nil {
-		answer(c, nil, store.ErrMalformed)
+// parseLeaseID returns the lease that a path names, and for any other path 0,
+// which is never granted.
+func parseLeaseID(path string) uint64 {
+	leaseID, err := strconv.ParseUint(strings.TrimPrefix(path, leasePrefix), 10, 64)
+	if err != nil {
+		return 0
+	}
+	return leaseID
+}
+
+func (s *StoreServer) list(ctx *fasthttp.RequestCtx) {
+	query := ctx.QueryArgs()
+	page, err := s.store.List(ctx, string(query.Peek("starts")), string(query.Peek("after")))
+	respond(ctx, page, err)
+}
+
+func (s *StoreServer) compareAndSwap(ctx *fasthttp.RequestCtx) {
+	var transaction wire.Transaction
+	if err := wire.Unmarshal(ctx.PostBody(), &transaction); err != nil {
+		respond(ctx, nil, store.ErrMalformed)
 		return
 	}
-	revision, err := s.store.CompareAndSwap(c, 0, t.Compares, t.Operations)
-	answer(c, wire.TransactionResult{Revision: revision}, err)
+	revision, err := s.store.CompareAndSwap(ctx, 0, transaction.Compares, transaction.Operations)
+	respond(ctx, wire.TransactionResult{Revision: revision}, err)
 }
 
-func (s *StoreServer) openLease(c *fasthttp.RequestCtx) {
-	var r wire.LeaseRequest
-	if err := wire.Unmarshal(c.PostBody(), &r); err != nil {
-		answer(c, nil, store.ErrMalformed)
+func (s *StoreServer) grantLease(ctx *fasthttp.RequestCtx) {
+	var request wire.LeaseRequest
+	if err := wire.Unmarshal(ctx.PostBody(), &request); err != nil {
+		respond(ctx, nil, store.ErrMalformed)
+		return
+	}
+	ttl := time.Duration(request.TTLMs) * time.Millisecond
+	leaseID, err := s.store.GrantLease(ctx, ttl)
+	if err != nil {
+		respond(ctx, nil, err)
 		return
 	}
-	ttl := time.Duration(r.TTLMs) * time.Millisecond
-	id, err := s.store.GrantLease(c, ttl)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.timers[id] = &leaseTimer{time.AfterFunc(ttl, func() { s.store.Expire(id) }), ttl}
-	answer(c, wire.LeaseResponse{ID: id}, err)
+	s.timers[leaseID] = &leaseTimer{timer: time.AfterFunc(ttl, func() { s.store.Expire(leaseID) }), ttl: ttl}
+	respond(ctx, wire.LeaseResponse{ID: leaseID}, nil)
 }
 
-func (s *StoreServer) touch(c *fasthttp.RequestCtx, number string) {
-	id, _ := strconv.ParseUint(number, 10, 64)
-	err := s.store.RenewLease(c, id)
+func (s *StoreServer) renewLease(ctx *fasthttp.RequestCtx, leaseID uint64) {
+	err := s.store.RenewLease(ctx, leaseID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if lease := s.timers[id]; err == nil && lease != nil {
+	if lease := s.timers[leaseID]; err == nil && lease != nil {
 		lease.timer.Reset(lease.ttl)
 	}
-	answer(c, struct{}{}, err)
+	respond(ctx, struct{}{}, err)
 }
 
-// watch waits for a change until the hold is over.
-func (s *StoreServer) watch(c *fasthttp.RequestCtx) {
-	after, _ := strconv.ParseUint(string(c.QueryArgs().Peek("after")), 10, 64)
-	hold := c.QueryArgs().GetUintOrZero("hold_ms")
-	over := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer over.Stop()
+// watch answers with the changes after a revision, and waits for one as long as
+// the client holds the request.
+func (s *StoreServer) watch(ctx *fasthttp.RequestCtx) {
+	query := ctx.QueryArgs()
+	after, err := strconv.ParseUint(string(query.Peek("after")), 10, 64)
+	if err != nil {
+		after = 0 // a watch from the beginning
+	}
+	holdMs := query.GetUintOrZero("hold_ms")
+	held := holdMs > 0
+	holdTimer := time.NewTimer(time.Duration(holdMs) * time.Millisecond)
+	defer holdTimer.Stop()
 	for {
-		s.store.Mu.Lock()
-		events, err := s.store.since(string(c.QueryArgs().Peek("starts")), after)
-		changed := s.store.changed
-		s.store.Mu.Unlock()
-		if err != nil || len(events.Events) > 0 || hold == 0 {
-			answer(c, events, err)
+		events, changed, err := s.store.poll(string(query.Peek("starts")), after)
+		if err != nil || len(events.Events) > 0 || !held {
+			respond(ctx, events, err)
 			return
 		}
 		select {
 		case <-changed:
-		case <-over.C:
-			hold = 0
-		}
-	}
-}
-
-// ServeCloud serves a cloud until the listener is closed.
-func ServeCloud(l net.Listener, link *Link, cloud *Cloud) error {
-	return serve(l, link, func(c *fasthttp.RequestCtx) {
-		switch path := string(c.Path()); {
-		case path == "/machine_types":
-			types, err := cloud.MachineTypes()
-			answer(c, wire.MachineTypes{Types: types}, err)
-		case path == "/hosts/return":
-			var hosts wire.MachineNames
-			_ = wire.Unmarshal(c.PostBody(), &hosts)
-			answer(c, struct{}{}, cloud.Terminate(hosts.Machines))
-		case c.IsPost():
-			var r wire.ScaleOutRequest
-			_ = wire.Unmarshal(c.PostBody(), &r)
-			_, _ = cloud.ScaleOut(r)
-			c.SetStatusCode(503)
-			c.SetBody(wire.MustMarshal(wire.ErrorResponse{Error: "no capacity"}))
-		default:
-			hosts, err := cloud.ListMachines()
-			answer(c, wire.MachinePage{Machines: hosts}, err)
+		case <-holdTimer.C:
+			held = false
 		}
-	})
-}
-
-// serve serves a handler behind a link.
-func serve(l net.Listener, link *Link, handle fasthttp.RequestHandler) error {
-	s := &fasthttp.Server{Handler: func(c *fasthttp.RequestCtx) { link.carry(c, handle) },
-		NoDefaultServerHeader: true, CloseOnShutdown: true}
-	return s.Serve(l)
-}
-
-// carry lets a request meet its fate.
-func (l *Link) carry(c *fasthttp.RequestCtx, handle fasthttp.RequestHandler) {
-	f := l.next()
-	time.Sleep(f.delay)
-	switch {
-	case f.refuse:
-		c.SetStatusCode(503)
-		return
-	case f.late && c.IsPost():
-		time.Sleep(lateBy)
-		handle(c)
-	case f.cut, f.late:
-	default:
-		handle(c)
-		if !f.lost {
-			return
-		}
-	}
-	time.Sleep(silence)
-	c.SetConnectionClose()
-	c.SetStatusCode(503)
-}
-
-// answer writes a result, or the status of what went wrong.
-func answer(c *fasthttp.RequestCtx, result any, err error) {
-	status := 200
-	switch {
-	case err == nil:
-	case errors.Is(err, store.ErrConflict):
-		status = 409
-	case errors.Is(err, store.ErrLeaseExpired) && c.IsPost() && string(c.Path()) == "/multi":
-		status, result = 400, wire.TransactionResult{Error: "no such lease"}
-	case errors.Is(err, store.ErrLeaseExpired):
-		status = 404
-	case errors.Is(err, store.ErrCompacted):
-		status = 410
-	case errors.Is(err, store.ErrMalformed):
-		status, result = 400, wire.ErrorResponse{Error: "malformed"}
-	default:
-		status = 503
 	}
-	c.SetStatusCode(status)
-	c.SetContentType(wire.ContentType)
-	c.SetBody(wire.MustMarshal(result))
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -6,29 +6,31 @@
 	"slices"
 	"time"
 
+	"github.com/valyala/fasthttp"
+
 	"wheatspur/internal/jobs"
 	"wheatspur/wire"
 )
 
-// Worker is a machine's worker: its session and tasks, and what it does when it
-// is told to. It does no I/O and keeps no time of its own.
+// Worker is a machine's worker: its incarnation and tasks, and how it carries out
+// commands. It does no I/O, has no clock of its own, and needs a lock around it.
 type Worker struct {
-	Host      string
-	Address   string
-	Type      string
+	Host      string // name of the machine
+	Address   string // for direct calls
+	Type      string // of the machine
 	Zone      string
 	Spot      bool
-	Session   uint64
-	Sequence  uint64
-	Token     uint64           // highest seen
-	Tasks     map[string]*Task // by task and attempt
-	Renewed   time.Time        // sending of the last answered report
-	ImageTime time.Duration    // a fetch takes so long
-	// Begins is called when a task is about to run, and says for how long; 0: it
-	// does not end by itself.
+	Session   uint64           // the incarnation
+	Sequence  uint64           // of the last heartbeat
+	Token     uint64           // highest fencing token seen
+	Tasks     map[string]*Task // by attempt (task name, "#", attempt)
+	Renewed   time.Time        // when the last answered heartbeat was sent: the lease runs from then
+	ImageTime time.Duration    // of an image pull
+	// Begins is called when a task is about to run, and returns for how long it
+	// will; 0: until it is told to stop.
 	Begins func(w *Worker, t *Task) time.Duration
-	Orders *OrderLog // takes what the worker is told; nil: nobody does
-	// Ended is called when a task that ran is over; nil: by nobody.
+	Orders *OrderLog // records the commands; nil: nothing does
+	// Ended is called when a task that ran has ended; nil: by nobody.
 	Ended func(w *Worker, t *Task)
 }
 
@@ -36,18 +38,32 @@
 type Task struct {
 	wire.TaskStatus
 	JobID string
-	Ready time.Time // its image is there
-	Ends  time.Time // zero: never
+	Ready time.Time // when its image is pulled
+	Ends  time.Time // when it ends by itself; zero: never
+}
+
+// attemptKey is the key in Worker.Tasks of the attempt that a command is for.
+func attemptKey(command wire.Command) string {
+	return fmt.Sprintf("%s#%d", command.Task, command.Attempt)
 }
 
-// Report is the worker's next report.
+// Report returns the worker's next heartbeat.
 func (w *Worker) Report() wire.Heartbeat {
 	w.Sequence++
-	r := wire.Heartbeat{Machine: w.Host, Address: w.Address, MachineType: w.Type, Zone: w.Zone, Spot: w.Spot, Incarnation: w.Session, Sequence: w.Sequence, FencingToken: w.Token}
+	heartbeat := wire.Heartbeat{
+		Machine:      w.Host,
+		Address:      w.Address,
+		MachineType:  w.Type,
+		Zone:         w.Zone,
+		Spot:         w.Spot,
+		Incarnation:  w.Session,
+		Sequence:     w.Sequence,
+		FencingToken: w.Token,
+	}
 	for _, key := range slices.Sorted(maps.Keys(w.Tasks)) {
-		r.Tasks = append(r.Tasks, w.Tasks[key].TaskStatus)
+		heartbeat.Tasks = append(heartbeat.Tasks, w.Tasks[key].TaskStatus)
 	}
-	return r
+	return heartbeat
 }
 
 // CarryOut carries out commands in their order.
@@ -55,62 +71,71 @@
 	if w.Orders != nil {
 		w.Orders.Note(now, w, commands)
 	}
-	for _, c := range commands {
-		key := fmt.Sprintf("%s#%d", c.Task, c.Attempt)
-		t := w.Tasks[key]
-		switch c.Verb {
+	for _, command := range commands {
+		key := attemptKey(command)
+		task := w.Tasks[key]
+		switch command.Verb {
 		case wire.VerbStart:
-			if t == nil {
-				jobID, _, _ := jobs.ParseTaskName(c.Task)
-				started := wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskPulling}
-				w.Tasks[key] = &Task{TaskStatus: started, JobID: jobID, Ready: now.Add(w.ImageTime)}
-				w.Advance(now)
+			if task == nil {
+				w.startTask(now, key, command)
 			}
 		case wire.VerbKill:
-			if t != nil && t.State != wire.TaskExited {
-				w.end(t, wire.ExitCauseStopped)
+			if task != nil && task.State != wire.TaskExited {
+				w.endTask(task, wire.ExitCauseStopped)
 			}
 		case wire.VerbReap:
-			if t != nil && t.State == wire.TaskExited {
+			if task != nil && task.State == wire.TaskExited {
 				delete(w.Tasks, key)
 			}
 		}
 	}
 }
 
+// startTask begins the image pull of a new attempt.
+func (w *Worker) startTask(now time.Time, key string, command wire.Command) {
+	jobID, _, _ := jobs.ParseTaskName(command.Task) // a name that is none belongs to no job
+	w.Tasks[key] = &Task{
+		TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskPulling},
+		JobID:      jobID,
+		Ready:      now.Add(w.ImageTime),
+	}
+	w.Advance(now)
+}
+
 // Advance lets tasks that have their image run, and ends those whose time is up.
 // It reports whether any state has changed.
 func (w *Worker) Advance(now time.Time) (changed bool) {
-	for _, t := range w.Tasks {
-		if t.State == wire.TaskPulling && !now.Before(t.Ready) {
-			runs := w.Begins(w, t)
-			t.State, changed = wire.TaskRunning, true
-			if runs > 0 {
-				t.Ends = now.Add(runs)
+	for _, task := range w.Tasks {
+		if task.State == wire.TaskPulling && !now.Before(task.Ready) {
+			duration := w.Begins(w, task)
+			task.State, changed = wire.TaskRunning, true
+			if duration > 0 {
+				task.Ends = now.Add(duration)
 			}
 		}
-		if t.State == wire.TaskRunning && !t.Ends.IsZero() && !now.Before(t.Ends) {
-			w.end(t, wire.ExitCauseDone)
+		if task.State == wire.TaskRunning && !task.Ends.IsZero() && !now.Before(task.Ends) {
+			w.endTask(task, wire.ExitCauseDone)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// end is the one place where a task ends.
-func (w *Worker) end(t *Task, cause string) {
-	ran := t.State == wire.TaskRunning
-	t.State, t.ExitCause = wire.TaskExited, cause
+// endTask is the one place where a task ends.
+func (w *Worker) endTask(task *Task, cause string) {
+	ran := task.State == wire.TaskRunning
+	task.State, task.ExitCause = wire.TaskExited, cause
 	if ran && w.Ended != nil {
-		w.Ended(w, t)
+		w.Ended(w, task)
 	}
 }
 
-// EndSession ends the session: everything in it is gone.
+// EndSession ends the incarnation, as a worker does whose lease has expired: its
+// tasks are stopped and forgotten, and the next incarnation begins.
 func (w *Worker) EndSession(now time.Time) {
-	for _, t := range w.Tasks {
-		if t.State != wire.TaskExited {
-			w.end(t, wire.ExitCauseStopped)
+	for _, task := range w.Tasks {
+		if task.State != wire.TaskExited {
+			w.endTask(task, wire.ExitCauseStopped)
 		}
 	}
 	clear(w.Tasks)
@@ -118,23 +143,23 @@
 	w.Renewed = now
 }
 
-// Answered takes the answer to a report that was sent at a time, unless its token
-// is too low.
-func (w *Worker) Answered(sent time.Time, r wire.HeartbeatResponse) bool {
-	if r.FencingToken < w.Token {
+// Answered renews the lease by the answer to a heartbeat that was sent at a time.
+// It reports false, and does nothing, if the fencing token is lower than one seen.
+func (w *Worker) Answered(sent time.Time, response wire.HeartbeatResponse) bool {
+	if response.FencingToken < w.Token {
 		return false
 	}
-	w.Token, w.Renewed = r.FencingToken, sent
+	w.Token, w.Renewed = response.FencingToken, sent
 	return true
 }
 
-// Take carries out a direct call, and returns the status and the report of after.
-func (w *Worker) Take(now time.Time, c wire.CommandRequest) (int, wire.Heartbeat) {
-	status := 409
-	if c.FencingToken >= w.Token && c.Incarnation == w.Session {
-		status = 200
-		w.Token = c.FencingToken
-		w.CarryOut(now, c.Commands)
+// Take carries out the commands of a direct call unless the call is fenced out or
+// for another incarnation. It returns the HTTP status and the heartbeat after it.
+func (w *Worker) Take(now time.Time, request wire.CommandRequest) (int, wire.Heartbeat) {
+	if request.FencingToken < w.Token || request.Incarnation != w.Session {
+		return fasthttp.StatusConflict, w.Report()
 	}
-	return status, w.Report()
+	w.Token = request.FencingToken
+	w.CarryOut(now, request.Commands)
+	return fasthttp.StatusOK, w.Report()
 }
