--- /dev/null
+++ b/internal/fake/worker_test.go
@@ -0,0 +1,63 @@
+package fake
+
+import (
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"wheatspur/wire"
+)
+
+// newWorker returns a worker in incarnation 3 that has seen fencing token 5.
+func newWorker() *Worker {
+	return &Worker{Session: 3, Token: 5, Tasks: map[string]*Task{}, Begins: func(*Worker, *Task) time.Duration { return 0 }}
+}
+
+var startCommand = wire.Command{Verb: wire.VerbStart, Task: "wk-1/0", Attempt: 1}
+
+func TestWorkerRefusesDirectCallsThatAreFencedOut(t *testing.T) {
+	for _, c := range []struct {
+		name               string
+		token, incarnation uint64
+		status             int
+	}{
+		{"same token", 5, 3, fasthttp.StatusOK},
+		{"higher token", 6, 3, fasthttp.StatusOK},
+		{"lower token", 4, 3, fasthttp.StatusConflict},
+		{"earlier incarnation", 6, 2, fasthttp.StatusConflict},
+		{"later incarnation", 6, 4, fasthttp.StatusConflict},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			w := newWorker()
+			request := wire.CommandRequest{FencingToken: c.token, Incarnation: c.incarnation, Commands: []wire.Command{startCommand}}
+			status, heartbeat := w.Take(time.Unix(1, 0), request)
+			if status != c.status {
+				t.Errorf("status %d, want %d", status, c.status)
+			}
+			if accepted := len(heartbeat.Tasks) == 1; accepted != (c.status == fasthttp.StatusOK) {
+				t.Errorf("tasks after the call: %+v", heartbeat.Tasks)
+			}
+		})
+	}
+}
+
+func TestWorkerIgnoresAHeartbeatResponseThatIsFencedOut(t *testing.T) {
+	w := newWorker()
+	if w.Answered(time.Unix(1, 0), wire.HeartbeatResponse{FencingToken: 4}) || !w.Renewed.IsZero() || w.Token != 5 {
+		t.Errorf("a lower token renewed the lease: %+v", w)
+	}
+	if !w.Answered(time.Unix(1, 0), wire.HeartbeatResponse{FencingToken: 6}) || !w.Renewed.Equal(time.Unix(1, 0)) || w.Token != 6 {
+		t.Errorf("a higher token did not renew the lease: %+v", w)
+	}
+}
+
+func TestWorkerForgetsItsTasksWithTheIncarnation(t *testing.T) {
+	w, ended := newWorker(), 0
+	w.Ended = func(*Worker, *Task) { ended++ }
+	w.CarryOut(time.Unix(1, 0), []wire.Command{startCommand})
+	w.EndSession(time.Unix(2, 0))
+	if ended != 1 || len(w.Tasks) != 0 || w.Session != 4 || !w.Renewed.Equal(time.Unix(2, 0)) {
+		t.Errorf("%d tasks ended; %+v", ended, w)
+	}
+}
