--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -17,7 +17,7 @@
 	Rentals  []wire.ScaleOutRequest // requests, all of which were refused
 	// OnReturn is called with Mu held with the machines that are terminated; nil:
 	// by nobody.
-	OnReturn func(hosts []string)
+	OnReturn func(machines []string)
 
 	keepsList bool // terminated machines stay listed
 }
