--- a/internal/testcluster/graceful_stop_test.go
+++ b/internal/testcluster/graceful_stop_test.go
@@ -2,19 +2,25 @@
 
 import (
 	"context"
+	"net/http"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 )
 
+// statusPage is a controller's status page; empty if it does not answer.
+func (c *Cluster) statusPage(i int) string {
+	status, page := c.Ask(i, http.MethodGet, "/status", nil)
+	if status != http.StatusOK {
+		return ""
+	}
+	return string(page)
+}
+
 // members are the labels in the membership line of a controller's status page.
 func (c *Cluster) members(i int) []string {
-	code, page := c.Ask(i, "GET", "/status", nil)
-	if code != 200 {
-		return nil
-	}
-	for _, line := range strings.Split(string(page), "\n") {
+	for line := range strings.Lines(c.statusPage(i)) {
 		if strings.HasPrefix(line, "membership ") {
 			_, labels, _ := strings.Cut(line, " nodes ")
 			return strings.Fields(labels)
@@ -23,81 +29,82 @@
 	return nil
 }
 
-// gone waits until a controller knows a membership without another, and returns
-// how long that took.
-func (r *race) gone(asked, other int, since time.Time) time.Duration {
-	r.t.Helper()
-	for {
-		members := r.members(asked)
-		if len(members) > 0 && !strings.Contains(strings.Join(members, " "), r.Label(other)) {
-			return time.Since(since)
-		}
-		if time.Since(since) > 30*time.Second {
-			r.t.Fatalf("%s is a member after 30 s", r.Label(other))
+// leader is the controller that leads according to the first one.
+func (c *Cluster) leader() int {
+	page := c.statusPage(0)
+	for i := range c.controllers {
+		if strings.Contains(page, "leader "+c.Label(i)+" ") {
+			return i
 		}
-		time.Sleep(10 * time.Millisecond)
 	}
+	return 0
 }
 
-// leader is the controller that leads.
-func (r *race) leader() int {
-	_, page := r.Ask(0, "GET", "/status", nil)
-	for i := range r.controllers {
-		if strings.Contains(string(page), "leader "+r.Label(i)+" ") {
-			return i
-		}
+// awaitRemoval waits until a controller knows a membership without another, and
+// returns how long that took since a moment.
+func (l *quotaLoad) awaitRemoval(asked, removed int, since time.Time) time.Duration {
+	l.t.Helper()
+	eventually(l.t, "membership without "+l.Label(removed), time.Until(since.Add(30*time.Second)), 10*time.Millisecond, func() bool {
+		members := l.members(asked)
+		return len(members) > 0 && !strings.Contains(strings.Join(members, " "), l.Label(removed))
+	})
+	return time.Since(since)
+}
+
+// stopGracefully terminates a controller, which must exit with code 0.
+func (l *quotaLoad) stopGracefully(i int) {
+	l.t.Helper()
+	begun := time.Now()
+	code, err := l.Terminate(i)
+	if err != nil || code != 0 {
+		l.t.Errorf("%s stopped with exit code %d, %v", l.Label(i), code, err)
 	}
-	return 0
+	l.t.Logf("%s stopped in %v", l.Label(i), time.Since(begun))
 }
 
 // Controllers are stopped and killed one after the other under load, the leader
-// too. A clean stop ends with exit code 0 and hands the machines over at once, a
-// kill when the session runs out; what was accepted is done, and no limit is
-// exceeded.
-func TestACleanStopHandsOverAtOnce(t *testing.T) {
-	r := newRace(t, 3, "")
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+// too. A graceful stop exits with code 0 and hands the shards over at once, a kill
+// when the controller's session expires; what was accepted is done, and no limit
+// is exceeded.
+func TestGracefulStopFailsOverWithoutWaitingForLeaseExpiry(t *testing.T) {
+	l := newQuotaLoad(t, 3, "")
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	var users sync.WaitGroup
-	users.Go(func() { r.users(ctx) })
+	users.Go(func() { l.runUsers(ctx) })
 	time.Sleep(3 * time.Second)
-	var stopped, killed []time.Duration
-	for round := range 4 {
-		victim := r.leader()
-		if round%2 == 1 {
-			victim = (victim + 1) % len(r.controllers)
+	var afterStop, afterKill []time.Duration
+	for _, c := range []struct {
+		graceful, leader bool
+	}{{true, true}, {true, false}, {false, true}, {false, false}} {
+		stopped := l.leader()
+		if !c.leader {
+			stopped = (stopped + 1) % len(l.controllers)
 		}
-		asked := (victim + 2) % len(r.controllers)
-		begin := time.Now()
-		if round < 2 {
-			code, err := r.Terminate(victim)
-			if err != nil || code != 0 {
-				t.Errorf("%s stopped with exit code %d, %v", r.Label(victim), code, err)
-			}
-			t.Logf("%s stopped in %v", r.Label(victim), time.Since(begin))
-			stopped = append(stopped, r.gone(asked, victim, time.Now()))
+		asked := (stopped + 2) % len(l.controllers)
+		if c.graceful {
+			l.stopGracefully(stopped)
+			afterStop = append(afterStop, l.awaitRemoval(asked, stopped, time.Now()))
 		} else {
-			r.Kill(victim)
-			killed = append(killed, r.gone(asked, victim, begin))
+			begun := time.Now()
+			l.Kill(stopped)
+			afterKill = append(afterKill, l.awaitRemoval(asked, stopped, begun))
 		}
-		if err := r.StartController(victim); err != nil {
+		if err := l.StartController(stopped); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
 	}
-	stop()
+	cancel()
 	users.Wait()
-	t.Logf("membership without it: %v after a stop, %v after a kill", stopped, killed)
-	for i := range stopped {
-		if stopped[i] > 2*time.Second || stopped[i] > killed[i] {
-			t.Errorf("%v after the end of a stopped controller, %v after a kill", stopped[i], killed[i])
+	t.Logf("membership without it: %v after a stop, %v after a kill", afterStop, afterKill)
+	for i := range afterStop {
+		if afterStop[i] > 2*time.Second || afterStop[i] > afterKill[i] {
+			t.Errorf("%v after the end of a stopped controller, %v after a kill", afterStop[i], afterKill[i])
 		}
 	}
-	left := r.unfinished()
-	for deadline := time.Now().Add(60 * time.Second); len(left) > 0 && time.Now().Before(deadline); left = r.unfinished() {
-		time.Sleep(200 * time.Millisecond)
-	}
-	if seen := r.checker.Seen(); len(left) > 0 || len(seen.Faults) > 0 || seen.Admitted == 0 {
-		t.Errorf("%d jobs are not done, %d admissions, faults: %v", len(left), seen.Admitted, seen.Faults)
+	unfinished := l.awaitAllDone(200 * time.Millisecond)
+	if seen := l.checker.Seen(); len(unfinished) > 0 || len(seen.Faults) > 0 || seen.Admitted == 0 {
+		t.Errorf("%d jobs are not done, %d admissions, violations: %v", len(unfinished), seen.Admitted, seen.Faults)
 	}
 }
