--- a/internal/testcluster/controller.go
+++ b/internal/testcluster/controller.go
@@ -43,7 +43,7 @@
 	settings       config.Settings
 	configPath     string
 	propertiesPath string
-	log            io.Writer // nil: nowhere
+	log            *logTail
 	store          *fake.Link
 
 	mu      sync.Mutex    // guards all below
@@ -148,7 +148,7 @@
 			settings:       c.settings(i, addresses, storeListener.Addr().String(), cloudListener.Addr().String()),
 			configPath:     filepath.Join(c.dir, controllerLabel(i)+".toml"),
 			propertiesPath: propertiesPath,
-			log:            c.options.Log,
+			log:            &logTail{next: c.options.Log},
 			store:          link,
 		}
 		if err := p.writeSettings(); err != nil {
--- a/internal/testcluster/faults_test.go
+++ b/internal/testcluster/faults_test.go
@@ -42,7 +42,7 @@
 	repeat(ctx, random, time.Second, 5*time.Second, func() {
 		i := random.IntN(len(l.controllers))
 		if !l.Kill(i) {
-			l.t.Errorf("%s had ended by itself", l.Label(i))
+			l.t.Errorf("%s had ended by itself; the end of its log:\n%s", l.Label(i), l.controllers[i].log)
 		}
 		l.count(&l.kills)
 		killed := time.Now()
