--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -16,6 +16,7 @@
 	"wheatspur/internal/config"
 	"wheatspur/internal/controller"
 	"wheatspur/internal/daemon"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/tuning"
 )
 
@@ -118,7 +119,7 @@
 	}
 	var logLevel slog.LevelVar
 	logLevel.Set(level)
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: &logLevel})).With("node", settings.Label)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: &logLevel})).With(logging.KeyController, settings.Label)
 	limitRuntime(settings.Params.Limits.MemMB)
 	p := &process{
 		Controller:     controller.New(settings, log),
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -16,6 +16,8 @@
 	"syscall"
 	"time"
 
+	"wheatspur/internal/logging"
+
 	sd "github.com/coreos/go-systemd/v22/daemon"
 )
 
@@ -163,7 +165,7 @@
 				d.reload()
 				continue
 			}
-			d.Log.Info("stop requested", "signal", sig.String())
+			d.Log.Info(logging.EventStopRequested, logging.KeySignal, sig.String())
 			d.apply(StopRequested)
 			return false, nil
 		}
@@ -173,7 +175,7 @@
 // apply changes the state after an event and logs the change.
 func (d *daemon) apply(e Event) {
 	if next := d.state.Next(e); next != d.state {
-		d.Log.Info("daemon", "state", string(next), "after", string(d.state))
+		d.Log.Info(logging.EventDaemonStateChanged, logging.KeyState, string(next), logging.KeyPrevious, string(d.state))
 		d.state = next
 	}
 }
@@ -188,7 +190,7 @@
 // restarts it.
 func (d *daemon) feedWatchdog() {
 	if err := d.service.Progress(); err != nil {
-		d.Log.Error("no progress", "err", err)
+		d.Log.Error(logging.EventNoProgress, logging.KeyError, err)
 		d.Manager.Tell(statusPrefix + "no progress: " + err.Error())
 		return
 	}
@@ -200,10 +202,10 @@
 	d.Manager.Tell(sd.SdNotifyReloading)
 	status := "serving"
 	if err := d.service.Reload(); err != nil {
-		d.Log.Error("settings not reloaded, those of before stay", "err", err)
+		d.Log.Error(logging.EventReloadFailed, logging.KeyError, err)
 		status = "settings not reloaded: " + err.Error()
 	} else {
-		d.Log.Info("settings reloaded")
+		d.Log.Info(logging.EventSettingsReloaded)
 	}
 	d.notify(sd.SdNotifyReady, status)
 }
@@ -221,7 +223,7 @@
 		select {
 		case err := <-drainResult:
 			d.apply(Drained)
-			d.Log.Info("drained", "took", time.Since(started).Round(time.Millisecond), "err", err)
+			d.Log.Info(logging.EventDrainFinished, logging.KeyDuration, time.Since(started).Round(time.Millisecond), logging.KeyError, err)
 			if err != nil {
 				return fmt.Errorf("%w: %w", ErrForced, err)
 			}
@@ -231,7 +233,7 @@
 				continue // settings are not reloaded any more
 			}
 			d.apply(StopRequested)
-			d.Log.Info("stopped at once", "signal", sig.String())
+			d.Log.Info(logging.EventStoppedImmediately, logging.KeySignal, sig.String())
 			return ErrForced
 		}
 	}
--- a/internal/daemon/systemd.go
+++ b/internal/daemon/systemd.go
@@ -4,6 +4,8 @@
 	"log/slog"
 	"time"
 
+	"wheatspur/internal/logging"
+
 	sd "github.com/coreos/go-systemd/v22/daemon"
 )
 
@@ -17,7 +19,7 @@
 // Tell sends a state.
 func (m HostManager) Tell(state string) {
 	if _, err := sd.SdNotify(false, state); err != nil {
-		m.Log.Warn("service manager not told", "err", err)
+		m.Log.Warn(logging.EventManagerNotNotified, logging.KeyError, err)
 	}
 }
 
@@ -25,7 +27,7 @@
 func (m HostManager) Watchdog() time.Duration {
 	interval, err := sd.SdWatchdogEnabled(false)
 	if err != nil {
-		m.Log.Warn("watchdog interval not read", "err", err)
+		m.Log.Warn(logging.EventWatchdogIntervalUnreadable, logging.KeyError, err)
 	}
 	return interval
 }
--- a/internal/testcluster/controller.go
+++ b/internal/testcluster/controller.go
@@ -123,7 +123,7 @@
 // prepareControllers writes the settings of all controllers, and serves the store
 // and the cloud to each over links of its own.
 func (c *Cluster) prepareControllers() error {
-	addresses, err := freeAddresses(2 * c.options.Controllers)
+	addresses, err := controllerAddresses(2 * c.options.Controllers)
 	if err != nil {
 		return err
 	}
@@ -191,11 +191,15 @@
 	return s
 }
 
-// freeAddresses finds loopback addresses that nothing listens on.
-func freeAddresses(count int) ([]string, error) {
+// controllerAddresses finds addresses for controllers that nothing listens on: on
+// the loopback address of this process. A controller that is down leaves its
+// addresses free, and every connection that is opened meanwhile, by any program,
+// may get one of the ports of 127.0.0.1. Guards against a controller that could
+// not start again, or a stranger that answered in its place.
+func controllerAddresses(count int) ([]string, error) {
 	var addresses []string
 	for range count {
-		l, err := listenLoopback()
+		l, err := net.Listen("tcp4", net.JoinHostPort(processLoopback(os.Getpid()), "0"))
 		if err != nil {
 			return nil, err
 		}
@@ -205,5 +209,11 @@
 	return addresses, nil
 }
 
+// processLoopback is the loopback address of a process: one of 127.1.0.0 to
+// 127.64.255.255, by the 22 bits that its id has at most.
+func processLoopback(pid int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
+}
+
 // listenLoopback opens a listener on a free loopback address.
 func listenLoopback() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
--- a/internal/testcluster/main.go
+++ b/internal/testcluster/main.go
@@ -9,6 +9,7 @@
 	"wheatspur/internal/config"
 	"wheatspur/internal/controller"
 	"wheatspur/internal/daemon"
+	"wheatspur/internal/logging"
 	"wheatspur/internal/tuning"
 )
 
@@ -46,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", settings.Label)
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With(logging.KeyController, settings.Label)
 	service := process{controller.New(settings, log)}
 	return daemon.Run(service, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.HostManager{Log: log}})
 }
