--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -16,9 +16,9 @@
 	"syscall"
 	"time"
 
-	"wheatspur/internal/logging"
-
 	sd "github.com/coreos/go-systemd/v22/daemon"
+
+	"wheatspur/internal/logging"
 )
 
 // State is the state of a daemon.
