--- a/internal/api/groupcommit.go
+++ b/internal/api/groupcommit.go
@@ -1,3 +1,6 @@
+// This file is the group commit of the intake: submissions that wait together are
+// stored in one write.
+
 package api
 
 import (
@@ -12,115 +15,161 @@
 	"wheatspur/wire"
 )
 
-// Submission is a new job that waits for its durable write.
+// Submission is a new job that waits for its durable write. The handler that
+// serves its user creates it, sends it to UserAPI.Intake and waits for Done;
+// RunIntake stores it. Nothing in it changes after it was sent.
 type Submission struct {
-	Spec     *wire.JobSpec
-	Record   jobs.Record
-	Deadline time.Time  // its user is answered by then
-	Done     chan error // has room for the outcome
+	// Spec is the job as its user described it.
+	Spec *wire.JobSpec
+	// Record is what is stored of the job.
+	Record jobs.Record
+	// Deadline is when the user is answered at the latest; nothing is written for a
+	// submission that is past it.
+	Deadline time.Time
+	// Done receives the outcome of the write, once. It has room for it, so that the
+	// intake never waits for a handler that has given up.
+	Done chan error
 }
 
+// expired reports whether the user has been told to come back.
+func (s *Submission) expired() bool { return !time.Now().Before(s.Deadline) }
+
 // ErrStoreAlone says that a submission was not stored together with others, and may
 // be by itself.
 var ErrStoreAlone = errors.New("not stored with the others")
 
-// RunIntake stores submissions. Those that come while the budget of changes is
-// short go together in one change: hundreds of jobs at once, when a fleet
-// starts or a state service is back, took half a minute one by one.
+// comparesPerOperation is how many compares a transaction may have for each of the
+// operations that the store's limit allows.
+const comparesPerOperation = 4
+
+// RunIntake stores submissions. Those that come while the budget of writes is
+// short go together in one: hundreds of jobs at once, when a fleet starts or a
+// store is back, took half a minute one by one.
 func (api *UserAPI) RunIntake(ctx context.Context) error {
-	var next *Submission
+	var first *Submission // of the next group
 	for ctx.Err() == nil {
-		if next == nil {
+		if first == nil {
 			select {
 			case <-ctx.Done():
 				return nil
-			case next = <-api.Intake:
+			case first = <-api.Intake:
 			}
 		}
 		var group []*Submission
-		group, next = api.BatchSubmissions(next)
-		switch len(group) {
-		case 0:
-		case 1:
-			s := group[0]
-			sctx, stop := context.WithDeadline(ctx, s.Deadline)
-			s.Done <- api.storeOne(sctx, s)
-			stop()
-		default:
-			api.StoreGroup(ctx, group)
-		}
+		group, first = api.BatchSubmissions(first)
+		api.commitGroup(ctx, group)
 	}
 	return nil
 }
 
-// BatchSubmissions takes submissions that wait, as many as one record holds; the one
-// that does not fit goes first in the next.
+// commitGroup stores a group and hands each of its submissions the outcome. One that
+// is alone gets a record of its own.
+func (api *UserAPI) commitGroup(ctx context.Context, group []*Submission) {
+	switch len(group) {
+	case 0: // all were past their deadlines
+	case 1:
+		submission := group[0]
+		storeCtx, stop := context.WithDeadline(ctx, submission.Deadline)
+		defer stop()
+		submission.Done <- api.storeOne(storeCtx, submission)
+	default:
+		api.StoreGroup(ctx, group)
+	}
+}
+
+// BatchSubmissions takes submissions that wait, as many as one record holds and one
+// write can compare; the one that does not fit goes first in the next group. Those
+// past their deadlines are left out.
 func (api *UserAPI) BatchSubmissions(first *Submission) (group []*Submission, next *Submission) {
-	room := api.MaxGroupBytes()
-	most := min(tuning.IntakeGroup, 4*api.Limits.TxnOps-1)
+	bytesLeft := api.MaxGroupBytes()
+	limit := api.groupLimit()
 	jobIDs := map[string]bool{}
-	for s := first; ; {
-		// Whose user has been told to come back is left out.
-		if time.Now().Before(s.Deadline) {
-			room -= jobs.IntakeBytes(s.Spec)
-			if len(group) > 0 && (room < 0 || jobIDs[s.Spec.ID]) {
-				return group, s
+	for submission := first; ; {
+		if !submission.expired() {
+			bytesLeft -= jobs.IntakeBytes(submission.Spec)
+			if len(group) > 0 && (bytesLeft < 0 || jobIDs[submission.Spec.ID]) {
+				return group, submission
 			}
-			group = append(group, s)
-			jobIDs[s.Spec.ID] = true
+			group = append(group, submission)
+			jobIDs[submission.Spec.ID] = true
 		}
-		if len(group) == most {
+		if len(group) == limit {
 			return group, nil
 		}
 		select {
-		case s = <-api.Intake:
+		case submission = <-api.Intake:
 		default:
 			return group, nil
 		}
 	}
 }
 
+// groupLimit is how many submissions one write may store: each takes a compare, and
+// the intake record one more.
+func (api *UserAPI) groupLimit() int {
+	return min(tuning.IntakeGroup, comparesPerOperation*api.Limits.TxnOps-1)
+}
+
 // storeOne stores a job's own record.
-func (api *UserAPI) storeOne(ctx context.Context, s *Submission) error {
-	key := jobs.JobKey(s.Spec.ID)
-	return api.storeNew(ctx, []wire.Compare{{Key: key}}, wire.Operation{Put: key, Value: wire.MustMarshal(s.Record)})
+func (api *UserAPI) storeOne(ctx context.Context, submission *Submission) error {
+	key := jobs.JobKey(submission.Spec.ID)
+	put := wire.Operation{Put: key, Value: wire.MustMarshal(submission.Record)}
+	return api.storeNew(ctx, []wire.Compare{{Key: key}}, put)
 }
 
-// StoreGroup stores several jobs in one intake record, guarded by the absence
-// of every job's own record. Its key is never used again.
+// StoreGroup stores several jobs in one intake record, on condition that none of them
+// has a record of its own.
 func (api *UserAPI) StoreGroup(ctx context.Context, group []*Submission) {
-	api.Lock()
-	incarnation := api.Self.Incarnation
-	api.Unlock()
-	key := fmt.Sprintf("%s%s.%d.%d", jobs.IntakePrefix, api.Self.Label, incarnation, api.intakeCounter.Add(1))
-	guards := []wire.Compare{{Key: key}}
-	v := jobs.IntakeRecord{Jobs: map[string]jobs.Record{}}
-	last := group[0].Deadline
-	for _, s := range group {
-		guards = append(guards, wire.Compare{Key: jobs.JobKey(s.Spec.ID)})
-		v.Jobs[s.Spec.ID] = s.Record
-		if s.Deadline.After(last) {
-			last = s.Deadline
-		}
-	}
-	gctx, stop := context.WithDeadline(ctx, last)
+	compares, put := groupWrite(api.nextIntakeKey(), group)
+	storeCtx, stop := context.WithDeadline(ctx, latestDeadline(group))
 	defer stop()
-	err := api.storeNew(gctx, guards, wire.Operation{Put: key, Value: wire.MustMarshal(v)})
+	err := api.storeNew(storeCtx, compares, put)
 	if errors.Is(err, store.ErrConflict) {
 		// One of them is known; which, each finds out by itself.
 		err = ErrStoreAlone
 	}
-	for _, s := range group {
-		s.Done <- err
+	for _, submission := range group {
+		submission.Done <- err
+	}
+}
+
+// nextIntakeKey is the key of a new intake record. It is never used again, by any
+// incarnation of any controller.
+func (api *UserAPI) nextIntakeKey() string {
+	api.Lock()
+	defer api.Unlock()
+	return fmt.Sprintf("%s%s.%d.%d", jobs.IntakePrefix, api.Self.Label, api.Self.Incarnation, api.intakeCounter.Add(1))
+}
+
+// groupWrite is the write of a group's intake record.
+func groupWrite(key string, group []*Submission) ([]wire.Compare, wire.Operation) {
+	compares := make([]wire.Compare, 0, len(group)+1)
+	compares = append(compares, wire.Compare{Key: key})
+	record := jobs.IntakeRecord{Jobs: make(map[string]jobs.Record, len(group))}
+	for _, submission := range group {
+		compares = append(compares, wire.Compare{Key: jobs.JobKey(submission.Spec.ID)})
+		record.Jobs[submission.Spec.ID] = submission.Record
+	}
+	return compares, wire.Operation{Put: key, Value: wire.MustMarshal(record)}
+}
+
+func latestDeadline(group []*Submission) time.Time {
+	latest := group[0].Deadline
+	for _, submission := range group[1:] {
+		if submission.Deadline.After(latest) {
+			latest = submission.Deadline
+		}
 	}
+	return latest
 }
 
-func (api *UserAPI) storeNew(ctx context.Context, guards []wire.Compare, change wire.Operation) error {
-	changes := []wire.Operation{change}
-	revision, err := api.Store.CompareAndSwap(ctx, store.ClassIntake, guards, changes)
+// storeNew writes the record of new jobs and enters it here.
+func (api *UserAPI) storeNew(ctx context.Context, compares []wire.Compare, put wire.Operation) error {
+	operations := []wire.Operation{put}
+	revision, err := api.Store.CompareAndSwap(ctx, store.ClassIntake, compares, operations)
 	if err != nil {
 		return err
 	}
-	api.ApplyWrite(changes, revision)
+	api.ApplyWrite(operations, revision)
 	return nil
 }
