--- a/internal/observability/quotastatus.go
+++ b/internal/observability/quotastatus.go
@@ -66,7 +66,7 @@
 	}
 	promised, fleet := ob.Quota.TotalGuarantees(), ob.scheduler.TotalCapacity()
 	fmt.Fprintf(b, "guarantees %s machines_hold %s fit %v\n", amountText(promised), amountText(fleet), promised.Sub(fleet).Max(quota.Amount{}).IsZero())
-	rows(b, "team", all, func(team string) string { return ob.teamLine(all[team]) })
+	writeRows(b, "team", all, func(team string) string { return ob.teamLine(all[team]) })
 }
 
 // writeTeamStatus shows one team with the share of each node; the lock is held.
