--- a/internal/observability/metrics.go
+++ b/internal/observability/metrics.go
@@ -1,3 +1,5 @@
+// This file serves the metrics.
+
 package observability
 
 import (
@@ -15,100 +17,106 @@
 	"wheatspur/internal/tuning"
 )
 
-func desc(name, help string, labels ...string) *prometheus.Desc {
-	return prometheus.NewDesc("wheatspur_"+name, help, labels, nil)
-}
-
-var (
-	descToken    = desc("token", "Token of the membership this node knows.")
-	descLeader   = desc("leader", "1 if this node leads.")
-	descState    = desc("state_service", "1 if the state service was read lately.")
-	descJobs     = desc("jobs_open", "Jobs that are not over.")
-	descWaiting  = desc("jobs_awaiting", "Jobs that wait for others.")
-	descInfo     = desc("build_info", "1, with the version of the program.", "version")
-	descNodes    = desc("members", "Members by the stored forms that they have told to read; 0: none told.", "form")
-	descTasks    = desc("tasks", "Tasks of open jobs.", "state")
-	descUnmet    = desc("tasks_without_place", "Tasks without a place in the last pass.")
-	descHosts    = desc("machines", "Machines by type, kind, role and phase.", "type", "kind", "role", "phase")
-	descSplit    = desc("split_load", "Load of a role, as the leader last priced it.", "type", "role")
-	descEvidence = desc("split_evidence_open", "1 while the evidence window is open.", "type")
-)
-
 // stateCollector reads a controller's state when metrics are gathered.
 type stateCollector struct{ observer *Observer }
 
-func (c stateCollector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descToken, descLeader, descState, descJobs, descWaiting, descInfo, descNodes, descTasks, descUnmet, descHosts, descSplit, descEvidence,
-		descTeam, descTeamShare, descTeamPhase, descRecoveryPhase, descRecoveryMachines, descRecoveryStarts} {
-		ch <- d
+// gaugeFunc hands over the value of a gauge.
+type gaugeFunc func(descriptor *prometheus.Desc, value float64, labels ...string)
+
+// Describe names all metrics that Collect may hand over.
+func (stateCollector) Describe(descriptors chan<- *prometheus.Desc) {
+	for _, descriptor := range stateDescriptors {
+		descriptors <- descriptor
 	}
 }
 
-func (c stateCollector) Collect(ch chan<- prometheus.Metric) {
-	ob := c.observer
+// Collect hands over all metrics, as of one moment: it holds the lock throughout.
+func (sc stateCollector) Collect(metrics chan<- prometheus.Metric) {
+	gauge := func(descriptor *prometheus.Desc, value float64, labels ...string) {
+		metrics <- prometheus.MustNewConstMetric(descriptor, prometheus.GaugeValue, value, labels...)
+	}
+	ob := sc.observer
 	ob.Lock()
 	defer ob.Unlock()
-	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
-	}
-	if ob.Membership != nil {
-		gauge(descToken, float64(ob.Membership.FencingToken))
-	}
+	ob.collectController(gauge)
+	ob.collectJobs(gauge)
+	ob.collectMachines(gauge)
+	ob.collectRoles(gauge)
 	ob.collectTeams(gauge)
 	ob.collectRecovery(gauge)
-	leads := ob.IsLeader()
-	gauge(descLeader, boolValue(leads))
-	gauge(descState, boolValue(ob.HasStore()))
-	gauge(descJobs, float64(len(ob.Table.Open)))
-	gauge(descWaiting, float64(len(ob.Table.Waiting)))
-	gauge(descInfo, 1, tuning.Version)
-	if ob.Membership != nil {
-		forms := map[uint64]int{}
-		for _, m := range ob.Membership.Nodes {
-			forms[ob.StoredSessions[m.Label].Format]++
-		}
-		for form, k := range forms {
-			gauge(descNodes, float64(k), strconv.FormatUint(form, 10))
-		}
+}
+
+// collectController gathers what this controller knows of itself and the membership;
+// the lock is held.
+func (ob *Observer) collectController(gauge gaugeFunc) {
+	gauge(descBuildInfo, 1, tuning.Version)
+	gauge(descLeader, boolValue(ob.IsLeader()))
+	gauge(descStore, boolValue(ob.HasStore()))
+	if ob.Membership == nil {
+		return
+	}
+	gauge(descToken, float64(ob.Membership.FencingToken))
+	members := map[uint64]int{}
+	for _, member := range ob.Membership.Nodes {
+		members[ob.StoredSessions[member.Label].Format]++
+	}
+	for format, count := range members {
+		gauge(descMembers, float64(count), strconv.FormatUint(format, 10))
 	}
-	var tasks [3]int
-	for _, j := range ob.Table.Open {
-		for s, k := range j.Counts {
-			tasks[s] += k
+}
+
+// collectJobs gathers the counts of jobs and tasks; the lock is held.
+func (ob *Observer) collectJobs(gauge gaugeFunc) {
+	gauge(descOpenJobs, float64(len(ob.Table.Open)))
+	gauge(descWaitingJobs, float64(len(ob.Table.Waiting)))
+	var tasks [len(jobs.Job{}.Counts)]int // by state
+	for _, job := range ob.Table.Open {
+		for state, count := range job.Counts {
+			tasks[state] += count
 		}
 	}
-	for s, k := range tasks {
-		gauge(descTasks, float64(k), jobs.State(s).String())
+	for state, count := range tasks {
+		gauge(descTasks, float64(count), jobs.State(state).String())
 	}
-	unmet := 0
-	for _, k := range ob.scheduler.Unplaced {
-		unmet += k
+	unplaced := 0
+	for _, count := range ob.scheduler.Unplaced {
+		unplaced += count
 	}
-	gauge(descUnmet, float64(unmet))
+	gauge(descUnplacedTasks, float64(unplaced))
+}
+
+// collectMachines gathers the counts of machine records; the lock is held.
+func (ob *Observer) collectMachines(gauge gaugeFunc) {
 	type group struct {
 		machineType, kind, role string
 		phase                   inventory.Phase
 	}
-	hosts := map[group]int{}
-	for _, h := range ob.Inventory.Machines {
+	machines := map[group]int{}
+	for _, machine := range ob.Inventory.Machines {
 		kind := "ordinary"
-		if h.Spot {
+		if machine.Spot {
 			kind = "spot"
 		}
-		hosts[group{h.MachineType, kind, string(h.Role), h.Phase}]++
+		machines[group{machine.MachineType, kind, string(machine.Role), machine.Phase}]++
 	}
-	for g, k := range hosts {
-		gauge(descHosts, float64(k), g.machineType, g.kind, g.role, string(g.phase))
+	for g, count := range machines {
+		gauge(descMachines, float64(count), g.machineType, g.kind, g.role, string(g.phase))
 	}
-	if leads {
-		for machineType, d := range ob.leaderLoop.LeaderState.RoleDecisions {
-			gauge(descSplit, d.BatchLoad, machineType, "batch")
-			gauge(descSplit, d.ServiceLoad, machineType, "service")
-			gauge(descEvidence, boolValue(d.EvidenceOpen), machineType)
-		}
+}
+
+// collectRoles gathers the leader's last decisions on roles; the lock is held.
+func (ob *Observer) collectRoles(gauge gaugeFunc) {
+	if !ob.IsLeader() {
+		return
+	}
+	for machineType, decision := range ob.leaderLoop.LeaderState.RoleDecisions {
+		gauge(descRoleLoad, decision.BatchLoad, machineType, "batch")
+		gauge(descRoleLoad, decision.ServiceLoad, machineType, "service")
+		gauge(descRoleEvidence, boolValue(decision.EvidenceOpen), machineType)
 	}
 }
 
+// boolValue is the value of a gauge that says whether something is so.
 func boolValue(b bool) float64 {
 	if b {
 		return 1
@@ -116,20 +124,21 @@
 	return 0
 }
 
-func (ob *Observer) ServeMetrics(c *fasthttp.RequestCtx) {
+// ServeMetrics shows all metrics of this controller in Prometheus' text form.
+func (ob *Observer) ServeMetrics(request *fasthttp.RequestCtx) {
 	families, err := ob.Metrics.Registry.Gather()
 	if err != nil {
-		response.Error(c, 500, "metrics can't be gathered")
+		response.Error(request, fasthttp.StatusInternalServerError, "metrics can't be gathered")
 		ob.Log.Error(logging.EventMetricsNotGathered, logging.KeyError, err)
 		return
 	}
-	var b bytes.Buffer
-	for _, f := range families {
-		if _, err := expfmt.MetricFamilyToText(&b, f); err != nil {
+	var text bytes.Buffer
+	for _, family := range families {
+		if _, err := expfmt.MetricFamilyToText(&text, family); err != nil {
 			ob.Log.Error(logging.EventMetricsNotWritten, logging.KeyError, err)
 			return
 		}
 	}
-	c.SetContentType(string(expfmt.NewFormat(expfmt.TypeTextPlain)))
-	c.SetBody(b.Bytes())
+	request.SetContentType(string(expfmt.NewFormat(expfmt.TypeTextPlain)))
+	request.SetBody(text.Bytes())
 }
