--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -1,5 +1,8 @@
 package controller
 
+// Ready reports whether users are served.
+func (c *Controller) Ready() bool { return c.healthy() }
+
 // healthy decides GET /up: a controller that does not read the store forwards users
 // while a sibling reads it; if none does, there is nobody better. A controller that
 // hears no sibling either can't tell, and assumes that it alone is cut off.
