--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -79,7 +79,7 @@
 	}
 	state.Inventory.OnChange = fleet.MachineIndex.MarkRecordChanged
 	state.Table.OnMachineChange = fleet.MarkChanged
-	state.OpenCache(c.applyStored)
+	state.OpenCache(c.applyOrLog)
 	return c
 }
 
--- a/internal/controller/membershipchange.go
+++ b/internal/controller/membershipchange.go
@@ -6,21 +6,24 @@
 	"wheatspur/wire"
 )
 
-func (n *Controller) applyMembership(v wire.Raw) error {
-	if v == nil {
-		n.Membership = nil
+// applyMembership enters the stored membership, and lets the components drop what
+// followed from the last one: published machines, workers of other shards, the index
+// that placement starts from, the share of the store's budget. The lock is held.
+func (c *Controller) applyMembership(value wire.Raw) error {
+	if value == nil {
+		c.Membership = nil
 		return nil
 	}
-	var r membership.Record
-	if err := wire.Unmarshal(v, &r); err != nil {
+	var record membership.Record
+	if err := wire.Unmarshal(value, &record); err != nil {
 		return err
 	}
-	last := n.Membership
-	n.SetMembership(&r)
-	clear(n.Peers.PublishedMachines)
-	n.Workers.ApplyMembership(last)
-	n.MachineIndex.Reset()
-	n.Peers.UpdateBudgetShare()
-	n.Log.Info(logging.EventMembershipChanged, logging.KeyToken, r.FencingToken, logging.KeyLeader, r.Leader.Label, logging.KeyMembers, len(r.Nodes))
+	previous := c.Membership
+	c.SetMembership(&record)
+	clear(c.Peers.PublishedMachines)
+	c.Workers.ApplyMembership(previous)
+	c.MachineIndex.Reset()
+	c.Peers.UpdateBudgetShare()
+	c.Log.Info(logging.EventMembershipChanged, logging.KeyToken, record.FencingToken, logging.KeyLeader, record.Leader.Label, logging.KeyMembers, len(record.Nodes))
 	return nil
 }
--- a/internal/controller/recorddispatch.go
+++ b/internal/controller/recorddispatch.go
@@ -12,39 +12,40 @@
 	"wheatspur/wire"
 )
 
-// applyStored takes changed values from the cache; the lock is held.
-func (n *Controller) applyStored(key string, v wire.Raw, version uint64) {
-	if err := n.applyRecord(key, v, version); err != nil {
-		n.Log.Error(logging.EventRecordUnreadable, logging.KeyStoreKey, key, logging.KeyVersion, version, logging.KeyError, err)
+// applyOrLog hands a changed value of the cache to its owner; a value that is not
+// readable is logged and otherwise ignored. The lock is held.
+func (c *Controller) applyOrLog(key string, value wire.Raw, version uint64) {
+	if err := c.applyRecord(key, value, version); err != nil {
+		c.Log.Error(logging.EventRecordUnreadable, logging.KeyStoreKey, key, logging.KeyVersion, version, logging.KeyError, err)
 	}
 }
 
-// applyRecord enters one stored value; nil says that there is none any more. the lock is
-// held, also by the methods for each kind of record.
-func (n *Controller) applyRecord(key string, v wire.Raw, version uint64) error {
+// applyRecord hands one stored value to the component that owns its kind of record; nil
+// says that the key was deleted. Keys of no known kind are ignored. The lock is held.
+func (c *Controller) applyRecord(key string, value wire.Raw, version uint64) error {
 	switch {
 	case strings.HasPrefix(key, jobs.JobPrefix):
-		return n.ApplyJob(strings.TrimPrefix(key, jobs.JobPrefix), v, version)
+		return c.ApplyJob(strings.TrimPrefix(key, jobs.JobPrefix), value, version)
 	case strings.HasPrefix(key, jobs.IntakePrefix):
-		return n.Table.ApplyIntake(key, v, version)
+		return c.Table.ApplyIntake(key, value, version)
 	case strings.HasPrefix(key, jobs.ChunkPrefix):
-		return n.Table.ApplyChunk(key, v)
+		return c.Table.ApplyChunk(key, value)
 	case strings.HasPrefix(key, jobs.TeamPrefix):
-		return n.Quota.Apply(strings.TrimPrefix(key, jobs.TeamPrefix), v, version)
+		return c.Quota.Apply(strings.TrimPrefix(key, jobs.TeamPrefix), value, version)
 	case key == quota.ReservationsKey:
-		return n.Quota.ApplyReservations(v)
+		return c.Quota.ApplyReservations(value)
 	case strings.HasPrefix(key, inventory.GroupPrefix), strings.HasPrefix(key, inventory.SingleMachinePrefix):
-		return n.Inventory.Apply(key, v)
+		return c.Inventory.Apply(key, value)
 	case strings.HasPrefix(key, membership.SessionPrefix):
-		return n.ApplySession(strings.TrimPrefix(key, membership.SessionPrefix), v)
+		return c.ApplySession(strings.TrimPrefix(key, membership.SessionPrefix), value)
 	case strings.HasPrefix(key, membership.UnreachablePrefix):
-		n.ApplyUnreachable(strings.TrimPrefix(key, membership.UnreachablePrefix), v)
+		c.ApplyUnreachable(strings.TrimPrefix(key, membership.UnreachablePrefix), value)
 	case key == membership.LeaderKey:
-		return n.ApplyLeader(v)
+		return c.ApplyLeader(value)
 	case key == membership.Key:
-		return n.applyMembership(v)
+		return c.applyMembership(value)
 	case key == cluster.TypesKey:
-		return n.MachineIndex.ApplyTypes(v)
+		return c.MachineIndex.ApplyTypes(value)
 	}
 	return nil
 }
