--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,5 +1,8 @@
-// Package controller runs a controller node: it ties the decision packages to the
-// state service, the cloud, the workers, the users and the sibling nodes.
+// Package controller is one controller process: it builds the components, connects
+// them, runs their loops and servers, routes requests to them and hands them what
+// changes in the store, and stops them cleanly. It decides nothing about jobs,
+// machines or quota, and keeps no state of its own: the shared state, and the lock
+// that guards it, are package cluster's.
 package controller
 
 import (
@@ -10,7 +13,6 @@
 	"net"
 	"time"
 
-	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
 	"wheatspur/internal/api"
@@ -22,15 +24,13 @@
 	"wheatspur/internal/leader"
 	"wheatspur/internal/logging"
 	"wheatspur/internal/observability"
-	"wheatspur/internal/response"
 	"wheatspur/internal/scheduler"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
-	"wheatspur/wire"
 )
 
 // Controller is one controller process: it owns the components and runs their
-// loops. Their shared state, and the lock that guards it, is clusterState.
+// loops. Their shared state, and the lock that guards it, is cluster.State.
 type Controller struct {
 	*cluster.State
 	*fleet.Fleet
@@ -64,82 +64,88 @@
 // newController builds the components and connects them.
 func newController(d dependencies) *Controller {
 	state := cluster.New(d.Environment)
-	fleet := fleet.New(state, d.workerClient)
-	scheduler := scheduler.New(state, fleet)
-	leader := leader.New(state, fleet, scheduler, d.cloud)
-	fleet.Peers.OnSilent = leader.RecordSilent
+	machines := fleet.New(state, d.workerClient)
+	jobScheduler := scheduler.New(state, machines)
+	leaderLoop := leader.New(state, machines, jobScheduler, d.cloud)
 	c := &Controller{
 		State:      state,
-		Fleet:      fleet,
-		election:   election.New(state, fleet),
-		scheduler:  scheduler,
-		leaderLoop: leader,
-		api:        api.New(state, fleet.Peers),
-		observer:   observability.New(state, fleet, scheduler, leader),
+		Fleet:      machines,
+		election:   election.New(state, machines),
+		scheduler:  jobScheduler,
+		leaderLoop: leaderLoop,
+		api:        api.New(state, machines.Peers),
+		observer:   observability.New(state, machines, jobScheduler, leaderLoop),
 	}
-	state.Inventory.OnChange = fleet.MachineIndex.MarkRecordChanged
-	state.Table.OnMachineChange = fleet.MarkChanged
+	machines.Peers.OnSilent = leaderLoop.RecordSilent
+	state.Inventory.OnChange = machines.MachineIndex.MarkRecordChanged
+	state.Table.OnMachineChange = machines.MarkChanged
 	state.OpenCache(c.applyOrLog)
 	return c
 }
 
-// Run serves until ctx ends or a listener fails. It returns nil in the first case.
-func (n *Controller) Run(ctx context.Context) error {
-	ul, err := net.Listen("tcp4", n.Settings.Bind)
+// Run serves until ctx ends, or a server or a loop fails. It returns nil in the
+// first case, and in both only when all that it started has ended.
+func (c *Controller) Run(ctx context.Context) error {
+	userListener, peerListener, err := c.listen()
 	if err != nil {
-		return fmt.Errorf("bind: %w", err)
-	}
-	pl, err := net.Listen("tcp4", n.Settings.PeerListen)
-	if err != nil {
-		ul.Close()
-		return fmt.Errorf("peer_listen: %w", err)
+		return err
 	}
-	asked := ctx
-	g, ctx := errgroup.WithContext(ctx)
-	user := n.httpServer(n.serveUser, n.MaxConnections())
-	bounded := &boundedListener{Listener: ul, max: int64(n.MaxConnections()), retryAfterS: n.Settings.Operator.RetryAfterSecond}
-	n.Workers.OpenConnections = func() int { return int(bounded.open.Load()) }
-	peers := n.httpServer(n.servePeer, 2*tuning.PeerConns*(len(n.Peers.Siblings)+1))
-	peers.MaxRequestBodySize = 1 << 20
-	g.Go(func() error { return user.Serve(bounded) })
-	g.Go(func() error { return peers.Serve(pl) })
-	g.Go(func() error {
-		<-ctx.Done()
-		return errors.Join(ul.Close(), pl.Close())
+	group, running := errgroup.WithContext(ctx)
+	c.startServers(group, userListener, peerListener)
+	group.Go(func() error {
+		<-running.Done()
+		return errors.Join(userListener.Close(), peerListener.Close())
 	})
-	g.Go(func() error { return n.Syncer.Run(ctx) })
-	g.Go(func() error { return n.Syncer.ServeBarriers(ctx) })
-	g.Go(func() error { return n.election.RunSession(ctx) })
-	g.Go(func() error { return n.election.RunMembership(ctx) })
-	g.Go(func() error { return n.election.RunProbes(ctx) })
-	for range tuning.IntakeLanes {
-		g.Go(func() error { return n.api.RunIntake(ctx) })
-	}
-	g.Go(func() error { return n.scheduler.RunScheduler(ctx) })
-	g.Go(func() error { return n.leaderLoop.RunCloudSync(ctx) })
-	g.Go(func() error { return n.leaderLoop.RunLeader(ctx) })
-	for _, s := range n.Peers.Siblings {
-		g.Go(func() error { return n.Peers.RunPeerExchange(ctx, s) })
+	for _, loop := range c.loops() {
+		group.Go(func() error { return loop(running) })
 	}
-	n.Log.Info(logging.EventServing, logging.KeyController, n.Settings.Label, logging.KeyAddress, n.Settings.Bind, logging.KeyPeers, len(n.Peers.Siblings))
-	if err := g.Wait(); asked.Err() == nil {
+	c.Log.Info(logging.EventServing, logging.KeyController, c.Settings.Label, logging.KeyAddress, c.Settings.Bind, logging.KeyPeers, len(c.Peers.Siblings))
+	if err := group.Wait(); ctx.Err() == nil {
 		return err
 	}
-	return nil // what the closed listeners say
+	return nil // the servers report that their listeners were closed
 }
 
-func (n *Controller) httpServer(h fasthttp.RequestHandler, conns int) *fasthttp.Server {
-	return &fasthttp.Server{
-		// fasthttp counts a connection until a little after its end.
-		Handler: h, Name: "wheatspur", Concurrency: 2 * max(conns, 8),
-		ReadTimeout: tuning.ReadTimeout, WriteTimeout: tuning.WriteTimeout, IdleTimeout: tuning.IdleTimeout,
-		MaxRequestBodySize: wire.MaxBody, ReadBufferSize: 4096, WriteBufferSize: 4096,
-		NoDefaultServerHeader: true, NoDefaultDate: true, ReduceMemoryUsage: true, CloseOnShutdown: true,
-		ErrorHandler: response.Malformed, Logger: discardLogger{},
+// listen opens the ports for users and workers, and for the other controllers.
+func (c *Controller) listen() (userListener, peerListener net.Listener, err error) {
+	if userListener, err = net.Listen("tcp4", c.Settings.Bind); err != nil {
+		return nil, nil, fmt.Errorf("bind: %w", err)
+	}
+	if peerListener, err = net.Listen("tcp4", c.Settings.PeerListen); err != nil {
+		_ = userListener.Close() // nothing was accepted from it; the other error is the cause
+		return nil, nil, fmt.Errorf("peer_listen: %w", err)
 	}
+	return userListener, peerListener, nil
 }
 
-// discardLogger drops fasthttp's own lines; what matters is logged by the handlers.
-type discardLogger struct{}
+// startServers serves both ports in the group.
+func (c *Controller) startServers(group *errgroup.Group, userListener, peerListener net.Listener) {
+	bounded := &boundedListener{Listener: userListener, max: int64(c.MaxConnections()), retryAfterS: c.Settings.Operator.RetryAfterSecond}
+	c.Workers.OpenConnections = func() int { return int(bounded.open.Load()) }
+	users := c.httpServer(c.serveUser, c.MaxConnections())
+	peers := c.httpServer(c.servePeer, peerConnectionsEach*(len(c.Peers.Siblings)+1))
+	peers.MaxRequestBodySize = maxPeerBody
+	group.Go(func() error { return users.Serve(bounded) })
+	group.Go(func() error { return peers.Serve(peerListener) })
+}
 
-func (discardLogger) Printf(string, ...any) {}
+// loops are all loops of the components. Each runs until its context ends.
+func (c *Controller) loops() []func(context.Context) error {
+	loops := []func(context.Context) error{
+		c.Syncer.Run,
+		c.Syncer.ServeBarriers,
+		c.election.RunSession,
+		c.election.RunMembership,
+		c.election.RunProbes,
+		c.scheduler.RunScheduler,
+		c.leaderLoop.RunCloudSync,
+		c.leaderLoop.RunLeader,
+	}
+	for range tuning.IntakeLanes {
+		loops = append(loops, c.api.RunIntake)
+	}
+	for _, sibling := range c.Peers.Siblings {
+		loops = append(loops, func(ctx context.Context) error { return c.Peers.RunPeerExchange(ctx, sibling) })
+	}
+	return loops
+}
