--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,9 +1,10 @@
 // Package logging names the events and the keys of the log, so that each thing is
 // called the same in every line. Lines are written with log/slog: an event as the
-// message, keys in snake_case.
+// message, keys in snake_case. Operators' searches and alerts rely on the values; the
+// level and the keys of a line are chosen where it is written.
 package logging
 
-// Events.
+// Events: each is the message of a line, and says what has happened.
 const (
 	EventClaimsNotAdmitted          = "claims not admitted"
 	EventCompareAndSwapFailed       = "compare-and-swap failed"
@@ -56,7 +57,8 @@
 	EventWatchdogIntervalUnreadable = "watchdog interval not readable"
 )
 
-// Keys.
+// Keys of what a line says about its event. A key ends in the unit of its value, if it
+// has one: _s for seconds, _gb for gigabytes; durations are written with their unit.
 const (
 	KeyAddress         = "address"
 	KeyAttempt         = "attempt"
