--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -33,10 +33,10 @@
 	path   string
 	// prefix and suffix, where there is no path, are what a path has to begin and end
 	// with. They may overlap.
-	prefix, suffix string
-	kind           requestKind
-	changesState   bool // such requests are refused during a clean stop
-	handle         handler
+	prefix, suffix       string
+	kind                 requestKind
+	refusedWhileStopping bool
+	handle               handler
 }
 
 func (r *route) matches(path string) bool {
@@ -53,8 +53,8 @@
 	{method: fasthttp.MethodGet, path: "/status", kind: kindOperator, handle: (*Controller).serveStatus},
 	{method: fasthttp.MethodGet, path: "/metrics", kind: kindOperator, handle: (*Controller).serveMetrics},
 	{method: fasthttp.MethodPost, path: "/checkin", kind: kindHeartbeat, handle: (*Controller).serveHeartbeat},
-	{method: fasthttp.MethodPost, path: api.SubmissionPath, kind: kindSubmission, changesState: true, handle: (*Controller).serveWork},
-	{method: fasthttp.MethodPost, prefix: api.JobPathPrefix, suffix: api.CancelSuffix, kind: kindCancellation, changesState: true, handle: (*Controller).serveWork},
+	{method: fasthttp.MethodPost, path: api.SubmissionPath, kind: kindSubmission, refusedWhileStopping: true, handle: (*Controller).serveWork},
+	{method: fasthttp.MethodPost, prefix: api.JobPathPrefix, suffix: api.CancelSuffix, kind: kindCancellation, refusedWhileStopping: true, handle: (*Controller).serveWork},
 	{method: fasthttp.MethodGet, prefix: api.JobPathPrefix, kind: kindPoll, handle: (*Controller).serveWork},
 }
 
@@ -91,7 +91,7 @@
 		request.Response.Header.Set(fasthttp.HeaderAllow, matched.method)
 		response.Error(request, fasthttp.StatusMethodNotAllowed, "method not allowed")
 		return kindOther
-	case matched.changesState && c.Draining():
+	case matched.refusedWhileStopping && c.Draining():
 		c.api.RefuseForNow(request, fasthttp.StatusServiceUnavailable, "this node is stopping")
 		return kindStopping
 	}
