--- a/internal/scheduler/chunks.go
+++ b/internal/scheduler/chunks.go
@@ -3,8 +3,6 @@
 package scheduler
 
 import (
-	"time"
-
 	"wheatspur/internal/jobs"
 )
 
@@ -78,12 +76,3 @@
 	}
 	t.put(key, jobs.ChunkRecord{Tasks: tasks})
 }
-
-// finalRecord is the short record kept forever.
-func finalRecord(j *jobs.Job, e jobs.JobEvent, now time.Time) jobs.Record {
-	phase, err := j.Phase.Next(e)
-	if err != nil {
-		return j.Record
-	}
-	return jobs.Record{Phase: phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: now.UnixMilli(), CancelledWith: j.CancelledWith}
-}
