--- a/internal/scheduler/chunks.go
+++ b/internal/scheduler/chunks.go
@@ -66,7 +66,7 @@
 		}
 	}
 	if j.Phase == jobs.Open && j.Counts[jobs.Completed]-before+done == j.Record.Tasks {
-		t.put(jobs.JobKey(j.ID), finalRecord(j, jobs.JobCompleted, sc.Now()))
+		t.put(jobs.JobKey(j.ID), completedRecord(j, sc.Now()))
 		t.delete(key)
 		return
 	}
--- a/internal/scheduler/finishedjobs.go
+++ b/internal/scheduler/finishedjobs.go
@@ -17,7 +17,7 @@
 		}
 		t := sc.newWrite("finish")
 		t.Compares[jobs.JobKey(jobID)] = sc.Cache.Version(jobs.JobKey(jobID))
-		t.put(jobs.JobKey(jobID), finalRecord(j, jobs.JobCompleted, sc.Now()))
+		t.put(jobs.JobKey(jobID), completedRecord(j, sc.Now()))
 		txns = sc.addWrite(txns, t, jobID, most)
 	}
 	for jobID, j := range sc.Table.Unrecorded {
@@ -27,7 +27,7 @@
 		}
 		t := sc.newWrite("cancelled with another")
 		t.Compares[jobs.JobKey(jobID)] = sc.Cache.Version(jobs.JobKey(jobID))
-		t.put(jobs.JobKey(jobID), jobs.Record{Phase: j.Phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: sc.Now().UnixMilli(), CancelledWith: j.CancelledWith})
+		t.put(jobs.JobKey(jobID), finalRecord(j, j.Phase, sc.Now()))
 		txns = sc.addWrite(txns, t, jobID, most)
 	}
 	for key := range sc.Table.JobsByIntake {
@@ -42,11 +42,24 @@
 	return txns
 }
 
-// finalRecord is the short record kept forever.
-func finalRecord(j *jobs.Job, e jobs.JobEvent, now time.Time) jobs.Record {
-	phase, err := j.Phase.Next(e)
+// completedRecord is the final record of a job whose tasks are all completed; its
+// present record if the job is not open.
+func completedRecord(job *jobs.Job, now time.Time) jobs.Record {
+	phase, err := job.Phase.Next(jobs.JobCompleted)
 	if err != nil {
-		return j.Record
+		return job.Record
+	}
+	return finalRecord(job, phase, now)
+}
+
+// finalRecord is the short record of a job that has ended, which is kept for ever.
+func finalRecord(job *jobs.Job, phase jobs.Phase, now time.Time) jobs.Record {
+	return jobs.Record{
+		Phase:         phase,
+		AcceptedAtMs:  job.Record.AcceptedAtMs,
+		Tasks:         job.Record.Tasks,
+		ChunkSize:     job.Record.ChunkSize,
+		EndedAtMs:     now.UnixMilli(),
+		CancelledWith: job.CancelledWith,
 	}
-	return jobs.Record{Phase: phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: now.UnixMilli(), CancelledWith: j.CancelledWith}
 }
