--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -1,4 +1,4 @@
-// This file stores claims.
+// This file turns the claims that a pass has placed into writes.
 
 package scheduler
 
@@ -9,113 +9,146 @@
 	"wheatspur/internal/quota"
 )
 
+// Keys that a write of claims may name beside the chunks: hasRoom keeps room for
+// them.
+const (
+	claimRecords  = 2 // put: the job's record and the team's shares
+	claimCompares = 4 // compared: those two, the next machine's group, and one to spare
+)
+
 // jobClaims are the claims of one job that a pass has placed.
 type jobClaims struct {
 	job    *jobs.Job
 	claims []placement.Claim
 }
 
-// groupByJob groups claims by job, in the order of the first of each.
-func groupByJob(list []placement.Claim) []*jobClaims {
+// groupByJob groups claims by job, in the order of each job's first claim.
+func groupByJob(claims []placement.Claim) []*jobClaims {
 	var groups []*jobClaims
-	known := map[string]*jobClaims{}
-	for _, c := range list {
-		g := known[c.Job.ID]
-		if g == nil {
-			g = &jobClaims{job: c.Job}
-			known[c.Job.ID] = g
-			groups = append(groups, g)
+	byJob := map[string]*jobClaims{}
+	for _, claim := range claims {
+		group := byJob[claim.Job.ID]
+		if group == nil {
+			group = &jobClaims{job: claim.Job}
+			byJob[claim.Job.ID] = group
+			groups = append(groups, group)
 		}
-		g.claims = append(g.claims, c)
+		group.claims = append(group.claims, claim)
 	}
 	return groups
 }
 
-// planClaims turns placements into guarded writes, one for each job: its chunks,
-// and for constraints that span chunks its record. One write a job: if one
-// loses a race, the others stand. A claim stays within this node's share of
-// the team's limit; the leader, which also claims on others' machines, hands
-// their owners the part of the limit that the claims take in the same write.
-// The lock is held.
-func (sc *Scheduler) planClaims(txns []*PendingWrite, list []placement.Claim, most *float64) []*PendingWrite {
-	for _, g := range groupByJob(list) {
-		if *most < 1 {
+// countJobs is how many jobs the claims are of.
+func countJobs(claims []placement.Claim) int {
+	seen := map[string]bool{}
+	for _, claim := range claims {
+		seen[claim.Job.ID] = true
+	}
+	return len(seen)
+}
+
+// planClaims adds the writes of claims, one for each job: of its chunks, and for
+// constraints that span chunks of its record. One write a job: if one loses a
+// race, the others stand. Claims stay within this controller's share of the team's
+// limit. The leader, which also claims on others' machines, hands the part of the
+// limit that those claims take to the shard owners in the same write. The caller
+// holds the lock.
+func (sc *Scheduler) planClaims(writes []*PendingWrite, claims []placement.Claim, budget *writeBudget) []*PendingWrite {
+	for _, group := range groupByJob(claims) {
+		if !budget.covers(1) {
 			break
 		}
-		if sc.WritesInFlight[g.job.ID] || sc.Quota.Ledger(g.job.Record.Spec.Team).Writing() {
+		if sc.WritesInFlight[group.job.ID] || sc.Quota.Ledger(group.job.Record.Spec.Team).Writing() {
 			continue
 		}
-		if t := sc.planJobClaims(g); t != nil {
-			txns = sc.addWrite(txns, t, g.job.ID, most)
+		if write := sc.planJobClaims(group); write != nil {
+			writes = sc.addWrite(writes, write, group.job.ID, budget)
 		}
 	}
-	return txns
+	return writes
 }
 
 // planJobClaims is the write of a job's claims; nil if there is none to make now.
-func (sc *Scheduler) planJobClaims(g *jobClaims) *PendingWrite {
-	j := g.job
-	t := sc.newWrite("claim")
-	changes, amount, others := sc.chooseClaims(t, g)
-	jobKey := jobs.JobKey(j.ID)
-	t.Compares[jobKey] = sc.Cache.Version(jobKey)
+func (sc *Scheduler) planJobClaims(group *jobClaims) *PendingWrite {
+	job := group.job
+	write := sc.newWrite(writeClaims)
+	chosen := sc.chooseClaims(write, group)
+	jobKey := jobs.JobKey(job.ID)
+	sc.compareCurrent(write, jobKey)
 	claimed := 0
-	for key, c := range changes {
-		tasks, due := c.apply()
-		if !due {
+	for key, change := range chosen.chunks {
+		tasks, ok := change.apply()
+		if !ok {
 			return nil
 		}
-		claimed += len(c.events)
-		t.Compares[key] = sc.Cache.Version(key)
-		t.put(key, jobs.ChunkRecord{Tasks: tasks})
-		for id, e := range c.events {
-			t.logWhenStored(logging.EventTaskClaimed, logging.KeyTask, jobs.TaskID{Job: j.ID, Task: id}, logging.KeyMachine, e.Machine, logging.KeyRole, string(sc.Inventory.Machines[e.Machine].Role))
-		}
+		claimed += len(change.events)
+		sc.compareCurrent(write, key)
+		write.put(key, jobs.ChunkRecord{Tasks: tasks})
+		sc.logClaims(write, change)
 	}
-	if claimed == 0 || j.Gang() && claimed < len(g.claims) || !sc.admit(t, j.Record.Spec.Team, amount, others) {
+	gangIncomplete := job.Gang() && claimed < len(group.claims)
+	if claimed == 0 || gangIncomplete || !sc.admit(write, job.Record.Spec.Team, chosen.amount, chosen.onOthers) {
 		return nil
 	}
-	if j.SpansChunks() {
-		rec := j.Record
-		rec.ClaimSerial++
-		t.put(jobKey, rec)
+	if job.SpansChunks() {
+		record := job.Record
+		record.ClaimSerial++
+		write.put(jobKey, record)
 	}
-	return t
+	return write
+}
+
+// logClaims logs the claims of a chunk once they are stored.
+func (sc *Scheduler) logClaims(write *PendingWrite, change *chunkChange) {
+	for task, claim := range change.events {
+		write.logWhenStored(logging.EventTaskClaimed,
+			logging.KeyTask, jobs.TaskID{Job: change.job.ID, Task: task},
+			logging.KeyMachine, claim.Machine,
+			logging.KeyRole, string(sc.Inventory.Machines[claim.Machine].Role))
+	}
+}
+
+// chosenClaims are the claims of a job that go into one write.
+type chosenClaims struct {
+	chunks   map[string]*chunkChange // by key of the chunk
+	amount   quota.Amount            // what they take in all
+	onOthers map[string]quota.Amount // the part of it on machines of other shard owners
 }
 
-// chooseClaims takes as many of a job's claims as one write may hold: the changes
-// of its chunks, what the claims take in all, and the part of it on others'
-// machines. It adds the guards on the machines' records to the write.
-func (sc *Scheduler) chooseClaims(t *PendingWrite, g *jobClaims) (changes map[string]*chunkChange, amount quota.Amount, others map[string]quota.Amount) {
-	j := g.job
-	changes, others = map[string]*chunkChange{}, map[string]quota.Amount{}
-	for _, claim := range g.claims {
-		chunk := claim.Task / j.Record.ChunkSize
-		key, machineKey := jobs.ChunkKey(j.ID, chunk), sc.Inventory.KeyOf(claim.Machine)
-		c := changes[key]
-		if c == nil {
-			if !sc.fits(t, len(changes)+3, (len(changes)+1)*sc.maxChunkBytes(j), len(changes)+5) {
+// chooseClaims takes as many of a job's claims as one write may hold, and lets the
+// write compare the records of their machines.
+func (sc *Scheduler) chooseClaims(write *PendingWrite, group *jobClaims) chosenClaims {
+	job, need := group.job, group.job.Need.Amount()
+	chosen := chosenClaims{chunks: map[string]*chunkChange{}, onOthers: map[string]quota.Amount{}}
+	maxValueBytes := int(sc.Limits.ValueKB * bytesPerKB)
+	for _, claim := range group.claims {
+		chunk := chunkOf(job, claim.Task)
+		key, machineKey := jobs.ChunkKey(job.ID, chunk), sc.Inventory.KeyOf(claim.Machine)
+		change := chosen.chunks[key]
+		if change == nil {
+			chunks := len(chosen.chunks) + 1
+			if !sc.hasRoom(write, chunks+claimRecords, chunks*sc.maxChunkBytes(job), chunks+claimCompares) {
 				break
 			}
-			c = &chunkChange{job: j, chunk: chunk, events: map[int]jobs.TaskEvent{}}
-			changes[key] = c
+			change = newChunkChange(job, chunk)
+			chosen.chunks[key] = change
 		}
-		if _, ok := t.Compares[machineKey]; !ok && !sc.fits(t, 0, 0, len(changes)+4) {
-			continue // more machines than one write may name
+		if _, ok := write.Compares[machineKey]; !ok && !sc.hasRoom(write, 0, 0, len(chosen.chunks)+claimCompares) {
+			continue // more groups of machines than one write may compare
 		}
-		if !c.claim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Machine: claim.Machine, Incarnation: claim.Incarnation}, int(sc.Limits.ValueKB*1024)) {
-			continue // its turn comes when others of the chunk are over
+		if !change.addClaim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Machine: claim.Machine, Incarnation: claim.Incarnation}, maxValueBytes) {
+			continue // its turn comes when others of the chunk have ended
 		}
-		t.Compares[machineKey] = sc.Cache.Version(machineKey)
-		amount = amount.Add(j.Need.Amount())
+		sc.compareCurrent(write, machineKey)
+		chosen.amount = chosen.amount.Add(need)
 		if owner := sc.ShardOwner(claim.Machine); owner != sc.Self.Label {
-			others[owner] = others[owner].Add(j.Need.Amount())
+			chosen.onOthers[owner] = chosen.onOthers[owner].Add(need)
 		}
 	}
-	for key, c := range changes {
-		if len(c.events) == 0 {
-			delete(changes, key) // no room in its record
+	for key, change := range chosen.chunks {
+		if len(change.events) == 0 {
+			delete(chosen.chunks, key) // no claim had room in its record
 		}
 	}
-	return changes, amount, others
+	return chosen
 }
--- a/internal/scheduler/finishedjobs.go
+++ b/internal/scheduler/finishedjobs.go
@@ -8,38 +8,69 @@
 	"wheatspur/internal/jobs"
 )
 
-// planFinishedJobs ends jobs whose chunks were completed by different owners; the
-// job's first node does it.
-func (sc *Scheduler) planFinishedJobs(txns []*PendingWrite, most *float64) []*PendingWrite {
-	for jobID, j := range sc.Table.Open {
-		if *most < 1 || !j.AllDone() || sc.WritesInFlight[jobID] || sc.Membership.RankNodes(jobID)[0] != sc.Self.Label {
+// planFinishedJobs adds the writes that end jobs and drop intake records. One
+// controller does it for each: the one that ranks first for its key. The caller
+// holds the lock.
+func (sc *Scheduler) planFinishedJobs(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
+	writes = sc.planCompletedJobs(writes, budget)
+	writes = sc.planCancelledJobs(writes, budget)
+	return sc.planIntakeRemovals(writes, budget)
+}
+
+// planCompletedJobs ends the jobs whose last chunks were completed by different
+// shard owners, none of which saw all of them completed.
+func (sc *Scheduler) planCompletedJobs(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
+	for jobID, job := range sc.Table.Open {
+		if !budget.covers(1) || !job.AllDone() || sc.WritesInFlight[jobID] || !sc.ranksFirst(jobID) {
 			continue
 		}
-		t := sc.newWrite("finish")
-		t.Compares[jobs.JobKey(jobID)] = sc.Cache.Version(jobs.JobKey(jobID))
-		t.put(jobs.JobKey(jobID), completedRecord(j, sc.Now()))
-		txns = sc.addWrite(txns, t, jobID, most)
+		writes = sc.planFinalRecord(writes, writeCompletedJob, jobID, completedRecord(job, sc.Now()), budget)
 	}
-	for jobID, j := range sc.Table.Unrecorded {
-		// It says nothing new: it lets intake records go, and tells old versions.
-		if *most < 2 || sc.WritesInFlight[jobID] || sc.Membership.RankNodes(jobID)[0] != sc.Self.Label {
+	return writes
+}
+
+// planCancelledJobs stores the final records of jobs that were cancelled with a job
+// that they depend on. These say nothing that does not follow from the other job's
+// record: they let intake records go, and tell versions that know no dependencies.
+// So they leave an operation of the budget to others.
+func (sc *Scheduler) planCancelledJobs(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
+	for jobID, job := range sc.Table.Unrecorded {
+		if !budget.covers(2) || sc.WritesInFlight[jobID] || !sc.ranksFirst(jobID) {
 			continue
 		}
-		t := sc.newWrite("cancelled with another")
-		t.Compares[jobs.JobKey(jobID)] = sc.Cache.Version(jobs.JobKey(jobID))
-		t.put(jobs.JobKey(jobID), finalRecord(j, j.Phase, sc.Now()))
-		txns = sc.addWrite(txns, t, jobID, most)
+		writes = sc.planFinalRecord(writes, writeCancelledJob, jobID, finalRecord(job, job.Phase, sc.Now()), budget)
 	}
+	return writes
+}
+
+// planIntakeRemovals drops the intake records of which every job has a final record
+// of its own. Guards against reading them for ever.
+func (sc *Scheduler) planIntakeRemovals(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
 	for key := range sc.Table.JobsByIntake {
-		// Nothing needs it any more: guards against reading it for ever.
-		if *most >= 1 && !sc.WritesInFlight[key] && sc.Table.IntakeFinished(key) && sc.Membership.RankNodes(key)[0] == sc.Self.Label {
-			t := sc.newWrite("intake over")
-			t.Compares[key] = sc.Cache.Version(key)
-			t.delete(key)
-			txns = sc.addWrite(txns, t, key, most)
+		if !budget.covers(1) || sc.WritesInFlight[key] || !sc.Table.IntakeFinished(key) || !sc.ranksFirst(key) {
+			continue
 		}
+		write := sc.newWrite(writeIntakeRemoval)
+		sc.compareCurrent(write, key)
+		write.delete(key)
+		writes = sc.addWrite(writes, write, key, budget)
 	}
-	return txns
+	return writes
+}
+
+// planFinalRecord adds the write of a job's final record alone.
+func (sc *Scheduler) planFinalRecord(writes []*PendingWrite, kind writeKind, jobID string, record jobs.Record, budget *writeBudget) []*PendingWrite {
+	key := jobs.JobKey(jobID)
+	write := sc.newWrite(kind)
+	sc.compareCurrent(write, key)
+	write.put(key, record)
+	return sc.addWrite(writes, write, jobID, budget)
+}
+
+// ranksFirst reports whether this controller is the first of the members for a key
+// or a job, which does what any of them might. The caller holds the lock.
+func (sc *Scheduler) ranksFirst(key string) bool {
+	return sc.Membership.RankNodes(key)[0] == sc.Self.Label
 }
 
 // completedRecord is the final record of a job whose tasks are all completed; its
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -1,5 +1,5 @@
-// This file carries out what package quota decides: it enters the stored shares
-// and claims, guards the writes of claims and stores the leader's new shares.
+// This file carries out what package quota decides: it admits the writes of claims,
+// and plans the writes of shares and reservations.
 
 package scheduler
 
@@ -17,7 +17,7 @@
 	"wheatspur/internal/tuning"
 )
 
-// QuotaView is what decisions about limits start from; the lock is held.
+// QuotaView is what decisions about limits start from. The caller holds the lock.
 func (sc *Scheduler) QuotaView() quota.View {
 	return quota.View{
 		Self:         sc.Self.Label,
@@ -29,101 +29,103 @@
 	}
 }
 
-// Allowances are what a pass may still give to each team; the lock is held.
+// Allowances are what a pass may still give to each team. The caller holds the lock.
 func (sc *Scheduler) Allowances() map[string]*quota.Allowance {
 	view := sc.QuotaView()
 	scale := sc.Quota.Scale(sc.TotalCapacity, sc.Now())
-	out := map[string]*quota.Allowance{}
-	for _, l := range sc.Quota.Ledgers() {
-		l.Forget(sc.Cache)
-		name := l.Team().Name
-		out[name] = l.Allowance(view, sc.Table.ResourcesByTeam[name].Amount(), scale)
+	allowances := map[string]*quota.Allowance{}
+	for _, ledger := range sc.Quota.Ledgers() {
+		ledger.Forget(sc.Cache)
+		team := ledger.Team().Name
+		allowances[team] = ledger.Allowance(view, sc.Table.ResourcesByTeam[team].Amount(), scale)
 	}
-	return out
+	return allowances
 }
 
-// TotalCapacity is what all machines that take tasks hold together; the lock is held.
+// TotalCapacity is what all machines that take tasks hold together. The caller
+// holds the lock.
 func (sc *Scheduler) TotalCapacity() quota.Amount {
 	var sum quota.Amount
-	for _, r := range sc.Inventory.Machines {
-		if r.Phase == inventory.Active {
-			t := sc.MachineTypes[r.MachineType]
-			sum = sum.Add(quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs})
+	for _, record := range sc.Inventory.Machines {
+		if record.Phase == inventory.Active {
+			machineType := sc.MachineTypes[record.MachineType]
+			sum = sum.Add(quota.Amount{CPUs: machineType.CPUs, GPUs: machineType.GPUs})
 		}
 	}
 	return sum
 }
 
 // mayReclaim reports whether a job within its team's guarantee has waited so long
-// for room that others' borrowed work is stopped for it. The team's wait is
-// stored, and so is the time since when the job could start, so all nodes come to
-// the same answer, also after a restart. The lock is held.
-func (sc *Scheduler) mayReclaim(j *jobs.Job, now time.Time) bool {
-	if at, ok := sc.UnplacedSince[j.ID]; ok && now.Sub(at) > tuning.GuaranteePreemptAfter {
+// for room that others' borrowed work is preempted for it. The team's wait is
+// stored, and so is the time since when the job could start, so all controllers
+// come to the same answer, also after a restart. The caller holds the lock.
+func (sc *Scheduler) mayReclaim(job *jobs.Job, now time.Time) bool {
+	if since, ok := sc.UnplacedSince[job.ID]; ok && now.Sub(since) > tuning.GuaranteePreemptAfter {
 		return true
 	}
-	return sc.Settings.Operator.QuotaReservations && sc.Quota.MayReclaim(j.Team, now) &&
-		now.UnixMilli()-j.ReadyAtMs > tuning.GuaranteePreemptAfter.Milliseconds()
+	return sc.Settings.Operator.QuotaReservations && sc.Quota.MayReclaim(job.Team, now) &&
+		now.UnixMilli()-job.ReadyAtMs > tuning.GuaranteePreemptAfter.Milliseconds()
 }
 
 // planReservations lets the leader store which teams wait for room within their
-// guarantees; the lock is held.
-func (sc *Scheduler) planReservations(short map[string]quota.Amount, now time.Time, most *float64) []*PendingWrite {
-	if !sc.IsLeader() || *most < 1 {
+// guarantees: shortfall is what each lacks. The caller holds the lock.
+func (sc *Scheduler) planReservations(shortfall map[string]quota.Amount, now time.Time, budget *writeBudget) []*PendingWrite {
+	if !sc.IsLeader() || !budget.covers(1) {
 		return nil
 	}
-	next := sc.Quota.Reserve(now, short)
+	next := sc.Quota.Reserve(now, shortfall)
 	if next == nil {
 		return nil
 	}
 	sc.Log.Info(logging.EventReservationsChanged, logging.KeyTeams, len(next.Teams))
-	*most--
-	t := sc.newWrite("reserve")
-	t.Compares[quota.ReservationsKey] = sc.Cache.Version(quota.ReservationsKey)
-	t.put(quota.ReservationsKey, *next)
-	t.reservations = true
-	return []*PendingWrite{t}
+	budget.spend(1)
+	write := sc.newWrite(writeReservationsSet)
+	sc.compareCurrent(write, quota.ReservationsKey)
+	write.put(quota.ReservationsKey, *next)
+	write.reservations = true
+	return []*PendingWrite{write}
 }
 
-// admit adds to a write of claims the guard on the shares of the team's limit
-// and, for claims on others' machines, the change that hands their owners that
-// part of this node's share; false if the share does not cover it. The lock is held.
-func (sc *Scheduler) admit(t *PendingWrite, team string, amount quota.Amount, others map[string]quota.Amount) bool {
-	l := sc.Quota.Ledger(team)
-	if l == nil {
+// admit adds to a write of claims the compare of the team's shares and, for claims
+// on machines of other shard owners, the change that hands them that part of this
+// controller's share; false if the share does not cover the claims. The caller
+// holds the lock.
+func (sc *Scheduler) admit(write *PendingWrite, team string, amount quota.Amount, onOthers map[string]quota.Amount) bool {
+	ledger := sc.Quota.Ledger(team)
+	if ledger == nil {
 		return false
 	}
-	admission, err := l.Admit(sc.QuotaView(), amount, others)
+	admission, err := ledger.Admit(sc.QuotaView(), amount, onOthers)
 	if err != nil {
-		sc.Log.Debug(logging.EventClaimsNotAdmitted, logging.KeyTeam, team, logging.KeyJobs, t.jobIDs, logging.KeyError, err)
+		sc.Log.Debug(logging.EventClaimsNotAdmitted, logging.KeyTeam, team, logging.KeyJobs, write.inFlight, logging.KeyError, err)
 		return false
 	}
 	if admission == nil {
 		return true
 	}
 	key := jobs.TeamKey(team)
-	t.Compares[key] = sc.Cache.Version(key)
-	t.Admission = admission
+	sc.compareCurrent(write, key)
+	write.Admission = admission
 	if admission.Next != nil {
-		t.put(key, *admission.Next)
+		write.put(key, *admission.Next)
 	}
 	return true
 }
 
-// ResolveQuota tells the team's ledger what became of a write; the lock is held.
-func (sc *Scheduler) ResolveQuota(t *PendingWrite, err error) {
-	if t.shares != nil {
-		sc.Quota.Ledger(t.shares.Team).ResolveWrite(t.shares, outcomeOf(err), t.Compares)
+// ResolveQuota tells the team's ledger what became of a write. The caller holds the lock.
+func (sc *Scheduler) ResolveQuota(write *PendingWrite, err error) {
+	if write.shares != nil {
+		sc.Quota.Ledger(write.shares.Team).ResolveWrite(write.shares, outcomeOf(err), write.Compares)
 	}
-	if t.reservations {
+	if write.reservations {
 		sc.Quota.ReservationsWritten()
 	}
-	if t.Admission != nil {
-		sc.Quota.Ledger(t.Admission.Team).ResolveAdmission(t.Admission, outcomeOf(err), t.Compares)
+	if write.Admission != nil {
+		sc.Quota.Ledger(write.Admission.Team).ResolveAdmission(write.Admission, outcomeOf(err), write.Compares)
 	}
 }
 
-// outcomeOf says what is known of a write by the error that it ended with.
+// outcomeOf is what is known of a write by the error that it ended with.
 func outcomeOf(err error) quota.Outcome {
 	switch {
 	case err == nil:
@@ -134,84 +136,86 @@
 	return quota.Unknown
 }
 
-// planRebalances lets the leader share the teams' limits out; most is what the budget
-// of changes has room for. The lock is held.
-func (sc *Scheduler) planRebalances(now time.Time, most *float64) []*PendingWrite {
+// planRebalances lets the leader divide the teams' limits among the members. The
+// caller holds the lock.
+func (sc *Scheduler) planRebalances(now time.Time, budget *writeBudget) []*PendingWrite {
 	if !sc.IsLeader() {
 		return nil
 	}
-	var out []*PendingWrite
+	var writes []*PendingWrite
 	view := sc.QuotaView()
-	for _, l := range sc.Quota.Ledgers() {
-		team := l.Team().Name
-		urgent := l.Phase(view.FencingToken) == quota.Unshared
-		w := l.Rebalance(now, view, sc.PendingAmounts(team), *most >= 1)
-		if w == nil {
+	for _, ledger := range sc.Quota.Ledgers() {
+		team := ledger.Team().Name
+		urgent := ledger.Phase(view.FencingToken) == quota.Unshared
+		shares := ledger.Rebalance(now, view, sc.PendingAmounts(team), budget.covers(1))
+		if shares == nil {
 			continue
 		}
-		t := sc.shareWrite(w)
+		write := sc.shareWrite(shares)
 		if urgent {
-			t.Class = store.ClassCancel // all claims wait for it
+			write.Class = store.ClassCancel // all claims of the team wait for it
 		}
-		*most--
-		out = append(out, t)
+		budget.spend(1)
+		writes = append(writes, write)
 	}
-	return out
+	return writes
 }
 
-// planTransfers gives what this node does not need of the teams' limits to the
-// leader, where that is short; teams are what the pass has left of each. the lock is
-// held.
-func (sc *Scheduler) planTransfers(teams map[string]*quota.Allowance, short map[string]quota.Amount, now time.Time, most *float64) []*PendingWrite {
+// planTransfers gives what this controller does not need of the teams' limits to
+// the leader, where that is short: teams are what the pass has left of each, and
+// shortfall is what the leader lacks. The caller holds the lock.
+func (sc *Scheduler) planTransfers(teams map[string]*quota.Allowance, shortfall map[string]quota.Amount, now time.Time, budget *writeBudget) []*PendingWrite {
 	if !sc.Settings.Operator.QuotaTransfers || sc.IsLeader() {
 		return nil
 	}
-	var out []*PendingWrite
+	var writes []*PendingWrite
 	view := sc.QuotaView()
-	for team, lack := range short {
-		if *most < 1 {
+	for team, lack := range shortfall {
+		if !budget.covers(1) {
 			break
 		}
-		w := sc.Quota.Ledger(team).Transfer(now, view, view.Leader, lack, teams[team].Left[view.Self])
-		if w == nil {
+		shares := sc.Quota.Ledger(team).Transfer(now, view, view.Leader, lack, teams[team].Left[view.Self])
+		if shares == nil {
 			continue
 		}
-		*most--
-		out = append(out, sc.shareWrite(w))
+		budget.spend(1)
+		writes = append(writes, sc.shareWrite(shares))
 	}
-	return out
+	return writes
 }
 
-// shareWrite is the write of a team's shares; the lock is held.
-func (sc *Scheduler) shareWrite(w *quota.Write) *PendingWrite {
-	sc.Log.Info(logging.EventSharesChanged, logging.KeyTeam, w.Team, logging.KeyEvent, string(w.Event))
-	t := sc.newWrite(string(w.Event))
-	key := jobs.TeamKey(w.Team)
-	t.Compares[key] = sc.Cache.Version(key)
-	t.put(key, w.Record)
-	t.shares = w
-	return t
+// shareWrite is the write of a team's shares. The caller holds the lock.
+func (sc *Scheduler) shareWrite(shares *quota.Write) *PendingWrite {
+	sc.Log.Info(logging.EventSharesChanged, logging.KeyTeam, shares.Team, logging.KeyEvent, string(shares.Event))
+	write := sc.newWrite(writeKind(shares.Event))
+	key := jobs.TeamKey(shares.Team)
+	sc.compareCurrent(write, key)
+	write.put(key, shares.Record)
+	write.shares = shares
+	return write
 }
 
-// PendingAmounts is what each waiting job of a team takes; the lock is held.
+// PendingAmounts yields what the pending tasks of each job of a team take. The
+// caller holds the lock.
 func (sc *Scheduler) PendingAmounts(team string) iter.Seq[quota.Amount] {
 	return func(yield func(quota.Amount) bool) {
-		for _, j := range sc.Table.Open {
-			pending := j.Counts[jobs.Pending]
-			if j.Team != team || pending == 0 {
+		for _, job := range sc.Table.Open {
+			pending := job.Counts[jobs.Pending]
+			if job.Team != team || pending == 0 {
 				continue
 			}
-			if !yield(j.Need.Amount().Times(float64(pending))) {
+			if !yield(job.Need.Amount().Times(float64(pending))) {
 				return
 			}
 		}
 	}
 }
 
-// recordShortages notes which teams' work waits for other shares; the lock is held.
-func (sc *Scheduler) recordShortages(out placement.Output, now time.Time) {
-	for _, l := range sc.Quota.Ledgers() {
-		_, short := out.ShareShortfall[l.Team().Name]
-		l.RecordShortage(short, now, sc.Membership.FencingToken)
+// recordShortages notes which teams' tasks wait for other shares. The caller holds
+// the lock.
+func (sc *Scheduler) recordShortages(output placement.Output, now time.Time) {
+	for _, ledger := range sc.Quota.Ledgers() {
+		_, short := output.ShareShortfall[ledger.Team().Name]
+		ledger.RecordShortage(short, now, sc.Membership.FencingToken)
 	}
 }
--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -1,9 +1,10 @@
-// This file stores the ends of tasks and of jobs.
+// This file releases claims whose attempts have surely ended.
 
 package scheduler
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"wheatspur/internal/inventory"
@@ -13,37 +14,76 @@
 	"wheatspur/internal/worker"
 )
 
-// earlyReleaseBudget is the part of the changes that may be written now which ends may
-// take before claims: half. If that is less than one each, they take turns:
-// with passes that come often, a single change is due at a time, and ends took
-// every one. The lock is held.
-func (sc *Scheduler) earlyReleaseBudget(changes float64) float64 {
-	if changes < 2 && sc.claimsDeferred {
+// earlyReleaseBudget is the part of the budget that releases may take before
+// claims: half. If that is less than one operation each, they take turns: with
+// passes that come often, a single operation is due at a time, and releases took
+// every one. The caller holds the lock.
+func (sc *Scheduler) earlyReleaseBudget(budget writeBudget) writeBudget {
+	if budget < 2 && sc.claimsDeferred {
 		return 0
 	}
-	return (changes + 1) / 2
+	return (budget + 1) / 2
 }
 
-// pendingRelease is what may be stored of the ends of one chunk's tasks.
+// pendingRelease is the change of one chunk by releases that may be stored now.
 type pendingRelease struct {
 	*chunkChange
-	key      string
+	key      string // of the chunk
 	dueSince time.Time
 	priority releasePriority
 }
 
-// releasePriority orders the ends of tasks.
+// releasePriority orders releases.
 type releasePriority int
 
+// Priorities of releases, the most urgent first.
 const (
-	releaseJobEnd  releasePriority = iota // the job is over: its user and what depends on it wait for that
-	releaseRestart                        // a task waits for a new start, or this node's part of the job is over
-	releaseRoutine                        // the rest
+	releaseJobEnd  releasePriority = iota // the job ends: its user and the jobs that depend on it wait for that
+	releaseRestart                        // a task waits for a new start, or this controller's part of the job has ended
+	releaseRoutine                        // the release only frees room
 )
 
-// dueReleases lists the ends of tasks on this node's machines that may be stored now,
-// by chunk; what matters most comes first. workers are those that may have any.
-// The lock is held.
+// compare orders releases by priority; routine ones by how many there are of the
+// chunk; then by age. It is 0 only for releases of one chunk.
+func (r *pendingRelease) compare(other *pendingRelease) int {
+	if c := cmp.Compare(r.priority, other.priority); c != 0 {
+		return c
+	}
+	if c := cmp.Compare(len(other.events), len(r.events)); c != 0 && r.priority == releaseRoutine {
+		return c
+	}
+	if c := r.dueSince.Compare(other.dueSince); c != 0 {
+		return c
+	}
+	return cmp.Compare(r.key, other.key)
+}
+
+// chunkChanges are changes of chunks by the keys of their records.
+type chunkChanges map[string]*chunkChange
+
+// add enters a task event.
+func (changes chunkChanges) add(job *jobs.Job, task int, event jobs.TaskEvent) {
+	chunk := chunkOf(job, task)
+	key := jobs.ChunkKey(job.ID, chunk)
+	if changes[key] == nil {
+		changes[key] = newChunkChange(job, chunk)
+	}
+	changes[key].events[task] = event
+}
+
+// has reports whether a task event is entered for the task.
+func (changes chunkChanges) has(job *jobs.Job, task int) bool {
+	change := changes[jobs.ChunkKey(job.ID, chunkOf(job, task))]
+	if change == nil {
+		return false
+	}
+	_, ok := change.events[task]
+	return ok
+}
+
+// dueReleases lists the releases that may be stored now, by chunk, the most urgent
+// first. workers are the workers of this controller that may have any. The caller
+// holds the lock.
 func (sc *Scheduler) dueReleases(workers map[string]*worker.Worker, now time.Time) []pendingRelease {
 	changes := sc.provenEnds(workers, now)
 	for key := range sc.releaseDueSince {
@@ -51,139 +91,126 @@
 			delete(sc.releaseDueSince, key)
 		}
 	}
-	var out []pendingRelease
-	for key, c := range changes {
+	var due []pendingRelease
+	for key, change := range changes {
 		since, ok := sc.releaseDueSince[key]
 		if !ok {
 			since = now
 			sc.releaseDueSince[key] = now
 		}
-		if priority, ok := sc.releasePriority(c, changes, now.Sub(since)); ok {
-			out = append(out, pendingRelease{c, key, since, priority})
+		if priority, ok := sc.releasePriority(change, changes, now.Sub(since)); ok {
+			due = append(due, pendingRelease{change, key, since, priority})
 		}
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].before(&out[b]) })
-	return out
+	slices.SortFunc(due, func(a, b pendingRelease) int { return a.compare(&b) })
+	return due
 }
 
-// provenEnds collects the claims whose end is proven on this node's machines, by
-// chunk.
-func (sc *Scheduler) provenEnds(workers map[string]*worker.Worker, now time.Time) map[string]*chunkChange {
-	changes := map[string]*chunkChange{}
-	add := func(id jobs.TaskID, kind jobs.TaskEventKind) {
-		j := sc.Table.Jobs[id.Job]
-		chunk := id.Task / j.Record.ChunkSize
-		key := jobs.ChunkKey(id.Job, chunk)
-		if changes[key] == nil {
-			changes[key] = &chunkChange{job: j, chunk: chunk, events: map[int]jobs.TaskEvent{}}
-		}
-		changes[key].events[id.Task] = jobs.TaskEvent{Kind: kind}
-	}
-	first := map[string]bool{} // jobs whose first node this is
-	for host := range sc.MachineIndex.Terminated {
-		// The proof is stored, so any node may release: the job's first
-		// does, in one write for the machines of all owners.
-		for id := range sc.Table.ClaimsByMachine[host] {
-			mine, ok := first[id.Job]
-			if !ok {
-				mine = sc.Membership.RankNodes(id.Job)[0] == sc.Self.Label
-				first[id.Job] = mine
+// provenEnds collects the claims whose attempts have surely ended, with what became
+// of them, by chunk: those on machines that were terminated, and those that the
+// workers of this controller prove.
+func (sc *Scheduler) provenEnds(workers map[string]*worker.Worker, now time.Time) chunkChanges {
+	changes := chunkChanges{}
+	sc.addTerminatedMachines(changes)
+	sc.addWorkerEnds(changes, workers, now)
+	return changes
+}
+
+// addTerminatedMachines enters the claims on terminated machines. That a machine is
+// terminated is stored, so any controller may release its claims: the one that
+// ranks first for the job does, in one write for the machines of all shard owners.
+func (sc *Scheduler) addTerminatedMachines(changes chunkChanges) {
+	ranksFirst := map[string]bool{} // by job; to rank the members is dear
+	for machine := range sc.MachineIndex.Terminated {
+		for id := range sc.Table.ClaimsByMachine[machine] {
+			first, known := ranksFirst[id.Job]
+			if !known {
+				first = sc.ranksFirst(id.Job)
+				ranksFirst[id.Job] = first
 			}
-			if mine {
-				add(id, jobs.Release)
+			if first {
+				changes.add(sc.Table.Jobs[id.Job], id.Task, jobs.TaskEvent{Kind: jobs.Release})
 			}
 		}
 	}
+}
+
+// addWorkerEnds enters the claims whose ends the workers prove, on machines that
+// this controller owns.
+func (sc *Scheduler) addWorkerEnds(changes chunkChanges, workers map[string]*worker.Worker, now time.Time) {
 	lease := sc.Settings.WorkerLease()
-	for host, w := range workers {
-		if w.NothingToReconcile(now, lease) || sc.ShardOwner(host) != sc.Self.Label || sc.Inventory.Machines[host].Phase == inventory.Terminated {
+	for machine, w := range workers {
+		if w.NothingToReconcile(now, lease) || sc.ShardOwner(machine) != sc.Self.Label || sc.Inventory.Machines[machine].Phase == inventory.Terminated {
 			continue
 		}
-		for _, r := range w.ProvenEnds(sc.Table.ClaimsByMachine[host], now, lease) {
-			add(r.Task, r.Kind)
+		for _, end := range w.ProvenEnds(sc.Table.ClaimsByMachine[machine], now, lease) {
+			changes.add(sc.Table.Jobs[end.Task.Job], end.Task.Task, jobs.TaskEvent{Kind: end.Kind})
 		}
 	}
-	return changes
 }
 
-// releasePriority says how urgent the ends of a chunk's tasks are that have waited
-// so long; false if they are gathered, or can't be stored, for now.
-func (sc *Scheduler) releasePriority(c *chunkChange, changes map[string]*chunkChange, wait time.Duration) (releasePriority, bool) {
-	over, again := 0, false
-	for _, e := range c.events {
-		if e.Kind == jobs.Complete {
-			over++
+// releasePriority says how urgent the releases of a chunk are that have been due
+// for so long; false if they are gathered, or can't be written, for now.
+func (sc *Scheduler) releasePriority(change *chunkChange, changes chunkChanges, waiting time.Duration) (releasePriority, bool) {
+	completed, restarts := 0, false
+	for _, event := range change.events {
+		if event.Kind == jobs.Complete {
+			completed++
 		} else {
-			again = true // it waits for a new start
+			restarts = true
 		}
 	}
-	j := c.job
-	last := j.Counts[jobs.Completed]+over == j.Record.Tasks
-	if sc.WritesInFlight[j.ID] || sc.Now().Before(sc.BackoffUntil[j.ID]) || !last && len(c.events) < len(j.Claims) && wait < tuning.ReleaseGather {
+	job := change.job
+	endsJob := job.Counts[jobs.Completed]+completed == job.Record.Tasks
+	gather := !endsJob && len(change.events) < len(job.Claims) && waiting < tuning.ReleaseGather
+	if gather || sc.WritesInFlight[job.ID] || sc.Now().Before(sc.BackoffUntil[job.ID]) {
 		return releaseRoutine, false
 	}
 	switch {
-	case last:
+	case endsJob:
 		return releaseJobEnd, true
-	case j.Service() || again || wait > tuning.ReleaseOverdue || sc.lastOnThisNode(j, changes):
+	case job.Service() || restarts || waiting > tuning.ReleaseOverdue || sc.endsShare(job, changes):
 		return releaseRestart, true
 	}
 	return releaseRoutine, true
 }
 
-// before orders ends by priority; routine ones by how many there are of the chunk;
-// then by age.
-func (r *pendingRelease) before(o *pendingRelease) bool {
-	if r.priority != o.priority {
-		return r.priority < o.priority
-	}
-	if len(r.events) != len(o.events) && r.priority == releaseRoutine {
-		return len(r.events) > len(o.events)
-	}
-	if !r.dueSince.Equal(o.dueSince) {
-		return r.dueSince.Before(o.dueSince)
-	}
-	return r.key < o.key
-}
-
-// lastOnThisNode reports whether the ends that are due leave no task of the job on
-// this node's machines, and none waits: the node that stores the job's end
-// waits for these. Guards against jobs whose last end came 12 s late because
-// the ends on other nodes' machines were thought to free room only.
-func (sc *Scheduler) lastOnThisNode(j *jobs.Job, due map[string]*chunkChange) bool {
-	if j.Counts[jobs.Pending] > 0 {
+// endsShare reports whether the releases that are due leave no claim of the job on
+// this controller's machines, and no task is pending: the controller that stores
+// the job's end waits for these releases. Guards against jobs whose last release
+// came 12 s late because those of other controllers were thought to free room only.
+func (sc *Scheduler) endsShare(job *jobs.Job, due chunkChanges) bool {
+	if job.Counts[jobs.Pending] > 0 {
 		return false
 	}
-	for i, t := range j.Claims {
-		if sc.ShardOwner(t.Machine) != sc.Self.Label {
-			continue
-		}
-		c := due[jobs.ChunkKey(j.ID, i/j.Record.ChunkSize)]
-		if c == nil {
-			return false
-		}
-		if _, ends := c.events[i]; !ends {
+	for task, claim := range job.Claims {
+		if sc.ShardOwner(claim.Machine) == sc.Self.Label && !due.has(job, task) {
 			return false
 		}
 	}
 	return true
 }
 
-// planRelease adds the write of one chunk's ends, if the budget has room for it.
-func (sc *Scheduler) planRelease(txns []*PendingWrite, d pendingRelease, most *float64) []*PendingWrite {
-	if *most < 1 || sc.WritesInFlight[d.job.ID] {
-		return txns
-	}
-	tasks, ok := d.apply()
+// planRelease adds the write of one chunk's releases, if the budget has room for it.
+// The caller holds the lock.
+func (sc *Scheduler) planRelease(writes []*PendingWrite, release pendingRelease, budget *writeBudget) []*PendingWrite {
+	job := release.job
+	if !budget.covers(1) || sc.WritesInFlight[job.ID] {
+		return writes
+	}
+	tasks, ok := release.apply()
 	if !ok {
-		return txns
-	}
-	t := sc.newWrite("release")
-	t.Compares[d.key] = sc.Cache.Version(d.key)
-	t.Compares[jobs.JobKey(d.job.ID)] = sc.Cache.Version(jobs.JobKey(d.job.ID))
-	sc.putChunk(t, d.chunkChange, d.key, tasks)
-	for id, e := range d.events {
-		t.logWhenStored(logging.EventTaskReleased, logging.KeyTask, jobs.TaskID{Job: d.job.ID, Task: id}, logging.KeyOutcome, string(e.Kind), logging.KeyMachine, d.job.Claims[id].Machine)
-	}
-	return sc.addWrite(txns, t, d.job.ID, most)
+		return writes
+	}
+	write := sc.newWrite(writeReleases)
+	sc.compareCurrent(write, release.key)
+	sc.compareCurrent(write, jobs.JobKey(job.ID))
+	sc.putChunk(write, release.chunkChange, release.key, tasks)
+	for task, event := range release.events {
+		write.logWhenStored(logging.EventTaskReleased,
+			logging.KeyTask, jobs.TaskID{Job: job.ID, Task: task},
+			logging.KeyOutcome, string(event.Kind),
+			logging.KeyMachine, job.Claims[task].Machine)
+	}
+	return sc.addWrite(writes, write, job.ID, budget)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,9 @@
-// Package scheduler runs the passes of a controller: it places tasks, claims
-// machines, releases claims whose end is proven and admits within quotas, as
-// guarded writes to the store. Packages placement and quota decide.
+// Package scheduler runs the passes of a controller: it places pending tasks,
+// claims machines for them, releases claims whose attempts have surely ended, and
+// admits claims within the teams' quotas, each as compare-and-swaps in the store.
+// It owns what a pass carries over to the next. Packages placement and quota
+// decide; package cluster holds the state that passes start from, and package
+// fleet the workers.
 package scheduler
 
 import (
@@ -16,22 +19,23 @@
 	"wheatspur/internal/worker"
 )
 
-// Scheduler places tasks, claims machines for them and releases claims whose end
-// is proven. It decides in passes; each pass returns guarded writes.
+// Scheduler decides in passes. A pass is one critical section that returns writes;
+// each of them is then committed on its own. The state's lock guards all fields.
 type Scheduler struct {
 	*cluster.State
 	*fleet.Fleet
 
-	WritesInFlight  map[string]bool      // jobs, and intake records, that a write under way is about
-	claimsDeferred  bool                 // the last pass wrote releases, and no claim though some were due
-	releaseDueSince map[string]time.Time // chunks with releases to store, since when
-	BackoffUntil    map[string]time.Time // jobs that lost a race, by when to try again
-	preemptedFor    map[string]time.Time // jobs that others were preempted for, by when
-	Unplaced        map[string]int       // tasks without a place, by job, of the last pass
-	PendingReasons  map[string]string    // why they wait, by job
-	UnplacedSince   map[string]time.Time // since when they wait, by job
+	WritesInFlight  map[string]bool      // jobs, and keys of intake records, that a write is in flight for
+	claimsDeferred  bool                 // the last pass wrote releases, and no claims though some were due
+	releaseDueSince map[string]time.Time // since when there are releases to store, by key of the chunk
+	BackoffUntil    map[string]time.Time // until when a job waits after a write about it failed
+	preemptedFor    map[string]time.Time // when tasks were last preempted for a job
+	Unplaced        map[string]int       // tasks without a place in the last pass, by job
+	PendingReasons  map[string]string    // why they have none, by job
+	UnplacedSince   map[string]time.Time // since when a job has tasks without a place
 }
 
+// New returns a scheduler that has not run a pass yet.
 func New(state *cluster.State, fleet *fleet.Fleet) *Scheduler {
 	return &Scheduler{
 		State:           state,
@@ -46,7 +50,12 @@
 	}
 }
 
-// RunScheduler runs the owner's part whenever something has changed.
+// RunScheduler runs a pass whenever something has changed, until ctx ends.
+//
+// The commits of a pass's writes run beside the next passes, which leave alone
+// what WritesInFlight names. They are not waited for here: a clean stop waits for
+// WritesInFlight to empty before it ends ctx, and a forced one must not wait. Each
+// ends by itself within the bounds that Commit states.
 func (sc *Scheduler) RunScheduler(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
@@ -56,69 +65,72 @@
 		}
 		sc.RecordProgress(cluster.PassLoop)
 		start := time.Now()
-		sc.Lock()
-		txns := sc.Schedule()
-		sc.Unlock()
+		writes := sc.runPass()
 		took := time.Since(start)
-		for _, t := range txns {
-			go sc.Commit(ctx, t)
+		for _, write := range writes {
+			go sc.Commit(ctx, write)
 		}
-		// Guards against passes that leave no processor for reports and polls.
+		// Guards against passes that leave no processor for heartbeats and polls.
 		timing.Sleep(ctx, min(max(tuning.PassPause, tuning.PassRest*took), tuning.PassPauseMax))
 	}
 	return nil
 }
 
-// Schedule computes the writes of this node and sends what is due to workers; the
-// lock is held.
+// runPass takes the lock for a pass.
+func (sc *Scheduler) runPass() []*PendingWrite {
+	sc.Lock()
+	defer sc.Unlock()
+	return sc.Schedule()
+}
+
+// Schedule runs a pass: it returns the writes to commit, and sends workers the
+// commands that are due. The caller holds the lock.
 func (sc *Scheduler) Schedule() []*PendingWrite {
 	if !sc.IsMember() || !sc.HasStore() || sc.Draining() {
 		return nil
 	}
 	now := sc.Now()
 	sc.MachineIndex.ApplyRecordChanges()
-	workers, all := sc.MachineIndex.WorkersToScan(now)
-	if all {
+	workers, fullScan := sc.MachineIndex.WorkersToScan(now)
+	if fullScan {
 		sc.Recovery.AdvanceRecovery(now)
 	}
 	sc.pruneFinished(workers, now)
-	// What can't be written now is not decided now: it would wait in the
-	// budget's queue until its guards are old, and fail.
-	most := sc.Limiter.AvailableWrites(tuning.WriteReserve)
-	txns := sc.planRebalances(now, &most)
+	budget := writeBudget(sc.Limiter.AvailableWrites(tuning.WriteReserve))
+	writes := sc.planRebalances(now, &budget)
 	due := sc.dueReleases(workers, now)
 	machines := sc.MachineIndex.RefreshMachines(now)
-	in := sc.PlaceInput(machines, now)
-	out := placement.Schedule(in)
-	sc.recordUnplaced(out, now)
+	input := sc.PlaceInput(machines, now)
+	output := placement.Schedule(input)
+	sc.recordUnplaced(output, now)
 	if !sc.Recovery.MachinesUnknown() {
-		sc.preempt(out.Preemptions, now)
-		if all {
+		sc.preempt(output.Preemptions, now)
+		if fullScan {
 			sc.evictMisplacedServices(machines)
 		}
 	}
-	txns = sc.planReleasesAndClaims(txns, due, out.Claims, &most)
-	txns = append(txns, sc.planTransfers(in.Teams, out.ShareShortfall, now, &most)...)
-	txns = append(txns, sc.planReservations(out.GuaranteeShortfall, now, &most)...)
-	txns = sc.planFinishedJobs(txns, &most)
-	sc.updateQueuedWrites(len(due) + countJobs(out.Claims) - len(txns))
+	writes = sc.planReleasesAndClaims(writes, due, output.Claims, &budget)
+	writes = append(writes, sc.planTransfers(input.Teams, output.ShareShortfall, now, &budget)...)
+	writes = append(writes, sc.planReservations(output.GuaranteeShortfall, now, &budget)...)
+	writes = sc.planFinishedJobs(writes, &budget)
+	sc.updateQueuedWrites(len(due) + countJobs(output.Claims) - len(writes))
 	sc.Peers.UpdateBudgetShare()
 	sc.Workers.CommandWorkers(workers, now)
 	sc.MachineIndex.RemoveQuiescent()
-	return txns
+	return writes
 }
 
-// pruneFinished drops what is remembered of tasks, machines and jobs and is over; the
-// lock is held.
+// pruneFinished forgets what no longer matters of tasks that were stopped, of
+// machines with failures, and of jobs that were preempted for or backed off.
 func (sc *Scheduler) pruneFinished(workers map[string]*worker.Worker, now time.Time) {
-	for host, w := range workers {
-		if len(w.Stopping) > 0 && w.PruneStopping(sc.Table.ClaimsByMachine[host]) {
-			sc.MachineIndex.MarkChanged(host)
+	for machine, w := range workers {
+		if len(w.Stopping) > 0 && w.PruneStopping(sc.Table.ClaimsByMachine[machine]) {
+			sc.MachineIndex.MarkChanged(machine)
 		}
 	}
-	for host, w := range sc.Workers.Failing {
-		if len(w.FailedJobs) == 0 || sc.Workers.ByMachine[host] != w {
-			delete(sc.Workers.Failing, host)
+	for machine, w := range sc.Workers.Failing {
+		if len(w.FailedJobs) == 0 || sc.Workers.ByMachine[machine] != w {
+			delete(sc.Workers.Failing, machine)
 		}
 	}
 	for jobID, at := range sc.preemptedFor {
@@ -126,84 +138,72 @@
 			delete(sc.preemptedFor, jobID)
 		}
 	}
-	for jobID, at := range sc.BackoffUntil {
-		if now.After(at) {
+	for jobID, until := range sc.BackoffUntil {
+		if now.After(until) {
 			delete(sc.BackoffUntil, jobID)
 		}
 	}
 }
 
-// preempt stops tasks whose room others need; the lock is held.
-func (sc *Scheduler) preempt(list []placement.Preemption, now time.Time) {
-	for _, r := range list {
-		w := sc.Workers.ByMachine[sc.machineOf(r.ClaimedTask)]
+// preempt stops the victims of a placement. The caller holds the lock.
+func (sc *Scheduler) preempt(preemptions []placement.Preemption, now time.Time) {
+	for _, preemption := range preemptions {
+		w := sc.Workers.ByMachine[preemption.Job.Claims[preemption.ID.Task].Machine]
 		if w == nil {
 			continue
 		}
-		sc.Workers.StopTask(w, r.ID)
-		sc.preemptedFor[r.For] = now
-		sc.Log.Debug(logging.EventTaskPreempted, logging.KeyTask, r.ID, logging.KeyMachine, w.Machine, logging.KeyPreemptedFor, r.For)
+		sc.Workers.StopTask(w, preemption.ID)
+		sc.preemptedFor[preemption.For] = now
+		sc.Log.Debug(logging.EventTaskPreempted, logging.KeyTask, preemption.ID, logging.KeyMachine, w.Machine, logging.KeyPreemptedFor, preemption.For)
 	}
 }
 
-// planReleasesAndClaims adds the writes of ends and claims. Ends of jobs and of tasks
-// that are to start again come first, but no more than half of what can be
-// written while tasks wait for their claims. The other ends only free room,
-// which is not short while there are claims. Guards against a half-empty fleet
-// beside a queue: the ends of hundreds of tasks took the budget from the claims.
-// The lock is held.
-func (sc *Scheduler) planReleasesAndClaims(txns []*PendingWrite, due []pendingRelease, claims []placement.Claim, most *float64) []*PendingWrite {
-	early := *most
+// planReleasesAndClaims adds the writes of releases and claims. Releases that end
+// jobs, or of tasks that are to start again, come first, but take no more than half
+// of the budget while tasks wait for their claims. The other releases only free
+// room, which is not short while there are claims. Guards against a half-empty
+// fleet beside a queue: the releases of hundreds of tasks took the budget from the
+// claims. The caller holds the lock.
+func (sc *Scheduler) planReleasesAndClaims(writes []*PendingWrite, due []pendingRelease, claims []placement.Claim, budget *writeBudget) []*PendingWrite {
+	early := *budget
 	if len(claims) > 0 {
-		early = sc.earlyReleaseBudget(*most)
+		early = sc.earlyReleaseBudget(*budget)
 	}
-	*most -= early
-	for _, r := range due {
-		if r.priority < releaseRoutine {
-			txns = sc.planRelease(txns, r, &early)
+	*budget -= early
+	for _, release := range due {
+		if release.priority < releaseRoutine {
+			writes = sc.planRelease(writes, release, &early)
 		}
 	}
-	*most += early
-	released := len(txns)
-	txns = sc.planClaims(txns, claims, most)
-	sc.claimsDeferred = len(claims) > 0 && len(txns) == released && released > 0
-	for _, r := range due {
-		txns = sc.planRelease(txns, r, most) // those that were not written yet
+	*budget += early
+	beforeClaims := len(writes)
+	writes = sc.planClaims(writes, claims, budget)
+	// Writes of shares, which come before, count as releases here.
+	sc.claimsDeferred = len(claims) > 0 && len(writes) == beforeClaims && beforeClaims > 0
+	for _, release := range due {
+		writes = sc.planRelease(writes, release, budget) // those that were not written yet
 	}
-	return txns
+	return writes
 }
 
-// countJobs is how many jobs the claims are of.
-func countJobs(claims []placement.Claim) int {
-	seen := map[string]bool{}
-	for _, c := range claims {
-		seen[c.Job.ID] = true
-	}
-	return len(seen)
-}
-
-// updateQueuedWrites enters how many writes were due and had no room in the budget in the
-// mean of what waits for it; the lock is held.
+// updateQueuedWrites enters how many writes were due and had no room in the budget
+// in the mean of what waits for it. The caller holds the lock.
 func (sc *Scheduler) updateQueuedWrites(left int) {
-	waits := sc.Limiter.QueuedWrites() + float64(sc.MachineWritesLeft+max(0, left))
-	sc.QueuedWrites += (waits - sc.QueuedWrites) / 2
-}
-
-// machineOf is the machine that a claimed task is on.
-func (sc *Scheduler) machineOf(r placement.ClaimedTask) string {
-	return r.Job.Claims[r.ID.Task].Machine
+	waiting := sc.Limiter.QueuedWrites() + float64(sc.MachineWritesLeft+max(0, left))
+	sc.QueuedWrites += (waiting - sc.QueuedWrites) / 2
 }
 
-// recordUnplaced notes the tasks without a place, why, and since when; the lock is held.
-func (sc *Scheduler) recordUnplaced(out placement.Output, now time.Time) {
-	sc.Unplaced, sc.PendingReasons = out.Unplaced, out.Reasons
-	sc.recordShortages(out, now)
+// recordUnplaced notes the tasks without a place, why they have none, and since
+// when. The caller holds the lock.
+func (sc *Scheduler) recordUnplaced(output placement.Output, now time.Time) {
+	sc.Unplaced, sc.PendingReasons = output.Unplaced, output.Reasons
+	sc.recordShortages(output, now)
 	for jobID := range sc.UnplacedSince {
-		if out.Unplaced[jobID] == 0 {
+		if output.Unplaced[jobID] == 0 {
 			delete(sc.UnplacedSince, jobID)
 		}
 	}
-	for jobID := range out.Unplaced {
+	for jobID := range output.Unplaced {
 		if _, ok := sc.UnplacedSince[jobID]; !ok {
 			sc.UnplacedSince[jobID] = now
 		}
