--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -83,13 +83,3 @@
 		}
 	}
 }
-
-// forget drops what the leader remembers of a machine.
-func (l *leaderState) forget(host string) {
-	delete(l.listed, host)
-	delete(l.MissingLists, host)
-	delete(l.LastHeard, host)
-	delete(l.FirstListed, host)
-	delete(l.idleSince, host)
-	delete(l.quarantinedSince, host)
-}
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -111,3 +111,13 @@
 		ld.LeaderState.recordHeard(machine, heardAt)
 	}
 }
+
+// forget drops what the leader remembers of a machine.
+func (l *leaderState) forget(host string) {
+	delete(l.listed, host)
+	delete(l.MissingLists, host)
+	delete(l.LastHeard, host)
+	delete(l.FirstListed, host)
+	delete(l.idleSince, host)
+	delete(l.quarantinedSince, host)
+}
