--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -1,3 +1,5 @@
+// This file stores machine records.
+
 package leader
 
 import (
@@ -13,73 +15,121 @@
 	"wheatspur/wire"
 )
 
-// StoreMachines stores changes of machine records, each guarded by the version of
-// its group's key. Several go in one change, and one call at a time, so that
-// the leader's own writes don't race for a group.
-func (ld *Loop) StoreMachines(ctx context.Context, list []inventory.RecordChange, cut ...string) {
-	ld.storeMachineGroups(ctx, list, cut, math.MaxInt)
+// StoreMachines stores changes of machine records, and splits the groups of records
+// with the given keys. Each write covers one group and compares the version of its
+// key. One call stores at a time, so that the leader's own writes don't race for a
+// group.
+func (ld *Loop) StoreMachines(ctx context.Context, changes []inventory.RecordChange, splitGroups ...string) {
+	ld.storeMachineGroups(ctx, changes, splitGroups, math.MaxInt)
 }
 
-// storeMachineGroups stores the changes of at most most groups.
-func (ld *Loop) storeMachineGroups(ctx context.Context, list []inventory.RecordChange, cut []string, most int) {
-	if len(list) == 0 && len(cut) == 0 {
+// storeMachineGroups does what StoreMachines does, for at most so many groups.
+func (ld *Loop) storeMachineGroups(ctx context.Context, changes []inventory.RecordChange, splitGroups []string, maxGroups int) {
+	if len(changes) == 0 && len(splitGroups) == 0 {
 		return
 	}
 	ld.machineWriteMu.Lock()
 	defer ld.machineWriteMu.Unlock()
+	writes, ok := ld.planGroupWrites(changes, splitGroups, maxGroups)
+	if !ok {
+		return
+	}
+	idle := ld.idleDrains(changes)
+	defer ld.setMachineWritesLeft(0)
+	for i, write := range writes {
+		operations, fencedOut := ld.beginGroupWrite(write, idle[write.Key], len(writes)-i)
+		if fencedOut {
+			return
+		}
+		if operations == nil {
+			continue
+		}
+		if err := ld.StoreDecision(ctx, write.compares, operations); err != nil {
+			ld.Log.Info(logging.EventMachineRecordsNotStored, logging.KeyGroup, write.Key, logging.KeyError, err)
+		}
+	}
+}
+
+// groupWrite is the write of one group of machine records, with the versions of what
+// it was computed from. Guards against a controller that is fenced out, and perhaps
+// leads again, and stores over what another leader has changed meanwhile.
+type groupWrite struct {
+	inventory.GroupWrite
+	membership wire.Compare
+	compares   []wire.Compare // the membership among them
+}
+
+// planGroupWrites turns record changes into writes of at most maxGroups groups;
+// false if this controller does not lead. Records of the earlier layout, of one
+// machine each, do not count as groups: with any of those, all are written.
+func (ld *Loop) planGroupWrites(changes []inventory.RecordChange, splitGroups []string, maxGroups int) ([]groupWrite, bool) {
 	ld.Lock()
+	defer ld.Unlock()
 	if !ld.IsLeader() {
-		ld.Unlock()
-		return
+		return nil, false
 	}
-	writes := ld.Inventory.PlanWrites(list, cut, ld.MaxGroupBytes(), ld.Limits.TxnOps)
-	if len(writes) > most && !slices.ContainsFunc(writes, func(w inventory.GroupWrite) bool { return strings.HasPrefix(w.Key, inventory.SingleMachinePrefix) }) {
-		writes = writes[:most]
+	planned := ld.Inventory.PlanWrites(changes, splitGroups, ld.MaxGroupBytes(), ld.Limits.TxnOps)
+	if len(planned) > maxGroups && !slices.ContainsFunc(planned, ofSingleMachine) {
+		planned = planned[:maxGroups]
 	}
-	// The versions of what the writes were computed from. Guards against a node
-	// that has lost the lead and got it back, or not, and stores over what
-	// another leader has changed meanwhile.
-	seen := ld.Cache.Compare(membership.Key)
-	guards := make([][]wire.Compare, len(writes))
-	for i, w := range writes {
-		guards[i] = []wire.Compare{seen, ld.Cache.Compare(w.Key)}
-		for key := range w.SplitOff {
-			guards[i] = append(guards[i], ld.Cache.Compare(key))
+	current := ld.Cache.Compare(membership.Key)
+	writes := make([]groupWrite, len(planned))
+	for i, write := range planned {
+		compares := []wire.Compare{current, ld.Cache.Compare(write.Key)}
+		for key := range write.SplitOff {
+			compares = append(compares, ld.Cache.Compare(key))
 		}
+		writes[i] = groupWrite{GroupWrite: write, membership: current, compares: compares}
 	}
-	ld.Unlock()
-	idle := map[string][]string{} // machines to go because they are idle, by group
-	for _, c := range list {
-		if c.After != nil && c.After.Phase == inventory.Draining && c.After.Reason == autoscale.ReasonIdle {
-			idle[ld.GroupKeyOf(c.Machine)] = append(idle[ld.GroupKeyOf(c.Machine)], c.Machine)
+	return writes, true
+}
+
+// ofSingleMachine reports whether a write is of a record of the earlier layout.
+func ofSingleMachine(write inventory.GroupWrite) bool {
+	return strings.HasPrefix(write.Key, inventory.SingleMachinePrefix)
+}
+
+// idleDrains lists the machines that are to be drained because they are idle, by
+// group.
+func (ld *Loop) idleDrains(changes []inventory.RecordChange) map[string][]string {
+	idle := map[string][]string{}
+	for _, change := range changes {
+		if change.After != nil && change.After.Phase == inventory.Draining && change.After.Reason == autoscale.ReasonIdle {
+			key := ld.GroupKeyOf(change.Machine)
+			idle[key] = append(idle[key], change.Machine)
 		}
 	}
-	defer func() {
-		ld.Lock()
-		ld.MachineWritesLeft = 0
-		ld.Unlock()
-	}()
-	for i, w := range writes {
-		ld.Lock()
-		ld.MachineWritesLeft = len(writes) - i
-		if ld.Cache.Version(membership.Key) != seen.Version {
-			ld.Unlock()
-			return // the rest would fail, and count as changes
-		}
-		if slices.ContainsFunc(idle[w.Key], func(host string) bool { return len(ld.Table.ClaimsByMachine[host]) > 0 }) {
-			ld.Unlock()
-			continue // one of them has got work while this waited
-		}
-		then := []wire.Operation{{Delete: w.Key}}
-		if w.Group != nil {
-			then = []wire.Operation{{Put: w.Key, Value: wire.MustMarshal(w.Group)}}
-		}
-		for key, part := range w.SplitOff {
-			then = append(then, wire.Operation{Put: key, Value: wire.MustMarshal(part)})
-		}
-		ld.Unlock()
-		if err := ld.StoreDecision(ctx, guards[i], then); err != nil {
-			ld.Log.Info(logging.EventMachineRecordsNotStored, logging.KeyGroup, w.Key, logging.KeyError, err)
-		}
+	return idle
+}
+
+// beginGroupWrite returns the operations of a write whose turn has come; none if a
+// machine that was to go because it was idle has got work while the write waited.
+// fencedOut: the membership has changed, so that this write and the rest would fail,
+// and count as writes. left is how many writes there are, with this one.
+func (ld *Loop) beginGroupWrite(write groupWrite, idle []string, left int) (operations []wire.Operation, fencedOut bool) {
+	ld.Lock()
+	defer ld.Unlock()
+	ld.MachineWritesLeft = left
+	if ld.Cache.Version(membership.Key) != write.membership.Version {
+		return nil, true
+	}
+	if slices.ContainsFunc(idle, func(machine string) bool { return len(ld.Table.ClaimsByMachine[machine]) > 0 }) {
+		return nil, false
+	}
+	if write.Group == nil {
+		operations = []wire.Operation{{Delete: write.Key}}
+	} else {
+		operations = []wire.Operation{{Put: write.Key, Value: wire.MustMarshal(write.Group)}}
+	}
+	for key, group := range write.SplitOff {
+		operations = append(operations, wire.Operation{Put: key, Value: wire.MustMarshal(group)})
 	}
+	return operations, false
+}
+
+// setMachineWritesLeft sets how many writes of machine records are yet to come.
+func (ld *Loop) setMachineWritesLeft(left int) {
+	ld.Lock()
+	defer ld.Unlock()
+	ld.MachineWritesLeft = left
 }
