--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -1,3 +1,6 @@
+// This file scales in and out: it drains and terminates machines, and asks the cloud
+// for more.
+
 package leader
 
 import (
@@ -7,7 +10,6 @@
 	"fmt"
 	"maps"
 	"slices"
-	"sort"
 	"time"
 
 	"wheatspur/internal/autoscale"
@@ -19,151 +21,189 @@
 	"wheatspur/wire"
 )
 
-// PlanDrains stores that machines take no more tasks; the lock is held.
-// Machines that are dead go back at once, by name: what would drain them is
-// over, and their tasks wait for the proof of their return.
-func (ld *Loop) PlanDrains(drains []autoscale.ScaleIn) (changes []inventory.RecordChange, dead []string) {
-	for _, d := range drains {
-		rec, ok := ld.Inventory.Machines[d.Machine]
+// PlanDrains returns the record changes by which machines that are to go take no
+// more tasks. Machines that are dead are returned by name, to be terminated at once:
+// there is nothing to drain, and their tasks wait for the proof that the termination
+// is. The caller holds the lock.
+func (ld *Loop) PlanDrains(scaleIn []autoscale.ScaleIn) (changes []inventory.RecordChange, dead []string) {
+	for _, choice := range scaleIn {
+		record, ok := ld.Inventory.Machines[choice.Machine]
 		if !ok {
 			continue
 		}
-		next, err := rec.Phase.Next(inventory.EventDrain)
+		next, err := record.Phase.Next(inventory.EventDrain)
 		if err != nil {
 			continue
 		}
-		ld.Log.Info(logging.EventMachineDraining, logging.KeyMachine, d.Machine, logging.KeyReason, d.Reason)
-		if d.Terminated() {
-			dead = append(dead, d.Machine)
+		ld.Log.Info(logging.EventMachineDraining, logging.KeyMachine, choice.Machine, logging.KeyReason, choice.Reason)
+		if choice.Terminated() {
+			dead = append(dead, choice.Machine)
 			continue
 		}
-		drained := rec
-		drained.Phase, drained.Reason = next, d.Reason
-		changes = append(changes, inventory.RecordChange{Machine: d.Machine, Before: &rec, After: &drained})
+		drained := record
+		drained.Phase, drained.Reason = next, choice.Reason
+		changes = append(changes, inventory.RecordChange{Machine: choice.Machine, Before: &record, After: &drained})
 	}
 	return changes, dead
 }
 
-// PlanTerminations lists drained machines to give back, and records to drop; the lock is
-// held. A drained machine goes back when it is empty.
-func (ld *Loop) PlanTerminations(l *leaderState, now time.Time) (returns []string, drops []inventory.RecordChange) {
-	over := map[string][]inventory.RecordChange{} // by group
-	for host, rec := range ld.Inventory.Machines {
-		switch rec.Phase {
+// PlanTerminations lists the machines to terminate, which are those that are drained
+// and empty, and returns the changes that drop records of machines that are gone.
+// The caller holds the lock.
+func (ld *Loop) PlanTerminations(state *leaderState, _ time.Time) (terminate []string, drops []inventory.RecordChange) {
+	gone := map[string][]inventory.RecordChange{} // by group
+	for machine, record := range ld.Inventory.Machines {
+		switch record.Phase {
 		case inventory.Draining:
-			if ld.Cache.Revision() < ld.Cache.Version(ld.Inventory.KeyOf(host)) {
-				continue // claims stored before the drain may not be seen yet
-			}
-			open := 0
-			for _, j := range ld.Table.ClaimsByMachine[host] {
-				if j.Phase == jobs.Open {
-					open++
-				}
-			}
-			if open == 0 {
-				returns = append(returns, host)
+			if ld.drained(machine) {
+				terminate = append(terminate, machine)
 			}
 		case inventory.Terminated:
-			if len(ld.Table.ClaimsByMachine[host]) > 0 {
-				continue // its owner releases them first
+			if len(ld.Table.ClaimsByMachine[machine]) > 0 {
+				continue // its claims are released first
 			}
-			if l.MissingLists[host] >= tuning.MissingLists {
-				over[ld.Inventory.KeyOf(host)] = append(over[ld.Inventory.KeyOf(host)], inventory.RecordChange{Machine: host, Before: &rec})
-			} else if l.listed[host].State == wire.MachineFailed && l.MissingLists[host] == 0 {
-				returns = append(returns, host) // stays listed until deleted
+			if state.MissingLists[machine] >= tuning.MissingLists {
+				key := ld.Inventory.KeyOf(machine)
+				gone[key] = append(gone[key], inventory.RecordChange{Machine: machine, Before: &record})
+			} else if state.listed[machine].State == wire.MachineFailed && state.MissingLists[machine] == 0 {
+				terminate = append(terminate, machine) // stays listed until it is deleted
 			}
 		}
 	}
-	sort.Strings(returns)
-	// Nothing waits for the end of a record: a few groups a plan, those with
-	// the most first. Guards against a wave of lost machines taking the budget
-	// of changes twice, once for the proofs and once for this.
-	keys := slices.SortedFunc(maps.Keys(over), func(a, b string) int {
-		return cmp.Or(cmp.Compare(len(over[b]), len(over[a])), cmp.Compare(a, b))
+	slices.Sort(terminate)
+	return terminate, ld.chooseDrops(state, gone)
+}
+
+// drained reports whether a draining machine holds no more claims of open jobs. It
+// does not while claims that were stored before the drain may not be known here.
+func (ld *Loop) drained(machine string) bool {
+	if ld.Cache.Revision() < ld.Cache.Version(ld.Inventory.KeyOf(machine)) {
+		return false
+	}
+	for _, job := range ld.Table.ClaimsByMachine[machine] {
+		if job.Phase == jobs.Open {
+			return false
+		}
+	}
+	return true
+}
+
+// chooseDrops takes the drops of a few groups of machine records, those with the
+// most first: nothing waits for the end of a record. Guards against a wave of lost
+// machines taking the budget of writes twice, once for the proofs that they are gone
+// and once for this.
+func (ld *Loop) chooseDrops(state *leaderState, gone map[string][]inventory.RecordChange) []inventory.RecordChange {
+	var drops []inventory.RecordChange
+	keys := slices.SortedFunc(maps.Keys(gone), func(a, b string) int {
+		return cmp.Or(cmp.Compare(len(gone[b]), len(gone[a])), cmp.Compare(a, b))
 	})
 	for _, key := range keys[:min(len(keys), max(ld.groupWriteBudget(), 1))] {
-		for _, c := range over[key] {
-			drops = append(drops, c)
-			l.forget(c.Machine)
+		for _, drop := range gone[key] {
+			drops = append(drops, drop)
+			state.forget(drop.Machine)
 		}
 	}
-	return returns, drops
+	return drops
+}
+
+// Terminate terminates machines at the cloud and stores that they are. The cloud's
+// answer is the proof that everything on them has ended. All calls go before the
+// writes: a wave of hundreds of lost machines once took a minute.
+func (ld *Loop) Terminate(ctx context.Context, machines []string) {
+	changes := ld.recordTerminated(ld.terminateAtCloud(machines))
+	// What is left over is terminated again by the next plan, which then has more
+	// for each group. Guards against a wave of lost machines whose groups were
+	// written three times over, while most of its tasks waited for the proof.
+	ld.storeMachineGroups(ctx, changes, nil, tuning.GroupsPerBatch)
 }
 
-// Terminate returns machines to the cloud and stores that they are gone.
-// Its answer is the proof that everything on them is gone. All calls go before
-// the writes: a wave of hundreds of lost machines once took a minute.
-func (ld *Loop) Terminate(ctx context.Context, list []string) {
-	var hosts []string
-	for len(list) > 0 {
-		some := list[:min(len(list), tuning.TerminateMax)]
-		list = list[len(some):]
-		if err := ld.cloud.Terminate(some); err != nil {
-			ld.Log.Info(logging.EventTerminationFailed, logging.KeyMachines, some, logging.KeyError, err)
+// terminateAtCloud asks the cloud to terminate machines, and returns those of which
+// it says that they are.
+func (ld *Loop) terminateAtCloud(machines []string) []string {
+	var terminated []string
+	for batch := range slices.Chunk(machines, tuning.TerminateMax) {
+		if err := ld.cloud.Terminate(batch); err != nil {
+			ld.Log.Info(logging.EventTerminationFailed, logging.KeyMachines, batch, logging.KeyError, err)
 			break
 		}
-		ld.Log.Info(logging.EventMachinesTerminated, logging.KeyMachines, some)
-		hosts = append(hosts, some...)
+		ld.Log.Info(logging.EventMachinesTerminated, logging.KeyMachines, batch)
+		terminated = append(terminated, batch...)
 	}
+	return terminated
+}
+
+// recordTerminated returns the record changes of machines that are terminated.
+func (ld *Loop) recordTerminated(machines []string) []inventory.RecordChange {
 	ld.Lock()
+	defer ld.Unlock()
 	var changes []inventory.RecordChange
-	for _, h := range hosts {
-		rec, ok := ld.Inventory.Machines[h]
-		if !ok || rec.Phase == inventory.Terminated {
+	for _, machine := range machines {
+		record, ok := ld.Inventory.Machines[machine]
+		if !ok || record.Phase == inventory.Terminated {
 			continue
 		}
-		if rec.Phase == inventory.Draining && len(ld.Table.ClaimsByMachine[h]) == 0 && ld.IsLeader() {
+		if record.Phase == inventory.Draining && len(ld.Table.ClaimsByMachine[machine]) == 0 && ld.IsLeader() {
 			// Drained and empty: there is nothing that its end would prove. A
-			// machine that was not drained may yet get a claim that is under way.
-			l := ld.CurrentLeaderState()
-			l.terminatedAt[h] = ld.Now()
-			l.forget(h)
-			changes = append(changes, inventory.RecordChange{Machine: h, Before: &rec})
+			// machine that was not drained may yet get a claim that is in flight.
+			state := ld.CurrentLeaderState()
+			state.terminatedAt[machine] = ld.Now()
+			state.forget(machine)
+			changes = append(changes, inventory.RecordChange{Machine: machine, Before: &record})
 			continue
 		}
-		if next, err := rec.Phase.Next(inventory.EventTerminated); err == nil {
-			gone := rec
-			gone.Phase = next
-			changes = append(changes, inventory.RecordChange{Machine: h, Before: &rec, After: &gone})
+		if next, err := record.Phase.Next(inventory.EventTerminated); err == nil {
+			terminated := record
+			terminated.Phase = next
+			changes = append(changes, inventory.RecordChange{Machine: machine, Before: &record, After: &terminated})
 		}
 	}
-	ld.Unlock()
-	// What is left is given back again by the next plan, which then has more
-	// for each group. Guards against a wave of lost machines whose groups were
-	// written three times over, while most of its tasks waited for the proof.
-	ld.storeMachineGroups(ctx, changes, nil, tuning.GroupsPerBatch)
+	return changes
 }
 
-// scaleOut rents machines. A request's name holds the token, which only one leader
-// ever has, and a counter: no name is used twice.
-func (ld *Loop) scaleOut(ctx context.Context, h autoscale.ScaleOut) {
-	ld.Lock()
-	if !ld.IsLeader() || ctx.Err() != nil {
-		ld.Unlock()
+// scaleOut asks the cloud for machines, while this controller leads.
+func (ld *Loop) scaleOut(ctx context.Context, request autoscale.ScaleOut) {
+	name, ok := ld.nextRequestName(ctx)
+	if !ok {
 		return
 	}
-	l := ld.CurrentLeaderState()
-	l.requestCounter++
-	name := fmt.Sprintf("%s-%d-%d", ld.Self.Label, l.fencingToken, l.requestCounter)
-	ld.Unlock()
-	count := min(h.Count, tuning.ScaleOutMax)
-	names, err := ld.cloud.ScaleOut(wire.ScaleOutRequest{Name: name, MachineType: h.Kind.MachineType, Zone: h.Kind.Zone, Spot: h.Kind.Spot, Count: count})
+	count := min(request.Count, tuning.ScaleOutMax)
+	machines, err := ld.cloud.ScaleOut(wire.ScaleOutRequest{
+		Name:        name,
+		MachineType: request.Kind.MachineType,
+		Zone:        request.Kind.Zone,
+		Spot:        request.Kind.Spot,
+		Count:       count,
+	})
 	ld.Lock()
 	defer ld.Unlock()
-	l = ld.CurrentLeaderState()
+	state := ld.CurrentLeaderState()
 	now := ld.Now()
-	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(names) < count {
-		l.noCapacityAt[h.Kind] = now
+	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(machines) < count {
+		state.noCapacityAt[request.Kind] = now
+	}
+	ld.Log.Info(logging.EventScaleOut, logging.KeyRequest, name, logging.KeyMachineType, request.Kind.MachineType, logging.KeyZone, request.Kind.Zone, logging.KeySpot, request.Kind.Spot,
+		logging.KeyRole, string(request.Role), logging.KeyRequested, count, logging.KeyGranted, len(machines), logging.KeyReason, request.Reason, logging.KeyError, err)
+	for _, machine := range machines {
+		state.ScalingOut[machine] = ScaleOutRecord{request.Kind, request.Role, now}
 	}
-	ld.Log.Info(logging.EventScaleOut, logging.KeyRequest, name, logging.KeyMachineType, h.Kind.MachineType, logging.KeyZone, h.Kind.Zone, logging.KeySpot, h.Kind.Spot,
-		logging.KeyRole, string(h.Role), logging.KeyRequested, count, logging.KeyGranted, len(names), logging.KeyReason, h.Reason, logging.KeyError, err)
-	for _, host := range names {
-		l.ScalingOut[host] = ScaleOutRecord{h.Kind, h.Role, now}
+}
+
+// nextRequestName names a scale-out request; false if this controller does not lead
+// or ctx has ended. The name holds the fencing token, which only one leader ever
+// has, and a counter: no name is used twice.
+func (ld *Loop) nextRequestName(ctx context.Context) (string, bool) {
+	ld.Lock()
+	defer ld.Unlock()
+	if !ld.IsLeader() || ctx.Err() != nil {
+		return "", false
 	}
+	state := ld.CurrentLeaderState()
+	state.requestCounter++
+	return fmt.Sprintf("%s-%d-%d", ld.Self.Label, state.fencingToken, state.requestCounter), true
 }
 
-// groupWriteBudget is how many groups of machine records the leader may change now for
-// what can wait.
+// groupWriteBudget is how many groups of machine records the leader may write now
+// for what can wait.
 func (ld *Loop) groupWriteBudget() int {
 	return min(int(ld.Limiter.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMax)
 }
