--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -1,4 +1,4 @@
-// This file holds the leader's moves of machines between the roles.
+// This file chooses the roles of machines: the first one, and the moves.
 
 package leader
 
@@ -14,164 +14,195 @@
 	"wheatspur/wire"
 )
 
-// RecordArrivals feeds the role controllers with service jobs that are new, and the
-// headroom with batch jobs; the lock is held.
-func (ld *Loop) RecordArrivals(l *leaderState, now time.Time) {
-	for _, t := range ld.MachineTypeList {
-		if l.roleControllers[t.Label] == nil {
-			l.roleControllers[t.Label] = roles.New(ld.Settings.Operator, now)
+// recordArrivals enters new service jobs in the role controllers' demand, and new
+// batch jobs in that of the headroom. The caller holds the lock.
+func (ld *Loop) recordArrivals(state *leaderState, now time.Time) {
+	for _, machineType := range ld.MachineTypeList {
+		if state.roleControllers[machineType.Label] == nil {
+			state.roleControllers[machineType.Label] = roles.New(ld.Settings.Operator, now)
 		}
 	}
-	for jobID, j := range ld.Table.Open {
-		if l.seenJobs[jobID] {
+	for jobID, job := range ld.Table.Open {
+		if state.seenJobs[jobID] {
 			continue
 		}
-		l.seenJobs[jobID] = true
-		if !j.Service() {
-			l.recordBatchArrival(j, now)
-		} else if now.Sub(j.FirstSeen) <= tuning.RoleStep {
-			ld.recordServiceArrival(l, j, now)
+		state.seenJobs[jobID] = true
+		if !job.Service() {
+			state.recordBatchArrival(job, now)
+		} else if now.Sub(job.FirstSeen) <= tuning.RoleStep { // else it was there before this term
+			ld.recordServiceArrival(state, job, now)
 		}
 	}
-	for jobID := range l.seenJobs {
+	for jobID := range state.seenJobs {
 		if ld.Table.Open[jobID] == nil {
-			delete(l.seenJobs, jobID)
+			delete(state.seenJobs, jobID)
 		}
 	}
 }
 
-// recordBatchArrival enters a new array in the mean size of those of the typical class.
-func (l *leaderState) recordBatchArrival(j *jobs.Job, now time.Time) {
-	if l.batchLoad.Spec == nil || l.batchLoad.Spec.Class == j.Record.Spec.Class {
-		size := min(float64(j.Record.Tasks), tuning.TasksPerJob)
-		if l.meanArraySize == 0 {
-			l.meanArraySize = size
+// recordBatchArrival enters a new job array in the mean size of those of the typical
+// class.
+func (ls *leaderState) recordBatchArrival(job *jobs.Job, now time.Time) {
+	if ls.batchLoad.Spec == nil || ls.batchLoad.Spec.Class == job.Record.Spec.Class {
+		size := min(float64(job.Record.Tasks), tuning.TasksPerJob)
+		if ls.meanArraySize == 0 {
+			ls.meanArraySize = size
 		}
-		l.meanArraySize += (size - l.meanArraySize) * tuning.BatchSizeAlpha
+		ls.meanArraySize += (size - ls.meanArraySize) * tuning.BatchSizeAlpha
 	}
-	l.lastArrayAt = now
+	ls.lastArrayAt = now
 }
 
-// recordServiceArrival tells the role controller of every type that a new service
-// job may use; the lock is held.
-func (ld *Loop) recordServiceArrival(l *leaderState, j *jobs.Job, now time.Time) {
-	for _, t := range ld.MachineTypeList {
-		if !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
-			continue
+// recordServiceArrival enters a new service job with the role controller of every
+// type that it may use. The caller holds the lock.
+func (ld *Loop) recordServiceArrival(state *leaderState, job *jobs.Job, now time.Time) {
+	for _, machineType := range ld.MachineTypeList {
+		if jobs.AllowsMachineType(job.Record.Spec, machineType.Label) {
+			load := job.Need.Share(emptyMachine(machineType)) * float64(job.Record.Tasks)
+			state.roleControllers[machineType.Label].Arrive(now, load)
 		}
-		total := jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}
-		l.roleControllers[t.Label].Arrive(now, j.Need.Share(total)*float64(j.Record.Tasks))
 	}
 }
 
-// moveRoles evaluates every type's split and returns the moves; the lock is held.
-func (ld *Loop) moveRoles(l *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
-	var out []inventory.RecordChange
-	for _, t := range ld.MachineTypeList {
-		c := l.roleControllers[t.Label]
-		if c == nil {
+// moveRoles evaluates every type's split and returns the moves that follow. The
+// caller holds the lock.
+func (ld *Loop) moveRoles(state *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
+	var moves []inventory.RecordChange
+	for _, machineType := range ld.MachineTypeList {
+		controller := state.roleControllers[machineType.Label]
+		if controller == nil {
 			continue
 		}
-		var service, batch []*placement.Machine
-		for _, m := range machines.Machines {
-			if m.Type == t.Label && !m.Spot && ld.Inventory.Machines[m.Name].Phase == inventory.Active && (m.Schedulable || len(m.Tasks) > 0) {
-				if m.Role == placement.Service {
-					service = append(service, m)
-				} else {
-					batch = append(batch, m)
-				}
-			}
-		}
+		service, batch := ld.movable(machineType.Label, machines)
 		victim := roles.Victim(service)
-		d := c.Evaluate(now, ld.describeSplit(t, machines), func() bool { return victim != nil && tasksFitElsewhere(machines, victim, false) })
-		l.RoleDecisions[t.Label] = d
-		var m *placement.Machine
-		role := placement.Batch
-		switch d.Move {
+		fits := func() bool { return victim != nil && tasksFitElsewhere(machines, victim, false) }
+		decision := controller.Evaluate(now, ld.describeSplit(machineType, machines), fits)
+		state.RoleDecisions[machineType.Label] = decision
+		ld.logRoleDecision(machineType.Label, decision)
+		switch decision.Move {
 		case roles.ToBatch:
-			m = victim
+			moves = ld.addMove(moves, victim, placement.Batch, decision)
 		case roles.ToService:
-			m, role = roles.Emptiest(batch), placement.Service
+			moves = ld.addMove(moves, roles.Emptiest(batch), placement.Service, decision)
 		}
-		ld.Log.Debug(logging.EventRoleSplitEvaluated, logging.KeyMachineType, t.Label, logging.KeyBatchMachines, d.Batch, logging.KeyServiceMachines, d.Service, logging.KeyBatchLoad, d.BatchLoad,
-			logging.KeyServiceLoad, d.ServiceLoad, logging.KeyProposal, string(d.Proposal.Direction), logging.KeyRule, string(d.Proposal.Rule),
-			logging.KeyConfirmations, d.Confirmations, logging.KeyGate, string(d.Gate), logging.KeyEvidenceOpen, d.EvidenceOpen)
-		if m == nil {
+	}
+	return moves
+}
+
+// movable lists the on-demand machines of a type that are up, by role.
+func (ld *Loop) movable(machineType string, machines *placement.Fleet) (service, batch []*placement.Machine) {
+	for _, machine := range machines.Machines {
+		if machine.Type != machineType || machine.Spot || ld.Inventory.Machines[machine.Name].Phase != inventory.Active || !machine.Schedulable && len(machine.Tasks) == 0 {
 			continue
 		}
-		rec := ld.Inventory.Machines[m.Name]
-		moved := rec
-		moved.Role, moved.Reason = role, string(d.Proposal.Rule)
-		out = append(out, inventory.RecordChange{Machine: m.Name, Before: &rec, After: &moved})
-		ld.Log.Info(logging.EventMachineRoleChanged, logging.KeyMachine, m.Name, logging.KeyMachineType, t.Label, logging.KeyTarget, string(role), logging.KeyRule, string(d.Proposal.Rule),
-			logging.KeyBatchLoad, d.BatchLoad, logging.KeyServiceLoad, d.ServiceLoad)
-	}
-	return out
+		if machine.Role == placement.Service {
+			service = append(service, machine)
+		} else {
+			batch = append(batch, machine)
+		}
+	}
+	return service, batch
+}
+
+// logRoleDecision logs an evaluation of a type's split.
+func (ld *Loop) logRoleDecision(machineType string, decision roles.Decision) {
+	ld.Log.Debug(logging.EventRoleSplitEvaluated, logging.KeyMachineType, machineType, logging.KeyBatchMachines, decision.Batch, logging.KeyServiceMachines, decision.Service, logging.KeyBatchLoad, decision.BatchLoad,
+		logging.KeyServiceLoad, decision.ServiceLoad, logging.KeyProposal, string(decision.Proposal.Direction), logging.KeyRule, string(decision.Proposal.Rule),
+		logging.KeyConfirmations, decision.Confirmations, logging.KeyGate, string(decision.Gate), logging.KeyEvidenceOpen, decision.EvidenceOpen)
+}
+
+// addMove adds the move of a machine to a role; nil: there is none to move.
+func (ld *Loop) addMove(moves []inventory.RecordChange, machine *placement.Machine, role placement.Role, decision roles.Decision) []inventory.RecordChange {
+	if machine == nil {
+		return moves
+	}
+	record := ld.Inventory.Machines[machine.Name]
+	moved := record
+	moved.Role, moved.Reason = role, string(decision.Proposal.Rule)
+	ld.Log.Info(logging.EventMachineRoleChanged, logging.KeyMachine, machine.Name, logging.KeyMachineType, machine.Type, logging.KeyTarget, string(role), logging.KeyRule, string(decision.Proposal.Rule),
+		logging.KeyBatchLoad, decision.BatchLoad, logging.KeyServiceLoad, decision.ServiceLoad)
+	return append(moves, inventory.RecordChange{Machine: machine.Name, Before: &record, After: &moved})
 }
 
 // tasksFitElsewhere reports whether all service tasks of a machine have room on the
-// others at once; held: on machines that hold their images.
-func tasksFitElsewhere(f *placement.Fleet, victim *placement.Machine, held bool) bool {
-	type booked struct {
-		m    *placement.Machine
-		need jobs.Resources
+// others at once; withImage: on machines that hold their images. It leaves the fleet
+// as it was.
+func tasksFitElsewhere(fleet *placement.Fleet, from *placement.Machine, withImage bool) bool {
+	type booking struct {
+		machine *placement.Machine
+		need    jobs.Resources
 	}
-	var taken []booked
+	var booked []booking
 	defer func() {
-		for _, b := range taken {
-			b.m.Free = b.m.Free.Add(b.need)
+		for _, b := range booked {
+			b.machine.Free = b.machine.Free.Add(b.need)
 		}
 	}()
-	for _, r := range victim.Tasks {
-		if !r.Job.Service() || r.Job.Phase != jobs.Open {
+	for _, task := range from.Tasks {
+		if !openService(task) {
 			continue
 		}
-		to := placement.FitElsewhere(f, r.Job, r.ID.Task, victim.Name)
-		if to == nil || held && !to.HasImage(r.Job.Record.Spec.Image) {
+		target := placement.FitElsewhere(fleet, task.Job, task.ID.Task, from.Name)
+		if target == nil || withImage && !target.HasImage(task.Job.Record.Spec.Image) {
 			return false
 		}
-		to.Free = to.Free.Sub(r.Job.Need)
-		taken = append(taken, booked{to, r.Job.Need})
+		target.Free = target.Free.Sub(task.Job.Need)
+		booked = append(booked, booking{target, task.Job.Need})
 	}
 	return true
 }
 
-// initialRole is the role of a machine that is new to the store: what it was
-// rented for; else the role floors, then what waits, then services.
-func (ld *Loop) initialRole(l *leaderState, h wire.Machine, joining []inventory.RecordChange) placement.Role {
-	if h.Spot {
+// initialRole is the role of a machine that is new to the store: what it was scaled
+// out for; else what the role floors lack, then what waits, then services. added are
+// the record changes of the same list, which are not stored yet. The caller holds
+// the lock.
+func (ld *Loop) initialRole(state *leaderState, machine wire.Machine, added []inventory.RecordChange) placement.Role {
+	if machine.Spot {
 		return placement.Batch
 	}
-	if r, ok := l.ScalingOut[h.Name]; ok {
-		return r.Role
+	if request, ok := state.ScalingOut[machine.Name]; ok {
+		return request.Role
+	}
+	count := ld.countRoles(machine.MachineType, added)
+	services, arrays := ld.unplacedKinds()
+	switch {
+	case count[placement.Service] < tuning.RoleFloor:
+		return placement.Service
+	case count[placement.Batch] < tuning.RoleFloor, arrays && !services && count[placement.Batch] < count[placement.Service]:
+		return placement.Batch
 	}
+	// Services have on-demand machines only, and people wait for them; most batch
+	// work may use spot machines, which are scaled out when it comes.
+	return placement.Service
+}
+
+// countRoles counts the active on-demand machines of a type by role, those that are
+// being added included.
+func (ld *Loop) countRoles(machineType string, added []inventory.RecordChange) map[placement.Role]int {
 	count := map[placement.Role]int{}
-	add := func(r inventory.Record) {
-		if r.MachineType == h.MachineType && !r.Spot && r.Phase == inventory.Active {
-			count[r.Role]++
+	add := func(record inventory.Record) {
+		if record.MachineType == machineType && !record.Spot && record.Phase == inventory.Active {
+			count[record.Role]++
 		}
 	}
-	for _, r := range ld.Inventory.Machines {
-		add(r)
+	for _, record := range ld.Inventory.Machines {
+		add(record)
 	}
-	for _, c := range joining {
-		add(*c.After)
+	for _, change := range added {
+		add(*change.After)
 	}
-	services, arrays := false, false
+	return count
+}
+
+// unplacedKinds reports whether service jobs, and whether others, have tasks without
+// a place.
+func (ld *Loop) unplacedKinds() (services, arrays bool) {
 	for jobID := range ld.scheduler.Unplaced {
-		if j := ld.Table.Open[jobID]; j != nil && j.Service() {
+		if job := ld.Table.Open[jobID]; job != nil && job.Service() {
 			services = true
-		} else if j != nil {
+		} else if job != nil {
 			arrays = true
 		}
 	}
-	switch {
-	case count[placement.Service] < tuning.RoleFloor:
-		return placement.Service
-	case count[placement.Batch] < tuning.RoleFloor, arrays && !services && count[placement.Batch] < count[placement.Service]:
-		return placement.Batch
-	}
-	// Services have ordinary machines only, and people wait for them; most
-	// batch work may use spot machines, which are rented when it comes.
-	return placement.Service
+	return services, arrays
 }
--- a/internal/leader/rolesplit.go
+++ b/internal/leader/rolesplit.go
@@ -1,4 +1,5 @@
-// This file describes the split of a machine type between the roles.
+// This file describes to the role controllers how a machine type is split between
+// the roles.
 
 package leader
 
@@ -11,83 +12,137 @@
 	"wheatspur/wire"
 )
 
-// describeSplit describes one type's ordinary machines and demand; the lock is held.
-func (ld *Loop) describeSplit(t wire.MachineType, machines *placement.Fleet) roles.Split {
-	s := roles.Split{Type: t.Label, Complete: true}
-	for _, sib := range ld.Peers.Siblings {
-		if ld.Membership.Contains(membership.Node{Label: sib.Settings.Label, Incarnation: sib.Status.Incarnation}) && !ld.Peers.IsFresh(sib) {
-			s.Complete = false
-		}
+// describeSplit describes one type's on-demand machines and the demand for them. The
+// caller holds the lock.
+func (ld *Loop) describeSplit(machineType wire.MachineType, machines *placement.Fleet) roles.Split {
+	b := splitBuilder{
+		leader:      ld,
+		machineType: machineType,
+		split:       roles.Split{Type: machineType.Label, Complete: ld.hearsAllMembers()},
+		up:          map[string]int{},
 	}
-	count := map[string]int{}    // machines that take tasks, by type
-	coming := []jobs.Resources{} // room on batch machines of the type that still boot
-	for _, m := range machines.Machines {
-		if ld.Inventory.Machines[m.Name].Phase != inventory.Active {
-			continue
-		}
-		if !m.Schedulable && len(m.Tasks) == 0 {
-			// Only machines that are up count, and only they move. Counting
-			// those that boot made queued work that waits for them look like a
-			// lack of batch machines.
-			if m.Type == t.Label && m.Role == placement.Batch {
-				coming = append(coming, m.Free)
-			}
-			if m.Type == t.Label && !m.Spot {
-				if m.Role == placement.Batch {
-					s.BatchComing++
-				} else {
-					s.ServiceComing++
-				}
-			}
-			continue
-		}
-		count[m.Type]++
-		if m.Type != t.Label {
-			continue
-		}
-		switch {
-		case m.Spot:
-			s.Spot++
-		case m.Role == placement.Service:
-			s.Service++
-		default:
-			s.Batch++
+	for _, machine := range machines.Machines {
+		if ld.Inventory.Machines[machine.Name].Phase == inventory.Active {
+			b.addMachine(machine)
 		}
-		for _, r := range m.Tasks {
-			if r.Job.Service() && r.Job.Phase == jobs.Open {
-				s.ServiceBooked += r.Job.Need.Share(m.Total)
-			}
+	}
+	for jobID, tasks := range ld.scheduler.Unplaced {
+		job := ld.Table.Jobs[jobID]
+		if job != nil && job.Record.Spec != nil && jobs.AllowsMachineType(job.Record.Spec, machineType.Label) {
+			b.addUnplaced(job, tasks)
 		}
 	}
-	tot := jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}
-	for jobID, k := range ld.scheduler.Unplaced {
-		j := ld.Table.Jobs[jobID]
-		if j == nil || j.Record.Spec == nil || !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
-			continue
+	return b.split
+}
+
+// hearsAllMembers reports whether the status of every other member is fresh. The
+// caller holds the lock.
+func (ld *Loop) hearsAllMembers() bool {
+	for _, sibling := range ld.Peers.Siblings {
+		node := membership.Node{Label: sibling.Settings.Label, Incarnation: sibling.Status.Incarnation}
+		if ld.Membership.Contains(node) && !ld.Peers.IsFresh(sibling) {
+			return false
 		}
-		for i := 0; !j.Service() && k > 0 && i < len(coming); {
-			if !j.Need.Fits(coming[i]) {
-				i++
-				continue
-			}
-			coming[i] = coming[i].Sub(j.Need)
-			k--
+	}
+	return true
+}
+
+// splitBuilder puts the description of one type's split together. It lives while the
+// lock is held.
+type splitBuilder struct {
+	leader      *Loop
+	machineType wire.MachineType
+	split       roles.Split
+	up          map[string]int   // machines that take tasks, of any role, by type
+	booting     []jobs.Resources // room on the type's batch machines that still boot
+}
+
+// addMachine enters an active machine of any type. Only machines that are up count,
+// and only they move. Counting those that boot made queued work that waits for them
+// look like a lack of batch machines.
+func (b *splitBuilder) addMachine(machine *placement.Machine) {
+	ofType := machine.Type == b.machineType.Label
+	if !machine.Schedulable && len(machine.Tasks) == 0 {
+		if ofType {
+			b.addBooting(machine)
 		}
-		all := 0
-		for label, c := range count {
-			if jobs.AllowsMachineType(j.Record.Spec, label) {
-				all += c
-			}
+		return
+	}
+	b.up[machine.Type]++
+	if !ofType {
+		return
+	}
+	switch {
+	case machine.Spot:
+		b.split.Spot++
+	case machine.Role == placement.Service:
+		b.split.Service++
+	default:
+		b.split.Batch++
+	}
+	for _, task := range machine.Tasks {
+		if openService(task) {
+			b.split.ServiceBooked += task.Job.Need.Share(machine.Total)
 		}
-		if all == 0 {
-			continue
+	}
+}
+
+// addBooting enters a machine of the type that does not take tasks yet.
+func (b *splitBuilder) addBooting(machine *placement.Machine) {
+	if machine.Role == placement.Batch {
+		b.booting = append(b.booting, machine.Free)
+	}
+	switch {
+	case machine.Spot:
+	case machine.Role == placement.Batch:
+		b.split.BatchComing++
+	default:
+		b.split.ServiceComing++
+	}
+}
+
+// addUnplaced enters the tasks without a place of a job that may use the type, but
+// for the batch tasks that wait for machines that boot. The type's part of them is
+// that of its machines among all that the job may use.
+func (b *splitBuilder) addUnplaced(job *jobs.Job, tasks int) {
+	if !job.Service() {
+		tasks = b.takeBooting(job, tasks)
+	}
+	usable := 0
+	for label, machines := range b.up {
+		if jobs.AllowsMachineType(job.Record.Spec, label) {
+			usable += machines
 		}
-		part := float64(k) * j.Need.Share(tot) * float64(count[t.Label]) / float64(all)
-		if j.Service() {
-			s.ServiceBooked += part
-		} else {
-			s.BatchWork += part * j.Record.Spec.EstimateS
+	}
+	if usable == 0 {
+		return
+	}
+	load := float64(tasks) * job.Need.Share(emptyMachine(b.machineType)) * float64(b.up[b.machineType.Label]) / float64(usable)
+	if job.Service() {
+		b.split.ServiceBooked += load
+	} else {
+		b.split.BatchWork += load * job.Record.Spec.EstimateS
+	}
+}
+
+// takeBooting gives tasks room on the machines that boot, and returns how many are
+// left.
+func (b *splitBuilder) takeBooting(job *jobs.Job, tasks int) int {
+	for i := range b.booting {
+		for tasks > 0 && job.Need.Fits(b.booting[i]) {
+			b.booting[i] = b.booting[i].Sub(job.Need)
+			tasks--
 		}
 	}
-	return s
+	return tasks
+}
+
+// emptyMachine is the room on a machine of the type that holds no task.
+func emptyMachine(machineType wire.MachineType) jobs.Resources {
+	return jobs.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAM: machineType.RAMGB}
+}
+
+// openService reports whether a task belongs to a service that is to run on.
+func openService(task placement.ClaimedTask) bool {
+	return task.Job.Service() && task.Job.Phase == jobs.Open
 }
