--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -1,9 +1,11 @@
-// This file holds the part of the capacity plan's input that says which tasks need room.
+// This file enters the tasks that need room in the input of the capacity plan.
 
 package leader
 
 import (
+	"slices"
 	"sort"
+	"strings"
 	"time"
 
 	"wheatspur/internal/autoscale"
@@ -11,46 +13,50 @@
 	"wheatspur/internal/placement"
 )
 
-// addUntried enters the tasks that have a place that is not stored yet, and those
-// that had no turn in the pass: they take their room first. Guards against renting
-// only when the last free machine is taken: with hundreds of jobs that took half
-// a minute.
-func (b *planBuilder) addUntried() {
-	for jobID, j := range b.leader.Table.Open {
-		why := b.leader.scheduler.PendingReasons[jobID]
-		count := j.Counts[jobs.Pending]
-		if why != placement.ReasonNoTurn {
-			count -= b.leader.scheduler.Unplaced[jobID]
+// addNotScheduledYet enters the tasks that have a place that is not stored yet, and
+// those that had no turn in the pass: they take their room first. Guards against
+// scaling out only when the last free machine is taken: with hundreds of jobs that
+// took half a minute.
+func (b *planBuilder) addNotScheduledYet() {
+	scheduler := b.leader.scheduler
+	for jobID, job := range b.leader.Table.Open {
+		reason := scheduler.PendingReasons[jobID]
+		count := job.Counts[jobs.Pending]
+		if reason != placement.ReasonNoTurn {
+			count -= scheduler.Unplaced[jobID]
 		}
-		if count > 0 && (why == "" || why == placement.ReasonNoTurn || why == placement.ReasonNoRoom) {
-			b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: j, Count: count, NotScheduledYet: true})
+		if count > 0 && (reason == "" || reason == placement.ReasonNoTurn || reason == placement.ReasonNoRoom) {
+			b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: job, Count: count, NotScheduledYet: true})
 		}
 	}
-	wants := b.input.Demands
-	sort.Slice(wants, func(i, k int) bool { return wants[i].Job.ID < wants[k].Job.ID })
+	slices.SortFunc(b.input.Demands, byJob)
 }
 
-// addUnmet enters the tasks that the pass found no room for, those that have
+// byJob orders demands by job; no two are of the same.
+func byJob(x, y autoscale.Demand) int { return strings.Compare(x.Job.ID, y.Job.ID) }
+
+// addUnplaced enters the tasks that the pass found no room for, those that have
 // waited longest first.
-func (b *planBuilder) addUnmet() {
+func (b *planBuilder) addUnplaced() {
+	scheduler := b.leader.scheduler
 	for _, jobID := range b.leader.unplacedByAge() {
-		j := b.leader.Table.Open[jobID]
-		if j == nil || b.leader.scheduler.PendingReasons[jobID] != placement.ReasonNoRoom {
+		job := b.leader.Table.Open[jobID]
+		if job == nil || scheduler.PendingReasons[jobID] != placement.ReasonNoRoom {
 			continue
 		}
-		count := b.leader.scheduler.Unplaced[jobID]
-		if j.Service() {
+		count := scheduler.Unplaced[jobID]
+		if job.Service() {
 			// The headroom is for what will run too.
 			b.input.Service.Tasks += float64(count)
 			b.input.Service.AwaitingBoot += float64(count)
-			b.input.Service.Need, b.input.Service.Spec = j.Need, j.Record.Spec
+			b.input.Service.Need, b.input.Service.Spec = job.Need, job.Record.Spec
 		}
-		b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: j, Count: count, Waiting: b.now.Sub(b.leader.scheduler.UnplacedSince[jobID])})
+		b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: job, Count: count, Waiting: b.now.Sub(scheduler.UnplacedSince[jobID])})
 	}
 }
 
-// unplacedByAge lists the jobs with tasks without a place, the oldest wait first; the
-// lock is held.
+// unplacedByAge lists the jobs with tasks without a place, those that have waited
+// longest first. The caller holds the lock.
 func (ld *Loop) unplacedByAge() []string {
 	jobIDs := make([]string, 0, len(ld.scheduler.Unplaced))
 	for jobID := range ld.scheduler.Unplaced {
@@ -63,40 +69,40 @@
 }
 
 // tasksAtRisk lists the service tasks on machines that have fallen silent beside
-// others of their owner that are heard. Their room is rented before there is
-// proof that they are gone, since a boot takes longer than that: after a hundred
-// machines had died, services waited for their replacements for 45 s. A node
-// that hears hardly any of its machines has trouble of its own. up is how long
-// ago each machine was heard; the lock is held.
-func (ld *Loop) tasksAtRisk(machines *placement.Fleet, up map[string]time.Duration, now time.Time) []autoscale.Demand {
-	heard, quiet := map[string]int{}, map[string]int{}
-	var list []*placement.Machine
-	for _, m := range machines.Machines {
-		age, ok := up[m.Name]
+// others of their shard owner that are heard. Room for them is scaled out before
+// there is proof that they are gone, since a boot takes longer than that: after a
+// hundred machines had died, services waited for their replacements for 45 s. A
+// controller that hears hardly any of its machines has trouble of its own. sinceHeard
+// is how long ago each machine was heard by its owner. The caller holds the lock.
+func (ld *Loop) tasksAtRisk(machines *placement.Fleet, sinceHeard map[string]time.Duration, now time.Time) []autoscale.Demand {
+	heard, silent := map[string]int{}, map[string]int{} // machines by shard owner
+	var atRisk []*placement.Machine
+	for _, machine := range machines.Machines {
+		age, ok := sinceHeard[machine.Name]
 		if ok && age < ld.SilenceTimeout() {
-			heard[m.Owner]++
-		} else if at, wasUp := ld.LeaderState.LastHeard[m.Name]; wasUp && now.Sub(at) > ld.SilenceTimeout() {
-			quiet[m.Owner]++
-			if m.Role == placement.Service {
-				list = append(list, m)
+			heard[machine.Owner]++
+		} else if at, wasUp := ld.LeaderState.LastHeard[machine.Name]; wasUp && now.Sub(at) > ld.SilenceTimeout() {
+			silent[machine.Owner]++
+			if machine.Role == placement.Service {
+				atRisk = append(atRisk, machine)
 			}
 		}
 	}
 	count := map[*jobs.Job]int{}
-	for _, m := range list {
-		if heard[m.Owner] < quiet[m.Owner] {
+	for _, machine := range atRisk {
+		if heard[machine.Owner] < silent[machine.Owner] {
 			continue
 		}
-		for _, r := range m.Tasks {
-			if r.Job.Service() && r.Job.Phase == jobs.Open {
-				count[r.Job]++
+		for _, task := range machine.Tasks {
+			if openService(task) {
+				count[task.Job]++
 			}
 		}
 	}
-	out := make([]autoscale.Demand, 0, len(count))
-	for j, k := range count {
-		out = append(out, autoscale.Demand{Job: j, Count: k, NotScheduledYet: true})
+	demands := make([]autoscale.Demand, 0, len(count))
+	for job, tasks := range count {
+		demands = append(demands, autoscale.Demand{Job: job, Count: tasks, NotScheduledYet: true})
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Job.ID < out[b].Job.ID })
-	return out
+	slices.SortFunc(demands, byJob)
+	return demands
 }
--- a/internal/leader/headroom.go
+++ b/internal/leader/headroom.go
@@ -1,5 +1,5 @@
-// This file holds the part of the capacity plan's input that headroom is kept for:
-// what the roles hold, which of them are active and what is typical of batch work.
+// This file enters what headroom is kept for in the input of the capacity plan: what
+// the roles hold, which of them are active, and what is typical of batch work.
 
 package leader
 
@@ -14,126 +14,132 @@
 )
 
 // addClaimed enters what the tasks on a machine hold, for the headroom.
-func (b *planBuilder) addClaimed(m *placement.Machine) {
-	for _, r := range m.Tasks {
-		spec := r.Job.Record.Spec
-		if spec == nil || r.Job.Phase != jobs.Open {
+func (b *planBuilder) addClaimed(machine *placement.Machine) {
+	for _, task := range machine.Tasks {
+		spec := task.Job.Record.Spec
+		if spec == nil || task.Job.Phase != jobs.Open {
 			continue
 		}
-		if r.Job.Service() {
+		if task.Job.Service() {
 			b.input.Service.Tasks++
-			b.input.Service.Need, b.input.Service.Spec = r.Job.Need, spec
+			b.input.Service.Need, b.input.Service.Spec = task.Job.Need, spec
 			continue
 		}
-		held := b.batch[spec.Class]
-		if held == nil {
-			held = &batchClassLoad{}
-			b.batch[spec.Class] = held
+		load := b.batch[spec.Class]
+		if load == nil {
+			load = &batchClassLoad{}
+			b.batch[spec.Class] = load
 		}
-		held.add(r.Job, m.Total)
+		load.add(task.Job, machine.Total)
 	}
 }
 
-// addHeadroom enters what each role holds, for its headroom.
+// addHeadroom enters what batch work holds, for its headroom.
 func (b *planBuilder) addHeadroom() {
-	l := b.leaderState
-	l.averageBatch(l.typicalBatch(b.batch), b.now)
-	l.batchLoad.Tasks, l.batchLoad.MinTasks = l.meanBatchTasks, 0
-	if b.now.Sub(l.lastArrayAt) < tuning.BatchHeadroomHold {
-		l.batchLoad.MinTasks = int(math.Ceil(l.meanArraySize * tuning.BatchHeadroomJobs))
+	state := b.leaderState
+	state.averageBatch(state.chooseTypicalBatch(b.batch), b.now)
+	state.batchLoad.Tasks, state.batchLoad.MinTasks = state.meanBatchTasks, 0
+	if b.now.Sub(state.lastArrayAt) < tuning.BatchHeadroomHold {
+		state.batchLoad.MinTasks = headroomTasks(state.meanArraySize)
 	}
-	b.input.Batch = l.batchLoad
-	b.input.OnDemand = b.leader.onDemandLoad(l, b.now)
+	b.input.Batch = state.batchLoad
+	b.input.OnDemand = b.leader.updateOnDemandLoad(state, b.now)
+}
+
+// headroomTasks is the least headroom of batch work, given the mean size of arrays.
+func headroomTasks(meanArraySize float64) int {
+	return int(math.Ceil(meanArraySize * tuning.BatchHeadroomJobs))
 }
 
 // averageBatch moves the mean of the batch tasks held towards their present number.
-func (l *leaderState) averageBatch(tasks float64, now time.Time) {
-	if l.meanUpdatedAt.IsZero() {
-		l.meanBatchTasks = tasks
+func (ls *leaderState) averageBatch(tasks float64, now time.Time) {
+	if ls.meanUpdatedAt.IsZero() {
+		ls.meanBatchTasks = tasks
 	} else {
-		alpha := min(1, now.Sub(l.meanUpdatedAt).Seconds()/tuning.BatchWindow.Seconds())
-		l.meanBatchTasks += (tasks - l.meanBatchTasks) * alpha
+		alpha := min(1, now.Sub(ls.meanUpdatedAt).Seconds()/tuning.BatchWindow.Seconds())
+		ls.meanBatchTasks += (tasks - ls.meanBatchTasks) * alpha
 	}
-	l.meanUpdatedAt = now
+	ls.meanUpdatedAt = now
 }
 
 // addActiveRoles enters which roles have had work lately.
 func (b *planBuilder) addActiveRoles() {
-	active := b.leaderState.roleActiveAt
-	for _, j := range b.leader.Table.Open {
-		if j.Service() {
-			active[placement.Service] = b.now
+	activeAt := b.leaderState.roleActiveAt
+	for _, job := range b.leader.Table.Open {
+		if job.Service() {
+			activeAt[placement.Service] = b.now
 		} else {
-			active[placement.Batch] = b.now
+			activeAt[placement.Batch] = b.now
 		}
 	}
 	b.input.ActiveRoles = map[placement.Role]bool{}
 	for _, role := range []placement.Role{placement.Batch, placement.Service} {
-		if _, ok := active[role]; !ok {
-			active[role] = b.now // a new leader does not know
+		if _, ok := activeAt[role]; !ok {
+			activeAt[role] = b.now // a new leader does not know
 		}
-		b.input.ActiveRoles[role] = b.now.Sub(active[role]) < tuning.RoleLapse
+		b.input.ActiveRoles[role] = b.now.Sub(activeAt[role]) < tuning.RoleLapse
 	}
 }
 
-// onDemandLoad is the batch work that may not use spot machines: room for one and a
-// half of its arrays is kept on ordinary machines while any is open or waits for
-// others, and for a minute after; the lock is held.
-func (ld *Loop) onDemandLoad(l *leaderState, now time.Time) autoscale.Load {
-	var typical *jobs.Job
+// updateOnDemandLoad notes the batch work that may not use spot machines. Room for
+// one and a half of its arrays is kept on on-demand machines while any of it is open
+// or waits for other jobs, and for a minute after. The caller holds the lock.
+func (ld *Loop) updateOnDemandLoad(state *leaderState, now time.Time) autoscale.Load {
+	var typical *jobs.Job // the one that needs the most processors
 	arrays, tasks := 0, 0.0
-	for _, list := range []map[string]*jobs.Job{ld.Table.Open, ld.Table.Waiting} {
-		for _, j := range list {
-			if j.Service() || j.Record.Spec.Spot {
+	for _, table := range []map[string]*jobs.Job{ld.Table.Open, ld.Table.Waiting} {
+		for _, job := range table {
+			if job.Service() || job.Record.Spec.Spot {
 				continue
 			}
 			arrays++
-			tasks += min(float64(j.Record.Tasks), tuning.TasksPerJob)
-			if typical == nil || j.Need.CPUs > typical.Need.CPUs || j.Need.CPUs == typical.Need.CPUs && j.ID < typical.ID {
-				typical = j
+			tasks += min(float64(job.Record.Tasks), tuning.TasksPerJob)
+			if typical == nil || job.Need.CPUs > typical.Need.CPUs || job.Need.CPUs == typical.Need.CPUs && job.ID < typical.ID {
+				typical = job
 			}
 		}
 	}
 	if typical != nil {
-		l.onDemandLoad = autoscale.Load{Need: typical.Need, Spec: typical.Record.Spec, MinTasks: int(math.Ceil(tasks / float64(arrays) * tuning.BatchHeadroomJobs))}
-		l.onDemandSeenAt = now
-	} else if now.Sub(l.onDemandSeenAt) > tuning.BatchHeadroomHold {
-		l.onDemandLoad = autoscale.Load{}
+		state.onDemandLoad = autoscale.Load{Need: typical.Need, Spec: typical.Record.Spec, MinTasks: headroomTasks(tasks / float64(arrays))}
+		state.onDemandSeenAt = now
+	} else if now.Sub(state.onDemandSeenAt) > tuning.BatchHeadroomHold {
+		state.onDemandLoad = autoscale.Load{}
 	}
-	return l.onDemandLoad
+	return state.onDemandLoad
 }
 
 // batchClassLoad is what the tasks of a class of batch work hold.
 type batchClassLoad struct {
-	share float64 // of machines
-	tasks float64
-	job   *jobs.Job // one of them
+	share   float64 // of machines: the sum of the shares that the tasks take of theirs
+	tasks   float64
+	typical *jobs.Job // the first of their jobs by id
 }
 
-func (h *batchClassLoad) add(j *jobs.Job, machine jobs.Resources) {
-	h.share += j.Need.Share(machine)
-	h.tasks++
-	if h.job == nil || j.ID < h.job.ID {
-		h.job = j
+// add enters a task on a machine with so much room in all.
+func (load *batchClassLoad) add(job *jobs.Job, total jobs.Resources) {
+	load.share += job.Need.Share(total)
+	load.tasks++
+	if load.typical == nil || job.ID < load.typical.ID {
+		load.typical = job
 	}
 }
 
-// typicalBatch takes the class that holds the most for typical, and returns
-// what all hold in tasks of its kind. Guards against headroom for hundreds of
-// tasks of a class that happens to be looked at last: small tasks that may not
-// use spot machines had a hundred ordinary machines rented ahead for them.
-func (l *leaderState) typicalBatch(held map[string]*batchClassLoad) float64 {
-	var most *batchClassLoad
-	all, class := 0.0, ""
-	for name, h := range held {
-		all += h.share
-		if most == nil || h.share > most.share || h.share == most.share && name < class {
-			most, class = h, name
+// chooseTypicalBatch takes the class that holds the most for typical, and returns
+// what all classes hold in tasks of its kind. Guards against headroom for hundreds
+// of tasks of a class that happens to be looked at last: small tasks that may not use
+// spot machines had a hundred on-demand machines scaled out ahead for them.
+func (ls *leaderState) chooseTypicalBatch(loads map[string]*batchClassLoad) float64 {
+	var largest *batchClassLoad
+	total, class := 0.0, ""
+	for name, load := range loads {
+		total += load.share
+		if largest == nil || load.share > largest.share || load.share == largest.share && name < class {
+			largest, class = load, name
 		}
 	}
-	if most == nil || most.share == 0 {
+	if largest == nil || largest.share == 0 {
 		return 0
 	}
-	l.batchLoad.Need, l.batchLoad.Spec = most.job.Need, most.job.Record.Spec
-	return all * most.tasks / most.share
+	ls.batchLoad.Need, ls.batchLoad.Spec = largest.typical.Need, largest.typical.Record.Spec
+	return total * largest.tasks / largest.share
 }
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -1,4 +1,4 @@
-// This file holds the leader's memory.
+// This file holds what the leader remembers.
 
 package leader
 
@@ -11,44 +11,52 @@
 	"wheatspur/wire"
 )
 
-// leaderState is the leader's memory; it starts empty with each leadership.
+// leaderState is what the leader remembers of the cloud and of the load. None of it
+// is stored: it starts empty with each term, and a leader that stays keeps most of
+// it when the membership changes (inherit). Maps are by machine name unless they
+// say otherwise.
 type leaderState struct {
-	fencingToken      uint64
-	nextFencingToken  uint64 // the token of the membership after it
-	requestCounter    int
-	listed            map[string]wire.Machine
-	ListedAt          time.Time
-	MissingLists      map[string]int // lists in a row that omitted a machine listed before
-	ScalingOut        map[string]ScaleOutRecord
-	noCapacityAt      map[autoscale.MachineKind]time.Time
-	roleControllers   map[string]*roles.Controller
-	RoleDecisions     map[string]roles.Decision
-	seenJobs          map[string]bool
-	idleSince         map[string]time.Time         // since when a machine has no claims
-	surplusSince      map[string]time.Time         // see fleet.PlanInput
-	terminatedAt      map[string]time.Time         // machines given back, which late lists still show
-	LostWhileDraining []string                     // machines that went away while they were drained, with claims on them
-	quarantinedSince  map[string]time.Time         // since when a machine reports but takes no tasks
-	LastHeard         map[string]time.Time         // when a machine was last heard by anybody
-	FirstListed       map[string]time.Time         // when a machine was first listed
-	roleActiveAt      map[placement.Role]time.Time // when a role last had an open job
-	meanBatchTasks    float64
-	meanArraySize     float64   // mean number of tasks of arriving arrays
-	lastArrayAt       time.Time // when the last one arrived
-	meanUpdatedAt     time.Time
-	onDemandLoad      autoscale.Load // batch work that may not use spot machines
-	onDemandSeenAt    time.Time      // when there last was any
-	batchLoad         autoscale.Load // last typical loads
-	serviceLoad       autoscale.Load
+	fencingToken     uint64 // of the membership that it belongs to
+	nextFencingToken uint64 // the first token of the membership after that
+	requestCounter   int    // scale-out requests under this token
+
+	listed       map[string]wire.Machine             // machines as the cloud last listed them
+	ListedAt     time.Time                           // when the cloud's list was last read
+	FirstListed  map[string]time.Time                // when a machine was first listed, or found stored
+	MissingLists map[string]int                      // lists in a row that omitted a machine listed before
+	ScalingOut   map[string]ScaleOutRecord           // machines that were scaled out and are not listed yet
+	noCapacityAt map[autoscale.MachineKind]time.Time // when the cloud last had none of a kind
+	terminatedAt map[string]time.Time                // machines terminated while drained and empty, which late lists still show
+
+	roleControllers map[string]*roles.Controller // by machine type
+	RoleDecisions   map[string]roles.Decision    // the last ones, by machine type
+	seenJobs        map[string]bool              // open jobs whose arrival is entered, by job
+	roleActiveAt    map[placement.Role]time.Time // when a role last had an open job
+
+	idleSince         map[string]time.Time // since when a machine has no claims
+	surplusSince      map[string]time.Time // see autoscale.Input
+	quarantinedSince  map[string]time.Time // since when a machine sends heartbeats but takes no tasks
+	LastHeard         map[string]time.Time // when a machine was last heard by any controller
+	LostWhileDraining []string             // machines that went away while they were drained, with claims on them
+
+	meanBatchTasks float64        // mean number of tasks that batch work holds, in typical tasks
+	meanUpdatedAt  time.Time      // when that was last updated
+	meanArraySize  float64        // mean number of tasks of arriving job arrays
+	lastArrayAt    time.Time      // when the last one arrived
+	batchLoad      autoscale.Load // of the class of batch work that holds the most
+	onDemandLoad   autoscale.Load // of batch work that may not use spot machines
+	onDemandSeenAt time.Time      // when there last was any
 }
 
+// ScaleOutRecord is a machine that was scaled out and has no record yet.
 type ScaleOutRecord struct {
 	kind        autoscale.MachineKind
-	Role        placement.Role
+	Role        placement.Role // the role that it is to have
 	requestedAt time.Time
 }
 
-// CurrentLeaderState returns the leader's memory for the present token; the lock is held.
+// CurrentLeaderState returns what the leader remembers under the present fencing
+// token, and begins anew if that has changed. The caller holds the lock.
 func (ld *Loop) CurrentLeaderState() *leaderState {
 	if ld.LeaderState.fencingToken == ld.Membership.FencingToken {
 		return &ld.LeaderState
@@ -61,63 +69,64 @@
 	return &ld.LeaderState
 }
 
-// newLeaderState is the memory of a leadership that begins.
+// newLeaderState is what a leader remembers at the start of a term.
 func newLeaderState(token, nextToken uint64) leaderState {
 	return leaderState{
 		fencingToken:     token,
 		nextFencingToken: nextToken,
 		listed:           map[string]wire.Machine{},
+		FirstListed:      map[string]time.Time{},
 		MissingLists:     map[string]int{},
 		ScalingOut:       map[string]ScaleOutRecord{},
 		noCapacityAt:     map[autoscale.MachineKind]time.Time{},
+		terminatedAt:     map[string]time.Time{},
 		roleControllers:  map[string]*roles.Controller{},
 		RoleDecisions:    map[string]roles.Decision{},
 		seenJobs:         map[string]bool{},
+		roleActiveAt:     map[placement.Role]time.Time{},
 		idleSince:        map[string]time.Time{},
 		surplusSince:     map[string]time.Time{},
-		terminatedAt:     map[string]time.Time{},
 		quarantinedSince: map[string]time.Time{},
 		LastHeard:        map[string]time.Time{},
-		FirstListed:      map[string]time.Time{},
-		roleActiveAt:     map[placement.Role]time.Time{},
 	}
 }
 
 // inherit takes over what the same leader knew of the cloud and of its load under
-// the membership before; role counters restart empty.
-func (l *leaderState) inherit(old *leaderState) {
-	l.listed, l.ListedAt, l.MissingLists = old.listed, old.ListedAt, old.MissingLists
-	l.ScalingOut, l.noCapacityAt = old.ScalingOut, old.noCapacityAt
-	l.idleSince, l.LastHeard, l.FirstListed = old.idleSince, old.LastHeard, old.FirstListed
-	l.quarantinedSince, l.terminatedAt = old.quarantinedSince, old.terminatedAt
-	l.surplusSince, l.roleActiveAt = old.surplusSince, old.roleActiveAt
-	l.meanArraySize, l.lastArrayAt = old.meanArraySize, old.lastArrayAt
-	l.meanBatchTasks, l.meanUpdatedAt = old.meanBatchTasks, old.meanUpdatedAt
-	l.batchLoad, l.serviceLoad = old.batchLoad, old.serviceLoad
-	l.onDemandLoad, l.onDemandSeenAt = old.onDemandLoad, old.onDemandSeenAt
+// the membership before. Role controllers restart empty.
+func (ls *leaderState) inherit(old *leaderState) {
+	ls.listed, ls.ListedAt, ls.MissingLists = old.listed, old.ListedAt, old.MissingLists
+	ls.ScalingOut, ls.noCapacityAt = old.ScalingOut, old.noCapacityAt
+	ls.idleSince, ls.LastHeard, ls.FirstListed = old.idleSince, old.LastHeard, old.FirstListed
+	ls.quarantinedSince, ls.terminatedAt = old.quarantinedSince, old.terminatedAt
+	ls.surplusSince, ls.roleActiveAt = old.surplusSince, old.roleActiveAt
+	ls.meanArraySize, ls.lastArrayAt = old.meanArraySize, old.lastArrayAt
+	ls.meanBatchTasks, ls.meanUpdatedAt = old.meanBatchTasks, old.meanUpdatedAt
+	ls.batchLoad = old.batchLoad
+	ls.onDemandLoad, ls.onDemandSeenAt = old.onDemandLoad, old.onDemandSeenAt
 }
 
 // recordHeard notes that a machine was up at a time.
-func (l *leaderState) recordHeard(host string, at time.Time) {
-	if at.After(l.LastHeard[host]) {
-		l.LastHeard[host] = at
+func (ls *leaderState) recordHeard(machine string, at time.Time) {
+	if at.After(ls.LastHeard[machine]) {
+		ls.LastHeard[machine] = at
 	}
 }
 
-// RecordSilent notes when a machine that has fallen silent was last heard; the
-// lock is held.
+// RecordSilent notes when a machine that has fallen silent was last heard. The
+// caller holds the lock.
 func (ld *Loop) RecordSilent(machine string, heardAt time.Time) {
-	if ld.LeaderState.LastHeard != nil {
+	if ld.LeaderState.LastHeard != nil { // nil: this controller has not led yet
 		ld.LeaderState.recordHeard(machine, heardAt)
 	}
 }
 
-// forget drops what the leader remembers of a machine.
-func (l *leaderState) forget(host string) {
-	delete(l.listed, host)
-	delete(l.MissingLists, host)
-	delete(l.LastHeard, host)
-	delete(l.FirstListed, host)
-	delete(l.idleSince, host)
-	delete(l.quarantinedSince, host)
+// forget drops what is remembered of a machine that is gone. terminatedAt stays:
+// late lists may still show the machine.
+func (ls *leaderState) forget(machine string) {
+	delete(ls.listed, machine)
+	delete(ls.MissingLists, machine)
+	delete(ls.LastHeard, machine)
+	delete(ls.FirstListed, machine)
+	delete(ls.idleSince, machine)
+	delete(ls.quarantinedSince, machine)
 }
