--- a/internal/leader/planinput.go
+++ b/internal/leader/planinput.go
@@ -15,8 +15,8 @@
 
 const (
 	// silentLeases is after how many worker leases without being heard a machine that
-	// was up counts as dead, and is terminated for proof. More than one, since to
-	// terminate a machine that lives ends its tasks.
+	// was up counts as dead, and is terminated to make sure. More than one, since
+	// terminating a machine that lives ends its tasks.
 	silentLeases = 2
 	// scaleOutListedWithin is how long after its request a machine counts as scaling
 	// out although no list has shown it.
--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -120,7 +120,7 @@
 // terminated is stored, so any controller may release its claims: the one that
 // ranks first for the job does, in one write for the machines of all shard owners.
 func (sc *Scheduler) addTerminatedMachines(changes chunkChanges) {
-	ranksFirst := map[string]bool{} // by job; to rank the members is dear
+	ranksFirst := map[string]bool{} // by job, since ranking the members is expensive
 	for machine := range sc.MachineIndex.Terminated {
 		for id := range sc.Table.ClaimsByMachine[machine] {
 			first, known := ranksFirst[id.Job]
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -26,7 +26,7 @@
 	*fleet.Fleet
 
 	WritesInFlight  map[string]bool      // jobs, and keys of intake records, that a write is in flight for
-	claimsDeferred  bool                 // the last pass wrote releases, and no claims though some were due
+	claimsDeferred  bool                 // the last pass wrote releases or shares, and no claims though some were due
 	releaseDueSince map[string]time.Time // since when there are releases to store, by key of the chunk
 	BackoffUntil    map[string]time.Time // until when a job waits after a write about it failed
 	preemptedFor    map[string]time.Time // when tasks were last preempted for a job
@@ -178,7 +178,7 @@
 	*budget += early
 	beforeClaims := len(writes)
 	writes = sc.planClaims(writes, claims, budget)
-	// Writes of shares, which come before, count as releases here.
+	// Rebalances, which were planned before, count as releases here.
 	sc.claimsDeferred = len(claims) > 0 && len(writes) == beforeClaims && beforeClaims > 0
 	for _, release := range due {
 		writes = sc.planRelease(writes, release, budget) // those that were not written yet
