--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -100,12 +100,12 @@
 	}
 	state, now := ld.CurrentLeaderState(), ld.Now()
 	machines := ld.MachineIndex.RefreshMachines(now)
-	ld.recordArrivals(state, now)
+	ld.RecordArrivals(state, now)
 	mayStore := len(run.storing) == 0
 	var roleMoves []inventory.RecordChange
 	if mayStore && now.Sub(run.rolesEvaluatedAt) >= tuning.RoleStep {
 		run.rolesEvaluatedAt = now
-		roleMoves = ld.moveRoles(state, machines, now)
+		roleMoves = ld.MoveRoles(state, machines, now)
 	}
 	var capacity autoscale.Output
 	if !state.ListedAt.IsZero() && now.Sub(state.ListedAt) < listStaleAfter {
--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -14,9 +14,9 @@
 	"wheatspur/wire"
 )
 
-// recordArrivals enters new service jobs in the role controllers' demand, and new
+// RecordArrivals enters new service jobs in the role controllers' demand, and new
 // batch jobs in that of the headroom. The caller holds the lock.
-func (ld *Loop) recordArrivals(state *leaderState, now time.Time) {
+func (ld *Loop) RecordArrivals(state *leaderState, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if state.roleControllers[machineType.Label] == nil {
 			state.roleControllers[machineType.Label] = roles.New(ld.Settings.Operator, now)
@@ -64,9 +64,9 @@
 	}
 }
 
-// moveRoles evaluates every type's split and returns the moves that follow. The
+// MoveRoles evaluates every type's split and returns the moves that follow. The
 // caller holds the lock.
-func (ld *Loop) moveRoles(state *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
+func (ld *Loop) MoveRoles(state *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var moves []inventory.RecordChange
 	for _, machineType := range ld.MachineTypeList {
 		controller := state.roleControllers[machineType.Label]
