--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestAJobStartsOnceAllThatItAwaitsIsStoredDone(t *testing.T) {
+func TestAJobStartsOnceAllItsDependenciesAreStoredDone(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
 	env.acknowledgeToken("h1", 1)
@@ -92,7 +92,7 @@
 	env.checkStates("over", map[string]string{"wk-3": wire.StateDone})
 }
 
-func TestACancellationIsTheSameAtEveryNodeAtOnce(t *testing.T) {
+func TestCancellationReachesDependentsAtEveryControllerAtOnce(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	a, b := env.controllers["a"], env.controllers["b"]
 	env.submit(a, arrayJob("wk-1", 1))
@@ -135,7 +135,7 @@
 
 // The end of a job and its cancellation meet in the store: one of them wins,
 // and what depends on the job follows the one that did.
-func TestACancellationThatComesAfterTheEndLetsTheNextGoOn(t *testing.T) {
+func TestACancellationAfterTheEndLetsDependentsRun(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
 	env.acknowledgeToken("h1", 1)
@@ -150,7 +150,7 @@
 	env.checkStates("after it", map[string]string{"wk-2": wire.StateRunning})
 }
 
-func TestSubmissionsThatNameOthers(t *testing.T) {
+func TestSubmissionsWithDependenciesAreValidated(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	a, b := env.controllers["a"], env.controllers["b"]
 	env.submit(a, serviceJob("wk-9", 1))
@@ -218,7 +218,7 @@
 	env.refreshAll()
 }
 
-func TestPipelinesWaitForOldMembers(t *testing.T) {
+func TestDependenciesWaitForControllersOfOlderVersions(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
 	env.acknowledgeToken("h1", 1)
@@ -288,7 +288,7 @@
 	return out
 }
 
-func TestRecordsOfProductionAreReadAndRewritten(t *testing.T) {
+func TestRecordsOfTheProductionVersionAreReadAndRewritten(t *testing.T) {
 	data := readProductionRecords(t)
 	st, err := peer.DecodeStatus(data["peer status"])
 	if err != nil || st.Label != "b" || len(st.Machines) != 1 || st.Machines[0].Name != "host-000001" {
@@ -372,7 +372,7 @@
 	}
 )
 
-func TestOldShapesReadWhatIsWrittenNow(t *testing.T) {
+func TestThePreviousVersionReadsRecordsOfThisOne(t *testing.T) {
 	spec := dependentJob(arrayJob("wk-2", 3), "wk-1")
 	var r oldJobRecord
 	if err := wire.Unmarshal(wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, AcceptedAtMs: 5, Tasks: 3, ChunkSize: 64, Spec: &spec, EndedAtMs: 9, CancelledWith: "wk-1"}), &r); err != nil {
@@ -390,7 +390,7 @@
 
 // A group that is cut stays one picture at every revision, stopped anywhere, and
 // an old leader that writes it large again costs another cut.
-func TestGroupsAreCutWithCrashesBetween(t *testing.T) {
+func TestOversizeMachineGroupsAreSplitAcrossRestarts(t *testing.T) {
 	data := readProductionRecords(t)
 	env := newTestEnv(t, "a")
 	for i := range 3 {
@@ -453,7 +453,7 @@
 	}
 }
 
-func TestLowerLimits(t *testing.T) {
+func TestAnnouncedStoreLimitsLowerThePresentOnes(t *testing.T) {
 	s := settings("a", []string{"a", "b", "c"})
 	s.Params.State.Next = &config.Limits{WriteRPS: 18, ValueKB: 2, TxnOps: 5}
 	if l := s.StateLimits(); l.RPS != 1000 || l.WriteRPS != 18 || l.ValueKB != 2 || l.TxnOps != 5 {
@@ -467,7 +467,7 @@
 
 // Nodes are renewed one after the other while work runs; the leader's process
 // dies amid the election that its own renewal causes, and comes back old.
-func TestARollWithACrashAmidAnElection(t *testing.T) {
+func TestARollingUpgradeWithACrashDuringAnElection(t *testing.T) {
 	labels := []string{"a", "b", "c"}
 	env := newTestEnv(t, labels...)
 	for _, l := range labels {
@@ -526,7 +526,7 @@
 
 // Hundreds of pipelines cost no change but those of their jobs: none to
 // release a step, one to cancel all that needs a job.
-func TestHundredsOfPipelinesCostNoChangesOfTheirOwn(t *testing.T) {
+func TestDependencyGraphsCostNoWritesOfTheirOwn(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	const pipelines = 300
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -50,7 +50,7 @@
 // cancellation, then everybody has lost it for longer than a cancellation may
 // take, while the workers go on reporting. The tasks are gone in time all the
 // same, and each lease ends when its node's last read says, not long before.
-func TestTheGap(t *testing.T) {
+func TestCancelledTasksStopInTimeThroughARollingStoreOutage(t *testing.T) {
 	const outage = cancelBound + 20*time.Second
 	type gap struct {
 		x                        *simulation
@@ -169,7 +169,7 @@
 // The state service is out for all for minutes. While every node attests that it
 // knows of no other cancellation, what runs goes on; where one doesn't, the
 // leases end as ever, and what was confirmed is gone in time.
-func TestALongOutage(t *testing.T) {
+func TestLeasesOutlastAStoreOutageOnlyWhileAllControllersAttest(t *testing.T) {
 	const outage = 3 * time.Minute
 	for _, c := range []struct {
 		name   string
@@ -279,7 +279,7 @@
 // job's cancellation was confirmed and the machine has reported since. It must
 // not run then, and its claim must not count for ever: the team is at its limit
 // and others wait for that room.
-func TestAHeldStartIsVoidAndFreesItsTeam(t *testing.T) {
+func TestADelayedDirectStartIsVoidAfterCancellationAndFreesQuota(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		hang bool
@@ -388,7 +388,7 @@
 
 // Meetings of two troubles in which rules broke elsewhere. Each starts with a
 // job on every machine; the trial watches the rules that hold at any moment.
-func TestMeetings(t *testing.T) {
+func TestCombinedFaults(t *testing.T) {
 	const long = leaseDuration + 15*time.Second
 	for _, c := range []struct {
 		name string
@@ -695,7 +695,7 @@
 // Every team is at its limit while a job is cancelled whose machines are cut
 // off, hang or don't hear, and the leader changes: others get the room within
 // 90 s of the end of the trouble, and the limit holds all the while.
-func TestATeamAtItsLimit(t *testing.T) {
+func TestQuotaOfACancelledJobIsFreedDespiteFaults(t *testing.T) {
 	for _, trouble := range []struct {
 		name    string
 		on, off func(machine *simMachine)
@@ -741,7 +741,7 @@
 // that a job is accepted, done or cancelled, and repeat what they sent. Some
 // nodes have not heard of it yet, and some answers of the state service are
 // lost. Nobody answers anything older.
-func TestNoNodeAnswersAnythingOlder(t *testing.T) {
+func TestEveryControllerAnswersLinearizably(t *testing.T) {
 	type told struct {
 		code  int
 		phase string
@@ -808,7 +808,7 @@
 // A cancellation, a question or a repeat meets the end of a job's last task:
 // before the end is stored it counts, after it doesn't, and every node says the
 // same from then on.
-func TestACancellationMeetsTheEndOfTheLastTask(t *testing.T) {
+func TestACancellationRacesWithTheEndOfTheLastTask(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		before bool // the cancellation is stored before the end
@@ -875,7 +875,7 @@
 
 // A transaction without an answer is carried out late, after newer ones of the
 // same node and of others, in every kind of write.
-func TestWritesThatAreCarriedOutLate(t *testing.T) {
+func TestWritesOfUnknownOutcomeThatApplyLate(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(sim *simulation, hold func(controller *Controller), carryOut func())
@@ -997,7 +997,7 @@
 
 // One-task jobs come four a second, a quarter of them is cancelled: none is left
 // behind, none waits for long, and each costs a handful of changes.
-func TestAStreamOfOneTaskJobs(t *testing.T) {
+func TestAStreamOfSingleTaskJobsCostsFewWrites(t *testing.T) {
 	sim := newSimulation(t, 3, 1000)
 	for _, machine := range sim.machines {
 		machine.ImageTime = time.Second
--- a/internal/controller/graceful_stop_test.go
+++ b/internal/controller/graceful_stop_test.go
@@ -14,7 +14,7 @@
 // A clean stop refuses what is new and says when to come back, lets what is under
 // way end, and ends the session: the other node takes the machines without
 // waiting for it to run out.
-func TestADrainedNodeHandsOver(t *testing.T) {
+func TestAGracefulStopHandsOver(t *testing.T) {
 	env := newQuotaPair(t, 8, 8)
 	leaving, staying := env.leader(), env.controllers["a"]
 	if staying == leaving {
@@ -58,7 +58,7 @@
 
 // A node that has lost the state service stops all the same, and says that its
 // session runs out by itself.
-func TestADrainWithoutTheStateService(t *testing.T) {
+func TestAGracefulStopDuringAStoreOutageEndsInTime(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	env.store.Down = true
@@ -72,7 +72,7 @@
 }
 
 // Progress names the loop that stands still.
-func TestProgressOfTheLoops(t *testing.T) {
+func TestAStalledLoopIsNamed(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	if err := controller.Progress(); err != nil {
--- a/internal/controller/heartbeat_responses_test.go
+++ b/internal/controller/heartbeat_responses_test.go
@@ -35,7 +35,7 @@
 }
 
 // Heartbeats that are refused before anything is looked up.
-func TestAnswersToMalformedHeartbeats(t *testing.T) {
+func TestResponsesToMalformedHeartbeats(t *testing.T) {
 	env := newHTTPEnv(t, nil)
 	client := env.userClient(t, "a")
 	report := func(name string, body any) request { return request{name, "POST", "/checkin", body} }
@@ -61,7 +61,7 @@
 
 // Heartbeats of a machine from its first to the end of its session, with the
 // commands that they are answered with.
-func TestAnswersToHeartbeats(t *testing.T) {
+func TestResponsesToHeartbeats(t *testing.T) {
 	env := newHTTPPair(t, nil)
 	client := env.userClient(t, "a")
 	own := &heartbeatSender{machine: env.machineOwnedBy("a", 0), incarnation: 1}
@@ -130,7 +130,7 @@
 }
 
 // Heartbeats at nodes that may not, or should not, renew a lease.
-func TestAnswersToHeartbeatsThatRenewNoLease(t *testing.T) {
+func TestResponsesToHeartbeatsThatRenewNoLease(t *testing.T) {
 	var record transcript
 
 	// A node without the state service answers for a while, and then sends its
--- a/internal/controller/index_test.go
+++ b/internal/controller/index_test.go
@@ -64,7 +64,7 @@
 // One end of a task on a fleet with thousands of claims enters one machine anew,
 // not all that the chunk's tasks are on. Guards against a pass that walks all
 // tasks of the fleet: it took half of a small machine's processor.
-func TestAChangeOfOneTaskEntersOneMachine(t *testing.T) {
+func TestAChangeOfOneTaskReindexesOneMachine(t *testing.T) {
 	env := newFleetEnv(t, "a")
 	env.liftTeamLimit()
 	env.submitJobs(0, 20)
@@ -101,7 +101,7 @@
 
 // What a pass planned for others' machines does not outlive it: tasks that it
 // would stop there are tasks like others in the next one.
-func TestAPassLeavesThePictureAsItWas(t *testing.T) {
+func TestAPassRollsBackTheMachineIndex(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.liftTeamLimit()
 	env.raiseFencingToken()
@@ -150,7 +150,7 @@
 
 // What changes on a machine is told to siblings with the next status, not only
 // when all machines are compared with what siblings know.
-func TestAChangeIsPublishedBeforeTheNextSweep(t *testing.T) {
+func TestAMachineChangeIsPublishedBeforeTheNextFullComparison(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
 	controller, other := env.ownerOf("h1")
--- a/internal/controller/intake_test.go
+++ b/internal/controller/intake_test.go
@@ -53,7 +53,7 @@
 }
 
 // Hundreds of submissions at once cost a change each, and took half a minute.
-func TestSubmissionsThatWaitCostOneChangeTogether(t *testing.T) {
+func TestQueuedSubmissionsShareOneWrite(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	a, b := env.controllers["a"], env.controllers["b"]
 	jobIDs := make([]string, 9)
@@ -114,7 +114,7 @@
 }
 
 // Another node has stored one of them meanwhile, unseen: nobody else is refused.
-func TestAKnownJobAmongOthersDoesNotKeepThemOut(t *testing.T) {
+func TestAConflictOfOneSubmissionDoesNotRefuseItsGroup(t *testing.T) {
 	env := newTestEnv(t, "a")
 	a := env.controllers["a"]
 	var group []*api.Submission
@@ -139,7 +139,7 @@
 }
 
 // A record of several stays below the value limit, and holds no job twice.
-func TestGroupsOfSubmissionsFitOneRecord(t *testing.T) {
+func TestSubmissionGroupsFitTheValueLimit(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := newController(dependencies{Environment: cluster.NewEnvironment(settings("z", []string{"z"}), env.controllers["a"].Log, env.clock.now, env.store, env.controllers["a"].Limiter), cloud: env.cloud, workerClient: unreachableWorkers{}})
 	add := func(jobID string) *api.Submission {
--- a/internal/controller/lifecycle_test.go
+++ b/internal/controller/lifecycle_test.go
@@ -20,7 +20,7 @@
 
 func toRole(s string) placement.Role { return placement.Role(s) }
 
-func TestUsersGetTheProtocolsAnswers(t *testing.T) {
+func TestStatusCodesOfUserRequests(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	good := arrayJob("wk-1", 2)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestNothingIsAcceptedBeforeTheTypesAreKnown(t *testing.T) {
+func TestSubmissionsAreRefusedBeforeMachineTypesAreKnown(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	controller.MachineTypeList = nil
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestALostAnswerIsSettledByReadingAgain(t *testing.T) {
+func TestAWriteOfUnknownOutcomeIsResolvedByAReadBarrier(t *testing.T) {
 	env := newTestEnv(t, "a")
 	env.store.Lose = 1
 	if code, status, _ := sendRequest(env.controllers["a"], "POST", "/work", arrayJob("wk-1", 1)); code != 200 || status.State != wire.StateQueued {
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestWithoutTheStateServiceOnlyFinalStatesAreTold(t *testing.T) {
+func TestOnlyFinalStatesAreAnsweredDuringAStoreOutage(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	env.submit(controller, arrayJob("wk-1", 1))
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestAFullIntakeRefusesAtOnce(t *testing.T) {
+func TestAFullIntakeQueueRefusesAtOnce(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	for range cap(controller.api.SubmissionSlots) {
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestATaskRunsFromItsStoredClaimToDone(t *testing.T) {
+func TestCommandsFollowStoredClaimsAndReleases(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	env.addMachine("h1", "batch")
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestOnlyTheOwnerAnswersAWorker(t *testing.T) {
+func TestOnlyTheShardOwnerAnswersAHeartbeat(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
 	owner, other := env.ownerOf("h1")
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestANodesDeathMovesItsMachinesAndRaisesTheBaton(t *testing.T) {
+func TestFailoverMovesMachinesAndRaisesTheFencingToken(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
 	owner, other := env.ownerOf("h1")
@@ -228,7 +228,7 @@
 
 // A node that can't read cancellations keeps leases alive for a while, starts
 // nothing, and then stops answering so that the leases end in time.
-func TestACutOffNodeStopsRenewingLeasesBeforeACancellationIsDue(t *testing.T) {
+func TestAPartitionedControllerStopsRenewingLeasesBeforeTheCancellationBound(t *testing.T) {
 	env, controller := newEnvWithMachine(t, "batch")
 	env.submit(controller, arrayJob("wk-1", 1))
 	env.runPasses()
@@ -247,7 +247,7 @@
 	}
 }
 
-func TestHealthFollowsTheSiblings(t *testing.T) {
+func TestHealthDependsOnPeersThatReachTheStore(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	a, b := env.controllers["a"], env.controllers["b"]
 	env.store.Down = true
@@ -272,7 +272,7 @@
 	}
 }
 
-func TestADrainedMachineTakesNoClaimAndGoesBackEmpty(t *testing.T) {
+func TestADrainingMachineTakesNoClaimAndIsTerminatedEmpty(t *testing.T) {
 	env, controller := newEnvWithMachine(t, "batch")
 	ctx := context.Background()
 	env.submit(controller, arrayJob("wk-1", 1))
@@ -306,7 +306,7 @@
 }
 
 // A returned machine is the proof that releases its claims.
-func TestTasksOfAGoneMachineAreReleasedAfterItsReturn(t *testing.T) {
+func TestTasksOfAMissingMachineAreReleasedAfterItsTermination(t *testing.T) {
 	env, controller := newEnvWithMachine(t, "batch")
 	ctx := context.Background()
 	env.submit(controller, arrayJob("wk-1", 1))
@@ -343,7 +343,7 @@
 
 // After a node's crash its siblings hear nothing of its machines for a while;
 // the leader once took them for silent and returned them all.
-func TestMachinesOfACrashedNodeAreNotSilent(t *testing.T) {
+func TestMachinesOfACrashedControllerAreNotSilent(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	leader := env.leader()
 	var other *Controller
@@ -407,7 +407,7 @@
 }
 
 // Users of a node that alone has lost the state service must not notice.
-func TestARequestIsPassedOnToASiblingWithTheStateService(t *testing.T) {
+func TestRequestsAreForwardedToAPeerThatReachesTheStore(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	a, b := env.controllers["a"], env.controllers["b"]
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -435,7 +435,7 @@
 	}
 }
 
-func TestOperatorsSeeStateAndMetrics(t *testing.T) {
+func TestStatusAndMetricsShowLeaderAndPendingJobs(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	env.submit(controller, serviceJob("wk-1", 1))
@@ -454,7 +454,7 @@
 }
 
 // The largest job must stay within the value limit and cost a pass little.
-func TestAnArrayOfAHundredThousandTasks(t *testing.T) {
+func TestAJobArrayOfTheLargestSizeStaysWithinLimits(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	controller.setTeamLimit(0)
--- a/internal/controller/listen_test.go
+++ b/internal/controller/listen_test.go
@@ -11,7 +11,7 @@
 
 // With real connections: as many workers as there is room for hold theirs; a
 // user beyond them is answered at once, and gets in as soon as one leaves.
-func TestConnectionsBeyondTheLimitAreAnsweredAtOnceAndGetInSoon(t *testing.T) {
+func TestConnectionsBeyondTheLimitAreRefusedAtOnceUntilOneCloses(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	const most = 8
--- a/internal/controller/operator_pages_test.go
+++ b/internal/controller/operator_pages_test.go
@@ -132,7 +132,7 @@
 
 // The page of a node before its first read, beside an older version, with more
 // rows than it shows, without the state service, and while it stops.
-func TestStatusPagesOfNodesInUnusualStates(t *testing.T) {
+func TestStatusPagesInUnusualStates(t *testing.T) {
 	var record transcript
 	page := func(name string, client *portClient) { record.sendEach(client, request{name, "GET", "/status", nil}) }
 	page("before the first read", serveUserPort(t, newUnreadController(t)))
@@ -179,7 +179,7 @@
 
 // Metrics of a node before its first read, of one whose writes fail and of one
 // that stops; and metrics that can't be gathered.
-func TestMetricsPagesOfNodesInUnusualStates(t *testing.T) {
+func TestMetricsPagesInUnusualStates(t *testing.T) {
 	var record transcript
 	page := func(name string, client *portClient) { record.sendEach(client, request{name, "GET", "/metrics", nil}) }
 	page("before the first read", serveUserPort(t, newUnreadController(t)))
--- a/internal/controller/peer_responses_test.go
+++ b/internal/controller/peer_responses_test.go
@@ -9,7 +9,7 @@
 )
 
 // The port for the other nodes: paths, methods and malformed messages.
-func TestAnswersOfThePeerPort(t *testing.T) {
+func TestResponsesOfThePeerPort(t *testing.T) {
 	env := newHTTPPair(t, nil)
 	client := env.peerClient(t, "a")
 	var record transcript
@@ -41,7 +41,7 @@
 }
 
 // Users' requests that a sibling passes on.
-func TestAnswersToForwardedRequests(t *testing.T) {
+func TestResponsesToForwardedRequests(t *testing.T) {
 	env := newHTTPPair(t, nil)
 	client := env.peerClient(t, "a")
 	var record transcript
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -56,7 +56,7 @@
 
 // A job that fits the limit, and no node's share of it, is claimed by the leader
 // with what the others give: in transfers alone, without a freeze.
-func TestTransfersEndAShortage(t *testing.T) {
+func TestQuotaTransfersCoverAShortfall(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		env := newQuotaPair(t, 12, 8)
 		if on {
@@ -143,7 +143,7 @@
 	return claimed
 }
 
-func TestSharesSumToTheLimitAndAllOfItIsUsed(t *testing.T) {
+func TestQuotaSharesNeverExceedTheLimitAndAllOfItIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		limit       float64
 		jobs, tasks int
@@ -190,7 +190,7 @@
 
 // A claim whose answer was lost may yet be applied: its room in the limit
 // must not be claimed by another job meanwhile.
-func TestAClaimInDoubtCountsAgainstTheLimit(t *testing.T) {
+func TestAClaimOfUnknownOutcomeCountsAgainstTheQuota(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	for i := range 4 {
@@ -242,7 +242,7 @@
 // A node computes a claim, and before it is stored the leader shares the team's
 // limit out otherwise: the claim fails, and the limit holds, whatever
 // has changed.
-func TestAClaimOfAnOlderShareFails(t *testing.T) {
+func TestAClaimUnderAnOutdatedQuotaShareFails(t *testing.T) {
 	for name, next := range map[string]quota.Record{
 		"frozen":    {Frozen: true},
 		"shrunk":    {Shares: map[string]quota.Share{"a": {GPUs: 1}, "b": {GPUs: 7}}},
@@ -357,7 +357,7 @@
 
 // Operators see a team's shares, what is borrowed and what waits, on the page and
 // in the metrics; a damaged record is named.
-func TestOperatorsSeeTheTeams(t *testing.T) {
+func TestStatusAndMetricsShowTeamQuotas(t *testing.T) {
 	sim := newGuaranteeSimulation(t, true)
 	sim.quotaLimit = 30
 	for _, controller := range sim.controllers {
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -216,7 +216,7 @@
 // Troubles meet at random, for minutes: the rules hold at any moment, and once
 // all is over every accepted job that was not cancelled is done, nothing of the
 // others is left, and the team's whole limit is free.
-func TestTroublesAtRandom(t *testing.T) {
+func TestInvariantsUnderRandomFaults(t *testing.T) {
 	const minutes, seeds = 5, 16
 	var over atomic.Int64 // jobs whose end users were told
 	t.Cleanup(func() {
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -119,7 +119,7 @@
 // recovery, for less than a lease and for more. No start is received twice, no
 // task that runs is killed, and within a lease none is lost; recovery is over by
 // a stated time.
-func TestAColdStartKeepsWhatRunsAndRepeatsNothing(t *testing.T) {
+func TestAColdStartKeepsRunningTasksAndRepeatsNoStart(t *testing.T) {
 	for _, c := range []struct {
 		outage   time.Duration
 		again    []time.Duration // after the start, nodes go down once more
@@ -201,7 +201,7 @@
 // All nodes go down at the moment when hundreds of claims are stored and no
 // worker has heard of them. The starts that this leaves go out at a bounded
 // rate, services before arrays, each once.
-func TestStartsAfterAnOutageGoOutAtABoundedRate(t *testing.T) {
+func TestStartsAfterAnOutageAreRateLimited(t *testing.T) {
 	const rate = 20
 	sim := newSimulation(t, 0, 0)
 	sim.configure = func(s *config.Settings) { s.Operator.RecoveryStarts = rate }
@@ -269,7 +269,7 @@
 
 // Free machines report later than full ones. While they have not, nothing that
 // runs is stopped for work that waits; without recovery.hold it is.
-func TestNothingIsStoppedBeforeTheMachinesHaveReported(t *testing.T) {
+func TestNothingIsPreemptedBeforeMachinesHaveSentHeartbeats(t *testing.T) {
 	for _, hold := range []bool{true, false} {
 		sim := newSimulation(t, 0, 0)
 		sim.configure = func(s *config.Settings) { s.Operator.RecoveryHold = hold }
@@ -318,7 +318,7 @@
 }
 
 // The status page is answered at any time, also before a node has read anything.
-func TestTheStatusPageIsThereFromTheBeginning(t *testing.T) {
+func TestTheStatusPageIsServedBeforeTheFirstRead(t *testing.T) {
 	env := newTestEnv(t, "a")
 	set := settings("b", []string{"a", "b"})
 	set.Operator.RecoveryHold, set.Operator.QuotaReservations = true, true
@@ -335,7 +335,7 @@
 // Cold starts at random: machines hang, reboot or stay away, tasks end meanwhile,
 // jobs are cancelled in the last second, nodes come back one by one and go down
 // again. The rules hold (trial.check), and everything is done in the end.
-func TestColdStartsAtRandom(t *testing.T) {
+func TestInvariantsUnderRandomColdStarts(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -152,7 +152,7 @@
 
 // A whole fleet joins, takes hundreds of jobs and ends them: what counts is
 // the number of changes, not the time.
-func TestAFleetOf3300MachinesCostsFewChanges(t *testing.T) {
+func TestAFleetOf3300MachinesCostsFewWrites(t *testing.T) {
 	env := newTestEnv(t, "a", "b", "c")
 	env.liftTeamLimit()
 	env.raiseFencingToken()
@@ -233,7 +233,7 @@
 // All controllers but one are gone: the one that is left writes few memberships,
 // keeps the proofs of its own machines, takes the others as they report, and
 // loses and repeats nothing.
-func TestOneControllerTakesAFleetOf3300Machines(t *testing.T) {
+func TestOneControllerTakesOverAFleetOf3300Machines(t *testing.T) {
 	env := newFleetEnv(t, "a", "b", "c")
 	env.liftTeamLimit()
 	env.raiseFencingToken()
@@ -309,7 +309,7 @@
 
 // Grouped records whose answer is lost, that conflict, or of which a leader
 // stored only a part before it stopped, are put right by the next list.
-func TestGroupedRecordsSurviveLostAnswersConflictsAndAHalf(t *testing.T) {
+func TestMachineGroupWritesSurviveLostAnswersConflictsAndPartialWrites(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	ctx := context.Background()
@@ -377,7 +377,7 @@
 // nodes whose writes are decided before any is stored: no limit is exceeded
 // after any write, each is used to the last unit, and an admission costs little
 // more than its own change.
-func TestManyTeamsRaceOn4000Machines(t *testing.T) {
+func TestQuotaHoldsWhileManyTeamsRaceOn4000Machines(t *testing.T) {
 	const machines, teams, limit, jobsEach, tasks = 4000, 40, 48, 3, 24
 	for _, transfers := range []bool{false, true} {
 		env := newTestEnv(t, "a", "b", "c", "d", "e")
--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -36,7 +36,7 @@
 
 // A write of the membership that gets no answer does not hold up the renewal of
 // the session: it did, and slow nodes lost their sessions again and again.
-func TestAStuckMembershipWriteDoesNotCostTheSession(t *testing.T) {
+func TestAHangingMembershipWriteDoesNotDelayLeaseRenewal(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	controller := env.controllers["b"]
 	hanging := &hangingStore{storeLink: env.links["b"], release: make(chan struct{})}
@@ -62,7 +62,7 @@
 
 // The answer to a step that was taken under a former lease says nothing of the
 // present one.
-func TestAFormerLeaseEndsNoSession(t *testing.T) {
+func TestTheEndOfAFormerLeaseDoesNotEndTheSession(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	former := controller.Self.Incarnation
--- a/internal/controller/user_responses_test.go
+++ b/internal/controller/user_responses_test.go
@@ -45,7 +45,7 @@
 }
 
 // Paths and methods: 404, 405 with Allow.
-func TestAnswersToPathsAndMethods(t *testing.T) {
+func TestResponsesToUnknownPathsAndMethods(t *testing.T) {
 	env := newHTTPEnv(t, nil)
 	client := env.userClient(t, "a")
 	var record transcript
@@ -78,7 +78,7 @@
 }
 
 // What is no HTTP request, and bodies that are too large.
-func TestAnswersToWhatCannotBeRead(t *testing.T) {
+func TestResponsesToUnreadableRequests(t *testing.T) {
 	env := newHTTPEnv(t, nil)
 	client := env.userClient(t, "a")
 	large := make([]byte, wire.MaxBody+1)
@@ -104,7 +104,7 @@
 }
 
 // Every malformed submission: 400 with what is wrong.
-func TestAnswersToMalformedSubmissions(t *testing.T) {
+func TestResponsesToMalformedSubmissions(t *testing.T) {
 	env := newHTTPEnv(t, nil)
 	client := env.userClient(t, "a")
 	twice := []byte("\xa2\x63ref\x64wk-1\x63ref\x64wk-1")
@@ -181,7 +181,7 @@
 
 // Submissions that are well formed and can never run: 422, and those that look
 // unusual and are accepted.
-func TestAnswersToSubmissionsThatAreChecked(t *testing.T) {
+func TestResponsesToValidatedSubmissions(t *testing.T) {
 	env := newHTTPEnv(t, func(s *config.Settings) {
 		s.Params.Teams = append(s.Params.Teams, config.Team{Name: "y", CPUsMax: 4})
 	})
@@ -234,7 +234,7 @@
 
 // The life of jobs as their users see it: idempotent submissions, polls and
 // cancellations in every state.
-func TestAnswersAboutJobs(t *testing.T) {
+func TestResponsesOverTheLifeOfJobs(t *testing.T) {
 	env := newHTTPEnv(t, nil)
 	client := env.userClient(t, "a")
 	var record transcript
@@ -287,7 +287,7 @@
 
 // Answers while the state service refuses: at once, after a moment in which the
 // last read gets old, and after a time that shows that it is lost.
-func TestAnswersWithoutTheStateService(t *testing.T) {
+func TestResponsesDuringAStoreOutage(t *testing.T) {
 	var record transcript
 	for _, outage := range []struct {
 		name string
@@ -330,7 +330,7 @@
 // Answers of nodes that can't take what is new: before the first read, before the
 // types of machines are known, beside an older version, while submissions are
 // under way, and while the node stops.
-func TestAnswersOfNodesThatTakeNothingNew(t *testing.T) {
+func TestResponsesOfControllersThatAcceptNothingNew(t *testing.T) {
 	var record transcript
 	ask := func(state string, client *portClient, list ...request) {
 		for _, r := range list {
@@ -371,7 +371,7 @@
 }
 
 // Of two submissions at a node that takes one at a time, one is refused at once.
-func TestAnswerToASubmissionBeyondTheQueue(t *testing.T) {
+func TestResponseToASubmissionBeyondTheIntakeQueue(t *testing.T) {
 	env := newHTTPEnv(t, func(s *config.Settings) { s.Operator.IntakeQueue = 1 })
 	client := env.userClient(t, "a")
 	answers := make(chan answer, 2)
@@ -391,7 +391,7 @@
 }
 
 // A node without the state service passes requests on to one that has it.
-func TestAnswersThatComeFromASibling(t *testing.T) {
+func TestResponsesThatComeFromAPeer(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/worker_leases_test.go
+++ b/internal/controller/worker_leases_test.go
@@ -29,7 +29,7 @@
 }
 
 // A machine whose reports arrive, but which no answer and no command reaches.
-func TestAMachineThatDoesNotHearTakesNothingNewAndItsServicesMove(t *testing.T) {
+func TestAnUnresponsiveMachineTakesNoNewTasksAndItsServicesMove(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	env.addMachine("h1", "service")
@@ -82,7 +82,7 @@
 }
 
 // It is replaced if it stays that way.
-func TestAMachineThatStaysUnresponsiveIsGivenBack(t *testing.T) {
+func TestAMachineThatStaysUnresponsiveIsScaledIn(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	env.addMachine("h1", "service")
@@ -106,7 +106,7 @@
 
 // Copies of reports come late: by seconds, by more than a lease, after a new
 // session, after a reap, after a change of owner, and to a node just started.
-func TestLateCopiesOfReportsProveNothing(t *testing.T) {
+func TestReplayedHeartbeatsChangeNothing(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
 	controller := env.acknowledgeToken("h1", 1)
@@ -182,7 +182,7 @@
 }
 
 // A controller that loses the state service and its siblings, not its workers.
-func TestACutOffNodeKeepsWhatRunsAndStartsNothing(t *testing.T) {
+func TestAPartitionedControllerKeepsTasksRunningAndStartsNone(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
 	controller := env.acknowledgeToken("h1", 1)
@@ -255,7 +255,7 @@
 // A process that is back within a fraction of a second, in the middle of an
 // election: its old session is still held, its write of the lead key and of
 // the membership have unknown outcomes, its old calls still arrive.
-func TestARestartAmidAnElection(t *testing.T) {
+func TestAControllerRestartsDuringAnElection(t *testing.T) {
 	labels := []string{"a", "b", "c"}
 	env := newTestEnv(t, labels...)
 	old := env.leader()
@@ -308,7 +308,7 @@
 
 // After an outage every job's polls are answered, whichever they are: no
 // queue fails the same ones again and again.
-func TestPollsOfAllJobsAreAnsweredAfterAnOutage(t *testing.T) {
+func TestPollsOfAllJobsAreAnsweredAfterAStoreOutage(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	const known = 600
@@ -353,7 +353,7 @@
 
 // Reports that no honest, up-to-date worker sends are answered by the
 // protocol and change nothing; carried out requests that come again too.
-func TestBadReportsAndRepeatedRequestsChangeNothing(t *testing.T) {
+func TestInvalidHeartbeatsAndRepeatedRequestsChangeNothing(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	env.addMachine("h1", "batch")
@@ -400,7 +400,7 @@
 
 // With its siblings down a node holds the workers of all; between their
 // reports they must not keep users and health checks out.
-func TestACrowdedNodeClosesWorkersConnectionsNotUsers(t *testing.T) {
+func TestManyOpenConnectionsCloseThoseOfWorkersNotUsers(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	controller.Settings.Params.Limits.MaxConnections = 1000
@@ -421,7 +421,7 @@
 
 // A list that shows a machine created later is newer than all before it: what
 // it omits is gone. A list that does not may be older than a new machine.
-func TestAbsenceCountsAtOnceInAListWithALaterName(t *testing.T) {
+func TestAMissingMachineCountsOnlyInALaterCloudList(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	env.addMachine("h1", "batch")
@@ -443,7 +443,7 @@
 // A zone is cut off, and a node restarts: what the machines behind the cut ran
 // is released when their leases end, though no report shows the new token, if
 // nobody else has owned them meanwhile; and no other.
-func TestAMachinesProofOutlivesAMembershipThatLeavesItsOwner(t *testing.T) {
+func TestAcknowledgedTokensOutliveAMembershipThatKeepsTheOwner(t *testing.T) {
 	env := newTestEnv(t, "a", "b", "c")
 	for _, controller := range env.controllers {
 		controller.setTeamLimit(1000)
@@ -501,7 +501,7 @@
 
 // A node that has missed a membership can't tell who owned its machines under
 // it: their proof is void.
-func TestAMissedMembershipVoidsTheProof(t *testing.T) {
+func TestAMissedMembershipVoidsAcknowledgedTokens(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	env.addMachine("h1", "batch")
@@ -530,7 +530,7 @@
 
 // Machines fall silent: room for their services is rented at once, not when the
 // proof has come. If hardly any is heard, it is the node that hears nothing.
-func TestRoomForServicesOnSilentMachinesIsRentedAhead(t *testing.T) {
+func TestScaleOutForServicesStartsWhileTheirMachinesAreSilent(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	controller.setTeamLimit(1000)
@@ -579,7 +579,7 @@
 // A machine that was taken while it was being drained showed its owner's next
 // token to nobody, so its lease proved nothing, and nobody gave it back: its
 // tasks stayed claimed for ever.
-func TestADrainedMachineThatGoesAwayIsGivenBackForProof(t *testing.T) {
+func TestALostDrainingMachineIsTerminatedToReleaseItsTasks(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
 	env.acknowledgeToken("h1", 1)
@@ -626,7 +626,7 @@
 
 // Machine records wait for the budget, up to seconds: one that was idle may
 // have work when its turn comes, and another leader may have changed it.
-func TestMachineRecordsAreStoredAsTheyWereDecidedOrNotAtAll(t *testing.T) {
+func TestMachineRecordsAreStoredOnlyIfTheirDecisionStillHolds(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	env.addMachine("h1", "batch")
--- a/internal/controller/write_budget_test.go
+++ b/internal/controller/write_budget_test.go
@@ -12,7 +12,7 @@
 // With one change due at a time, ends that lead to new starts and claims take
 // turns. Guards against passes that come often and give every change to the ends
 // of hundreds of tasks, while work waits beside room.
-func TestEndsAndClaimsTakeTurns(t *testing.T) {
+func TestReleasesAndClaimsTakeTurnsUnderAScarceWriteBudget(t *testing.T) {
 	const jobsEach = 6
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
