--- a/internal/controller/linearizability_test.go
+++ b/internal/controller/linearizability_test.go
@@ -8,10 +8,9 @@
 	"wheatspur/wire"
 )
 
-// Users ask at every node in the same instant in which another has told one
-// that a job is accepted, done or cancelled, and repeat what they sent. Some
-// nodes have not heard of it yet, and some answers of the state service are
-// lost. Nobody answers anything older.
+// Users ask every controller as soon as another has answered that a job is accepted,
+// done or cancelled, and repeat what they sent. Some controllers have not read it yet,
+// and some answers of the store are lost. Guards against an older state in any answer.
 func TestEveryControllerAnswersLinearizably(t *testing.T) {
 	type told struct {
 		code  int
@@ -76,121 +75,33 @@
 	}
 }
 
-// A transaction without an answer is carried out late, after newer ones of the
-// same node and of others, in every kind of write.
+// TestWritesOfUnknownOutcomeThatApplyLate lets a compare-and-swap of unknown outcome
+// apply after newer ones of the same controller and of others, in every kind of
+// write. Guards against late writes that undo newer state, start a task twice or
+// leave claims that no task runs for.
 func TestWritesOfUnknownOutcomeThatApplyLate(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name string
-		do   func(sim *simulation, hold func(controller *Controller), carryOut func())
+		run  func(sim *simulation)
 	}{
-		{"an acceptance, the user goes elsewhere and cancels", func(sim *simulation, hold func(*Controller), carryOut func()) {
-			hold(sim.controllers["a"])
-			if code, _, _ := sendRequest(sim.controllers["a"], "POST", "/work", arrayJob("wk-2", 1)); code != 503 {
-				sim.t.Fatalf("answered %d", code)
-			}
-			sim.submit(sim.controllers["b"], arrayJob("wk-2", 1))
-			if !sim.cancelAt(sim.controllers["c"], "wk-2") {
-				sim.t.Fatal("not confirmed")
-			}
-			carryOut()
-			sim.checkStateEverywhere("at once", "wk-2", wire.StateCancelled)
-			sim.step()
-			sim.checkStateEverywhere("later", "wk-2", wire.StateCancelled)
-		}},
-		{"an acceptance, and nobody asks before", func(sim *simulation, hold func(*Controller), carryOut func()) {
-			hold(sim.controllers["a"])
-			sendRequest(sim.controllers["a"], "POST", "/work", arrayJob("wk-2", 1))
-			carryOut()
-			if code, _, _ := sendRequest(sim.controllers["b"], "POST", "/work", arrayJob("wk-2", 1)); code != 200 && code != 201 {
-				sim.t.Errorf("the repeat gets %d", code)
-			}
-			sim.cancelAt(sim.controllers["c"], "wk-2")
-		}},
-		{"a cancellation, the job ends before", func(sim *simulation, hold func(*Controller), carryOut func()) {
-			sim.cancelAt(sim.leader(), "wk-1")
-			sim.run(5 * time.Second)
-			sim.taskDuration["wk-2"] = 2 * time.Second
-			sim.submit(sim.controllers["a"], arrayJob("wk-2", 1))
-			hold(sim.controllers["a"])
-			sim.links["a"].rejectAfterDelayed = true
-			if sim.cancelAt(sim.controllers["a"], "wk-2") {
-				sim.t.Fatal("confirmed without an answer")
-			}
-			sim.links["a"].setRejecting(false)
-			sim.run(15 * time.Second)
-			sim.checkStateEverywhere("before", "wk-2", wire.StateDone)
-			carryOut()
-			sim.step() // final states are answered from the cache
-			sim.checkStateEverywhere("after", "wk-2", wire.StateDone)
-		}},
-		{"a cancellation, and nothing else", func(sim *simulation, hold func(*Controller), carryOut func()) {
-			hold(sim.controllers["a"])
-			sim.links["a"].rejectAfterDelayed = true
-			if sim.cancelAt(sim.controllers["a"], "wk-1") {
-				sim.t.Fatal("confirmed without an answer")
-			}
-			sim.links["a"].setRejecting(false)
-			sim.run(5 * time.Second)
-			carryOut()
-			sim.cancelledAt["wk-1"] = sim.clock.now()
-			sim.run(5 * time.Second)
-			sim.checkStateEverywhere("after", "wk-1", wire.StateCancelled)
-			sim.checkTasks("after", "wk-1", 0, 1)
-		}},
-		{"claims and shares, at every node", func(sim *simulation, hold func(*Controller), carryOut func()) {
-			sim.cancelAt(sim.leader(), "wk-1")
-			sim.run(5 * time.Second)
-			sim.submit(sim.controllers["a"], arrayJob("wk-2", 12))
-			for _, controller := range sim.otherControllers(nil) {
-				hold(controller)
-			}
-			sim.run(6 * time.Second)
-			carryOut()
-			sim.run(10 * time.Second)
-			sim.checkTasks("after", "wk-2", 12, 1)
-		}},
-		{"releases, at every node", func(sim *simulation, hold func(*Controller), carryOut func()) {
-			sim.cancelAt(sim.leader(), "wk-1")
-			for _, controller := range sim.otherControllers(nil) {
-				hold(controller)
-			}
-			sim.run(6 * time.Second)
-			sim.submit(sim.controllers["a"], arrayJob("wk-2", 12))
-			sim.run(6 * time.Second)
-			carryOut()
-			sim.run(10 * time.Second)
-			sim.checkTasks("after", "wk-2", 12, 1)
-		}},
-		{"sessions and memberships", func(sim *simulation, hold func(*Controller), carryOut func()) {
-			for _, controller := range sim.otherControllers(nil) {
-				hold(controller)
-			}
-			sim.expireSession(sim.leader())
-			sim.run(6 * time.Second)
-			carryOut()
-			sim.run(6 * time.Second)
-			sim.expireSession(sim.leader())
-			sim.run(6 * time.Second)
-			sim.checkTasks("after", "wk-1", 12, 1)
-		}},
+		{"submission: the user repeats it elsewhere and cancels", lateSubmissionAfterRepeatAndCancellation},
+		{"submission: nobody asks before", lateSubmission},
+		{"cancellation: the job ends before", lateCancellationAfterTheEnd},
+		{"cancellation: nothing else happens", lateCancellation},
+		{"claims and quota shares of every controller", lateClaims},
+		{"releases of every controller", lateReleases},
+		{"sessions and memberships", lateSessionsAndMemberships},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			sim := newSimulation(t, 1, 12)
 			sim.fillMachines("wk-1")
-			c.do(sim, func(controller *Controller) { sim.links[controller.Self.Label].delayNext = 1 }, func() {
-				for _, link := range sim.links {
-					link.applyDelayed()
-				}
-			})
+			tc.run(sim)
 			sim.run(15 * time.Second)
-			controller := sim.leader()
-			controller.Lock()
-			used := controller.Table.ResourcesByTeam["x"].GPUs
-			controller.Unlock()
-			running := 0
-			for _, jobID := range []string{"wk-1", "wk-2"} {
-				running += sim.runningTasksOf(jobID)
-			}
+			leader := sim.leader()
+			leader.Lock()
+			used := leader.Table.ResourcesByTeam["x"].GPUs
+			leader.Unlock()
+			running := sim.runningTasksOf("wk-1") + sim.runningTasksOf("wk-2")
 			if float64(running) != used {
 				t.Errorf("%d tasks run, %v are claimed", running, used)
 			}
@@ -198,6 +109,133 @@
 	}
 }
 
+// delayNextWrite lets the next write of a controller get no answer, and apply with
+// the next applyDelayedWrites.
+func delayNextWrite(sim *simulation, controller *Controller) {
+	sim.links[controller.Self.Label].delayNext = 1
+}
+
+// applyDelayedWrites lets the delayed writes of all controllers reach the store.
+func applyDelayedWrites(sim *simulation) {
+	for _, link := range sim.links {
+		link.applyDelayed()
+	}
+}
+
+// lateSubmissionAfterRepeatAndCancellation lets a submission apply after another
+// controller has accepted the same job and a third has cancelled it: the cancellation
+// must stand.
+func lateSubmissionAfterRepeatAndCancellation(sim *simulation) {
+	delayNextWrite(sim, sim.controllers["a"])
+	if code, _, _ := sendRequest(sim.controllers["a"], "POST", "/work", arrayJob("wk-2", 1)); code != 503 {
+		sim.t.Fatalf("answered %d", code)
+	}
+	sim.submit(sim.controllers["b"], arrayJob("wk-2", 1))
+	if !sim.cancelAt(sim.controllers["c"], "wk-2") {
+		sim.t.Fatal("not confirmed")
+	}
+	applyDelayedWrites(sim)
+	sim.checkStateEverywhere("at once", "wk-2", wire.StateCancelled)
+	sim.step()
+	sim.checkStateEverywhere("later", "wk-2", wire.StateCancelled)
+}
+
+// lateSubmission lets a submission apply before its user repeats it at another
+// controller, which must find the job.
+func lateSubmission(sim *simulation) {
+	delayNextWrite(sim, sim.controllers["a"])
+	sendRequest(sim.controllers["a"], "POST", "/work", arrayJob("wk-2", 1))
+	applyDelayedWrites(sim)
+	if code, _, _ := sendRequest(sim.controllers["b"], "POST", "/work", arrayJob("wk-2", 1)); code != 200 && code != 201 {
+		sim.t.Errorf("the repeat gets %d", code)
+	}
+	sim.cancelAt(sim.controllers["c"], "wk-2")
+}
+
+// lateCancellationAfterTheEnd lets a cancellation apply after the job's end was
+// stored: the job stays done.
+func lateCancellationAfterTheEnd(sim *simulation) {
+	sim.cancelAt(sim.leader(), "wk-1")
+	sim.run(5 * time.Second)
+	sim.taskDuration["wk-2"] = 2 * time.Second
+	sim.submit(sim.controllers["a"], arrayJob("wk-2", 1))
+	delayNextWrite(sim, sim.controllers["a"])
+	sim.links["a"].rejectAfterDelayed = true
+	if sim.cancelAt(sim.controllers["a"], "wk-2") {
+		sim.t.Fatal("confirmed without an answer")
+	}
+	sim.links["a"].setRejecting(false)
+	sim.run(15 * time.Second)
+	sim.checkStateEverywhere("before", "wk-2", wire.StateDone)
+	applyDelayedWrites(sim)
+	sim.step() // final states are answered from the cache
+	sim.checkStateEverywhere("after", "wk-2", wire.StateDone)
+}
+
+// lateCancellation lets a cancellation that was confirmed to nobody apply later: it
+// counts from then on.
+func lateCancellation(sim *simulation) {
+	delayNextWrite(sim, sim.controllers["a"])
+	sim.links["a"].rejectAfterDelayed = true
+	if sim.cancelAt(sim.controllers["a"], "wk-1") {
+		sim.t.Fatal("confirmed without an answer")
+	}
+	sim.links["a"].setRejecting(false)
+	sim.run(5 * time.Second)
+	applyDelayedWrites(sim)
+	sim.cancelledAt["wk-1"] = sim.clock.now()
+	sim.run(5 * time.Second)
+	sim.checkStateEverywhere("after", "wk-1", wire.StateCancelled)
+	sim.checkTasks("after", "wk-1", 0, 1)
+}
+
+// lateClaims lets a write of each controller apply while 12 tasks are being claimed:
+// each task starts once.
+func lateClaims(sim *simulation) {
+	sim.cancelAt(sim.leader(), "wk-1")
+	sim.run(5 * time.Second)
+	sim.submit(sim.controllers["a"], arrayJob("wk-2", 12))
+	for _, controller := range sim.otherControllers(nil) {
+		delayNextWrite(sim, controller)
+	}
+	sim.run(6 * time.Second)
+	applyDelayedWrites(sim)
+	sim.run(10 * time.Second)
+	sim.checkTasks("after", "wk-2", 12, 1)
+}
+
+// lateReleases lets a write of each controller apply after the release of 12 tasks: their
+// machines are used again, each task of the next job starts once.
+func lateReleases(sim *simulation) {
+	sim.cancelAt(sim.leader(), "wk-1")
+	for _, controller := range sim.otherControllers(nil) {
+		delayNextWrite(sim, controller)
+	}
+	sim.run(6 * time.Second)
+	sim.submit(sim.controllers["a"], arrayJob("wk-2", 12))
+	sim.run(6 * time.Second)
+	applyDelayedWrites(sim)
+	sim.run(10 * time.Second)
+	sim.checkTasks("after", "wk-2", 12, 1)
+}
+
+// lateSessionsAndMemberships lets writes of elections apply after the elections they were
+// part of: no task restarts.
+func lateSessionsAndMemberships(sim *simulation) {
+	for _, controller := range sim.otherControllers(nil) {
+		delayNextWrite(sim, controller)
+	}
+	sim.expireSession(sim.leader())
+	sim.run(6 * time.Second)
+	applyDelayedWrites(sim)
+	sim.run(6 * time.Second)
+	sim.expireSession(sim.leader())
+	sim.run(6 * time.Second)
+	sim.checkTasks("after", "wk-1", 12, 1)
+}
+
+// The answer to a write is lost: a read barrier shows whether it was applied, and the
+// user gets the stored state.
 func TestAWriteOfUnknownOutcomeIsResolvedByAReadBarrier(t *testing.T) {
 	env := newTestEnv(t, "a")
 	env.store.Lose = 1
