--- a/internal/controller/connections_test.go
+++ b/internal/controller/connections_test.go
@@ -16,14 +16,8 @@
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	const most = 8
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := &boundedListener{Listener: ln, max: most, retryAfterS: 2}
-	srv := controller.httpServer(controller.serveUser, most)
-	go func() { _ = srv.Serve(l) }()
-	defer func() { _ = ln.Close() }()
+	ln := listenOnLoopback(t)
+	serveUsersBounded(controller, ln, most, 2)
 
 	get := func(path string) (*http.Response, net.Conn) {
 		t.Helper()
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -166,6 +166,27 @@
 	return controller
 }
 
+// newUnreadController returns a controller with the store and cloud of the others
+// that has read nothing and runs no loop.
+func (env *testEnv) newUnreadController(set *config.Settings) *Controller {
+	first := env.controllers["a"]
+	environment := cluster.NewEnvironment(set, first.Log, env.clock.now, env.store, first.Limiter)
+	return newController(dependencies{Environment: environment, cloud: env.cloud, workerClient: unreachableWorkers{}})
+}
+
+// applyRecord lets a controller read a stored record.
+func applyRecord(controller *Controller, key string, value []byte) error {
+	return controller.applyRecord(key, value, 0)
+}
+
+// applyMembership lets a controller read a membership; it expects the lock held.
+func applyMembership(controller *Controller, record membership.Record) error {
+	return controller.applyMembership(wire.MustMarshal(record))
+}
+
+// isHealthy reports what a controller answers to health checks.
+func isHealthy(controller *Controller) bool { return controller.healthy() }
+
 // refreshAll lets every controller read what is stored.
 func (env *testEnv) refreshAll() {
 	env.t.Helper()
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -52,7 +52,7 @@
 	env.store.ValueLimit, env.store.OpsLimit = 2048, 4
 	for key, v := range data {
 		if key == membership.Key || key == membership.LeaderKey || key == jobs.TeamKey("x") || strings.HasPrefix(key, membership.SessionPrefix) {
-			if err := controller.applyRecord(key, v, 0); err != nil {
+			if err := applyRecord(controller, key, v); err != nil {
 				t.Errorf("%s: %v", key, err)
 			}
 			continue
--- a/internal/controller/http_fixture_test.go
+++ b/internal/controller/http_fixture_test.go
@@ -270,24 +270,39 @@
 	return &portClient{t, ln}
 }
 
-// servePeers serves a controller's port for peers on loopback.
-func (env *httpEnv) servePeers(label string, ln net.Listener) {
-	controller := env.controllers[label]
+// listenOnLoopback returns a listener that is closed when the test ends.
+func listenOnLoopback(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	return ln
+}
+
+// servePeersOn serves a controller's port for peers on a listener.
+func servePeersOn(controller *Controller, ln net.Listener) {
 	s := controller.httpServer(controller.servePeer, 64)
 	go func() { _ = s.Serve(ln) }()
 }
 
+// serveUsersBounded serves a controller's port for users and workers on a listener
+// with room for so many connections; those beyond are asked to retry after so many
+// seconds.
+func serveUsersBounded(controller *Controller, ln net.Listener, most, retryAfterS int) {
+	s := controller.httpServer(controller.serveUser, most)
+	bounded := &boundedListener{Listener: ln, max: int64(most), retryAfterS: retryAfterS}
+	go func() { _ = s.Serve(bounded) }()
+}
+
 // serveFullPort serves a port that has no room for another connection and asks those
 // it refuses to retry after so many seconds.
 func serveFullPort(t *testing.T, after int) *portClient {
 	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := listenOnLoopback(t)
 	full := &boundedListener{Listener: ln, max: 0, retryAfterS: after}
 	go func() { _, _ = full.Accept() }()
-	t.Cleanup(func() { _ = ln.Close() })
 	return &portClient{t, dialer(ln.Addr().String())}
 }
 
--- a/internal/controller/intake_test.go
+++ b/internal/controller/intake_test.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"wheatspur/internal/api"
-	"wheatspur/internal/cluster"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
@@ -145,7 +144,7 @@
 // whose user was told to come back.
 func TestSubmissionGroupsFitTheValueLimit(t *testing.T) {
 	env := newTestEnv(t, "a")
-	controller := newController(dependencies{Environment: cluster.NewEnvironment(settings("z", []string{"z"}), env.controllers["a"].Log, env.clock.now, env.store, env.controllers["a"].Limiter), cloud: env.cloud, workerClient: unreachableWorkers{}})
+	controller := env.newUnreadController(settings("z", []string{"z"}))
 	add := func(jobID string) *api.Submission {
 		spec := arrayJob(jobID, 1)
 		return &api.Submission{Spec: &spec, Record: jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 70, Spec: &spec}, Deadline: time.Now().Add(time.Minute)}
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -7,7 +7,6 @@
 	"testing"
 	"time"
 
-	"wheatspur/internal/cluster"
 	"wheatspur/internal/config"
 	"wheatspur/internal/fake"
 	"wheatspur/internal/jobs"
@@ -321,7 +320,7 @@
 	env := newTestEnv(t, "a")
 	set := settings("b", []string{"a", "b"})
 	set.Operator.RecoveryHold, set.Operator.QuotaReservations = true, true
-	controller := newController(dependencies{Environment: cluster.NewEnvironment(set, env.controllers["a"].Log, env.clock.now, env.store, env.controllers["a"].Limiter), cloud: env.cloud, workerClient: unreachableWorkers{}})
+	controller := env.newUnreadController(set)
 	code, _, c := sendRequest(controller, "GET", "/status", nil)
 	if page := string(c.Response.Body()); code != 200 || !strings.Contains(page, `recovery "loading"`) || !strings.Contains(page, "hold true") {
 		t.Fatalf("%d %s", code, page)
--- a/internal/controller/user_api_test.go
+++ b/internal/controller/user_api_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"net"
 	"strings"
 	"testing"
 	"time"
@@ -101,13 +100,13 @@
 	env.store.Down = true
 	env.clock.add(tuning.StoreStaleAfter + time.Second)
 	env.sendPeerStatus(b, a)
-	if !a.healthy() {
+	if !isHealthy(a) {
 		t.Fatal("unhealthy though no node has the state service")
 	}
 	// It hears no peer either: users would all come to it, the one with the
 	// fewest connections, and be refused.
 	env.clock.add(tuning.PeerFresh + time.Second)
-	if a.healthy() {
+	if isHealthy(a) {
 		t.Fatal("healthy though cut off from the state service and the siblings")
 	}
 	env.store.Down = false
@@ -115,8 +114,8 @@
 		t.Fatal(err)
 	}
 	env.sendPeerStatus(b, a)
-	if a.healthy() || !b.healthy() {
-		t.Fatalf("cut off: healthy %v, its sibling: %v", a.healthy(), b.healthy())
+	if isHealthy(a) || !isHealthy(b) {
+		t.Fatalf("cut off: healthy %v, its sibling: %v", isHealthy(a), isHealthy(b))
 	}
 }
 
@@ -124,13 +123,8 @@
 func TestRequestsAreForwardedToAPeerThatReachesTheStore(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	a, b := env.controllers["a"], env.controllers["b"]
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	srv := b.httpServer(b.servePeer, 8)
-	go func() { _ = srv.Serve(ln) }()
-	t.Cleanup(func() { _ = ln.Close() })
+	ln := listenOnLoopback(t)
+	servePeersOn(b, ln)
 	a.Peers.Siblings["b"].Client = peer.NewClient(ln.Addr().String())
 	env.clock.add(tuning.StoreStaleAfter + time.Second)
 	if err := b.Syncer.ReadBarrier(time.Second); err != nil {
--- a/internal/controller/user_responses_test.go
+++ b/internal/controller/user_responses_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"strings"
 	"testing"
 	"time"
@@ -392,17 +391,13 @@
 
 // A controller without the store forwards requests to a peer that has it.
 func TestResponsesThatComeFromAPeer(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = ln.Close() })
+	ln := listenOnLoopback(t)
 	env := newHTTPPair(t, func(s *config.Settings) {
 		for i := range s.Siblings {
 			s.Siblings[i].Endpoint = ln.Addr().String()
 		}
 	})
-	env.servePeers("b", ln)
+	servePeersOn(env.controllers["b"], ln)
 	env.submit(env.controllers["b"], arrayJob("wk-1", 1))
 	env.rejectStoreCalls("a")
 	env.clock.add(tuning.StoreStaleAfter + time.Second)
--- a/internal/controller/worker_leases_test.go
+++ b/internal/controller/worker_leases_test.go
@@ -216,7 +216,7 @@
 		r := *controller.Membership
 		controller.Workers.ByMachine["h1"].State = worker.TokenAcknowledged
 		r.FencingToken, r.TokenRange = c.next(controller.Membership), tuning.TokenSpan
-		err := controller.applyMembership(wire.MustMarshal(r))
+		err := applyMembership(controller, r)
 		got := controller.Workers.ByMachine["h1"].State
 		controller.Unlock()
 		if err != nil || got != c.want {
