--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -64,6 +64,14 @@
 	labels := slices.Sorted(maps.Keys(faults.controllers))
 	label := labels[faults.rand.IntN(len(labels))]
 	machine := faults.machines[faults.rand.IntN(len(faults.machines))]
+	faults.injectStoreFaults(label, labels)
+	faults.injectMachineFaults(machine, label)
+	faults.replayHeartbeats(labels)
+}
+
+// injectStoreFaults begins rejected calls, outages, lost and delayed answers of the
+// store, expired sessions and restarts; those of one controller affect the given one.
+func (faults *randomFaults) injectStoreFaults(label string, labels []string) {
 	if faults.oneIn(40) {
 		duration := faults.randomSeconds(2, 25)
 		faults.inject("state", duration, func() {
@@ -109,6 +117,11 @@
 			link.applyDelayed()
 		}
 	}
+}
+
+// injectMachineFaults lets a machine hang or lose messages in either direction, to and
+// from all controllers or to one.
+func (faults *randomFaults) injectMachineFaults(machine *simMachine, label string) {
 	injectFlag := func(name string, flag *bool, least, most int) {
 		faults.inject(name+machine.Host, faults.randomSeconds(least, most), func() { *flag = true }, func() { *flag = false })
 	}
@@ -127,6 +140,11 @@
 	if faults.oneIn(25) {
 		faults.inject("cut"+machine.Host, faults.randomSeconds(3, 50), func() { machine.unreachable[label] = true }, func() { delete(machine.unreachable, label) })
 	}
+}
+
+// replayHeartbeats keeps copies of all heartbeats and delivers one of them to every
+// controller once more.
+func (faults *randomFaults) replayHeartbeats(labels []string) {
 	for _, machine := range faults.machines {
 		faults.pastHeartbeats = append(faults.pastHeartbeats, machine.lastHeartbeat)
 	}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -146,9 +146,15 @@
 			machine.Take(now, c)
 		}
 	}
-	if now.Before(machine.nextHeartbeat) {
-		return
+	if !now.Before(machine.nextHeartbeat) {
+		sim.sendHeartbeat(machine)
 	}
+}
+
+// sendHeartbeat sends a machine's heartbeat, following redirects and trying the other
+// controllers, until one answers it; it expects the lock held.
+func (sim *simulation) sendHeartbeat(machine *simMachine) {
+	now := sim.clock.now()
 	machine.nextHeartbeat = now.Add(3 * time.Second)
 	heartbeat := machine.Report()
 	machine.lastHeartbeat = heartbeat
