--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -138,7 +138,7 @@
 	}{
 		{"cancelled before the end is stored", true, false, wire.StateCancelled},
 		{"cancelled after it", false, false, wire.StateDone},
-		{"cancelled after it, and the node that stored it does not know", false, true, wire.StateDone},
+		{"cancelled after it, and the controller that stored it does not know", false, true, wire.StateDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sim := newSimulation(t, 1, 1000)
--- a/internal/controller/heartbeat_responses_test.go
+++ b/internal/controller/heartbeat_responses_test.go
@@ -39,23 +39,23 @@
 func TestResponsesToMalformedHeartbeats(t *testing.T) {
 	env := newHTTPEnv(t, nil)
 	client := env.userClient(t, "a")
-	report := func(name string, body any) request { return request{name, "POST", "/checkin", body} }
+	heartbeat := func(name string, body any) request { return request{name, "POST", "/checkin", body} }
 	var record transcript
 	record.sendEach(client,
-		report("no body", nil),
-		report("not CBOR", []byte("{")),
-		report("a list", []int{1}),
-		report("null", []byte{0xf6}),
-		report("an empty map", map[string]any{}),
-		report("no host", wire.Heartbeat{Incarnation: 1, Sequence: 1}),
-		report("no session", wire.Heartbeat{Machine: "h1", Sequence: 1}),
-		report("host is a number", map[string]any{"host": 7, "stint": 1}),
-		report("session is a text", map[string]any{"host": "h1", "stint": "1"}),
-		report("session below 0", map[string]any{"host": "h1", "stint": -1}),
-		report("tasks are a text", map[string]any{"host": "h1", "stint": 1, "shards": "wk-1/0"}),
-		report("bytes after the map", append(wire.MustMarshal(wire.Heartbeat{Machine: "h1", Incarnation: 1}), 0)),
-		report("an unknown field", map[string]any{"host": "h1", "stint": 1, "tally": 1, "colour": "green"}),
-		report("a task that is no task", wire.Heartbeat{Machine: "h2", Incarnation: 1, Sequence: 1, Tasks: []wire.TaskStatus{taskStatus("seven", 1, wire.TaskRunning, "")}}),
+		heartbeat("no body", nil),
+		heartbeat("not CBOR", []byte("{")),
+		heartbeat("a list", []int{1}),
+		heartbeat("null", []byte{0xf6}),
+		heartbeat("an empty map", map[string]any{}),
+		heartbeat("no host", wire.Heartbeat{Incarnation: 1, Sequence: 1}),
+		heartbeat("no session", wire.Heartbeat{Machine: "h1", Sequence: 1}),
+		heartbeat("host is a number", map[string]any{"host": 7, "stint": 1}),
+		heartbeat("session is a text", map[string]any{"host": "h1", "stint": "1"}),
+		heartbeat("session below 0", map[string]any{"host": "h1", "stint": -1}),
+		heartbeat("tasks are a text", map[string]any{"host": "h1", "stint": 1, "shards": "wk-1/0"}),
+		heartbeat("bytes after the map", append(wire.MustMarshal(wire.Heartbeat{Machine: "h1", Incarnation: 1}), 0)),
+		heartbeat("an unknown field", map[string]any{"host": "h1", "stint": 1, "tally": 1, "colour": "green"}),
+		heartbeat("a task that is no task", wire.Heartbeat{Machine: "h2", Incarnation: 1, Sequence: 1, Tasks: []wire.TaskStatus{taskStatus("seven", 1, wire.TaskRunning, "")}}),
 	)
 	golden.Text(t, "heartbeats-malformed.golden", record.String(), *update)
 }
--- a/internal/controller/operator_pages_test.go
+++ b/internal/controller/operator_pages_test.go
@@ -20,8 +20,8 @@
 
 // newWorker returns a worker on the n-th machine of a controller. Tasks of the job
 // wk-10 end after a second, others never.
-func (env *httpEnv) newWorker(node string, nth int) *httpWorker {
-	return &httpWorker{controller: node, Worker: fake.Worker{Host: env.machineOwnedBy(node, nth), Address: "10.9.9.9:1", Type: "g", Zone: "z",
+func (env *httpEnv) newWorker(label string, nth int) *httpWorker {
+	return &httpWorker{controller: label, Worker: fake.Worker{Host: env.machineOwnedBy(label, nth), Address: "10.9.9.9:1", Type: "g", Zone: "z",
 		Session: 1, Tasks: map[string]*fake.Task{}, Begins: func(_ *fake.Worker, task *fake.Task) time.Duration {
 			if task.JobID == "wk-10" {
 				return time.Second
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -297,8 +297,8 @@
 	}{
 		{"no restart", true, nil, true},
 		{"no restart, no reservations", false, nil, true},
-		{"all nodes restart twice", true, restarts, true},
-		{"all nodes restart twice, no reservations", false, restarts, false},
+		{"all controllers restart twice", true, restarts, true},
+		{"all controllers restart twice, no reservations", false, restarts, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
