--- a/internal/response/response.go
+++ b/internal/response/response.go
@@ -1,4 +1,5 @@
-// Package response writes the HTTP answers of the controller's servers.
+// Package response writes the HTTP answers of the controller's servers: status,
+// CBOR body, error texts and Retry-After. What to answer is decided by the callers.
 package response
 
 import (
@@ -10,7 +11,7 @@
 	"wheatspur/wire"
 )
 
-// Write answers with a status and a CBOR body, if there is one.
+// Write answers with a status and a body encoded as CBOR; nil is no body.
 func Write(c *fasthttp.RequestCtx, status int, body any) {
 	c.SetStatusCode(status)
 	c.SetContentType(wire.ContentType)
@@ -19,23 +20,24 @@
 	}
 }
 
-// Error refuses a request and says why.
+// Error answers with an error status and the reason.
 func Error(c *fasthttp.RequestCtx, status int, reason string) {
 	Write(c, status, wire.ErrorResponse{Error: reason})
 }
 
-// Retry refuses at once what can't be taken now, and says after how many
-// seconds to come back.
+// Retry answers with an error status, the reason and the number of seconds after
+// which the client should try again.
 func Retry(c *fasthttp.RequestCtx, status, retryAfterS int, reason string) {
-	c.Response.Header.Set("Retry-After", strconv.Itoa(retryAfterS))
+	c.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(retryAfterS))
 	Error(c, status, reason)
 }
 
-// Malformed answers what fasthttp could not read.
+// Malformed answers a request that fasthttp could not read; it is an ErrorHandler
+// of fasthttp.Server.
 func Malformed(c *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		Error(c, 400, "body too large")
+		Error(c, fasthttp.StatusBadRequest, "body too large")
 		return
 	}
-	Error(c, 400, "malformed request")
+	Error(c, fasthttp.StatusBadRequest, "malformed request")
 }
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,4 +1,5 @@
-// Package timing waits: for a time or the end of a context, and spreads pauses.
+// Package timing has pauses that a context can end, and jitter for them. It owns
+// no clock: what decides by the time takes it as an argument.
 package timing
 
 import (
@@ -7,17 +8,18 @@
 	"time"
 )
 
-// Sleep waits for a time, or until ctx ends.
+// Sleep waits for d or until ctx ends, whichever comes first.
 func Sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
-// Jitter spreads d between half and one and a half.
+// Jitter returns a random duration between half of d and one and a half times d.
+// It panics if d is not positive.
 func Jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
