--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -7,65 +7,68 @@
 )
 
 // membershipState is this controller's own session, and the sessions, the leader
-// and the membership as stored.
+// and the membership as stored. The lock guards all of it.
 type membershipState struct {
-	Self                membership.Node
-	Session             membership.SessionState
-	Sessions            map[string]membership.Node
-	StoredSessions      map[string]membership.Session // the same, with what they say of their programs
-	Unreachable         map[string]bool               // controllers that say that they hear no worker
-	Leader              *membership.Node
-	Membership          *membership.Record
-	MemberLabels        []string          // of the membership's nodes
-	MembershipChangedAt time.Time         // when the membership last changed here
-	shardOwners         map[string]string // of machines, under this membership; filled as they are asked for
+	Self                membership.Node               // this controller's label, which never changes, and the lease of its session
+	Session             membership.SessionState       // of this controller
+	Sessions            map[string]membership.Node    // controllers with a stored session, by label
+	StoredSessions      map[string]membership.Session // the same with the formats and the program that each supports
+	Unreachable         map[string]bool               // controllers that have stored that no worker reaches them
+	Leader              *membership.Node              // as stored; nil if there is none
+	Membership          *membership.Record            // the newest that is known; nil if there is none
+	MemberLabels        []string                      // the labels of Membership's nodes
+	MembershipChangedAt time.Time                     // when the membership last changed here
+	shardOwners         map[string]string             // owner by machine under Membership; filled as they are asked for
 }
 
-// ShardOwner is the member that a machine is hashed to; the lock is held.
-func (cs *State) ShardOwner(host string) string {
-	o, ok := cs.shardOwners[host]
+// ShardOwner returns the label of the member that owns a machine. There has to be
+// a membership. The lock is held.
+func (cs *State) ShardOwner(machine string) string {
+	owner, ok := cs.shardOwners[machine]
 	if !ok {
-		o = cs.Membership.Owner(host)
-		if cs.Inventory.KeyOf(host) != "" {
-			cs.shardOwners[host] = o // bounded by what is stored
+		owner = cs.Membership.Owner(machine)
+		if cs.Inventory.KeyOf(machine) != "" {
+			cs.shardOwners[machine] = owner // stored machines only: whatever workers name would grow it without bound
 		}
 	}
-	return o
+	return owner
 }
 
-// IsMember reports whether this node is a member of the newest membership it
-// knows; the lock is held.
+// IsMember reports whether this controller is a member of the newest membership
+// that it knows. The lock is held.
 func (cs *State) IsMember() bool {
 	return cs.Membership != nil && cs.Session == membership.Registered && cs.Membership.Contains(cs.Self) && cs.Cache.Consistent()
 }
 
-// IsLeader reports whether this node is the leader; the lock is held.
+// IsLeader reports whether this controller is the leader, by the membership and by
+// the leader record. The lock is held.
 func (cs *State) IsLeader() bool {
 	return cs.IsMember() && cs.Membership.Leader == cs.Self && cs.Leader != nil && *cs.Leader == cs.Self
 }
 
-// DependenciesSupported reports whether every member reads jobs that are stored waiting; the
-// lock is held. A node that does not would run such a job at once if it took it in,
-// and would stop its tasks on its machines.
+// DependenciesSupported reports whether every member knows jobs that are stored
+// while they wait for their dependencies. A member that does not would run such a
+// job at once if it took it in, and would stop its tasks on its machines. The lock
+// is held.
 func (cs *State) DependenciesSupported() bool {
 	return cs.Membership != nil && cs.Membership.AllSupport(membership.FormatDependencies, cs.StoredSessions)
 }
 
-// TokenRangesSupported reports whether every node with a session knows of memberships that
-// span several tokens; the lock is held.
+// TokenRangesSupported reports whether every controller with a session knows
+// memberships that span several fencing tokens. The lock is held.
 func (cs *State) TokenRangesSupported() bool {
-	for label, s := range cs.Sessions {
-		if v := cs.StoredSessions[label]; v.Node != s || v.Format < membership.FormatTokenRanges {
+	for label, node := range cs.Sessions {
+		if stored := cs.StoredSessions[label]; stored.Node != node || stored.Format < membership.FormatTokenRanges {
 			return false
 		}
 	}
 	return true
 }
 
-// SetMembership enters a new membership; the lock is held.
-func (cs *State) SetMembership(r *membership.Record) {
-	cs.Membership = r
-	cs.MemberLabels = r.Labels()
+// SetMembership enters a new membership. The lock is held.
+func (cs *State) SetMembership(record *membership.Record) {
+	cs.Membership = record
+	cs.MemberLabels = record.Labels()
 	cs.MembershipChangedAt = cs.Now()
 	clear(cs.shardOwners)
 }
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -9,12 +9,13 @@
 	"wheatspur/internal/store"
 )
 
-// metrics are gathered when they are asked for; only the counts of answers
-// are kept on the way.
+// metrics holds the registry, and the counters that are kept as things happen: all
+// other metrics are read from the state when they are gathered. It has locks of its
+// own, so that its methods need none.
 type metrics struct {
 	Registry *prometheus.Registry
-	answers  *prometheus.CounterVec
-	writes   *prometheus.CounterVec
+	answers  *prometheus.CounterVec // by request and status
+	writes   *prometheus.CounterVec // by kind and outcome
 }
 
 func newMetrics() *metrics {
@@ -33,12 +34,12 @@
 	return m
 }
 
-// CountAnswer notes an answer.
+// CountAnswer counts an answer to a kind of request.
 func (m *metrics) CountAnswer(request string, status int) {
 	m.answers.WithLabelValues(request, strconv.Itoa(status)).Inc()
 }
 
-// CountWrite notes the outcome of a decision write.
+// CountWrite counts a compare-and-swap of a kind by its outcome.
 func (m *metrics) CountWrite(kind string, err error) {
 	outcome := "stored"
 	switch {
--- a/internal/cluster/progress.go
+++ b/internal/cluster/progress.go
@@ -9,30 +9,33 @@
 	"wheatspur/internal/tuning"
 )
 
-// loop is one of the loops that a node can't do without.
+// loop is one of the loops that a controller can't do without.
 type loop int
 
-// Loops of a node.
+// Loops of a controller whose progress is watched.
 const (
-	PassLoop loop = iota
-	SessionLoop
-	MemberLoop
-	Loops
+	PassLoop    loop = iota // the scheduler's passes
+	SessionLoop             // renewals of the session's lease
+	MemberLoop              // steps of the election and the membership
+	Loops                   // the number of loops
 )
 
-// String names the loop.
+// String returns the name of the loop in errors.
 func (l loop) String() string { return [...]string{"passes", "session", "membership"}[l] }
 
-// loopTimes are when each loop last went round.
+// loopTimes are the times at which each loop last began a round, in nanoseconds of
+// the Unix epoch; 0 before its first.
 type loopTimes [Loops]atomic.Int64
 
-// RecordProgress notes that a loop goes round.
-func (cs *State) RecordProgress(l loop) { cs.loopProgress[l].Store(cs.Now().UnixNano()) }
-
-// ErrStalled says that a loop of the node does not go round.
+// ErrStalled says that a loop of the controller makes no progress.
 var ErrStalled = errors.New("loop stalled")
 
-// Progress is nil while all loops of the node go round, and can take its lock.
+// RecordProgress notes that a loop begins a round. The lock is not needed.
+func (cs *State) RecordProgress(l loop) { cs.loopProgress[l].Store(cs.Now().UnixNano()) }
+
+// Progress returns nil while all loops that have begun make progress, else an error
+// that wraps ErrStalled. It takes no lock, so that it also tells of loops that wait
+// for the lock.
 func (cs *State) Progress() error {
 	for l := range Loops {
 		last := cs.loopProgress[l].Load()
@@ -46,5 +49,6 @@
 	return nil
 }
 
-// Draining reports whether the node takes nothing new.
+// Draining reports whether the controller accepts nothing new, since it stops. The
+// lock is not needed.
 func (cs *State) Draining() bool { return cs.Stopping.Load() }
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -1,4 +1,5 @@
-// This file takes the records of the state service from the cache into the node.
+// This file enters the stored records that belong to the state itself. The cache
+// calls it, by way of the controller, with the lock held.
 
 package cluster
 
@@ -8,51 +9,55 @@
 	"wheatspur/wire"
 )
 
-// ApplyJob enters a job, and the version of the last cancellation.
-func (cs *State) ApplyJob(jobID string, v wire.Raw, version uint64) error {
-	err := cs.Table.ApplyJob(jobID, v)
+// TypesKey is the key of the machine types. They are stored so that every controller
+// knows them, also while the cloud is out.
+const TypesKey = jobs.Root + "types"
+
+// ApplyJob enters a job's record, and its version if it is the last cancellation: a
+// record that can't be read may be one. The lock is held.
+func (cs *State) ApplyJob(jobID string, value wire.Raw, version uint64) error {
+	err := cs.Table.ApplyJob(jobID, value)
 	if j := cs.Table.Jobs[jobID]; err != nil || j != nil && j.Record.Phase == jobs.Cancelled {
 		cs.LastCancellation = max(cs.LastCancellation, version)
 	}
 	return err
 }
 
-// ApplySession enters a node's session and what it says of its program.
-func (cs *State) ApplySession(label string, v wire.Raw) error {
-	if v == nil {
+// ApplySession enters a controller's session, nil for one that has ended. The lock
+// is held.
+func (cs *State) ApplySession(label string, value wire.Raw) error {
+	if value == nil {
 		delete(cs.Sessions, label)
 		delete(cs.StoredSessions, label)
 		return nil
 	}
-	s, err := membership.DecodeSession(v)
+	session, err := membership.DecodeSession(value)
 	if err != nil {
 		return err
 	}
-	cs.Sessions[label] = s.Node
-	cs.StoredSessions[label] = *s
+	cs.Sessions[label] = session.Node
+	cs.StoredSessions[label] = *session
 	return nil
 }
 
-// ApplyUnreachable enters whether a node says that it hears no worker.
-func (cs *State) ApplyUnreachable(label string, v wire.Raw) {
-	if v == nil {
+// ApplyUnreachable enters whether a controller has stored that no worker reaches it.
+// The lock is held.
+func (cs *State) ApplyUnreachable(label string, value wire.Raw) {
+	if value == nil {
 		delete(cs.Unreachable, label)
 	} else {
 		cs.Unreachable[label] = true
 	}
 }
 
-// ApplyLeader enters which node holds the lead; a record that can't be read leaves none.
-func (cs *State) ApplyLeader(v wire.Raw) error {
+// ApplyLeader enters the leader record; one that is deleted or can't be read leaves
+// no leader. The lock is held.
+func (cs *State) ApplyLeader(value wire.Raw) error {
 	cs.Leader = nil
-	if v == nil {
+	if value == nil {
 		return nil
 	}
-	m, err := membership.DecodeNode(v)
-	cs.Leader = m
+	node, err := membership.DecodeNode(value)
+	cs.Leader = node
 	return err
 }
-
-// TypesKey holds the machine types, so that every node knows them, also while
-// the cloud is out.
-const TypesKey = jobs.Root + "types"
--- a/internal/cluster/writes.go
+++ b/internal/cluster/writes.go
@@ -9,25 +9,30 @@
 	"wheatspur/wire"
 )
 
-// StoreDecision runs a guarded write of the leader and enters it.
-func (cs *State) StoreDecision(ctx context.Context, guards []wire.Compare, changes []wire.Operation) error {
-	cctx, stop := context.WithTimeout(ctx, tuning.DecisionWait)
-	defer stop()
-	revision, err := cs.Store.CompareAndSwap(cctx, store.ClassRecords, guards, changes)
+// StoreDecision runs a compare-and-swap of the leader, and enters it if it is
+// stored. After a conflict or an unknown outcome it waits for a read barrier, so
+// that the next decision starts from what is stored now. It takes the lock.
+func (cs *State) StoreDecision(ctx context.Context, compares []wire.Compare, operations []wire.Operation) error {
+	ctx, cancel := context.WithTimeout(ctx, tuning.DecisionWait)
+	defer cancel()
+	revision, err := cs.Store.CompareAndSwap(ctx, store.ClassRecords, compares, operations)
 	if err != nil {
 		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
+			// A barrier that fails changes nothing: the next compare-and-swap then
+			// fails like this one.
 			_ = cs.Syncer.ReadBarrier(tuning.BarrierWait)
 		}
 		return err
 	}
-	cs.ApplyWrite(changes, revision)
+	cs.ApplyWrite(operations, revision)
 	return nil
 }
 
-// ApplyWrite enters a write of this node.
-func (cs *State) ApplyWrite(changes []wire.Operation, revision uint64) {
+// ApplyWrite enters a compare-and-swap of this controller that was stored at a
+// revision, before the watch brings it. It takes the lock.
+func (cs *State) ApplyWrite(operations []wire.Operation, revision uint64) {
 	cs.Lock()
 	defer cs.Unlock()
-	cs.Cache.ApplyOwnWrite(changes, revision)
+	cs.Cache.ApplyOwnWrite(operations, revision)
 	Wake(cs.PassWake)
 }
