--- a/internal/fleet/workerclient.go
+++ b/internal/fleet/workerclient.go
@@ -10,37 +10,63 @@
 	"wheatspur/wire"
 )
 
-// WorkerClient sends direct commands to workers.
+// WorkerClient calls workers. A call ends within tuning.WorkerCallTimeout.
 type WorkerClient interface {
-	SendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error)
+	// SendCommands sends a direct command request and returns the status and the
+	// heartbeat of the answer. A worker that has seen a higher fencing token
+	// refuses the commands with a conflict, and a heartbeat that shows it.
+	SendCommands(address string, request wire.CommandRequest) (int, *wire.Heartbeat, error)
+	// Probe asks whether the worker answers at all.
 	Probe(address string) error
 }
 
-type httpWorkerClient struct{ hc *fasthttp.Client }
+// WorkerStatusError is the answer of a worker with a status that says that it
+// did not do what it was asked.
+type WorkerStatusError struct {
+	Status int // of the HTTP answer
+}
+
+// Error returns the text for the log.
+func (e *WorkerStatusError) Error() string { return fmt.Sprintf("worker answered %d", e.Status) }
+
+// Paths of a worker's HTTP server.
+const (
+	workerCommandPath = "/commands"
+	workerProbePath   = "/show"
+)
 
+// httpWorkerClient calls workers over HTTP.
+type httpWorkerClient struct{ client *fasthttp.Client }
+
+// NewHTTPWorkerClient returns a client that calls workers over HTTP.
 func NewHTTPWorkerClient() *httpWorkerClient {
-	return &httpWorkerClient{httpclient.Many(tuning.WorkerConns)}
+	return &httpWorkerClient{client: httpclient.Many(tuning.WorkerConns)}
 }
 
-func (w *httpWorkerClient) SendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error) {
-	status, body, err := httpclient.Do(w.hc, "POST", address, "/commands", wire.MustMarshal(cmd), tuning.WorkerCallTimeout)
+// SendCommands sends a direct command request.
+func (wc *httpWorkerClient) SendCommands(address string, request wire.CommandRequest) (int, *wire.Heartbeat, error) {
+	status, body, err := httpclient.Do(wc.client, fasthttp.MethodPost, address, workerCommandPath, wire.MustMarshal(request), tuning.WorkerCallTimeout)
 	if err != nil {
 		return 0, nil, err
 	}
-	if status != 200 && status != 409 {
-		return status, nil, fmt.Errorf("worker answered %d", status)
+	if status != fasthttp.StatusOK && status != fasthttp.StatusConflict {
+		return status, nil, &WorkerStatusError{Status: status}
 	}
-	var r wire.Heartbeat
-	if err := wire.Unmarshal(body, &r); err != nil {
+	var heartbeat wire.Heartbeat
+	if err := wire.Unmarshal(body, &heartbeat); err != nil {
 		return 0, nil, err
 	}
-	return status, &r, nil
+	return status, &heartbeat, nil
 }
 
-func (w *httpWorkerClient) Probe(address string) error {
-	status, _, err := httpclient.Do(w.hc, "GET", address, "/show", nil, tuning.WorkerCallTimeout)
-	if err == nil && status != 200 {
-		err = fmt.Errorf("worker answered %d", status)
+// Probe asks whether the worker answers at all.
+func (wc *httpWorkerClient) Probe(address string) error {
+	status, _, err := httpclient.Do(wc.client, fasthttp.MethodGet, address, workerProbePath, nil, tuning.WorkerCallTimeout)
+	if err != nil {
+		return err
+	}
+	if status != fasthttp.StatusOK {
+		return &WorkerStatusError{Status: status}
 	}
-	return err
+	return nil
 }
