--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -11,21 +11,25 @@
 	"wheatspur/internal/worker"
 )
 
-// WorkerManager answers the heartbeats of this controller's machines and sends
-// them direct commands.
+// forgetLeases is how many leases after its last message the worker of a machine that
+// is neither ours nor stored is forgotten: its lease has surely expired by then.
+const forgetLeases = 2
+
+// WorkerManager answers the heartbeats of this controller's machines, and sends their
+// workers direct commands.
 type WorkerManager struct {
 	*cluster.State
 	peers        *PeerExchange
 	machineIndex *machineIndex
 	recovery     *recoveryTracker
 
-	ByMachine       map[string]*worker.Worker
+	ByMachine       map[string]*worker.Worker // by machine: those that this controller owns and has heard, or that the cloud lists as running
 	Failing         map[string]*worker.Worker // those whose tasks failed lately
-	imageSizes      map[string]float64        // in GB, as the last job that uses the image says
-	inheritedImages map[string][]string       // images of machines, as their former owners knew them
-	Client          WorkerClient
-	CallSlots       chan struct{} // bounds direct calls; filled with the lock held only
-	OpenConnections func() int    // connections of users and workers
+	imageSizes      map[string]float64        // in GB by image, as the last job that uses it says
+	inheritedImages map[string][]string       // images by machine, as its former owner knew them
+	Client          WorkerClient              // set when built; does not need the lock
+	CallSlots       chan struct{}             // holds one value for each direct call; filled with the lock held only
+	OpenConnections func() int                // connections of users and workers; set before the servers run, does not need the lock
 }
 
 func newWorkerManager(state *cluster.State, client WorkerClient) *WorkerManager {
@@ -41,56 +45,72 @@
 	}
 }
 
-// workerToken is the highest token that this node has used for a machine; the lock is held.
-func (wm *WorkerManager) workerToken(host string) uint64 {
-	if w := wm.ByMachine[host]; w != nil {
-		return max(w.FencingToken, wm.Membership.FencingToken)
+// Worker returns the view of a machine's worker, a new one if there is none. The lock
+// is held.
+func (wm *WorkerManager) Worker(machine string) *worker.Worker {
+	w := wm.ByMachine[machine]
+	if w == nil {
+		w = worker.NewWorker(machine)
+		w.Images = wm.inheritedImages[machine]
+		wm.ByMachine[machine] = w
+		wm.machineIndex.MarkChanged(machine)
 	}
-	return wm.Membership.FencingToken
+	return w
 }
 
-// mayStartOn reports whether stored claims on a machine may be started: it is
-// not known to be gone; the lock is held.
-func (wm *WorkerManager) mayStartOn(host string) bool {
-	rec, ok := wm.Inventory.Machines[host]
-	return ok && rec.Phase != inventory.Terminated
+// workersOf returns the workers of those machines that have one. The lock is held.
+func (wm *WorkerManager) workersOf(machines map[string]bool) map[string]*worker.Worker {
+	workers := make(map[string]*worker.Worker, len(machines))
+	for machine := range machines {
+		if w := wm.ByMachine[machine]; w != nil {
+			workers[machine] = w
+		}
+	}
+	return workers
 }
 
-func (wm *WorkerManager) Worker(host string) *worker.Worker {
-	w := wm.ByMachine[host]
-	if w == nil {
-		w = worker.NewWorker(host)
-		w.Images = wm.inheritedImages[host]
-		wm.ByMachine[host] = w
-		wm.machineIndex.MarkChanged(host)
+// workerToken is the highest fencing token that this controller has used for a
+// machine. The lock is held.
+func (wm *WorkerManager) workerToken(machine string) uint64 {
+	if w := wm.ByMachine[machine]; w != nil {
+		return max(w.FencingToken, wm.Membership.FencingToken)
 	}
-	return w
+	return wm.Membership.FencingToken
 }
 
-// StopTask notes that a task is wanted off one of this node's machines; the lock is
-// held.
-func (wm *WorkerManager) StopTask(w *worker.Worker, id jobs.TaskID) {
-	w.RequestStop(id)
-	wm.machineIndex.MarkChanged(w.Machine)
+// mayStartOn reports whether claims on a machine may be started: it is stored, and
+// not as terminated. The lock is held.
+func (wm *WorkerManager) mayStartOn(machine string) bool {
+	record, stored := wm.Inventory.Machines[machine]
+	return stored && record.Phase != inventory.Terminated
 }
 
-// imageSize is the size of an image in GB, as the last job that uses it says;
-// The lock is held.
-func (wm *WorkerManager) imageSize(image string) float64 { return wm.imageSizes[image] }
-
-// isQuarantined reports whether a machine should get no tasks for now.
+// isQuarantined reports whether a machine is given no tasks for now: its worker does
+// not hear its commands, tasks of several jobs failed there, or it refused one for
+// want of room. The lock is held.
 func (wm *WorkerManager) isQuarantined(w *worker.Worker, now time.Time) bool {
 	return w.Unresponsive || len(w.FailedJobs) >= tuning.MachineFailuresMax || now.Sub(w.LastRefusal) < tuning.RefusalPause
 }
 
-// ApplyMembership enters a new membership; last is the one before it, nil if
-// there was none. The lock is held.
+// imageSize returns the size of an image in GB, 0 if no job has run with it. The lock
+// is held.
+func (wm *WorkerManager) imageSize(image string) float64 { return wm.imageSizes[image] }
+
+// StopTask requests that a task on one of this controller's machines stops. The lock
+// is held.
+func (wm *WorkerManager) StopTask(w *worker.Worker, id jobs.TaskID) {
+	w.RequestStop(id)
+	wm.machineIndex.MarkChanged(w.Machine)
+}
+
+// ApplyMembership enters the membership that the state now holds; last is the one
+// before it, nil if there was none. The lock is held.
 func (wm *WorkerManager) ApplyMembership(last *membership.Record) {
-	// Who takes a machine over knows its images from what its former owner
-	// told. Guards against image pulls beside machines that hold the image.
+	// A new owner knows the images of a machine from its former owner. Guards
+	// against image pulls beside machines that hold the image.
 	clear(wm.inheritedImages)
-	for _, s := range wm.peers.Siblings {
-		for machine, status := range s.Machines {
+	for _, sibling := range wm.peers.Siblings {
+		for machine, status := range sibling.Machines {
 			wm.inheritedImages[machine] = status.Images
 		}
 	}
@@ -113,14 +133,14 @@
 }
 
 // CommandWorkers sends workers what is due, and forgets those of machines that are
-// gone; the lock is held.
+// neither ours nor stored and have long been silent. The lock is held.
 func (wm *WorkerManager) CommandWorkers(workers map[string]*worker.Worker, now time.Time) {
-	for host, w := range workers {
-		if wm.ShardOwner(host) == wm.Self.Label {
+	for machine, w := range workers {
+		if wm.ShardOwner(machine) == wm.Self.Label {
 			wm.fencePendingStarts(w)
 			wm.sendDirectCommands(w, now)
-		} else if wm.Inventory.KeyOf(host) == "" && now.Sub(w.LastHeard) > 2*wm.Settings.WorkerLease() {
-			delete(wm.ByMachine, host)
+		} else if wm.Inventory.KeyOf(machine) == "" && now.Sub(w.LastHeard) > forgetLeases*wm.Settings.WorkerLease() {
+			delete(wm.ByMachine, machine)
 		}
 	}
 }
