--- a/internal/fleet/claimtotals.go
+++ b/internal/fleet/claimtotals.go
@@ -1,46 +1,58 @@
 package fleet
 
-import (
-	"wheatspur/internal/quota"
-)
+import "wheatspur/internal/quota"
 
 // machineClaims is what the claims on one machine take, by team.
 type machineClaims struct {
-	owner string
+	owner string // of the machine
 	teams map[string]quota.Amount
 }
 
-// sumClaims enters the claims on a machine in the sums by owner; the lock is held.
-func (mi *machineIndex) sumClaims(host string) {
-	if old, ok := mi.claims[host]; ok {
-		for team, r := range old.teams {
-			mi.claimedTotals[old.owner][team] = mi.claimedTotals[old.owner][team].Sub(r)
+// ClaimedByNode is what the claims take by owner of their machines and by team. The
+// lock is held, and the result is valid for as long.
+func (mi *machineIndex) ClaimedByNode() quota.ClaimedByNode {
+	for machine := range mi.Changed {
+		mi.refreshClaimTotals(machine)
+	}
+	return mi.claimedTotals
+}
+
+// refreshClaimTotals brings what a machine adds to claimedTotals up to date. The lock
+// is held.
+func (mi *machineIndex) refreshClaimTotals(machine string) {
+	mi.subtractClaims(machine)
+	if claimed := mi.Table.ClaimsByMachine[machine]; len(claimed) > 0 {
+		claims := machineClaims{owner: mi.ShardOwner(machine), teams: map[string]quota.Amount{}}
+		for _, job := range claimed {
+			claims.teams[job.Team] = claims.teams[job.Team].Add(job.Need.Amount())
 		}
-		delete(mi.claims, host)
+		mi.addClaims(machine, claims)
 	}
-	claims := mi.Table.ClaimsByMachine[host]
-	if len(claims) == 0 {
+}
+
+// subtractClaims takes what stands for a machine out of claimedTotals. The lock is
+// held.
+func (mi *machineIndex) subtractClaims(machine string) {
+	claims, ok := mi.claims[machine]
+	if !ok {
 		return
 	}
-	now := machineClaims{owner: mi.ShardOwner(host), teams: map[string]quota.Amount{}}
-	for _, j := range claims {
-		now.teams[j.Team] = now.teams[j.Team].Add(j.Need.Amount())
-	}
-	mi.claims[host] = now
-	by := mi.claimedTotals[now.owner]
-	if by == nil {
-		by = map[string]quota.Amount{}
-		mi.claimedTotals[now.owner] = by
-	}
-	for team, r := range now.teams {
-		by[team] = by[team].Add(r)
+	totals := mi.claimedTotals[claims.owner]
+	for team, amount := range claims.teams {
+		totals[team] = totals[team].Sub(amount)
 	}
+	delete(mi.claims, machine)
 }
 
-// ClaimedByNode is what the claims on each node's machines take; the lock is held.
-func (mi *machineIndex) ClaimedByNode() quota.ClaimedByNode {
-	for host := range mi.Changed {
-		mi.sumClaims(host)
+// addClaims adds what is claimed on a machine to claimedTotals. The lock is held.
+func (mi *machineIndex) addClaims(machine string, claims machineClaims) {
+	mi.claims[machine] = claims
+	totals := mi.claimedTotals[claims.owner]
+	if totals == nil {
+		totals = map[string]quota.Amount{}
+		mi.claimedTotals[claims.owner] = totals
+	}
+	for team, amount := range claims.teams {
+		totals[team] = totals[team].Add(amount)
 	}
-	return mi.claimedTotals
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,13 +1,14 @@
-// Package fleet holds what a controller knows of the machines and their workers at
-// run time: heartbeats and direct commands, the exchange with sibling controllers,
-// the index that placement starts from, and recovery after a start. Stored machine
-// records are package inventory's, decisions about one worker package worker's.
+// Package fleet holds what a controller knows of the machines and their workers at run
+// time: heartbeats and direct commands, the exchange with sibling controllers, the
+// index of machines that placement starts from, and recovery after a start. Stored
+// machine records are package inventory's, decisions about one worker package
+// worker's, and which tasks go where package placement's.
 package fleet
 
 import "wheatspur/internal/cluster"
 
 // Fleet is what a controller knows of the machines and their workers: by their
-// heartbeats, from its siblings and from the store.
+// heartbeats, from its siblings and from the store. Its components never change.
 type Fleet struct {
 	Workers      *WorkerManager
 	Peers        *PeerExchange
@@ -15,7 +16,7 @@
 	Recovery     *recoveryTracker
 }
 
-// New builds the parts and connects them.
+// New builds the components and connects them.
 func New(state *cluster.State, client WorkerClient) *Fleet {
 	workers := newWorkerManager(state, client)
 	peers := newPeerExchange(state)
@@ -28,8 +29,8 @@
 	return &Fleet{Workers: workers, Peers: peers, MachineIndex: index, Recovery: tracker}
 }
 
-// MarkChanged notes that the claims on a machine, or their jobs, have changed;
-// the lock is held.
+// MarkChanged notes that the claims on a machine, or their jobs, have changed. The
+// lock is held.
 func (f *Fleet) MarkChanged(machine string) {
 	f.MachineIndex.MarkChanged(machine)
 	if w := f.Workers.ByMachine[machine]; w != nil {
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -13,38 +13,38 @@
 	"wheatspur/wire"
 )
 
-// machineIndex is the picture of all machines that passes, plans and role decisions
-// start from, and the sums of the claims by owner. It is kept from one to the
-// next: only the machines that something has changed on are entered anew. With
-// thousands of machines, entering all of them took most of a pass.
+// machineIndex is the view of all machines that scheduling passes, capacity plans and
+// role decisions start from, and the sums of the claims on them. It is kept from one
+// to the next: only the machines that something has changed on are applied again.
+// With thousands of machines, applying all of them took most of a pass.
 type machineIndex struct {
 	*cluster.State
 	workers *WorkerManager
 	peers   *PeerExchange
 
-	Fleet                *placement.Fleet
-	ordered              []*indexedMachine // in the order of fleet.Machines
-	machines             map[string]*indexedMachine
-	Rebuild              bool            // the machines are not those that fleet was built of
-	changedRecords       map[string]bool // machines whose records have changed
-	Changed              map[string]bool // machines whose claims, worker or owner's status has changed
-	due                  map[string]bool // machines of this node that the next pass looks at
-	fullScanAt           time.Time       // when a pass last looked at all of them
-	schedulableCheckedAt time.Time       // when the openness of all machines was last worked out
-	Terminated           map[string]bool // machines that are stored as returned
-	unpublished          map[string]bool // machines that may differ from what siblings are told of them
-	fullPublishAt        time.Time       // when all machines were last compared with that
+	Fleet                *placement.Fleet           // nil until the first refresh
+	ordered              []*indexedMachine          // in the order of Fleet.Machines
+	machines             map[string]*indexedMachine // by name
+	Rebuild              bool                       // Fleet does not hold the machines that are stored now
+	changedRecords       map[string]bool            // machines whose records have changed
+	Changed              map[string]bool            // machines whose claims, worker or owner's status has changed
+	due                  map[string]bool            // machines of this controller that the next pass looks at
+	fullScanAt           time.Time                  // when a pass last looked at all of them
+	schedulableCheckedAt time.Time                  // when it was last determined for all machines whether they are schedulable
+	Terminated           map[string]bool            // machines that are stored as terminated
+	unpublished          map[string]bool            // machines that may differ from what siblings were sent
+	fullPublishAt        time.Time                  // when all machines were last compared with that
 
-	claims        map[string]machineClaims // what is claimed on each machine, as it stands in claimedTotals
-	claimedTotals quota.ClaimedByNode
+	claims        map[string]machineClaims // what each machine has added to claimedTotals
+	claimedTotals quota.ClaimedByNode      // what the claims take, by owner and team
 }
 
-// indexedMachine is one machine and what its openness follows from.
+// indexedMachine is one machine, and what it depends on whether it is schedulable.
 type indexedMachine struct {
 	*placement.Machine
-	worker        *worker.Worker // nil: another node's, or never heard
+	worker        *worker.Worker // nil: another controller's machine, or never heard
 	inService     bool           // its record lets it take tasks
-	usableByOwner bool           // another node's: so does what its owner tells
+	usableByOwner bool           // another controller's machine, which lets it take tasks
 }
 
 func newMachineIndex(state *cluster.State) *machineIndex {
@@ -70,135 +70,155 @@
 	}
 }
 
-// MarkRecordChanged notes that the stored record of a machine has changed.
+// Reset empties the index and marks everything as changed, since the machines have
+// other owners. The lock is held.
+func (mi *machineIndex) Reset() {
+	mi.clear()
+	for machine := range mi.Table.ClaimsByMachine {
+		mi.MarkChanged(machine)
+	}
+	for machine := range mi.Inventory.Machines {
+		mi.MarkRecordChanged(machine)
+	}
+}
+
+// MarkRecordChanged notes that the stored record of a machine has changed. The lock is
+// held.
 func (mi *machineIndex) MarkRecordChanged(machine string) { mi.changedRecords[machine] = true }
 
-// MarkChanged notes that something has changed on a machine.
-func (mi *machineIndex) MarkChanged(host string) {
-	mi.Changed[host], mi.due[host], mi.unpublished[host] = true, true, true
+// MarkChanged notes that the claims on a machine have changed, or what is known of its
+// worker. The lock is held.
+func (mi *machineIndex) MarkChanged(machine string) {
+	mi.Changed[machine], mi.due[machine], mi.unpublished[machine] = true, true, true
 }
 
-// Reset starts the picture anew: the owners of the machines have changed.
-// The lock is held.
-func (mi *machineIndex) Reset() {
-	mi.clear()
-	for host := range mi.Table.ClaimsByMachine {
-		mi.MarkChanged(host)
-	}
-	for host := range mi.Inventory.Machines {
-		mi.changedRecords[host] = true
+// sweepDue reports whether it is time to look at all machines again, and if so sets
+// last to now. A clock that was set back makes it due.
+func sweepDue(last *time.Time, now time.Time) bool {
+	if now.Sub(*last) < tuning.SweepEvery && !now.Before(*last) {
+		return false
 	}
+	*last = now
+	return true
 }
 
-// WorkersToScan lists the workers of this node that a pass looks at: those that
-// something has changed for or is due for, and every so often all, for what
-// follows from time alone, such as the end of a lease; the lock is held.
+// WorkersToScan returns the workers that a pass looks at: those that something has
+// changed for or is due for, and every so often all, for what follows from time alone,
+// such as lease expiry. The lock is held.
 func (mi *machineIndex) WorkersToScan(now time.Time) (workers map[string]*worker.Worker, all bool) {
-	if now.Sub(mi.fullScanAt) >= tuning.SweepEvery || now.Before(mi.fullScanAt) {
-		mi.fullScanAt = now
+	if sweepDue(&mi.fullScanAt, now) {
 		return mi.workers.ByMachine, true
 	}
-	some := make(map[string]*worker.Worker, len(mi.due))
-	for host := range mi.due {
-		if w := mi.workers.ByMachine[host]; w != nil {
-			some[host] = w
-		}
-	}
-	return some, false
+	return mi.workers.workersOf(mi.due), false
 }
 
-// RemoveQuiescent takes the machines that nothing is due for out of what the next pass
-// looks at; the lock is held.
+// RemoveQuiescent takes the machines that nothing is due for out of those that the
+// next pass looks at. The lock is held.
 func (mi *machineIndex) RemoveQuiescent() {
-	for host := range mi.due {
-		if w := mi.workers.ByMachine[host]; w == nil || w.Quiescent() {
-			delete(mi.due, host)
+	for machine := range mi.due {
+		if w := mi.workers.ByMachine[machine]; w == nil || w.Quiescent() {
+			delete(mi.due, machine)
 		}
 	}
 }
 
-// RefreshMachines brings the picture of the fleet up to date; the lock is held.
+// RefreshMachines brings the view of the machines up to date and returns it, without
+// what a former pass has placed. The lock is held, and the result is valid for as
+// long.
 func (mi *machineIndex) RefreshMachines(now time.Time) *placement.Fleet {
 	mi.ApplyRecordChanges()
 	if mi.Fleet == nil || mi.Rebuild {
-		mi.rebuildMachineIndex()
+		mi.rebuild()
 	}
-	some := mi.applyChangedMachines()
-	if now.Sub(mi.schedulableCheckedAt) >= tuning.SweepEvery || now.Before(mi.schedulableCheckedAt) {
-		mi.schedulableCheckedAt = now
-		some = mi.ordered
+	machines := mi.applyChangedMachines()
+	if sweepDue(&mi.schedulableCheckedAt, now) {
+		machines = mi.ordered
 	}
-	fresh := map[string]bool{} // owners whose status holds for this membership
-	for label, s := range mi.peers.Siblings {
-		fresh[label] = mi.peers.IsFresh(s) && s.MachinesVersion.FencingToken == mi.Membership.FencingToken
+	mi.updateSchedulable(machines, now)
+	mi.Fleet.Rollback()
+	return mi.Fleet
+}
+
+// updateSchedulable determines which of the machines take new tasks. The lock is held.
+func (mi *machineIndex) updateSchedulable(machines []*indexedMachine, now time.Time) {
+	current := map[string]bool{} // owners whose view of their machines holds for this membership
+	for label, sibling := range mi.peers.Siblings {
+		current[label] = mi.peers.IsFresh(sibling) && sibling.MachinesVersion.FencingToken == mi.Membership.FencingToken
 	}
 	silent := mi.SilenceTimeout()
-	for _, m := range some {
+	for _, m := range machines {
 		if m.Owner == mi.Self.Label {
 			m.SetSchedulable(m.inService && mi.isSchedulable(m.worker, now, silent))
 		} else {
-			m.SetSchedulable(m.inService && m.usableByOwner && fresh[m.Owner])
+			m.SetSchedulable(m.inService && m.usableByOwner && current[m.Owner])
 		}
 	}
-	mi.Fleet.Rollback()
-	return mi.Fleet
 }
 
-// isSchedulable reports whether a machine of this node takes new tasks: only one
-// that has shown our token, which guards against a late copy of a report of a
-// machine that is gone. And only one whose reports come: one that answers calls
-// and can't report ends with its lease. The lock is held.
+// isSchedulable reports whether the worker of one of this controller's machines may be
+// given new tasks: only one that has acknowledged our token, which guards against a
+// late copy of a heartbeat of a machine that is gone. And only one whose heartbeats
+// come: one that answers calls and can't send heartbeats ends when its lease expires.
+// The lock is held.
 func (mi *machineIndex) isSchedulable(w *worker.Worker, now time.Time, silent time.Duration) bool {
 	return w != nil && w.State == worker.TokenAcknowledged && now.Sub(w.LastHeard) < silent && now.Sub(w.LeaseRenewedAt()) < silent &&
 		w.TerminationAt.IsZero() && !mi.workers.isQuarantined(w, now)
 }
 
 // ApplyRecordChanges looks at the machine records that have changed: most of them only
-// in their phase, which needs no new index; the lock is held.
+// in their phase, for which the index need not be rebuilt. The lock is held.
 func (mi *machineIndex) ApplyRecordChanges() {
-	for host := range mi.changedRecords {
-		rec, stored := mi.Inventory.Machines[host]
-		m := mi.machines[host]
-		if stored != (m != nil) || stored && !sameMachine(m.Machine, mi.placementMachine(host, rec)) {
+	for machine := range mi.changedRecords {
+		record, stored := mi.Inventory.Machines[machine]
+		indexed := mi.machines[machine]
+		if stored != (indexed != nil) || stored && !sameMachine(indexed.Machine, mi.emptyMachine(machine, record)) {
 			mi.Rebuild = true
 		}
-		if stored && rec.Phase == inventory.Terminated {
-			mi.Terminated[host] = true
+		if stored && record.Phase == inventory.Terminated {
+			mi.Terminated[machine] = true
 		} else {
-			delete(mi.Terminated, host)
+			delete(mi.Terminated, machine)
 		}
-		mi.MarkChanged(host)
+		mi.MarkChanged(machine)
 	}
 	clear(mi.changedRecords)
 }
 
-// placementMachine is the picture of an empty machine; the lock is held.
-func (mi *machineIndex) placementMachine(host string, rec inventory.Record) *placement.Machine {
-	t := mi.MachineTypes[rec.MachineType]
-	return &placement.Machine{Name: host, Type: rec.MachineType, Zone: rec.Zone, Spot: rec.Spot, Role: rec.Role,
-		Owner: mi.ShardOwner(host), FetchGBPerS: t.FetchGBPerS,
-		Total: jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}}
+// emptyMachine is a machine as placement takes it, without any tasks. The lock is
+// held.
+func (mi *machineIndex) emptyMachine(machine string, record inventory.Record) *placement.Machine {
+	machineType := mi.MachineTypes[record.MachineType]
+	return &placement.Machine{
+		Name:        machine,
+		Type:        record.MachineType,
+		Zone:        record.Zone,
+		Spot:        record.Spot,
+		Role:        record.Role,
+		Owner:       mi.ShardOwner(machine),
+		FetchGBPerS: machineType.FetchGBPerS,
+		Total:       jobs.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAM: machineType.RAMGB},
+	}
 }
 
-// rebuildMachineIndex indexes the machines as stored, and keeps the pictures of those
-// that are what they were; the lock is held.
-func (mi *machineIndex) rebuildMachineIndex() {
+// rebuild builds Fleet of the machines that are stored, and keeps those that are what
+// they were. The lock is held.
+func (mi *machineIndex) rebuild() {
 	if mi.Fleet != nil {
 		mi.Fleet.Rollback() // the machines that are kept hold what the last pass placed
 	}
 	kept := mi.machines
 	mi.machines = make(map[string]*indexedMachine, len(mi.Inventory.Machines))
-	list := make([]*placement.Machine, 0, len(mi.Inventory.Machines))
-	for host, rec := range mi.Inventory.Machines {
-		next, m := mi.placementMachine(host, rec), kept[host]
-		if m == nil || !sameMachine(m.Machine, next) {
-			m = &indexedMachine{Machine: next}
-			mi.MarkChanged(host)
+	machines := make([]*placement.Machine, 0, len(mi.Inventory.Machines))
+	for machine, record := range mi.Inventory.Machines {
+		next, indexed := mi.emptyMachine(machine, record), kept[machine]
+		if indexed == nil || !sameMachine(indexed.Machine, next) {
+			indexed = &indexedMachine{Machine: next}
+			mi.MarkChanged(machine)
 		}
-		mi.machines[host] = m
-		list = append(list, m.Machine)
+		mi.machines[machine] = indexed
+		machines = append(machines, indexed.Machine)
 	}
-	mi.Fleet = placement.NewFleet(list)
+	mi.Fleet = placement.NewFleet(machines)
 	mi.ordered = mi.ordered[:0]
 	for _, m := range mi.Fleet.Machines {
 		mi.ordered = append(mi.ordered, mi.machines[m.Name])
@@ -206,73 +226,91 @@
 	mi.Rebuild = false
 }
 
-// sameMachine reports whether two pictures are of the same machine in the same
-// place, leaving aside what is on it.
+// sameMachine reports whether a and b are the same machine in the same place, leaving
+// aside what runs on it.
 func sameMachine(a, b *placement.Machine) bool {
 	return a.Type == b.Type && a.Zone == b.Zone && a.Spot == b.Spot && a.Role == b.Role && a.Owner == b.Owner &&
 		a.FetchGBPerS == b.FetchGBPerS && a.Total == b.Total
 }
 
-// applyChangedMachines enters anew the machines that something has changed on, and
-// returns them; the lock is held.
+// applyChangedMachines applies the machines that something has changed on, and returns
+// those of them that are indexed. The lock is held.
 func (mi *machineIndex) applyChangedMachines() []*indexedMachine {
-	var entered []*indexedMachine
-	for host := range mi.Changed {
-		mi.sumClaims(host)
-		if m := mi.machines[host]; m != nil {
+	var applied []*indexedMachine
+	for machine := range mi.Changed {
+		mi.refreshClaimTotals(machine)
+		if m := mi.machines[machine]; m != nil {
 			mi.applyMachine(m)
-			entered = append(entered, m)
+			applied = append(applied, m)
 		}
 	}
 	clear(mi.Changed)
-	return entered
+	return applied
 }
 
-// applyMachine enters a machine's claims, and what its owner knows of it; the lock is
-// held.
+// applyMachine enters what its owner knows of a machine, and the claims on it. The
+// lock is held.
 func (mi *machineIndex) applyMachine(m *indexedMachine) {
 	m.inService = mi.Inventory.Machines[m.Name].Phase == inventory.Active
+	mi.applyOwnersView(m)
+	mi.applyClaims(m)
+	m.Snapshot()
+}
+
+// applyOwnersView enters what the owner of a machine knows of its worker. The lock is
+// held.
+func (mi *machineIndex) applyOwnersView(m *indexedMachine) {
 	m.worker, m.usableByOwner, m.Incarnation, m.Images = nil, false, 0, nil
 	if m.Owner == mi.Self.Label {
 		if m.worker = mi.workers.ByMachine[m.Name]; m.worker != nil {
 			m.Incarnation, m.Images = m.worker.Incarnation, m.worker.Images
 		}
-	} else if s := mi.peers.Siblings[m.Owner]; s != nil {
-		if h, ok := s.Machines[m.Name]; ok {
-			m.Incarnation, m.Images = h.Incarnation, h.Images
-			m.usableByOwner = h.TokenAcknowledged && !h.Silent && h.TerminationNotice < 0 && !h.Quarantined
-		}
+		return
+	}
+	sibling := mi.peers.Siblings[m.Owner]
+	if sibling == nil {
+		return
 	}
+	if status, known := sibling.Machines[m.Name]; known {
+		m.Incarnation, m.Images = status.Incarnation, status.Images
+		m.usableByOwner = status.TokenAcknowledged && !status.Silent && status.TerminationNotice < 0 && !status.Quarantined
+	}
+}
+
+// applyClaims enters the claims on a machine, and the resources that they leave. The
+// lock is held.
+func (mi *machineIndex) applyClaims(m *indexedMachine) {
 	m.Free, m.Freeing = m.Total.Sub(mi.Table.ResourcesByMachine[m.Name]), jobs.Resources{}
 	m.Tasks = m.Tasks[:0]
-	for id, j := range mi.Table.ClaimsByMachine[m.Name] {
-		stopping := j.Phase != jobs.Open || mi.workers.ByMachine[m.Name] != nil && mi.workers.ByMachine[m.Name].IsLeaving(id)
-		resident := placement.ClaimedTask{ID: id, Job: j, Stopping: stopping}
+	w := mi.workers.ByMachine[m.Name] // whoever owns the machine, unlike m.worker
+	for id, job := range mi.Table.ClaimsByMachine[m.Name] {
+		stopping := job.Phase != jobs.Open || w != nil && w.IsLeaving(id)
+		task := placement.ClaimedTask{ID: id, Job: job, Stopping: stopping}
 		if m.worker != nil {
-			resident.RunningSince = m.worker.RunningSince[id]
+			task.RunningSince = m.worker.RunningSince[id]
 		}
-		m.Tasks = append(m.Tasks, resident)
+		m.Tasks = append(m.Tasks, task)
 		if stopping {
-			m.Freeing = m.Freeing.Add(j.Need)
+			m.Freeing = m.Freeing.Add(job.Need)
 		}
 	}
-	m.Snapshot()
 }
 
-// ApplyTypes enters the machine types; without a record the known ones stay.
-func (mi *machineIndex) ApplyTypes(v wire.Raw) error {
-	if v == nil {
+// ApplyTypes enters the machine types; without a record the known ones stay. The lock
+// is held.
+func (mi *machineIndex) ApplyTypes(value wire.Raw) error {
+	if value == nil {
 		return nil
 	}
-	var r wire.MachineTypes
-	if err := wire.Unmarshal(v, &r); err != nil {
+	var record wire.MachineTypes
+	if err := wire.Unmarshal(value, &record); err != nil {
 		return err
 	}
-	mi.MachineTypeList = r.Types
+	mi.MachineTypeList = record.Types
 	mi.Rebuild = true
 	clear(mi.MachineTypes)
-	for _, t := range r.Types {
-		mi.MachineTypes[t.Label] = t
+	for _, machineType := range record.Types {
+		mi.MachineTypes[machineType.Label] = machineType
 	}
 	return nil
 }
