--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -1,35 +1,41 @@
-// This file divides the state service's budget of requests between the nodes.
+// This file divides the budget of requests to the key-value store between the
+// controllers.
 
 package fleet
 
-import (
-	"wheatspur/internal/tuning"
-)
+import "wheatspur/internal/tuning"
 
-// UpdateBudgetShare sets this node's part of the state service's budget: requests in
-// equal parts; of the changes one half in equal parts, two of them to the
-// leader, which also stores machines, roles and limits, and the other half by
-// what waits at each node, while every member tells it. Guards against most of
-// the budget lying idle at nodes that have little to store. The lock is held.
+// UpdateBudgetShare sets this controller's share of the store's budget. All members
+// have equal parts of the requests. Half of the writes is shared out in equal parts,
+// two of them to the leader, which also stores machines, roles and quota; the other
+// half by the writes that each member has queued, while all of them are known.
+// Guards against most of the budget lying idle at controllers that have little to
+// store. The lock is held.
 func (px *PeerExchange) UpdateBudgetShare() {
-	live := float64(max(1, len(px.Membership.Nodes)))
-	parts := 1 / (live + 1)
+	members := float64(max(1, len(px.Membership.Nodes)))
+	share := 1 / (members + 1)
 	if px.Membership.Leader == px.Self {
-		parts *= 2
+		share *= 2
 	}
-	allKnown, sum := true, px.QueuedWrites
-	for _, m := range px.Membership.Nodes {
-		if m == px.Self {
+	if total, known := px.totalQueuedWrites(); known && total >= 1 {
+		share = (share + px.QueuedWrites/total) / 2
+	}
+	px.Limiter.SetRate(px.Limits.RPS*tuning.BudgetShare/members, px.Limits.WriteRPS*tuning.BudgetShare*share)
+}
+
+// totalQueuedWrites adds up the queued writes of all members; known is false if the
+// status of one of them is not recent enough. The lock is held.
+func (px *PeerExchange) totalQueuedWrites() (total float64, known bool) {
+	total = px.QueuedWrites
+	for _, node := range px.Membership.Nodes {
+		if node == px.Self {
 			continue
 		}
-		s := px.Siblings[m.Label]
-		if allKnown = allKnown && s != nil && px.IsFresh(s) && s.Status.Incarnation == m.Incarnation; !allKnown {
-			break
+		status := px.statusOf(node)
+		if status == nil {
+			return 0, false
 		}
-		sum += float64(s.Status.QueuedChanges)
-	}
-	if allKnown && sum >= 1 {
-		parts = (parts + px.QueuedWrites/sum) / 2
+		total += float64(status.QueuedChanges)
 	}
-	px.Limiter.SetRate(px.Limits.RPS*tuning.BudgetShare/live, px.Limits.WriteRPS*tuning.BudgetShare*parts)
+	return total, true
 }
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -1,4 +1,4 @@
-// This file carries out what package recovery decides: how far this node is in
+// This file carries out what package recovery decides: how far this controller is in
 // knowing its machines, and which starts may go now.
 
 package fleet
@@ -15,15 +15,15 @@
 	"wheatspur/internal/worker"
 )
 
-// recoveryTracker follows how far this controller is in knowing its machines
-// after a start, and paces its starts meanwhile.
+// recoveryTracker follows how far this controller is in knowing its machines after a
+// start, and paces the starts of tasks meanwhile.
 type recoveryTracker struct {
 	*cluster.State
 	workers *WorkerManager
 	peers   *PeerExchange
 
 	Progress *recovery.Progress
-	pacer    *recovery.Pacer // of starts while this controller recovers
+	pacer    *recovery.Pacer // of the starts of tasks until recovery is over
 }
 
 func newRecoveryTracker(state *cluster.State) *recoveryTracker {
@@ -34,92 +34,109 @@
 	}
 }
 
-// AdvanceRecovery takes the node's recovery a step on. It looks at all of the node's
-// machines, and only until recovery is over; the lock is held.
+// AdvanceRecovery takes this controller's recovery a step further. It looks at all of
+// the controller's machines, and only until recovery is over. The lock is held.
 func (rt *recoveryTracker) AdvanceRecovery(now time.Time) {
-	r := rt.Progress
-	if r.Done() {
+	progress := rt.Progress
+	if progress.Done() {
 		return
 	}
 	if !rt.IsMember() {
-		rt.recoveryEvent(recovery.Lost, now)
+		rt.applyEvent(recovery.Lost, now)
 		return
 	}
-	rt.recoveryEvent(recovery.Loaded, now)
-	machines, left := rt.countMachines(now)
-	r.RecordCounts(machines, len(rt.Table.Open), left, now)
-	rt.pacer.SetBacklog(r.PendingStarts)
-	if r.Machines.Accounted() {
-		rt.recoveryEvent(recovery.Accounted, now)
+	rt.applyEvent(recovery.Loaded, now)
+	machines, backlog := rt.countMachines(now)
+	progress.RecordCounts(machines, len(rt.Table.Open), backlog, now)
+	rt.pacer.SetBacklog(progress.PendingStarts)
+	if progress.Machines.Accounted() {
+		rt.applyEvent(recovery.Accounted, now)
 	}
-	// Starts that can't be sent for a lease are none that a rate would help.
-	late := r.Phase == recovery.CatchingUp && now.Sub(r.Since) > rt.Settings.WorkerLease()
-	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietHeartbeats*float64(rt.Settings.HeartbeatInterval()))) {
-		rt.recoveryEvent(recovery.CaughtUp, now)
+	if rt.caughtUp(now) {
+		rt.applyEvent(recovery.CaughtUp, now)
 	}
 }
 
-// recoveryEvent enters an event and logs what it changes; the lock is held.
-func (rt *recoveryTracker) recoveryEvent(e recovery.Event, now time.Time) {
+// caughtUp reports whether the starts that recovery waits for are over: none has been
+// due for a while, or they can't be sent for as long as a lease, so that no rate of
+// starts would help them. The lock is held.
+func (rt *recoveryTracker) caughtUp(now time.Time) bool {
+	overdue := rt.Progress.Phase == recovery.CatchingUp && now.Sub(rt.Progress.Since) > rt.Settings.WorkerLease()
+	return overdue || rt.Progress.Quiet(now, rt.heartbeats(tuning.RecoveryQuietHeartbeats))
+}
+
+// heartbeats is how long that many heartbeat intervals are.
+func (rt *recoveryTracker) heartbeats(intervals float64) time.Duration {
+	return time.Duration(intervals * float64(rt.Settings.HeartbeatInterval()))
+}
+
+// applyEvent enters an event of the recovery, and logs a change of its phase. The lock
+// is held.
+func (rt *recoveryTracker) applyEvent(event recovery.Event, now time.Time) {
 	before, since := rt.Progress.Phase, rt.Progress.Since
-	if rt.Progress.Apply(e, now) {
+	if rt.Progress.Apply(event, now) {
 		rt.Log.Info(logging.EventRecoveryPhaseChanged, logging.KeyPhase, string(rt.Progress.Phase), logging.KeyPrevious, string(before), logging.KeyDuration, now.Sub(since).Round(time.Millisecond),
 			logging.KeyMachines, len(rt.Inventory.Machines), logging.KeyMissing, rt.Progress.Machines[recovery.Missing], logging.KeyStartsLeft, rt.Progress.PendingStarts.Total())
 	}
 }
 
-// countMachines counts this node's machines by what is known of them, and the
-// starts that are due on those that have been heard; the lock is held.
-func (rt *recoveryTracker) countMachines(now time.Time) (count recovery.Count, left recovery.Backlog) {
+// countMachines counts this controller's machines by what is known of them, and the
+// starts that are due on those that were heard. The lock is held.
+func (rt *recoveryTracker) countMachines(now time.Time) (count recovery.Count, backlog recovery.Backlog) {
 	count = recovery.Count{}
 	waited := now.Sub(rt.Progress.Began)
-	patience := time.Duration(tuning.RecoveryHeartbeats * float64(rt.Settings.HeartbeatInterval()))
-	for host, rec := range rt.Inventory.Machines {
-		if rec.Phase == inventory.Terminated || rt.ShardOwner(host) != rt.Self.Label {
+	patience := rt.heartbeats(tuning.RecoveryHeartbeats)
+	for machine, record := range rt.Inventory.Machines {
+		if record.Phase == inventory.Terminated || rt.ShardOwner(machine) != rt.Self.Label {
 			continue
 		}
-		w := rt.workers.ByMachine[host]
+		w := rt.workers.ByMachine[machine]
 		heard := w != nil && !w.LastHeard.IsZero()
-		state := recovery.StateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, patience)
-		count[state]++
-		if !heard {
-			continue
+		count[recovery.StateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, patience)]++
+		if heard {
+			rt.countDueStarts(w, machine, &backlog)
 		}
-		for id, j := range rt.Table.ClaimsByMachine[host] {
-			t := j.Claims[id.Task]
-			if s, on := w.Tasks[id]; j.Phase == jobs.Open && t.Incarnation == w.Incarnation && (!on || s.Attempt < t.Attempt) {
-				left[startClass(j)]++
-			}
+	}
+	return count, backlog
+}
+
+// countDueStarts adds the starts that are due on a machine to the backlog. The lock is
+// held.
+func (rt *recoveryTracker) countDueStarts(w *worker.Worker, machine string, backlog *recovery.Backlog) {
+	for id, job := range rt.Table.ClaimsByMachine[machine] {
+		claim := job.Claims[id.Task]
+		if status, listed := w.Tasks[id]; job.Phase == jobs.Open && claim.Incarnation == w.Incarnation && (!listed || status.Attempt < claim.Attempt) {
+			backlog[startClass(job)]++
 		}
 	}
-	return count, left
 }
 
-// startClass orders the start of a job's tasks among others.
-func startClass(j *jobs.Job) recovery.Class {
-	if j.Service() {
+// startClass is the class in which the starts of a job's tasks are paced.
+func startClass(job *jobs.Job) recovery.Class {
+	if job.Service() {
 		return recovery.ServiceStart
 	}
 	return recovery.ArrayStart
 }
 
-// admitStart takes a start from this node's rate of starts while it recovers, if
-// operators have set one; the lock is held.
-func (rt *recoveryTracker) admitStart(j *jobs.Job) bool {
-	class := startClass(j)
+// admitStart takes a start from this controller's rate of starts until its recovery is
+// over, if operators have set one; false says that the start has to wait. The lock is
+// held.
+func (rt *recoveryTracker) admitStart(job *jobs.Job) bool {
+	class := startClass(job)
 	switch {
 	case rt.Progress.Done():
 		return true
 	case rt.Progress.Phase == recovery.Loading && class != recovery.ServiceStart && rt.Settings.Operator.RecoveryStarts > 0:
-		return false // what is more urgent has not been counted yet
+		return false // the starts that are more urgent have not been counted yet
 	}
 	return rt.pacer.Admit(class, rt.Now())
 }
 
-// MachinesUnknown reports whether decisions that need a whole picture of the machines have
-// to wait: this node, or another member, does not know its machines yet. Guards
-// against work that is stopped, moved or rented for because free machines have
-// not reported yet. The lock is held.
+// MachinesUnknown reports whether decisions that need to know all machines have to
+// wait, since this controller or another member does not know its own yet. Guards
+// against work that is preempted or moved, and machines that are scaled out, only
+// because free machines have not sent a heartbeat yet. The lock is held.
 func (rt *recoveryTracker) MachinesUnknown() bool {
 	if !rt.Settings.Operator.RecoveryHold {
 		return false
@@ -127,8 +144,8 @@
 	if rt.Membership == nil || rt.Progress.MachinesUnknown() {
 		return true
 	}
-	for _, m := range rt.Membership.Nodes {
-		if s := rt.peers.Siblings[m.Label]; s != nil && rt.peers.IsFresh(s) && s.Status.Incarnation == m.Incarnation && s.Status.Recovering {
+	for _, node := range rt.Membership.Nodes {
+		if status := rt.peers.statusOf(node); status != nil && status.Recovering {
 			return true
 		}
 	}
