--- a/internal/election/membershipwrite.go
+++ b/internal/election/membershipwrite.go
@@ -1,22 +1,20 @@
 package election
 
 import (
-	"time"
-
 	"wheatspur/internal/membership"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
 
-// membershipWrite is a guarded write of one of the keys that make up the membership.
+// membershipWrite is a compare-and-swap of one of the keys that make up the membership.
 type membershipWrite struct {
 	compares     []wire.Compare
 	operation    wire.Operation
-	reachability bool // it is about whether this node reaches its workers
+	reachability bool // it stores whether workers reach this controller
 }
 
-// nextMembershipWrite chooses what this node should write about the membership now,
-// nil for nothing; the lock is held.
+// nextMembershipWrite chooses what this controller has to write about the membership
+// now, nil for nothing. The lock is held.
 func (el *Election) nextMembershipWrite() *membershipWrite {
 	if el.Session == membership.NoLease {
 		return nil
@@ -37,7 +35,10 @@
 	})
 	switch {
 	case unreachable != el.Unreachable[el.Self.Label]:
-		return el.reachabilityWrite(unreachable, now)
+		if unreachable {
+			el.chooseProbes(now)
+		}
+		return el.reachabilityWrite(unreachable)
 	case action.BecomeLeader:
 		return el.leaderWrite()
 	case action.WriteMembership != nil:
@@ -46,12 +47,12 @@
 	return nil
 }
 
-// reconcileSession brings the session's state in line with the key that is
-// stored; the lock is held.
+// reconcileSession brings the session's state in line with the key that is stored. The
+// lock is held.
 func (el *Election) reconcileSession() {
 	stored := el.Sessions[el.Self.Label] == el.Self
 	if el.Session == membership.Registered && !stored {
-		// Guards against a late write of a former process of this node.
+		// Guards against a late write of a former process of this controller.
 		el.Session = membership.Leased
 	}
 	if el.Session == membership.Leased && stored {
@@ -59,7 +60,7 @@
 	}
 }
 
-// sessionWrite stores this node's session key; the lock is held.
+// sessionWrite stores this controller's session. The lock is held.
 func (el *Election) sessionWrite() *membershipWrite {
 	key := membership.SessionKey(el.Self.Label)
 	session := membership.Session{Node: el.Self, Format: membership.CurrentFormat, ProgramVersion: tuning.Version}
@@ -69,23 +70,21 @@
 	}
 }
 
-// reachabilityWrite stores whether this node reaches its workers, and chooses
-// those to ask when it does not; the lock is held.
-func (el *Election) reachabilityWrite(unreachable bool, now time.Time) *membershipWrite {
+// reachabilityWrite stores whether workers reach this controller. The lock is held.
+func (el *Election) reachabilityWrite(unreachable bool) *membershipWrite {
 	key := membership.UnreachableKey(el.Self.Label)
-	change := wire.Operation{Delete: key}
+	operation := wire.Operation{Delete: key}
 	if unreachable {
-		change = wire.Operation{Put: key, Value: wire.MustMarshal(el.Self), LeaseID: el.Self.Incarnation}
-		el.chooseProbes(now)
+		operation = wire.Operation{Put: key, Value: wire.MustMarshal(el.Self), LeaseID: el.Self.Incarnation}
 	}
 	return &membershipWrite{
 		compares:     []wire.Compare{el.Cache.Compare(membership.SessionKey(el.Self.Label))},
-		operation:    change,
+		operation:    operation,
 		reachability: true,
 	}
 }
 
-// leaderWrite takes the lead; the lock is held.
+// leaderWrite takes the leadership. The lock is held.
 func (el *Election) leaderWrite() *membershipWrite {
 	return &membershipWrite{
 		compares:  []wire.Compare{el.Cache.Compare(membership.LeaderKey), el.Cache.Compare(membership.SessionKey(el.Self.Label))},
@@ -93,7 +92,7 @@
 	}
 }
 
-// membershipRecordWrite stores the next membership; the lock is held.
+// membershipRecordWrite stores the next membership. The lock is held.
 func (el *Election) membershipRecordWrite(next *membership.Record) *membershipWrite {
 	return &membershipWrite{
 		compares:  []wire.Compare{el.Cache.Compare(membership.LeaderKey), el.Cache.Compare(membership.Key)},
--- a/internal/election/reachability.go
+++ b/internal/election/reachability.go
@@ -10,41 +10,50 @@
 	"wheatspur/internal/tuning"
 )
 
-// reachability sums up whether this node hears its workers; the lock is held.
+// reachability sums up whether workers reach this controller. The lock is held.
 func (el *Election) reachability(now time.Time) membership.Reachability {
-	e := membership.Reachability{Unreachable: el.Unreachable[el.Self.Label]}
-	if el.Membership == nil || !el.IsMember() {
-		return e
+	summary := membership.Reachability{Unreachable: el.Unreachable[el.Self.Label]}
+	switch {
+	case !el.IsMember():
+		// It owns no machines that could reach it.
+	case summary.Unreachable:
+		summary.Answered = el.probeAnswered(now)
+	default:
+		summary.Heard, summary.Silent = el.countHeard(now)
+		summary.SiblingsReachable = el.Peers.SiblingHearsWorkers()
 	}
-	if e.Unreachable {
-		if now.Sub(el.unreachableSince) > tuning.UnreachableMin {
-			e.Answered = len(el.probes) == 0 || el.probeAnsweredAt.After(el.unreachableSince)
-		}
-		return e
+	return summary
+}
+
+// probeAnswered reports whether this controller may own machines again: a worker has
+// answered a probe, or there is none to ask. Not for a while, so that a network that
+// comes and goes does not move machines to and fro. The lock is held.
+func (el *Election) probeAnswered(now time.Time) bool {
+	if now.Sub(el.unreachableSince) <= tuning.UnreachableMin {
+		return false
 	}
-	e.Heard, e.Silent = el.countHeard(now)
-	e.SiblingsReachable = el.Peers.SiblingHearsWorkers()
-	return e
+	return len(el.probes) == 0 || el.probeAnsweredAt.After(el.unreachableSince)
 }
 
-// countHeard counts this node's machines that are heard, and those with tasks that
-// are silent though they had time to report under this membership; the lock is held.
+// countHeard counts this controller's machines that are heard, and those with tasks
+// that are silent though they had time for a heartbeat under this membership. The lock
+// is held.
 func (el *Election) countHeard(now time.Time) (heard, silent int) {
 	silentAfter := el.SilenceTimeout()
-	for host, w := range el.Workers.ByMachine {
-		if el.ShardOwner(host) != el.Self.Label || w.LastHeard.IsZero() {
+	for machine, w := range el.Workers.ByMachine {
+		if el.ShardOwner(machine) != el.Self.Label || w.LastHeard.IsZero() {
 			continue
 		}
 		if now.Sub(w.LastHeard) < silentAfter {
 			heard++
-		} else if len(el.Table.ClaimsByMachine[host]) > 0 && now.Sub(el.MembershipChangedAt) > silentAfter {
+		} else if len(el.Table.ClaimsByMachine[machine]) > 0 && now.Sub(el.MembershipChangedAt) > silentAfter {
 			silent++
 		}
 	}
 	return heard, silent
 }
 
-// chooseProbes remembers workers to ask until one answers; the lock is held.
+// chooseProbes chooses workers to ask until one answers. The lock is held.
 func (el *Election) chooseProbes(now time.Time) {
 	el.probes, el.unreachableSince, el.probeAnsweredAt = nil, now, time.Time{}
 	for _, w := range el.Workers.ByMachine {
@@ -54,26 +63,36 @@
 	}
 }
 
-// RunProbes asks workers, while this node is unreachable, whether they reach it again.
+// RunProbes asks workers, while it is stored that none reaches this controller, whether
+// they answer again, until ctx ends. It takes the lock.
 func (el *Election) RunProbes(ctx context.Context) error {
 	for ctx.Err() == nil {
 		timing.Sleep(ctx, el.Settings.HeartbeatInterval())
-		el.Lock()
-		var ask []string
-		if el.Unreachable[el.Self.Label] {
-			ask = el.probes
-		}
-		el.Unlock()
-		for _, address := range ask {
-			if el.Workers.Client.Probe(address) != nil {
-				continue
+		for _, address := range el.activeProbes() {
+			if el.Workers.Client.Probe(address) == nil {
+				el.recordProbeAnswer()
+				break
 			}
-			el.Lock()
-			el.probeAnsweredAt = el.Now()
-			el.Unlock()
-			cluster.Wake(el.MembershipWake)
-			break
 		}
 	}
 	return nil
 }
+
+// activeProbes returns the addresses of the workers to ask, none while workers reach
+// this controller. It takes the lock.
+func (el *Election) activeProbes() []string {
+	el.Lock()
+	defer el.Unlock()
+	if !el.Unreachable[el.Self.Label] {
+		return nil
+	}
+	return el.probes
+}
+
+// recordProbeAnswer notes that a worker has answered a probe. It takes the lock.
+func (el *Election) recordProbeAnswer() {
+	el.Lock()
+	defer el.Unlock()
+	el.probeAnsweredAt = el.Now()
+	cluster.Wake(el.MembershipWake)
+}
--- a/internal/election/session.go
+++ b/internal/election/session.go
@@ -13,39 +13,56 @@
 	"wheatspur/internal/tuning"
 )
 
-// RunSession keeps this node's lease in the state service, and does nothing
-// else: a write of the membership that waits, or a busy processor, must not cost
-// the session.
+// leastRenewPause keeps renewals that are overdue from following each other without
+// any pause.
+const leastRenewPause = time.Millisecond
+
+// RunSession keeps this controller's lease of the store until ctx ends or the
+// controller drains, and does nothing else: a write of the membership that waits, or a
+// busy processor, must not cost the session.
 func (el *Election) RunSession(ctx context.Context) error {
-	var due time.Time // of the next renewal
+	var renewalDue time.Time
 	for ctx.Err() == nil {
 		el.RecordProgress(cluster.SessionLoop)
-		el.Lock()
-		state, leaseID := el.Session, el.Self.Incarnation
-		el.Unlock()
-		if state == membership.NoLease {
-			if el.Draining() {
-				return nil // ended for good
-			}
-			el.OpenSession(ctx)
-			due = el.Now().Add(tuning.SessionRenewEvery)
+		state, leaseID := el.currentSession()
+		if state != membership.NoLease {
+			timing.Sleep(ctx, max(renewalDue.Sub(el.Now()), leastRenewPause))
+			renewalDue = el.renewSession(ctx, leaseID)
 			continue
 		}
-		timing.Sleep(ctx, max(due.Sub(el.Now()), time.Millisecond))
-		due = el.Now().Add(tuning.SessionRenewEvery)
-		if err := el.Store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrLeaseExpired) {
-			el.EndSession(leaseID)
-		} else if err != nil {
-			el.Log.Debug(logging.EventSessionRenewalFailed, logging.KeyError, err)
-			due = el.Now().Add(tuning.RetryPause)
+		if el.Draining() {
+			return nil // the session was ended for good
 		}
+		el.OpenSession(ctx)
+		renewalDue = el.Now().Add(tuning.SessionRenewEvery)
 	}
 	return nil
 }
 
-// OpenSession asks for a lease, once.
+// currentSession returns the state of this controller's session and its lease. It
+// takes the lock.
+func (el *Election) currentSession() (state membership.SessionState, leaseID uint64) {
+	el.Lock()
+	defer el.Unlock()
+	return el.Session, el.Self.Incarnation
+}
+
+// renewSession renews the lease once, and returns when the next renewal is due. It
+// takes the lock.
+func (el *Election) renewSession(ctx context.Context, leaseID uint64) (due time.Time) {
+	due = el.Now().Add(tuning.SessionRenewEvery)
+	if err := el.Store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrLeaseExpired) {
+		el.EndSession(leaseID)
+	} else if err != nil {
+		el.Log.Debug(logging.EventSessionRenewalFailed, logging.KeyError, err)
+		due = el.Now().Add(tuning.RetryPause)
+	}
+	return due
+}
+
+// OpenSession asks for a lease once, and pauses if none is granted. It takes the lock.
 func (el *Election) OpenSession(ctx context.Context) {
-	id, err := el.Store.GrantLease(ctx, tuning.SessionTTL)
+	leaseID, err := el.Store.GrantLease(ctx, tuning.SessionTTL)
 	if err != nil {
 		el.Log.Info(logging.EventLeaseNotGranted, logging.KeyError, err)
 		timing.Sleep(ctx, tuning.RetryPause)
@@ -53,12 +70,13 @@
 	}
 	el.Lock()
 	defer el.Unlock()
-	el.Self.Incarnation = id
+	el.Self.Incarnation = leaseID
 	el.Session = el.Session.Next(membership.LeaseGranted)
 	cluster.Wake(el.MembershipWake)
 }
 
-// EndSession notes that a lease has ended, unless another has been got since.
+// EndSession notes that a lease has expired, unless another has been granted since. It
+// takes the lock.
 func (el *Election) EndSession(leaseID uint64) {
 	el.Lock()
 	defer el.Unlock()
