--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	api.ApplyWrite(operations, revision)
+	api.ApplyOwnWrite(operations, revision)
 	api.Log.Debug(logging.EventJobCancelled, logging.KeyJob, jobID)
 	return nil
 }
--- a/internal/api/groupcommit.go
+++ b/internal/api/groupcommit.go
@@ -38,10 +38,6 @@
 // be by itself.
 var ErrStoreAlone = errors.New("not stored with the others")
 
-// comparesPerOperation is how many compares a transaction may have for each of the
-// operations that the store's limit allows.
-const comparesPerOperation = 4
-
 // RunIntake stores submissions. Those that come while the budget of writes is
 // short go together in one: hundreds of jobs at once, when a fleet starts or a
 // store is back, took half a minute one by one.
@@ -107,7 +103,7 @@
 // groupLimit is how many submissions one write may store: each takes a compare, and
 // the intake record one more.
 func (api *UserAPI) groupLimit() int {
-	return min(tuning.IntakeGroup, comparesPerOperation*api.Limits.TxnOps-1)
+	return min(tuning.IntakeGroup, tuning.ComparesPerOperation*api.Limits.TxnOps-1)
 }
 
 // storeOne stores a job's own record.
@@ -170,6 +166,6 @@
 	if err != nil {
 		return err
 	}
-	api.ApplyWrite(operations, revision)
+	api.ApplyOwnWrite(operations, revision)
 	return nil
 }
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -9,17 +9,17 @@
 	"wheatspur/internal/store"
 )
 
-// metrics holds the registry, and the counters that are kept as things happen: all
+// Metrics holds the registry, and the counters that are kept as things happen: all
 // other metrics are read from the state when they are gathered. It has locks of its
 // own, so that its methods need none.
-type metrics struct {
+type Metrics struct {
 	Registry *prometheus.Registry
 	answers  *prometheus.CounterVec // by request and status
 	writes   *prometheus.CounterVec // by kind and outcome
 }
 
-func newMetrics() *metrics {
-	m := &metrics{
+func newMetrics() *Metrics {
+	m := &Metrics{
 		Registry: prometheus.NewRegistry(),
 		answers: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "wheatspur_answers_total",
@@ -35,12 +35,12 @@
 }
 
 // CountAnswer counts an answer to a kind of request.
-func (m *metrics) CountAnswer(request string, status int) {
+func (m *Metrics) CountAnswer(request string, status int) {
 	m.answers.WithLabelValues(request, strconv.Itoa(status)).Inc()
 }
 
 // CountWrite counts a compare-and-swap of a kind by its outcome.
-func (m *metrics) CountWrite(kind string, err error) {
+func (m *Metrics) CountWrite(kind string, err error) {
 	outcome := "stored"
 	switch {
 	case errors.Is(err, store.ErrConflict):
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -9,9 +9,9 @@
 	"wheatspur/wire"
 )
 
-// TypesKey is the key of the machine types. They are stored so that every controller
+// MachineTypesKey is the key of the machine types. They are stored so that every controller
 // knows them, also while the cloud is out.
-const TypesKey = jobs.Root + "types"
+const MachineTypesKey = jobs.Root + "types"
 
 // ApplyJob enters a job's record, and its version if it is the last cancellation: a
 // record that can't be read may be one. The lock is held.
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -66,9 +66,6 @@
 	MembershipWake chan struct{} // wakes the election
 }
 
-// bytesPerKB converts the store's limits.
-const bytesPerKB = 1024
-
 // Environment is what a controller is given when it is built. Nothing in it is
 // replaced while the controller runs, so that the lock is not needed for it.
 type Environment struct {
@@ -78,7 +75,7 @@
 	Now      func() time.Time
 	Store    store.KeyValueStore
 	Limiter  *store.Limiter // bounds the requests to the store
-	Metrics  *metrics
+	Metrics  *Metrics
 }
 
 // NewEnvironment returns an environment, with the store's limits from the settings
@@ -169,12 +166,12 @@
 // MaxGroupBytes is how many bytes of JSON a group of machine records may hold. The
 // lock is not needed.
 func (cs *State) MaxGroupBytes() int {
-	return int(cs.Limits.ValueKB * bytesPerKB * tuning.GroupFillShare)
+	return int(cs.Limits.ValueKB * tuning.BytesPerKB * tuning.GroupFillShare)
 }
 
-// GroupKeyOf returns the key that holds a machine's record, "" if it has none. It
+// MachineGroupKey returns the key that holds a machine's record, "" if it has none. It
 // takes the lock.
-func (cs *State) GroupKeyOf(machine string) string {
+func (cs *State) MachineGroupKey(machine string) string {
 	cs.Lock()
 	defer cs.Unlock()
 	return cs.Inventory.KeyOf(machine)
--- a/internal/cluster/writes.go
+++ b/internal/cluster/writes.go
@@ -24,13 +24,13 @@
 		}
 		return err
 	}
-	cs.ApplyWrite(operations, revision)
+	cs.ApplyOwnWrite(operations, revision)
 	return nil
 }
 
-// ApplyWrite enters a compare-and-swap of this controller that was stored at a
+// ApplyOwnWrite enters a compare-and-swap of this controller that was stored at a
 // revision, before the watch brings it. It takes the lock.
-func (cs *State) ApplyWrite(operations []wire.Operation, revision uint64) {
+func (cs *State) ApplyOwnWrite(operations []wire.Operation, revision uint64) {
 	cs.Lock()
 	defer cs.Unlock()
 	cs.Cache.ApplyOwnWrite(operations, revision)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/tuning"
 )
 
 // check returns the first fault, with the field's name.
@@ -146,9 +147,6 @@
 	}
 }
 
-// bytesPerKB is a kilobyte of the key-value store's value limit.
-const bytesPerKB = 1024
-
 // checkValueSize checks that a value of the key-value store holds what must stand in
 // one. Under a smaller limit that comes later, chunk records of running jobs must
 // still be writable.
@@ -157,12 +155,12 @@
 	field := "params.state.value_kb"
 	if least < present {
 		field = "params.state.next.value_kb"
-		if need := jobs.MinValueBytes(present); float64(need) > least*bytesPerKB {
+		if need := jobs.MinValueBytes(present); float64(need) > least*tuning.BytesPerKB {
 			return fmt.Errorf("%s: %v does not hold the chunk records that were written under params.state.value_kb (%d bytes)", field, least, need)
 		}
 	}
 	controllers := len(s.Siblings) + 1
-	if need := s.controllersRecordBytes(); float64(need) > least*bytesPerKB {
+	if need := s.controllersRecordBytes(); float64(need) > least*tuning.BytesPerKB {
 		return fmt.Errorf("%s: %v is too small for a record that names %d nodes (%d bytes)", field, least, controllers, need)
 	}
 	return nil
--- a/internal/controller/recorddispatch.go
+++ b/internal/controller/recorddispatch.go
@@ -44,8 +44,8 @@
 		return c.ApplyLeader(value)
 	case key == membership.Key:
 		return c.applyMembership(value)
-	case key == cluster.TypesKey:
-		return c.MachineIndex.ApplyTypes(value)
+	case key == cluster.MachineTypesKey:
+		return c.MachineIndex.ApplyMachineTypes(value)
 	}
 	return nil
 }
--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -35,7 +35,7 @@
 		if status == nil {
 			return 0, false
 		}
-		total += float64(status.QueuedChanges)
+		total += float64(status.QueuedWrites)
 	}
 	return total, true
 }
--- a/internal/fleet/claimtotals.go
+++ b/internal/fleet/claimtotals.go
@@ -10,7 +10,7 @@
 
 // ClaimedByNode is what the claims take by owner of their machines and by team. The
 // lock is held, and the result is valid for as long.
-func (mi *machineIndex) ClaimedByNode() quota.ClaimedByNode {
+func (mi *MachineIndex) ClaimedByNode() quota.ClaimedByNode {
 	for machine := range mi.Changed {
 		mi.refreshClaimTotals(machine)
 	}
@@ -19,7 +19,7 @@
 
 // refreshClaimTotals brings what a machine adds to claimedTotals up to date. The lock
 // is held.
-func (mi *machineIndex) refreshClaimTotals(machine string) {
+func (mi *MachineIndex) refreshClaimTotals(machine string) {
 	mi.subtractClaims(machine)
 	if claimed := mi.Table.ClaimsByMachine[machine]; len(claimed) > 0 {
 		claims := machineClaims{owner: mi.ShardOwner(machine), teams: map[string]quota.Amount{}}
@@ -32,7 +32,7 @@
 
 // subtractClaims takes what stands for a machine out of claimedTotals. The lock is
 // held.
-func (mi *machineIndex) subtractClaims(machine string) {
+func (mi *MachineIndex) subtractClaims(machine string) {
 	claims, ok := mi.claims[machine]
 	if !ok {
 		return
@@ -45,7 +45,7 @@
 }
 
 // addClaims adds what is claimed on a machine to claimedTotals. The lock is held.
-func (mi *machineIndex) addClaims(machine string, claims machineClaims) {
+func (mi *MachineIndex) addClaims(machine string, claims machineClaims) {
 	mi.claims[machine] = claims
 	totals := mi.claimedTotals[claims.owner]
 	if totals == nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,8 +12,8 @@
 type Fleet struct {
 	Workers      *WorkerManager
 	Peers        *PeerExchange
-	MachineIndex *machineIndex
-	Recovery     *recoveryTracker
+	MachineIndex *MachineIndex
+	Recovery     *RecoveryTracker
 }
 
 // New builds the components and connects them.
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -46,7 +46,7 @@
 	if status, body := wm.refuseMachine(heartbeat, storeAge, now); status != 0 {
 		return status, body
 	}
-	w := wm.Worker(heartbeat.Machine)
+	w := wm.EnsureWorker(heartbeat.Machine)
 	if reason := refuseIncarnation(w, heartbeat); reason != "" {
 		return fasthttp.StatusServiceUnavailable, wire.ErrorResponse{Error: reason}
 	}
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -13,11 +13,11 @@
 	"wheatspur/wire"
 )
 
-// machineIndex is the view of all machines that scheduling passes, capacity plans and
+// MachineIndex is the view of all machines that scheduling passes, capacity plans and
 // role decisions start from, and the sums of the claims on them. It is kept from one
 // to the next: only the machines that something has changed on are applied again.
 // With thousands of machines, applying all of them took most of a pass.
-type machineIndex struct {
+type MachineIndex struct {
 	*cluster.State
 	workers *WorkerManager
 	peers   *PeerExchange
@@ -47,15 +47,15 @@
 	usableByOwner bool           // another controller's machine, which lets it take tasks
 }
 
-func newMachineIndex(state *cluster.State) *machineIndex {
-	mi := &machineIndex{State: state}
+func newMachineIndex(state *cluster.State) *MachineIndex {
+	mi := &MachineIndex{State: state}
 	mi.clear()
 	return mi
 }
 
 // clear empties the index.
-func (mi *machineIndex) clear() {
-	*mi = machineIndex{
+func (mi *MachineIndex) clear() {
+	*mi = MachineIndex{
 		State:          mi.State,
 		workers:        mi.workers,
 		peers:          mi.peers,
@@ -72,7 +72,7 @@
 
 // Reset empties the index and marks everything as changed, since the machines have
 // other owners. The lock is held.
-func (mi *machineIndex) Reset() {
+func (mi *MachineIndex) Reset() {
 	mi.clear()
 	for machine := range mi.Table.ClaimsByMachine {
 		mi.MarkChanged(machine)
@@ -84,11 +84,11 @@
 
 // MarkRecordChanged notes that the stored record of a machine has changed. The lock is
 // held.
-func (mi *machineIndex) MarkRecordChanged(machine string) { mi.changedRecords[machine] = true }
+func (mi *MachineIndex) MarkRecordChanged(machine string) { mi.changedRecords[machine] = true }
 
 // MarkChanged notes that the claims on a machine have changed, or what is known of its
 // worker. The lock is held.
-func (mi *machineIndex) MarkChanged(machine string) {
+func (mi *MachineIndex) MarkChanged(machine string) {
 	mi.Changed[machine], mi.due[machine], mi.unpublished[machine] = true, true, true
 }
 
@@ -105,7 +105,7 @@
 // WorkersToScan returns the workers that a pass looks at: those that something has
 // changed for or is due for, and every so often all, for what follows from time alone,
 // such as lease expiry. The lock is held.
-func (mi *machineIndex) WorkersToScan(now time.Time) (workers map[string]*worker.Worker, all bool) {
+func (mi *MachineIndex) WorkersToScan(now time.Time) (workers map[string]*worker.Worker, all bool) {
 	if sweepDue(&mi.fullScanAt, now) {
 		return mi.workers.ByMachine, true
 	}
@@ -114,7 +114,7 @@
 
 // RemoveQuiescent takes the machines that nothing is due for out of those that the
 // next pass looks at. The lock is held.
-func (mi *machineIndex) RemoveQuiescent() {
+func (mi *MachineIndex) RemoveQuiescent() {
 	for machine := range mi.due {
 		if w := mi.workers.ByMachine[machine]; w == nil || w.Quiescent() {
 			delete(mi.due, machine)
@@ -125,7 +125,7 @@
 // RefreshMachines brings the view of the machines up to date and returns it, without
 // what a former pass has placed. The lock is held, and the result is valid for as
 // long.
-func (mi *machineIndex) RefreshMachines(now time.Time) *placement.Fleet {
+func (mi *MachineIndex) RefreshMachines(now time.Time) *placement.Fleet {
 	mi.ApplyRecordChanges()
 	if mi.Fleet == nil || mi.Rebuild {
 		mi.rebuild()
@@ -140,7 +140,7 @@
 }
 
 // updateSchedulable determines which of the machines take new tasks. The lock is held.
-func (mi *machineIndex) updateSchedulable(machines []*indexedMachine, now time.Time) {
+func (mi *MachineIndex) updateSchedulable(machines []*indexedMachine, now time.Time) {
 	current := map[string]bool{} // owners whose view of their machines holds for this membership
 	for label, sibling := range mi.peers.Siblings {
 		current[label] = mi.peers.IsFresh(sibling) && sibling.MachinesVersion.FencingToken == mi.Membership.FencingToken
@@ -160,14 +160,14 @@
 // late copy of a heartbeat of a machine that is gone. And only one whose heartbeats
 // come: one that answers calls and can't send heartbeats ends when its lease expires.
 // The lock is held.
-func (mi *machineIndex) isSchedulable(w *worker.Worker, now time.Time, silent time.Duration) bool {
+func (mi *MachineIndex) isSchedulable(w *worker.Worker, now time.Time, silent time.Duration) bool {
 	return w != nil && w.State == worker.TokenAcknowledged && now.Sub(w.LastHeard) < silent && now.Sub(w.LeaseRenewedAt()) < silent &&
 		w.TerminationAt.IsZero() && !mi.workers.isQuarantined(w, now)
 }
 
 // ApplyRecordChanges looks at the machine records that have changed: most of them only
 // in their phase, for which the index need not be rebuilt. The lock is held.
-func (mi *machineIndex) ApplyRecordChanges() {
+func (mi *MachineIndex) ApplyRecordChanges() {
 	for machine := range mi.changedRecords {
 		record, stored := mi.Inventory.Machines[machine]
 		indexed := mi.machines[machine]
@@ -186,7 +186,7 @@
 
 // emptyMachine is a machine as placement takes it, without any tasks. The lock is
 // held.
-func (mi *machineIndex) emptyMachine(machine string, record inventory.Record) *placement.Machine {
+func (mi *MachineIndex) emptyMachine(machine string, record inventory.Record) *placement.Machine {
 	machineType := mi.MachineTypes[record.MachineType]
 	return &placement.Machine{
 		Name:        machine,
@@ -202,7 +202,7 @@
 
 // rebuild builds Fleet of the machines that are stored, and keeps those that are what
 // they were. The lock is held.
-func (mi *machineIndex) rebuild() {
+func (mi *MachineIndex) rebuild() {
 	if mi.Fleet != nil {
 		mi.Fleet.Rollback() // the machines that are kept hold what the last pass placed
 	}
@@ -235,7 +235,7 @@
 
 // applyChangedMachines applies the machines that something has changed on, and returns
 // those of them that are indexed. The lock is held.
-func (mi *machineIndex) applyChangedMachines() []*indexedMachine {
+func (mi *MachineIndex) applyChangedMachines() []*indexedMachine {
 	var applied []*indexedMachine
 	for machine := range mi.Changed {
 		mi.refreshClaimTotals(machine)
@@ -250,7 +250,7 @@
 
 // applyMachine enters what its owner knows of a machine, and the claims on it. The
 // lock is held.
-func (mi *machineIndex) applyMachine(m *indexedMachine) {
+func (mi *MachineIndex) applyMachine(m *indexedMachine) {
 	m.inService = mi.Inventory.Machines[m.Name].Phase == inventory.Active
 	mi.applyOwnersView(m)
 	mi.applyClaims(m)
@@ -259,7 +259,7 @@
 
 // applyOwnersView enters what the owner of a machine knows of its worker. The lock is
 // held.
-func (mi *machineIndex) applyOwnersView(m *indexedMachine) {
+func (mi *MachineIndex) applyOwnersView(m *indexedMachine) {
 	m.worker, m.usableByOwner, m.Incarnation, m.Images = nil, false, 0, nil
 	if m.Owner == mi.Self.Label {
 		if m.worker = mi.workers.ByMachine[m.Name]; m.worker != nil {
@@ -279,7 +279,7 @@
 
 // applyClaims enters the claims on a machine, and the resources that they leave. The
 // lock is held.
-func (mi *machineIndex) applyClaims(m *indexedMachine) {
+func (mi *MachineIndex) applyClaims(m *indexedMachine) {
 	m.Free, m.Freeing = m.Total.Sub(mi.Table.ResourcesByMachine[m.Name]), jobs.Resources{}
 	m.Tasks = m.Tasks[:0]
 	w := mi.workers.ByMachine[m.Name] // whoever owns the machine, unlike m.worker
@@ -296,9 +296,9 @@
 	}
 }
 
-// ApplyTypes enters the machine types; without a record the known ones stay. The lock
+// ApplyMachineTypes enters the machine types; without a record the known ones stay. The lock
 // is held.
-func (mi *machineIndex) ApplyTypes(value wire.Raw) error {
+func (mi *MachineIndex) ApplyMachineTypes(value wire.Raw) error {
 	if value == nil {
 		return nil
 	}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -40,8 +40,8 @@
 type PeerExchange struct {
 	*cluster.State
 	workers      *WorkerManager
-	machineIndex *machineIndex
-	recovery     *recoveryTracker
+	machineIndex *MachineIndex
+	recovery     *RecoveryTracker
 
 	Siblings          map[string]*Sibling          // by label; the map never changes, so that reading it does not need the lock
 	PublishedMachines map[string]*publishedMachine // what siblings are sent about this controller's machines
--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -55,7 +55,7 @@
 	}
 	status.Recovering = px.recovery.Progress.MachinesUnknown()
 	status.ReportsCancellations, status.LastCancellation = px.Cache.Consistent(), px.LastCancellation
-	status.QueuedChanges = uint32(math.Ceil(px.QueuedWrites))
+	status.QueuedWrites = uint32(math.Ceil(px.QueuedWrites))
 	status.MachinesVersion = px.publishedVersion
 	return status
 }
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -15,9 +15,9 @@
 	"wheatspur/internal/worker"
 )
 
-// recoveryTracker follows how far this controller is in knowing its machines after a
+// RecoveryTracker follows how far this controller is in knowing its machines after a
 // start, and paces the starts of tasks meanwhile.
-type recoveryTracker struct {
+type RecoveryTracker struct {
 	*cluster.State
 	workers *WorkerManager
 	peers   *PeerExchange
@@ -26,8 +26,8 @@
 	pacer    *recovery.Pacer // of the starts of tasks until recovery is over
 }
 
-func newRecoveryTracker(state *cluster.State) *recoveryTracker {
-	return &recoveryTracker{
+func newRecoveryTracker(state *cluster.State) *RecoveryTracker {
+	return &RecoveryTracker{
 		State:    state,
 		Progress: recovery.NewProgress(state.Now()),
 		pacer:    recovery.NewPacer(float64(state.Settings.Operator.RecoveryStarts), state.Now()),
@@ -36,7 +36,7 @@
 
 // AdvanceRecovery takes this controller's recovery a step further. It looks at all of
 // the controller's machines, and only until recovery is over. The lock is held.
-func (rt *recoveryTracker) AdvanceRecovery(now time.Time) {
+func (rt *RecoveryTracker) AdvanceRecovery(now time.Time) {
 	progress := rt.Progress
 	if progress.Done() {
 		return
@@ -60,19 +60,19 @@
 // caughtUp reports whether the starts that recovery waits for are over: none has been
 // due for a while, or they can't be sent for as long as a lease, so that no rate of
 // starts would help them. The lock is held.
-func (rt *recoveryTracker) caughtUp(now time.Time) bool {
+func (rt *RecoveryTracker) caughtUp(now time.Time) bool {
 	overdue := rt.Progress.Phase == recovery.CatchingUp && now.Sub(rt.Progress.Since) > rt.Settings.WorkerLease()
 	return overdue || rt.Progress.Quiet(now, rt.heartbeats(tuning.RecoveryQuietHeartbeats))
 }
 
 // heartbeats is how long that many heartbeat intervals are.
-func (rt *recoveryTracker) heartbeats(intervals float64) time.Duration {
+func (rt *RecoveryTracker) heartbeats(intervals float64) time.Duration {
 	return time.Duration(intervals * float64(rt.Settings.HeartbeatInterval()))
 }
 
 // applyEvent enters an event of the recovery, and logs a change of its phase. The lock
 // is held.
-func (rt *recoveryTracker) applyEvent(event recovery.Event, now time.Time) {
+func (rt *RecoveryTracker) applyEvent(event recovery.Event, now time.Time) {
 	before, since := rt.Progress.Phase, rt.Progress.Since
 	if rt.Progress.Apply(event, now) {
 		rt.Log.Info(logging.EventRecoveryPhaseChanged, logging.KeyPhase, string(rt.Progress.Phase), logging.KeyPrevious, string(before), logging.KeyDuration, now.Sub(since).Round(time.Millisecond),
@@ -82,7 +82,7 @@
 
 // countMachines counts this controller's machines by what is known of them, and the
 // starts that are due on those that were heard. The lock is held.
-func (rt *recoveryTracker) countMachines(now time.Time) (count recovery.Count, backlog recovery.Backlog) {
+func (rt *RecoveryTracker) countMachines(now time.Time) (count recovery.Count, backlog recovery.Backlog) {
 	count = recovery.Count{}
 	waited := now.Sub(rt.Progress.Began)
 	patience := rt.heartbeats(tuning.RecoveryHeartbeats)
@@ -102,7 +102,7 @@
 
 // countDueStarts adds the starts that are due on a machine to the backlog. The lock is
 // held.
-func (rt *recoveryTracker) countDueStarts(w *worker.Worker, machine string, backlog *recovery.Backlog) {
+func (rt *RecoveryTracker) countDueStarts(w *worker.Worker, machine string, backlog *recovery.Backlog) {
 	for id, job := range rt.Table.ClaimsByMachine[machine] {
 		claim := job.Claims[id.Task]
 		if status, listed := w.Tasks[id]; job.Phase == jobs.Open && claim.Incarnation == w.Incarnation && (!listed || status.Attempt < claim.Attempt) {
@@ -122,7 +122,7 @@
 // admitStart takes a start from this controller's rate of starts until its recovery is
 // over, if operators have set one; false says that the start has to wait. The lock is
 // held.
-func (rt *recoveryTracker) admitStart(job *jobs.Job) bool {
+func (rt *RecoveryTracker) admitStart(job *jobs.Job) bool {
 	class := startClass(job)
 	switch {
 	case rt.Progress.Done():
@@ -137,7 +137,7 @@
 // wait, since this controller or another member does not know its own yet. Guards
 // against work that is preempted or moved, and machines that are scaled out, only
 // because free machines have not sent a heartbeat yet. The lock is held.
-func (rt *recoveryTracker) MachinesUnknown() bool {
+func (rt *RecoveryTracker) MachinesUnknown() bool {
 	if !rt.Settings.Operator.RecoveryHold {
 		return false
 	}
--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -20,8 +20,8 @@
 type WorkerManager struct {
 	*cluster.State
 	peers        *PeerExchange
-	machineIndex *machineIndex
-	recovery     *recoveryTracker
+	machineIndex *MachineIndex
+	recovery     *RecoveryTracker
 
 	ByMachine       map[string]*worker.Worker // by machine: those that this controller owns and has heard, or that the cloud lists as running
 	Failing         map[string]*worker.Worker // those whose tasks failed lately
@@ -45,9 +45,9 @@
 	}
 }
 
-// Worker returns the view of a machine's worker, a new one if there is none. The lock
+// EnsureWorker returns the view of a machine's worker, a new one if there is none. The lock
 // is held.
-func (wm *WorkerManager) Worker(machine string) *worker.Worker {
+func (wm *WorkerManager) EnsureWorker(machine string) *worker.Worker {
 	w := wm.ByMachine[machine]
 	if w == nil {
 		w = worker.NewWorker(machine)
--- a/internal/jobs/sizes.go
+++ b/internal/jobs/sizes.go
@@ -11,9 +11,6 @@
 // under such a limit was measured by these functions, so their results never
 // change for the same input.
 
-// bytesPerKB is a kilobyte of the store's value limit.
-const bytesPerKB = 1024
-
 // recordBytes bounds the JSON form of a job's record, all but its description.
 const recordBytes = 90
 
@@ -42,7 +39,7 @@
 // transaction. Claims that would make a chunk too large for other reasons, such
 // as long names, are left out (Bytes).
 func ChunkSize(valueKB float64) int {
-	return min(max(1, int(valueKB*bytesPerKB-chunkBase)/taskBytes), tuning.ChunkMax)
+	return min(max(1, int(valueKB*tuning.BytesPerKB-chunkBase)/taskBytes), tuning.ChunkMax)
 }
 
 // MinValueBytes is the value limit, in bytes, that full chunk records need which
--- a/internal/leader/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -80,7 +80,7 @@
 	if !changed {
 		return nil
 	}
-	return ld.StoreDecision(ctx, compares, []wire.Operation{{Put: cluster.TypesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: types})}})
+	return ld.StoreDecision(ctx, compares, []wire.Operation{{Put: cluster.MachineTypesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: types})}})
 }
 
 // compareMachineTypes reports whether machine types differ from the stored ones,
@@ -92,7 +92,7 @@
 	for i := 0; !changed && i < len(types); i++ {
 		changed = !sameButSpotPrice(types[i], ld.MachineTypeList[i])
 	}
-	return []wire.Compare{ld.Cache.Compare(membership.Key), ld.Cache.Compare(cluster.TypesKey)}, changed
+	return []wire.Compare{ld.Cache.Compare(membership.Key), ld.Cache.Compare(cluster.MachineTypesKey)}, changed
 }
 
 // sameButSpotPrice reports whether two machine types differ in nothing but the spot
@@ -208,7 +208,7 @@
 	if rc.loop.ShardOwner(machine.Name) != rc.loop.Self.Label || machine.State != wire.MachineRunning {
 		return
 	}
-	if w := rc.loop.Workers.Worker(machine.Name); w.Address == "" {
+	if w := rc.loop.Workers.EnsureWorker(machine.Name); w.Address == "" {
 		w.Address = machine.Address
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -95,7 +95,7 @@
 	idle := map[string][]string{}
 	for _, change := range changes {
 		if change.After != nil && change.After.Phase == inventory.Draining && change.After.Reason == autoscale.ReasonIdle {
-			key := ld.GroupKeyOf(change.Machine)
+			key := ld.MachineGroupKey(change.Machine)
 			idle[key] = append(idle[key], change.Machine)
 		}
 	}
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -27,7 +27,7 @@
 	FencingToken    uint64
 	Revision        uint64          // of its cache of the key-value store
 	HasStore        bool            // has had a fresh read lately
-	QueuedChanges   uint32          // writes that wait for its part of the store's rate limit
+	QueuedWrites    uint32          // writes that wait for its part of the store's rate limit
 	MachinesVersion uint64          // number of the sender's view of its machines
 	AllMachines     bool            // Machines are all of them, not those that changed
 	KnownMachines   MachinesVersion // the view that the sender has of the receiver's machines
@@ -62,7 +62,7 @@
 	fb.StatusAddBaton(b, s.FencingToken)
 	fb.StatusAddEpoch(b, s.Revision)
 	fb.StatusAddHasState(b, s.HasStore)
-	fb.StatusAddWant(b, s.QueuedChanges)
+	fb.StatusAddWant(b, s.QueuedWrites)
 	fb.StatusAddView(b, s.MachinesVersion)
 	fb.StatusAddWhole(b, s.AllMachines)
 	fb.StatusAddSeen(b, s.KnownMachines.Number)
@@ -108,7 +108,7 @@
 		FencingToken:         f.Baton(),
 		Revision:             f.Epoch(),
 		HasStore:             f.HasState(),
-		QueuedChanges:        f.Want(),
+		QueuedWrites:         f.Want(),
 		MachinesVersion:      f.View(),
 		AllMachines:          f.Whole(),
 		KnownMachines:        MachinesVersion{Number: f.Seen(), FencingToken: f.SeenBaton(), Incarnation: f.SeenIncarnation()},
--- a/internal/scheduler/chunks.go
+++ b/internal/scheduler/chunks.go
@@ -13,9 +13,6 @@
 	chunkBytes     = 600 // of the rest
 )
 
-// bytesPerKB turns the store's limits, which are in KiB, into bytes.
-const bytesPerKB = 1024
-
 // chunkChange is a number of task events in one chunk of a job, to be stored in
 // one write.
 type chunkChange struct {
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -7,6 +7,7 @@
 	"wheatspur/internal/logging"
 	"wheatspur/internal/placement"
 	"wheatspur/internal/quota"
+	"wheatspur/internal/tuning"
 )
 
 // Keys that a write of claims may name beside the chunks: hasRoom keeps room for
@@ -120,7 +121,7 @@
 func (sc *Scheduler) chooseClaims(write *PendingWrite, group *jobClaims) chosenClaims {
 	job, need := group.job, group.job.Need.Amount()
 	chosen := chosenClaims{chunks: map[string]*chunkChange{}, onOthers: map[string]quota.Amount{}}
-	maxValueBytes := int(sc.Limits.ValueKB * bytesPerKB)
+	maxValueBytes := int(sc.Limits.ValueKB * tuning.BytesPerKB)
 	for _, claim := range group.claims {
 		chunk := chunkOf(job, claim.Task)
 		key, machineKey := jobs.ChunkKey(job.ID, chunk), sc.Inventory.KeyOf(claim.Machine)
--- a/internal/scheduler/write.go
+++ b/internal/scheduler/write.go
@@ -41,9 +41,6 @@
 	jsonPerCBORByte = 2
 	// deleteBytes bounds the JSON form of a delete operation, all but its key.
 	deleteBytes = 16
-	// comparesPerOperation times the store's limit on operations is the most
-	// compares of a write.
-	comparesPerOperation = 4
 )
 
 // PendingWrite is a compare-and-swap in the making: a pass collects what it
@@ -100,7 +97,7 @@
 	most := sc.Limits.TxnOps
 	return len(write.Operations)+operations <= most &&
 		write.bytes+bytes <= tuning.TransactionBytes &&
-		len(write.Compares)+compares <= comparesPerOperation*most
+		len(write.Compares)+compares <= tuning.ComparesPerOperation*most
 }
 
 // put adds the operation that stores a value.
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -95,6 +95,11 @@
 	// TransactionBytes is the most JSON that a transaction may hold; the store's
 	// limit is 64 KiB.
 	TransactionBytes = 48 << 10
+	// ComparesPerOperation times the store's limit on operations is the most
+	// compares that a transaction may have.
+	ComparesPerOperation = 4
+	// BytesPerKB converts the store's limits, which are in KiB.
+	BytesPerKB = 1024
 	// RetryPause separates tries after a rejection or a lost answer.
 	RetryPause = 250 * time.Millisecond
 	// StoreStaleAfter is the time without a fresh read after which a controller takes
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -22,7 +22,7 @@
 //	due_s      DeadlineS            deadline, from acceptance
 //	epoch      Revision             revision of the key-value store
 //	failed     FailedCompares       keys whose compare failed
-//	foreman    Node                 controller that handles a worker's heartbeats
+//	foreman    Controller           controller that handles a worker's heartbeats
 //	guards     Compares             compares of a compare-and-swap transaction
 //	held_s     AgeS                 time since the machine was added to the cluster
 //	hire       Name                 name of a scale-out request
