--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -11,10 +11,6 @@
 	"wheatspur/internal/tuning"
 )
 
-// storeLostAfter is how long after its last read this controller seems to have
-// lost the store: two watches have gone unanswered.
-const storeLostAfter = 2 * tuning.WatchHold
-
 // forward sends a user's request to a sibling that reads the store; false if there
 // is none or it does not answer.
 func (api *UserAPI) forward(request *fasthttp.RequestCtx) (answer, bool) {
@@ -58,5 +54,5 @@
 
 // storeSeemsLost reports whether this controller seems to have lost the store.
 func (api *UserAPI) storeSeemsLost() bool {
-	return api.Now().Sub(api.Syncer.LastReadAt()) > storeLostAfter
+	return api.Now().Sub(api.Syncer.LastReadAt()) > tuning.StoreLostAfter
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -123,8 +123,8 @@
 	bounded := &boundedListener{Listener: userListener, max: int64(c.MaxConnections()), retryAfterS: c.Settings.Operator.RetryAfterSeconds}
 	c.Workers.OpenConnections = func() int { return int(bounded.open.Load()) }
 	users := c.httpServer(c.serveUser, c.MaxConnections())
-	peers := c.httpServer(c.servePeer, peerConnectionsEach*(len(c.Peers.Siblings)+1))
-	peers.MaxRequestBodySize = maxPeerBody
+	peers := c.httpServer(c.servePeer, tuning.PeerConnectionsEach*(len(c.Peers.Siblings)+1))
+	peers.MaxRequestBodySize = tuning.MaxPeerBody
 	group.Go(func() error { return users.Serve(bounded) })
 	group.Go(func() error { return peers.Serve(peerListener) })
 }
--- a/internal/election/session.go
+++ b/internal/election/session.go
@@ -13,10 +13,6 @@
 	"wheatspur/internal/tuning"
 )
 
-// leastRenewPause keeps renewals that are overdue from following each other without
-// any pause.
-const leastRenewPause = time.Millisecond
-
 // RunSession keeps this controller's lease of the store until ctx ends or the
 // controller drains, and does nothing else: a write of the membership that waits, or a
 // busy processor, must not cost the session.
@@ -26,7 +22,7 @@
 		el.RecordProgress(cluster.SessionLoop)
 		state, leaseID := el.currentSession()
 		if state != membership.NoLease {
-			timing.Sleep(ctx, max(renewalDue.Sub(el.Now()), leastRenewPause))
+			timing.Sleep(ctx, max(renewalDue.Sub(el.Now()), tuning.MinRenewPause))
 			renewalDue = el.renewSession(ctx, leaseID)
 			continue
 		}
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -9,6 +9,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"wheatspur/internal/timing"
 	"wheatspur/wire"
 )
 
@@ -96,7 +97,7 @@
 			lastHeartbeat = now
 			m.sendHeartbeat(ctx)
 		}
-		sleep(ctx, advanceInterval)
+		timing.Sleep(ctx, advanceInterval)
 	}
 	return nil
 }
@@ -130,7 +131,7 @@
 		}
 	}
 	m.current = (m.current + 1) % len(m.controllers)
-	sleep(ctx, nextControllerPause)
+	timing.Sleep(ctx, nextControllerPause)
 }
 
 // nextHeartbeat returns the next heartbeat and when it was made: the lease runs
@@ -182,11 +183,3 @@
 	}
 	return resp.StatusCode(), slices.Clone(resp.Body())
 }
-
-// sleep waits for a time, or until ctx ends.
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
--- a/internal/fleet/directcalls.go
+++ b/internal/fleet/directcalls.go
@@ -14,16 +14,6 @@
 	"wheatspur/wire"
 )
 
-const (
-	// membershipSettle is how long after a change of the membership no worker is
-	// called only for it to acknowledge the fencing token: most do with their next
-	// heartbeat.
-	membershipSettle = time.Second / 2
-	// sentCommandIntervals is how many heartbeat intervals a direct command is
-	// remembered: much longer than it keeps from being sent again.
-	sentCommandIntervals = 10
-)
-
 // startRepeatPause is how long a start that went with the answer to a heartbeat is
 // not sent directly, too: by then the next heartbeat, which comes up to a quarter of
 // an interval late, has shown what came of it.
@@ -120,7 +110,7 @@
 		return false
 	}
 	switch {
-	case w.State == worker.TokenUnacknowledged && now.Sub(w.LastHeard) > wm.heartbeatOverdue() && now.Sub(wm.MembershipChangedAt) > membershipSettle:
+	case w.State == worker.TokenUnacknowledged && now.Sub(w.LastHeard) > wm.heartbeatOverdue() && now.Sub(wm.MembershipChangedAt) > tuning.MembershipSettle:
 		return true
 	case w.Unresponsive && now.Sub(w.LastCall) > tuning.UnresponsivePause:
 		return true
@@ -170,7 +160,7 @@
 // ago. The lock is held.
 func (wm *WorkerManager) recordSentCommands(w *worker.Worker, commands []wire.Command, now time.Time) {
 	for key, sentAt := range w.SentCommands {
-		if now.Sub(sentAt) > sentCommandIntervals*wm.Settings.HeartbeatInterval() {
+		if now.Sub(sentAt) > tuning.SentCommandHeartbeats*wm.Settings.HeartbeatInterval() {
 			delete(w.SentCommands, key)
 		}
 	}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -18,10 +18,6 @@
 	"wheatspur/internal/tuning"
 )
 
-// viewLifetime is for how many times as long as a status the last view of a sibling's
-// machines tells when they were heard.
-const viewLifetime = 5
-
 // Sibling is what is known of another controller.
 type Sibling struct {
 	Settings            config.Sibling                // never changes, like Client; neither needs the lock
@@ -237,7 +233,7 @@
 	}
 	for _, sibling := range px.Siblings {
 		age := now.Sub(sibling.machinesConfirmedAt)
-		if sibling.machinesConfirmedAt.IsZero() || age > viewLifetime*tuning.PeerFresh {
+		if sibling.machinesConfirmedAt.IsZero() || age > tuning.PeerViewLifetimes*tuning.PeerFresh {
 			continue
 		}
 		for machine, status := range sibling.Machines {
--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -11,10 +11,6 @@
 	"wheatspur/internal/worker"
 )
 
-// forgetLeases is how many leases after its last message the worker of a machine that
-// is neither ours nor stored is forgotten: its lease has surely expired by then.
-const forgetLeases = 2
-
 // WorkerManager answers the heartbeats of this controller's machines, and sends their
 // workers direct commands.
 type WorkerManager struct {
@@ -139,7 +135,7 @@
 		if wm.ShardOwner(machine) == wm.Self.Label {
 			wm.fencePendingStarts(w)
 			wm.sendDirectCommands(w, now)
-		} else if wm.Inventory.KeyOf(machine) == "" && now.Sub(w.LastHeard) > forgetLeases*wm.Settings.WorkerLease() {
+		} else if wm.Inventory.KeyOf(machine) == "" && now.Sub(w.LastHeard) > tuning.ForgetLeases*wm.Settings.WorkerLease() {
 			delete(wm.ByMachine, machine)
 		}
 	}
--- a/internal/leader/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -22,10 +22,6 @@
 	"wheatspur/wire"
 )
 
-// listPagesPerInterval is how many pages of the machine list are read in
-// tuning.ListEvery: each page takes a call of the cloud's budget.
-const listPagesPerInterval = 2
-
 // RunCloudSync reads the machine types and the machine list while leading.
 func (ld *Loop) RunCloudSync(ctx context.Context) error {
 	var typesReadAt time.Time
@@ -66,7 +62,7 @@
 	ld.Lock()
 	defer ld.Unlock()
 	pages := len(ld.Term.listed)/cloud.ListPageSize + 1
-	return tuning.ListEvery * time.Duration(max(1, pages/listPagesPerInterval))
+	return tuning.ListEvery * time.Duration(max(1, pages/tuning.ListPagesPerInterval))
 }
 
 // RefreshMachineTypes reads the machine types, and stores them if they have changed.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -20,15 +20,6 @@
 	"wheatspur/internal/tuning"
 )
 
-const (
-	// listStaleAfter is how old the cloud's list may be for a plan to scale by it:
-	// the time of a few reads that failed.
-	listStaleAfter = 5 * tuning.ListEvery
-	// groupSplitWrites is how many writes must be left in the budget for a plan to
-	// split groups of machine records that are too large: nothing waits for it.
-	groupSplitWrites = 2
-)
-
 // Loop is the leader's loops. Every controller runs them; while it does not lead,
 // they do nothing.
 type Loop struct {
@@ -108,7 +99,7 @@
 		roleMoves = ld.MoveRoles(state, machines, now)
 	}
 	var capacity autoscale.Output
-	if !state.ListedAt.IsZero() && now.Sub(state.ListedAt) < listStaleAfter {
+	if !state.ListedAt.IsZero() && now.Sub(state.ListedAt) < tuning.ListStaleAfter {
 		capacity = autoscale.Plan(ld.PlanInput(state, machines, now))
 	}
 	next.scaleOut = capacity.ScaleOut
@@ -128,7 +119,7 @@
 		terminate: slices.Concat(dead, state.LostWhileDraining, drained),
 		changes:   append(drains, drops...),
 	}
-	if ld.Limiter.AvailableWrites(tuning.WriteReserve) >= groupSplitWrites {
+	if ld.Limiter.AvailableWrites(tuning.WriteReserve) >= tuning.GroupSplitWrites {
 		stored.splitGroups = ld.Inventory.OversizeGroups(ld.MaxGroupBytes(), tuning.GroupSplitsPerPlan)
 	}
 	return stored
--- a/internal/leader/planinput.go
+++ b/internal/leader/planinput.go
@@ -13,16 +13,6 @@
 	"wheatspur/wire"
 )
 
-const (
-	// silentLeases is after how many worker leases without being heard a machine that
-	// was up counts as dead, and is terminated to make sure. More than one, since
-	// terminating a machine that lives ends its tasks.
-	silentLeases = 2
-	// scaleOutListedWithin is how long after its request a machine counts as scaling
-	// out although no list has shown it.
-	scaleOutListedWithin = time.Minute
-)
-
 // PlanInput builds the capacity plan's input. The caller holds the lock.
 func (ld *Loop) PlanInput(state *State, machines *placement.Fleet, now time.Time) autoscale.Input {
 	b := ld.newPlanBuilder(state, machines, now)
@@ -148,7 +138,7 @@
 		Movable:          b.movable[machine.Name],
 		Claims:           len(machine.Tasks),
 		Free:             machine.Free,
-		Silent:           wasUp && silentFor > silentLeases*b.lease,
+		Silent:           wasUp && silentFor > tuning.SilentLeases*b.lease,
 		Missing:          b.leaderState.MissingLists[machine.Name] >= tuning.MissingLists && wasUp && silentFor > missingAfter,
 		HeartbeatOverdue: wasUp && silentFor > b.leader.SilenceTimeout(),
 		Group:            b.leader.Inventory.KeyOf(machine.Name),
@@ -211,7 +201,7 @@
 // addScalingOut enters the machines that were scaled out and have no record yet.
 func (b *planBuilder) addScalingOut() {
 	for machine, request := range b.leaderState.ScalingOut {
-		if _, stored := b.leader.Inventory.Machines[machine]; stored || b.now.Sub(request.requestedAt) > scaleOutListedWithin {
+		if _, stored := b.leader.Inventory.Machines[machine]; stored || b.now.Sub(request.requestedAt) > tuning.ScaleOutListedWithin {
 			delete(b.leaderState.ScalingOut, machine)
 			continue
 		}
--- a/internal/scheduler/misplaced.go
+++ b/internal/scheduler/misplaced.go
@@ -7,11 +7,9 @@
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/logging"
 	"wheatspur/internal/placement"
+	"wheatspur/internal/tuning"
 )
 
-// maxEvictionTries bounds the tasks for which a pass looks for another machine.
-const maxEvictionTries = 16
-
 // evictMisplacedServices evicts a service task from a machine of this controller
 // that is to lose it, once another machine has room. One task at a time, and none
 // while service tasks wait for a place: those come first. The caller holds the lock.
@@ -28,7 +26,7 @@
 			if !openService(task) || task.Stopping {
 				continue
 			}
-			if tries++; tries > maxEvictionTries {
+			if tries++; tries > tuning.MaxEvictionTries {
 				return
 			}
 			if placement.FitElsewhere(fleet, task.Job, task.ID.Task, machine.Name) != nil {
--- a/internal/scheduler/placementinput.go
+++ b/internal/scheduler/placementinput.go
@@ -10,10 +10,6 @@
 	"wheatspur/internal/tuning"
 )
 
-// maxRetryDoublings bounds how often the pause before a task's next try doubles:
-// tuning.RetryCap is reached long before, and the shift can't overflow.
-const maxRetryDoublings = 10
-
 // PlacementInput builds the input of a pass's placement on the given machines. The
 // caller holds the lock.
 func (sc *Scheduler) PlacementInput(machines *placement.Fleet, now time.Time) placement.Input {
@@ -92,6 +88,6 @@
 	if failures == 0 {
 		return true
 	}
-	pause := min(tuning.RetryBase<<min(failures-1, maxRetryDoublings), tuning.RetryCap)
+	pause := min(tuning.RetryBase<<min(failures-1, tuning.MaxRetryDoublings), tuning.RetryCap)
 	return now.Sub(sc.Table.FailedAt[jobs.TaskID{Job: job.ID, Task: task}]) >= pause
 }
--- a/internal/store/syncer.go
+++ b/internal/store/syncer.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"wheatspur/internal/logging"
+	"wheatspur/internal/timing"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
@@ -65,7 +66,7 @@
 		if !loaded {
 			if err := s.Load(ctx); err != nil {
 				s.log.Info(logging.EventStoreLoadFailed, logging.KeyError, err)
-				pause(ctx, tuning.RetryPause)
+				timing.Sleep(ctx, tuning.RetryPause)
 				continue
 			}
 			loaded = true
@@ -75,9 +76,9 @@
 			loaded = false
 		case err != nil:
 			s.log.Debug(logging.EventStoreWatchFailed, logging.KeyError, err)
-			pause(ctx, tuning.RetryPause)
+			timing.Sleep(ctx, tuning.RetryPause)
 		default:
-			pause(ctx, tuning.WatchPause)
+			timing.Sleep(ctx, tuning.WatchPause)
 		}
 	}
 	return nil
@@ -102,7 +103,7 @@
 		for _, waiter := range waiters {
 			waiter <- err
 		}
-		pause(ctx, tuning.BarrierPause)
+		timing.Sleep(ctx, tuning.BarrierPause)
 	}
 }
 
@@ -212,13 +213,3 @@
 		after = page.KeyValues[len(page.KeyValues)-1].Key
 	}
 }
-
-// pause waits for d or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -105,6 +105,12 @@
 	// StoreStaleAfter is the time without a fresh read after which a controller takes
 	// the store for lost: two watches would have come back.
 	StoreStaleAfter = 2500 * time.Millisecond
+	// MinRenewPause keeps renewals that are overdue from following each other without
+	// any pause.
+	MinRenewPause = time.Millisecond
+	// GroupSplitWrites is how many writes must be left in the budget for a plan to
+	// split groups of machine records that are too large: nothing waits for it.
+	GroupSplitWrites = 2
 )
 
 // Workers.
@@ -167,6 +173,16 @@
 	// TerminationNoticeFactor is the share of a spot notice that a task must be
 	// expected to fit in to be left running; notices run up to half short.
 	TerminationNoticeFactor = 0.5
+	// MembershipSettle is how long after a change of the membership no worker is
+	// called only for it to acknowledge the fencing token: most do with their next
+	// heartbeat.
+	MembershipSettle = time.Second / 2
+	// SentCommandHeartbeats is how many heartbeat intervals a direct command is
+	// remembered: much longer than it keeps from being sent again.
+	SentCommandHeartbeats = 10
+	// ForgetLeases is how many leases after its last message the worker of a machine that
+	// is neither ours nor stored is forgotten: its lease has surely expired by then.
+	ForgetLeases = 2
 )
 
 // Placement.
@@ -233,6 +249,11 @@
 	TasksPerMachine = 400
 	// TasksPerJob bounds the tasks of one job that a pass tries to place.
 	TasksPerJob = 128
+	// MaxRetryDoublings bounds how often the pause before a task's next try doubles:
+	// RetryCap is reached long before, and the shift can't overflow.
+	MaxRetryDoublings = 10
+	// MaxEvictionTries bounds the tasks for which a pass looks for another machine.
+	MaxEvictionTries = 16
 )
 
 // Role control. The design's figures; those marked ours may be tuned by the
@@ -355,6 +376,19 @@
 	BatchHeadroomHold = 60 * time.Second
 	// BatchWindow is the horizon over which that mean is taken.
 	BatchWindow = 60 * time.Second
+	// ListStaleAfter is how old the cloud's list may be for a plan to scale by it:
+	// the time of a few reads that failed.
+	ListStaleAfter = 5 * ListEvery
+	// SilentLeases is after how many worker leases without being heard a machine that
+	// was up counts as dead, and is terminated to make sure. More than one, since
+	// terminating a machine that lives ends its tasks.
+	SilentLeases = 2
+	// ScaleOutListedWithin is how long after its request a machine counts as scaling
+	// out although no list has shown it.
+	ScaleOutListedWithin = time.Minute
+	// ListPagesPerInterval is how many pages of the machine list are read in
+	// ListEvery: each page takes a call of the cloud's budget.
+	ListPagesPerInterval = 2
 )
 
 // Calls to others.
@@ -426,4 +460,20 @@
 	// GCPercent is how much garbage, as a share of the live memory, may pile
 	// up below that limit before it is collected.
 	GCPercent = 400
+	// PeerViewLifetimes is for how many times as long as a status the last view of a sibling's
+	// machines tells when they were heard.
+	PeerViewLifetimes = 5
+	// StoreLostAfter is how long after its last read this controller seems to have
+	// lost the store: two watches have gone unanswered.
+	StoreLostAfter = 2 * WatchHold
+	// PeerConnectionsEach is how many connections of each sibling there is room for:
+	// twice as many as it opens at a time.
+	PeerConnectionsEach = 2 * PeerConns
+	// MaxPeerBody bounds a message of a sibling. Its status lists its machines.
+	MaxPeerBody = 1 << 20
+	// MinConnections is the least a server has room for, whatever the settings say.
+	MinConnections = 8
+	// ConnectionBufferBytes is the size of each of a connection's two buffers. It bounds
+	// the header of a request.
+	ConnectionBufferBytes = 4096
 )
