--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -28,7 +28,7 @@
 	scheduler *scheduler.Scheduler
 
 	cloud          cloud.Provider
-	Term           State      // see CurrentLeaderState; guarded by the state's lock
+	Term           State      // see CurrentTerm; guarded by the state's lock
 	machineWriteMu sync.Mutex // held while machine records are stored; taken before the state's lock
 }
 
@@ -37,7 +37,7 @@
 	return &Loop{State: state, Fleet: fleet, scheduler: scheduler, cloud: provider}
 }
 
-// planRun is what RunLeader carries over from one plan to the next.
+// planRun is what RunPlanning carries over from one plan to the next.
 type planRun struct {
 	rolesEvaluatedAt time.Time
 	storing          chan struct{} // holds an element while a plan is being stored
@@ -126,7 +126,7 @@
 }
 
 // storeInBackground carries out the part of a plan that takes writes; plans that
-// are made until it has ended only scale out. RunLeader waits for it.
+// are made until it has ended only scale out. RunPlanning waits for it.
 func (ld *Loop) storeInBackground(ctx context.Context, run *planRun, stored *storedPlan) {
 	run.storing <- struct{}{}
 	run.background.Go(func() {
