--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -92,17 +92,22 @@
 	return commands, postponed
 }
 
+// noGrace is the grace period of every kill that grants none. All of them share it,
+// and nothing writes to it: one for each kill costs an allocation on every heartbeat.
+var noGrace = new(float64)
+
 // stopCommand is the command that ends a listed task, if one is due. job is that
 // of the task's claim, nil if there is none.
 func stopCommand(stop recovery.Stop, job *jobs.Job, status wire.TaskStatus) (command wire.Command, due bool) {
 	command = wire.Command{Task: status.Task, Attempt: status.Attempt}
 	switch stop {
 	case recovery.Kill:
-		command.Verb, command.GracePeriodS = wire.VerbKill, new(float64)
+		command.Verb, command.GracePeriodS = wire.VerbKill, noGrace
 	case recovery.KillWithCheckpoint:
-		command.Verb, command.GracePeriodS = wire.VerbKill, new(float64)
+		command.Verb, command.GracePeriodS = wire.VerbKill, noGrace
 		if spec := job.Record.Spec; spec != nil {
-			*command.GracePeriodS = spec.CheckpointWriteS
+			grace := spec.CheckpointWriteS
+			command.GracePeriodS = &grace
 		}
 	case recovery.Reap:
 		command.Verb = wire.VerbReap
