--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -111,7 +111,7 @@
 	// before it is collected: processor time is scarcer than memory here.
 	debug.SetGCPercent(tuning.GCPercent)
 	node := &controller{server.New(set, log), set, props, &level}
-	return daemon.Run(node, daemon.Options{DrainLimit: tuning.DrainLimit, Log: log, Manager: daemon.HostManager{Log: log}})
+	return daemon.Run(node, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.HostManager{Log: log}})
 }
 
 // logLevel is the level of the log; LOG_LEVEL wins over the properties file.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -129,7 +129,7 @@
 		RoleDemandRise: tuning.RoleDemandRise, RoleUsable: tuning.RoleUsable,
 		RoleStartTarget: tuning.RoleStartTarget,
 		ServiceHeadroom: tuning.ServiceHeadroom, BatchHeadroom: tuning.BatchHeadroom,
-		IdleSpot: tuning.IdleSpot, IdleOrdinary: tuning.IdleOrdinary,
+		IdleSpot: tuning.IdleSpot, IdleOrdinary: tuning.IdleOnDemand,
 		IntakeQueue: tuning.IntakeQueue, PollQueue: tuning.PollQueue, RetryAfterSecond: tuning.RetryAfter,
 	}
 }
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -391,10 +391,10 @@
 	if !eligible(j, kind, role) {
 		return false
 	}
-	if at, refused := p.input.NoCapacitySince[kind]; refused && p.input.Now.Sub(at) < tuning.RefusedPause {
+	if at, refused := p.input.NoCapacitySince[kind]; refused && p.input.Now.Sub(at) < tuning.NoCapacityPause {
 		return false
 	}
-	spotFirst := role == place.Batch && j.Record.Spec.Spot && waiting < tuning.OrdinaryBatchAfter
+	spotFirst := role == place.Batch && j.Record.Spec.Spot && waiting < tuning.OnDemandBatchAfter
 	return kind.Spot || !spotFirst
 }
 
@@ -402,7 +402,7 @@
 // work fills one call before the next, so a call that has begun goes first.
 func (p *planner) zoneCount(kind MachineKind, role place.Role) int {
 	planned := p.scaleOut[ScaleOut{Kind: kind, Role: role}]
-	if role == place.Batch && planned%tuning.RentMax > 0 {
+	if role == place.Batch && planned%tuning.ScaleOutMax > 0 {
 		return -1
 	}
 	return p.zoneCounts[zoneRole{kind.Zone, role}]
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -388,5 +388,5 @@
 	for other, record := range machines {
 		size += record.bytes(other)
 	}
-	return len(machines) < tuning.GroupMax && size <= limit
+	return len(machines) < tuning.MachinesPerGroup && size <= limit
 }
--- a/internal/fleet/worker.go
+++ b/internal/fleet/worker.go
@@ -354,10 +354,10 @@
 		top = max(top, k.token)
 	}
 	if w.FencingToken <= top {
-		if w.FencingToken+tuning.InvalidateStep > most {
+		if w.FencingToken+tuning.FencingStep > most {
 			return false
 		}
-		w.FencingToken, w.NoPendingCommands = w.FencingToken+tuning.InvalidateStep, false
+		w.FencingToken, w.NoPendingCommands = w.FencingToken+tuning.FencingStep, false
 	}
 	return true
 }
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -54,7 +54,7 @@
 // mustFreeze reports whether the shares have to be shared out anew. Pauses guard
 // against a budget of changes that goes into sharing out alone.
 func (l *Ledger) mustFreeze(now time.Time, v View, phase Phase) bool {
-	if now.Sub(l.frozenAt) <= tuning.ShareOutPause {
+	if now.Sub(l.frozenAt) <= tuning.RebalancePause {
 		return false
 	}
 	switch phase {
--- a/internal/server/fleetview.go
+++ b/internal/server/fleetview.go
@@ -111,7 +111,7 @@
 	}
 	fresh := map[string]bool{} // owners whose status holds for this membership
 	for label, s := range n.siblings {
-		fresh[label] = n.freshSibling(s) && s.seen.Token == n.member.FencingToken
+		fresh[label] = n.freshSibling(s) && s.seen.FencingToken == n.member.FencingToken
 	}
 	silent := n.silentAfter()
 	for _, m := range some {
@@ -223,8 +223,8 @@
 		}
 	} else if s := n.siblings[m.Owner]; s != nil {
 		if h, ok := s.hosts[m.Name]; ok {
-			m.Incarnation, m.Images = h.Session, h.Images
-			m.usable = h.Proven && !h.Silent && h.Notice < 0 && !h.Suspect
+			m.Incarnation, m.Images = h.Incarnation, h.Images
+			m.usable = h.TokenAcknowledged && !h.Silent && h.TerminationNotice < 0 && !h.Quarantined
 		}
 	}
 	m.Free, m.Freeing = m.Total.Sub(n.table.ResourcesByMachine[m.Name]), jobs.Resources{}
--- a/internal/server/lead.go
+++ b/internal/server/lead.go
@@ -79,7 +79,7 @@
 		returns = slices.Concat(dead, l.lost, returns)
 		var cut []string
 		if n.lim.AvailableWrites(tuning.WriteReserve) >= 2 {
-			cut = n.reg.OversizeGroups(n.groupLimit(), tuning.CutsPerPlan)
+			cut = n.reg.OversizeGroups(n.groupLimit(), tuning.GroupSplitsPerPlan)
 		}
 		n.mu.Unlock()
 
--- a/internal/server/machines.go
+++ b/internal/server/machines.go
@@ -155,7 +155,7 @@
 }
 
 // groupLimit is how much JSON a group of machine records may hold.
-func (n *Node) groupLimit() int { return int(n.limits.ValueKB * 1024 * tuning.GroupShare) }
+func (n *Node) groupLimit() int { return int(n.limits.ValueKB * 1024 * tuning.GroupFillShare) }
 
 // applyList compares the cloud's list with the stored machines.
 func (n *Node) applyList(ctx context.Context, list []wire.Machine) {
@@ -170,7 +170,7 @@
 	seen := map[string]bool{}
 	var changes []fleet.RecordChange
 	for host, at := range l.gone {
-		if now.Sub(at) > tuning.GoneKept {
+		if now.Sub(at) > tuning.TerminatedKept {
 			delete(l.gone, host)
 		}
 	}
@@ -325,7 +325,7 @@
 			if len(n.table.ClaimsByMachine[host]) > 0 {
 				continue // its owner releases them first
 			}
-			if l.absent[host] >= tuning.GoneLists {
+			if l.absent[host] >= tuning.MissingLists {
 				over[n.reg.KeyOf(host)] = append(over[n.reg.KeyOf(host)], fleet.RecordChange{Machine: host, Before: &rec})
 			} else if l.listed[host].State == wire.MachineFailed && l.absent[host] == 0 {
 				returns = append(returns, host) // stays listed until deleted
@@ -351,7 +351,7 @@
 // groupsNow is how many groups of machine records the leader may change now for
 // what can wait.
 func (n *Node) groupsNow() int {
-	return min(int(n.lim.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMost)
+	return min(int(n.lim.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMax)
 }
 
 // forget drops what the leader remembers of a machine.
@@ -370,7 +370,7 @@
 func (n *Node) giveBack(ctx context.Context, list []string) {
 	var hosts []string
 	for len(list) > 0 {
-		some := list[:min(len(list), tuning.ReturnMax)]
+		some := list[:min(len(list), tuning.TerminateMax)]
 		list = list[len(some):]
 		if err := n.cloud.Terminate(some); err != nil {
 			n.log.Info("machines not returned", "hosts", some, "err", err)
@@ -420,7 +420,7 @@
 	l.counter++
 	name := fmt.Sprintf("%s-%d-%d", n.self.Label, l.token, l.counter)
 	n.mu.Unlock()
-	count := min(h.Count, tuning.RentMax)
+	count := min(h.Count, tuning.ScaleOutMax)
 	names, err := n.cloud.ScaleOut(wire.ScaleOutRequest{Name: name, MachineType: h.Kind.MachineType, Zone: h.Kind.Zone, Spot: h.Kind.Spot, Count: count})
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -105,7 +105,7 @@
 		return false
 	}
 	for _, s := range n.siblings {
-		if n.freshSibling(s) && s.status.HasState && s.status.Token > n.member.FencingToken {
+		if n.freshSibling(s) && s.status.HasStore && s.status.FencingToken > n.member.FencingToken {
 			return true
 		}
 	}
@@ -127,11 +127,11 @@
 				return nil // ended for good
 			}
 			n.openSession(ctx)
-			due = n.now().Add(tuning.SessionTouch)
+			due = n.now().Add(tuning.SessionRenewEvery)
 			continue
 		}
 		sleep(ctx, max(due.Sub(n.now()), time.Millisecond))
-		due = n.now().Add(tuning.SessionTouch)
+		due = n.now().Add(tuning.SessionRenewEvery)
 		if err := n.svc.RenewLease(ctx, leaseID); errors.Is(err, store.ErrLeaseExpired) {
 			n.endSession(leaseID)
 		} else if err != nil {
@@ -183,8 +183,8 @@
 		select {
 		case <-ctx.Done():
 		case <-n.memberWake:
-			sleep(ctx, tuning.MemberPause)
-		case <-time.After(tuning.MemberEvery):
+			sleep(ctx, tuning.MembershipCheckPause)
+		case <-time.After(tuning.MembershipCheckEvery):
 		}
 	}
 	return nil
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -168,7 +168,7 @@
 	n.cache = store.NewCache(n.sink)
 	n.sync = store.NewSyncer(svc, jobs.Root, &n.mu, n.cache, n.changed, set.Operator.PollQueue, now, log)
 	for _, s := range set.Siblings {
-		n.siblings[s.Label] = &sibling{cfg: s, client: peer.NewClient(s.Endpoint), hosts: map[string]peer.Host{}}
+		n.siblings[s.Label] = &sibling{cfg: s, client: peer.NewClient(s.Endpoint), hosts: map[string]peer.MachineStatus{}}
 	}
 	return n
 }
@@ -220,7 +220,7 @@
 
 // userConns is how many connections of users and workers this node takes.
 func (n *Node) userConns() int {
-	return int(float64(n.set.Params.Limits.MaxConnections) * tuning.ConnShare)
+	return int(float64(n.set.Params.Limits.MaxConnections) * tuning.ConnectionShare)
 }
 
 func (n *Node) httpServer(h fasthttp.RequestHandler, conns int) *fasthttp.Server {
@@ -254,7 +254,7 @@
 }
 
 // hasState reports whether the state service was read lately.
-func (n *Node) hasState() bool { return n.now().Sub(n.sync.LastReadAt()) < tuning.StateStale }
+func (n *Node) hasState() bool { return n.now().Sub(n.sync.LastReadAt()) < tuning.StoreStaleAfter }
 
 // healthy decides GET /up: a node without the state service passes users on
 // while a sibling has it; if none has, there is nobody better. A node that
@@ -273,7 +273,7 @@
 	alone := len(n.siblings) > 0
 	for _, s := range n.siblings {
 		if n.freshSibling(s) {
-			if s.status.HasState {
+			if s.status.HasStore {
 				return false
 			}
 			alone = false
@@ -298,10 +298,10 @@
 
 // silentAfter is how long after its last message a machine counts as silent.
 func (n *Node) silentAfter() time.Duration {
-	return time.Duration(tuning.SilentReports * float64(n.set.Report()))
+	return time.Duration(tuning.SilentHeartbeats * float64(n.set.Report()))
 }
 
 // unfit reports whether a machine should get no tasks for now.
 func (n *Node) unfit(w *fleet.Worker, now time.Time) bool {
-	return w.Unresponsive || len(w.FailedJobs) >= tuning.HostErrorsMax || now.Sub(w.LastRefusal) < tuning.NoRoomPause
+	return w.Unresponsive || len(w.FailedJobs) >= tuning.MachineFailuresMax || now.Sub(w.LastRefusal) < tuning.RefusalPause
 }
--- a/internal/server/pass.go
+++ b/internal/server/pass.go
@@ -209,7 +209,7 @@
 		// The cloud may still bring room for a guarantee; work that is stopped
 		// for it is lost.
 		d.MayReclaim = n.pressed(j, now)
-		d.Starved = j.Counts[jobs.Pending] == j.Record.Tasks && now.UnixMilli()-j.ReadyAtMs > tuning.AgedAfter.Milliseconds()
+		d.Starved = j.Counts[jobs.Pending] == j.Record.Tasks && now.UnixMilli()-j.ReadyAtMs > tuning.StarvedAfter.Milliseconds()
 		d.PreemptedFor = now.Sub(n.preemptedFor[jobID]) < tuning.PreemptPause
 		d.WriteInFlight = n.busyJob[jobID] || now.Before(n.notUntil[jobID])
 		if len(d.Tasks) > 0 {
--- a/internal/server/planinput.go
+++ b/internal/server/planinput.go
@@ -24,7 +24,7 @@
 	}
 	sort.SliceStable(list, func(a, b int) bool { return len(list[a].Tasks) < len(list[b].Tasks) })
 	out := map[string]bool{}
-	for _, m := range list[:min(len(list), max(tuning.MovableTries, int(float64(len(list))*tuning.MoversShare)))] {
+	for _, m := range list[:min(len(list), max(tuning.DrainableTries, int(float64(len(list))*tuning.DrainingShare)))] {
 		if fitElsewhere(f, m, true) {
 			out[m.Name] = true
 		}
@@ -39,7 +39,7 @@
 	for _, m := range machines.Machines {
 		b.addMachine(m)
 	}
-	b.input.MaxDraining = int(float64(b.serving) * tuning.MoversShare)
+	b.input.MaxDraining = int(float64(b.serving) * tuning.DrainingShare)
 	b.addRented()
 	b.addHeadroom()
 	b.addActiveRoles()
@@ -123,7 +123,7 @@
 func (b *planBuilder) unit(m *place.Machine, phase fleet.Phase) fleet.Machine {
 	_, wasUp := b.leader.heard[m.Name]
 	quiet := b.quietFor(m.Name)
-	missing := time.Duration(tuning.MissingReports * float64(b.node.set.Report()))
+	missing := time.Duration(tuning.MissingHeartbeats * float64(b.node.set.Report()))
 	unit := fleet.Machine{
 		Name:             m.Name,
 		Kind:             fleet.MachineKind{MachineType: m.Type, Zone: m.Zone, Spot: m.Spot},
@@ -136,7 +136,7 @@
 		Claims:           len(m.Tasks),
 		Free:             m.Free,
 		Silent:           wasUp && quiet > 2*b.lease,
-		Missing:          b.leader.absent[m.Name] >= tuning.GoneLists && wasUp && quiet > missing,
+		Missing:          b.leader.absent[m.Name] >= tuning.MissingLists && wasUp && quiet > missing,
 		HeartbeatOverdue: wasUp && quiet > b.node.silentAfter(),
 		Group:            b.node.reg.KeyOf(m.Name),
 	}
@@ -185,13 +185,13 @@
 		b.leader.unfit[m.Name] = b.now
 		return false
 	}
-	return b.now.Sub(since) > tuning.UnfitLeases*b.lease
+	return b.now.Sub(since) > tuning.QuarantineLeases*b.lease
 }
 
 // failing reports whether too many tasks failed lately on a machine of this node.
 func (b *planBuilder) failing(m *place.Machine) bool {
 	w := b.node.workers[m.Name]
-	return m.Owner == b.node.self.Label && w != nil && len(w.FailedJobs) >= tuning.HostErrorsMax
+	return m.Owner == b.node.self.Label && w != nil && len(w.FailedJobs) >= tuning.MachineFailuresMax
 }
 
 // addRented enters the machines that were hired and have no record yet.
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -36,7 +36,7 @@
 	}
 	// Starts that can't be sent for a lease are none that a rate would help.
 	late := r.Phase == recovery.CatchingUp && now.Sub(r.Since) > n.set.Lease()
-	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietReports*float64(n.set.Report()))) {
+	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietHeartbeats*float64(n.set.Report()))) {
 		n.recoveryEvent(recovery.CaughtUp, now)
 	}
 }
@@ -55,7 +55,7 @@
 func (n *Node) countMachines(now time.Time) (count recovery.Count, left recovery.Backlog) {
 	count = recovery.Count{}
 	waited := now.Sub(n.recovery.Began)
-	patience := time.Duration(tuning.RecoveryReports * float64(n.set.Report()))
+	patience := time.Duration(tuning.RecoveryHeartbeats * float64(n.set.Report()))
 	for host, rec := range n.reg.Machines {
 		if rec.Phase == fleet.Terminated || n.ownerOf(host) != n.self.Label {
 			continue
--- a/internal/server/releases.go
+++ b/internal/server/releases.go
@@ -123,7 +123,7 @@
 	switch {
 	case last:
 		return releaseJobEnd, true
-	case j.Service() || again || wait > tuning.ReleaseLate || n.partOver(j, changes):
+	case j.Service() || again || wait > tuning.ReleaseOverdue || n.partOver(j, changes):
 		return releaseRestart, true
 	}
 	return releaseRoutine, true
--- a/internal/server/siblings.go
+++ b/internal/server/siblings.go
@@ -22,16 +22,16 @@
 	client *peer.Client
 	status peer.Status
 	at     time.Time
-	seen   peer.Seen            // the view of its machines that hosts holds
-	seenAt time.Time            // when that was last confirmed
-	hosts  map[string]peer.Host // its machines
+	seen   peer.MachinesVersion          // the view of its machines that hosts holds
+	seenAt time.Time                     // when that was last confirmed
+	hosts  map[string]peer.MachineStatus // its machines
 	// what it attests about cancellations
 	attestation member.Attestation
 }
 
 // publishedHost is what siblings are told of one of this node's machines.
 type publishedHost struct {
-	host peer.Host
+	host peer.MachineStatus
 	view uint64 // of its last change
 }
 
@@ -43,10 +43,10 @@
 func (n *Node) runPeer(ctx context.Context, s *sibling) error {
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		own := n.ownStatus(peer.Seen{})
-		own.Seen = s.seen
+		own := n.ownStatus(peer.MachinesVersion{})
+		own.Known = s.seen
 		n.mu.Unlock()
-		own.Hosts, own.Whole = nil, false // they come with the answer to the sibling's own
+		own.Machines, own.AllMachines = nil, false // they come with the answer to the sibling's own
 		asked := n.now()
 		st, err := s.client.Exchange(own.Encode(), tuning.PeerTimeout)
 		if err == nil {
@@ -68,18 +68,18 @@
 		return
 	}
 	now := n.now()
-	seen := peer.Seen{View: st.View, Token: st.Token, Incarnation: st.Incarnation}
+	seen := peer.MachinesVersion{Number: st.MachinesVersion, FencingToken: st.FencingToken, Incarnation: st.Incarnation}
 	answer := !asked.IsZero()
 	if answer {
 		n.applyAttestation(s, st, asked, now)
 	}
-	if answer && (st.Whole || seen.Token == s.seen.Token && seen.Incarnation == s.seen.Incarnation) {
+	if answer && (st.AllMachines || seen.FencingToken == s.seen.FencingToken && seen.Incarnation == s.seen.Incarnation) {
 		n.applySiblingHosts(s, st, now)
 		s.seen, s.seenAt = seen, now
 	}
-	st.Hosts = nil
+	st.Machines = nil
 	s.status, s.at = st, now
-	if n.member != nil && st.Token > n.member.FencingToken {
+	if n.member != nil && st.FencingToken > n.member.FencingToken {
 		wake(n.memberWake)
 	}
 }
@@ -87,17 +87,17 @@
 // applySiblingHosts enters what has changed of a sibling's machines, or all of them
 // in place of those known before; mu is held.
 func (n *Node) applySiblingHosts(s *sibling, st peer.Status, now time.Time) {
-	if st.Whole {
+	if st.AllMachines {
 		for host := range s.hosts {
 			n.view.touch(host)
 		}
 		clear(s.hosts)
 	}
-	for _, h := range st.Hosts {
+	for _, h := range st.Machines {
 		n.view.touch(h.Name)
 		s.hosts[h.Name] = h
 		if h.Silent && n.leading.heard != nil {
-			n.leading.hear(h.Name, now.Add(-h.Age))
+			n.leading.hear(h.Name, now.Add(-h.SinceHeard))
 		}
 	}
 }
@@ -105,11 +105,11 @@
 // applyAttestation enters what a sibling says of cancellations, and how far all of them
 // are known by it; mu is held.
 func (n *Node) applyAttestation(s *sibling, st peer.Status, asked, now time.Time) {
-	if !st.Counts || st.Incarnation == 0 {
+	if !st.ReportsCancellations || st.Incarnation == 0 {
 		s.attestation = member.Attestation{}
 		return
 	}
-	s.attestation = s.attestation.Update(st.Incarnation, st.Cancelled, asked, now)
+	s.attestation = s.attestation.Update(st.Incarnation, st.LastCancellation, asked, now)
 	all := make([]member.Attestation, 0, len(n.siblings))
 	for _, o := range n.siblings {
 		all = append(all, o.attestation)
@@ -130,25 +130,25 @@
 
 // ownStatus is this node's status, with what has changed of its machines since
 // the view that a sibling has; mu is held.
-func (n *Node) ownStatus(seen peer.Seen) peer.Status {
+func (n *Node) ownStatus(seen peer.MachinesVersion) peer.Status {
 	now := n.now()
-	st := peer.Status{Label: n.self.Label, Incarnation: n.self.Incarnation, Revision: n.cache.Revision(), HasState: n.hasState() && n.cache.Consistent()}
+	st := peer.Status{Label: n.self.Label, Incarnation: n.self.Incarnation, Revision: n.cache.Revision(), HasStore: n.hasState() && n.cache.Consistent()}
 	if n.member != nil {
-		st.Token = n.member.FencingToken
+		st.FencingToken = n.member.FencingToken
 	}
-	if n.entitled() && now.Sub(n.viewAt) >= tuning.ViewEvery {
+	if n.entitled() && now.Sub(n.viewAt) >= tuning.MachineStatusEvery {
 		n.viewAt = now
 		n.refreshPublished(now)
 	}
 	st.Recovering = n.recovery.MachinesUnknown()
-	st.Counts, st.Cancelled = n.cache.Consistent(), n.cancelled
+	st.ReportsCancellations, st.LastCancellation = n.cache.Consistent(), n.cancelled
 	st.QueuedChanges = uint32(math.Ceil(n.queuedChanges))
-	st.View = n.publishedView
-	st.Whole = seen.Token != st.Token || seen.Incarnation != st.Incarnation || seen.View > n.publishedView
+	st.MachinesVersion = n.publishedView
+	st.AllMachines = seen.FencingToken != st.FencingToken || seen.Incarnation != st.Incarnation || seen.Number > n.publishedView
 	if n.entitled() {
 		for _, t := range n.published {
-			if st.Whole || t.view > seen.View {
-				st.Hosts = append(st.Hosts, t.host)
+			if st.AllMachines || t.view > seen.Number {
+				st.Machines = append(st.Machines, t.host)
 			}
 		}
 	}
@@ -162,20 +162,20 @@
 		if w.LastHeard.IsZero() {
 			continue
 		}
-		h := peer.Host{Name: host, Session: w.Incarnation, Silent: now.Sub(w.LastHeard) > silent, Proven: w.State == fleet.TokenAcknowledged,
-			Notice: -1, Suspect: n.unfit(w, now)}
+		h := peer.MachineStatus{Name: host, Incarnation: w.Incarnation, Silent: now.Sub(w.LastHeard) > silent, TokenAcknowledged: w.State == fleet.TokenAcknowledged,
+			TerminationNotice: -1, Quarantined: n.unfit(w, now)}
 		if !w.TerminationAt.IsZero() {
-			h.Notice = 0
+			h.TerminationNotice = 0
 		}
 		t := n.published[host]
 		if t == nil {
 			t = &publishedHost{}
 			n.published[host] = t
-		} else if o := t.host; o.Session == h.Session && o.Silent == h.Silent && o.Proven == h.Proven && o.Notice == h.Notice &&
-			o.Suspect == h.Suspect && slices.Equal(o.Images, w.Images) {
+		} else if o := t.host; o.Incarnation == h.Incarnation && o.Silent == h.Silent && o.TokenAcknowledged == h.TokenAcknowledged && o.TerminationNotice == h.TerminationNotice &&
+			o.Quarantined == h.Quarantined && slices.Equal(o.Images, w.Images) {
 			continue
 		}
-		h.Age = now.Sub(w.LastHeard)
+		h.SinceHeard = now.Sub(w.LastHeard)
 		h.Images = slices.Clone(w.Images)
 		n.publishedView++
 		t.host, t.view = h, n.publishedView
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -73,14 +73,14 @@
 		if left = n.underWay(); left == 0 || ctx.Err() != nil {
 			break
 		}
-		sleep(ctx, tuning.DrainPoll)
+		sleep(ctx, tuning.ShutdownPoll)
 	}
 	n.mu.Lock()
 	leaseID, session := n.self.Incarnation, n.session
 	n.session = member.NoLease // this node answers no report any more
 	n.mu.Unlock()
 	if session != member.NoLease {
-		end, stop := context.WithTimeout(context.Background(), tuning.StateCallTimeout)
+		end, stop := context.WithTimeout(context.Background(), tuning.StoreCallTimeout)
 		defer stop()
 		if err := n.svc.RevokeLease(end, leaseID); err != nil && !errors.Is(err, store.ErrLeaseExpired) {
 			return fmt.Errorf("session not ended, it runs out by itself: %w", err)
--- a/internal/server/txn.go
+++ b/internal/server/txn.go
@@ -38,7 +38,7 @@
 // room reports whether n more changes of the given size fit.
 func (n *Node) room(t *txn, changes, bytes, guards int) bool {
 	ops := n.limits.TxnOps
-	return len(t.changes)+changes <= ops && t.bytes+bytes <= tuning.TxnBytes && len(t.guards)+guards <= 4*ops
+	return len(t.changes)+changes <= ops && t.bytes+bytes <= tuning.TransactionBytes && len(t.guards)+guards <= 4*ops
 }
 
 func (t *txn) set(key string, v any) {
--- a/internal/server/users.go
+++ b/internal/server/users.go
@@ -141,7 +141,7 @@
 	n.mu.Lock()
 	var to *sibling
 	for _, s := range n.siblings {
-		if n.freshSibling(s) && s.status.HasState && (to == nil || s.cfg.Label < to.cfg.Label) {
+		if n.freshSibling(s) && s.status.HasStore && (to == nil || s.cfg.Label < to.cfg.Label) {
 			to = s
 		}
 	}
@@ -149,7 +149,7 @@
 	if to == nil {
 		return false
 	}
-	r, err := to.client.Forward(peer.Request{Method: string(c.Method()), Path: string(c.Path()), Body: c.PostBody()}, tuning.ForwardTimeout)
+	r, err := to.client.Forward(peer.ForwardRequest{Method: string(c.Method()), Path: string(c.Path()), Body: c.PostBody()}, tuning.ForwardTimeout)
 	if err != nil {
 		n.log.Debug("request not passed on", "to", to.cfg.Label, "err", err)
 		return false
@@ -166,7 +166,7 @@
 
 // serveForwarded serves a request that a sibling passed on; it goes no further.
 func (n *Node) serveForwarded(c *fasthttp.RequestCtx) {
-	r, err := peer.DecodeRequest(c.PostBody())
+	r, err := peer.DecodeForwardRequest(c.PostBody())
 	if err != nil || r.Path != "/work" && !strings.HasPrefix(r.Path, "/work/") {
 		refuse(c, 400, "malformed request")
 		return
@@ -176,7 +176,7 @@
 	inner.Request.SetRequestURI(r.Path)
 	inner.Request.SetBody(r.Body)
 	n.serveHere(&inner, r.Path)
-	out := peer.Reply{Status: inner.Response.StatusCode(), Body: inner.Response.Body(),
+	out := peer.ForwardResponse{Status: inner.Response.StatusCode(), Body: inner.Response.Body(),
 		RetryAfter: string(inner.Response.Header.Peek("Retry-After"))}
 	c.SetBody(out.Encode())
 }
@@ -186,18 +186,18 @@
 		n.serveForwarded(c)
 		return
 	}
-	if string(c.Path()) != peer.Path || !c.IsPost() {
+	if string(c.Path()) != peer.StatusPath || !c.IsPost() {
 		refuse(c, 404, "no such path")
 		return
 	}
-	st, err := peer.Decode(c.PostBody())
+	st, err := peer.DecodeStatus(c.PostBody())
 	if err != nil {
 		refuse(c, 400, "malformed status")
 		return
 	}
 	n.notePeer(st, time.Time{})
 	n.mu.Lock()
-	own := n.ownStatus(st.Seen)
+	own := n.ownStatus(st.Known)
 	n.mu.Unlock()
 	c.SetBody(own.Encode())
 }
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -24,7 +24,7 @@
 	n.mu.Lock()
 	status, body := n.report(&r)
 	n.mu.Unlock()
-	if float64(n.open()) > float64(n.userConns())*tuning.CrowdedShare {
+	if float64(n.open()) > float64(n.userConns())*tuning.CrowdedConnShare {
 		// Guards against the workers of nodes that are down holding all
 		// connections between their reports: users and health checks need some.
 		c.SetConnectionClose()
@@ -45,7 +45,7 @@
 		return 503, wire.ErrorResponse{Error: "superseded"}
 	}
 	stale := now.Sub(n.sync.LastReadAt())
-	if now.Sub(n.knownUntil()) > n.set.AnswerBound() || stale > tuning.StateStale && n.superseded() {
+	if now.Sub(n.knownUntil()) > n.set.AnswerBound() || stale > tuning.StoreStaleAfter && n.superseded() {
 		// Leases that this node renews must end before a cancellation that it
 		// can't read is due.
 		return 421, wire.Redirect{}
@@ -63,7 +63,7 @@
 	n.observe(w, r, now)
 	commands, _ := w.Commands(n.table.ClaimsByMachine[r.Machine], fleet.CommandOptions{
 		Channel:     fleet.HeartbeatAnswer,
-		AllowStarts: stale < tuning.StateStale && n.startable(r.Machine),
+		AllowStarts: stale < tuning.StoreStaleAfter && n.startable(r.Machine),
 		Now:         now,
 		AwaitCall:   !n.recovery.Done(),
 		AdmitStart:  n.admitStart,
@@ -145,7 +145,7 @@
 	}
 	if !w.TerminationAt.IsZero() {
 		// The cloud takes the machine: what can't end in time starts elsewhere.
-		left := time.Duration(float64(w.TerminationAt.Sub(now)) * tuning.NoticeKillFactor)
+		left := time.Duration(float64(w.TerminationAt.Sub(now)) * tuning.TerminationNoticeFactor)
 		for id, j := range n.table.ClaimsByMachine[w.Machine] {
 			if wk := j.Record.Spec; wk != nil && (j.Service() || wk.EstimateS > left.Seconds()) {
 				n.stopTask(w, id)
@@ -244,7 +244,7 @@
 	// A raised token that the worker has not seen: the sooner it shows it, the
 	// sooner the starts below it are void.
 	greet = greet || w.State == fleet.TokenAcknowledged && w.FencingToken > max(w.AcknowledgedToken, n.member.FencingToken)
-	if len(commands) == 0 && !greet || len(commands) == 0 && now.Sub(w.LastCall) < tuning.GreetPause {
+	if len(commands) == 0 && !greet || len(commands) == 0 && now.Sub(w.LastCall) < tuning.TokenAnnouncePause {
 		return
 	}
 	// Kills go before starts, and those before calls that only ask: each call to
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -52,7 +52,7 @@
 
 // NewClient returns a client of the service at addr.
 func NewClient(addr string, lim *Limiter) *Client {
-	return &Client{addr: addr, limiter: lim, http: httpc.Host(addr, tuning.StateConns)}
+	return &Client{addr: addr, limiter: lim, http: httpc.Host(addr, tuning.StoreConns)}
 }
 
 // call sends one request; out may be nil.
@@ -95,7 +95,7 @@
 	if after != "" {
 		path += "&after=" + url.QueryEscape(after)
 	}
-	status, err := c.call("GET", path, nil, &out, 2*tuning.StateCallTimeout)
+	status, err := c.call("GET", path, nil, &out, 2*tuning.StoreCallTimeout)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("%w: list: status %d", ErrMalformed, status)
 	}
@@ -114,7 +114,7 @@
 		changes = []wire.Operation{}
 	}
 	var out wire.TransactionResult
-	status, err := c.call("POST", "/multi", wire.Transaction{Compares: guards, Operations: changes}, &out, tuning.StateCallTimeout)
+	status, err := c.call("POST", "/multi", wire.Transaction{Compares: guards, Operations: changes}, &out, tuning.StoreCallTimeout)
 	switch {
 	case err != nil:
 		return 0, err
@@ -134,7 +134,7 @@
 		return 0, err
 	}
 	var out wire.LeaseResponse
-	status, err := c.call("POST", "/leases", wire.LeaseRequest{TTLMs: uint64(ttl.Milliseconds())}, &out, tuning.StateCallTimeout)
+	status, err := c.call("POST", "/leases", wire.LeaseRequest{TTLMs: uint64(ttl.Milliseconds())}, &out, tuning.StoreCallTimeout)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("%w: lease: status %d", ErrMalformed, status)
 	}
@@ -156,7 +156,7 @@
 	if err := c.limiter.Acquire(ctx, ClassLease, 0); err != nil {
 		return err
 	}
-	status, err := c.call(method, path, nil, nil, tuning.StateCallTimeout)
+	status, err := c.call(method, path, nil, nil, tuning.StoreCallTimeout)
 	switch {
 	case err != nil:
 		return err
@@ -175,7 +175,7 @@
 		return out, err
 	}
 	path := fmt.Sprintf("/watch?starts=%s&after=%d&hold_ms=%d", url.QueryEscape(prefix), after, hold.Milliseconds())
-	status, err := c.call("GET", path, nil, &out, hold+tuning.StateCallTimeout)
+	status, err := c.call("GET", path, nil, &out, hold+tuning.StoreCallTimeout)
 	switch {
 	case err != nil:
 	case status == 410:
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -15,15 +15,15 @@
 	// long enough for a renewal that takes a few hundred milliseconds and one
 	// that is lost.
 	SessionTTL = 3500 * time.Millisecond
-	// SessionTouch is the pause between renewals: three tries fit in the TTL.
-	SessionTouch = 1000 * time.Millisecond
-	// MemberEvery is the longest pause between two looks at the membership, and
+	// SessionRenewEvery is the pause between renewals: three tries fit in the TTL.
+	SessionRenewEvery = 1000 * time.Millisecond
+	// MembershipCheckEvery is the longest pause between two looks at the membership, and
 	// MemberPause the least, which batches what a watch brings.
-	MemberEvery = 1000 * time.Millisecond
-	MemberPause = 10 * time.Millisecond
-	// StateCallTimeout bounds one call to the state service other than a watch.
+	MembershipCheckEvery = 1000 * time.Millisecond
+	MembershipCheckPause = 10 * time.Millisecond
+	// StoreCallTimeout bounds one call to the state service other than a watch.
 	// The service usually answers in 10 ms, at times in a few hundred.
-	StateCallTimeout = 1500 * time.Millisecond
+	StoreCallTimeout = 1500 * time.Millisecond
 	// WatchHold is how long a watch may stay open. Short, so that the send
 	// time of the last answered one stays recent enough to prove freshness.
 	WatchHold = 1000 * time.Millisecond
@@ -51,19 +51,19 @@
 	// ChunkMax is the most tasks of a chunk record: several records fit one
 	// transaction of 64 KiB.
 	ChunkMax = 70
-	// GroupMax is the most machines whose records share a key: more save
+	// MachinesPerGroup is the most machines whose records share a key: more save
 	// changes when a fleet starts, fewer fail less often by each other's changes.
-	GroupMax = 32
+	MachinesPerGroup = 32
 	// GroupsPerBatch is the most groups of machine records that are stored for
 	// one decision: a few seconds of the leader's budget.
 	GroupsPerBatch = 16
-	// CutsPerPlan is how many machine groups that are larger than the state
+	// GroupSplitsPerPlan is how many machine groups that are larger than the state
 	// service will take the leader cuts in one plan, two or more changes each,
 	// while nothing else changes them.
-	CutsPerPlan = 2
-	// GroupShare is the part of the value limit that a group of machine
+	GroupSplitsPerPlan = 2
+	// GroupFillShare is the part of the value limit that a group of machine
 	// records may fill.
-	GroupShare = 0.9
+	GroupFillShare = 0.9
 	// WriteReserve is the number of changes that claims and releases leave in
 	// the budget for submissions, which then never wait behind them.
 	WriteReserve = 1.0
@@ -71,12 +71,12 @@
 	// before they are stored in one change; a user expects a job's end within
 	// 3 s, so the change that ends a job goes at once.
 	ReleaseGather = 1500 * time.Millisecond
-	// ReleaseLate is when a gathered release goes before new claims.
-	ReleaseLate = 12 * time.Second
-	// ShareOutPause separates two times that a team's limit is shared out anew
+	// ReleaseOverdue is when a gathered release goes before new claims.
+	ReleaseOverdue = 12 * time.Second
+	// RebalancePause separates two times that a team's limit is shared out anew
 	// under the same membership: its two writes fail the admissions that are
 	// under way, and take changes from the budget.
-	ShareOutPause = 3 * time.Second
+	RebalancePause = 3 * time.Second
 	// TransferPause separates two transfers of a team's share by the same node:
 	// its last one is read, and used, by then.
 	TransferPause = 250 * time.Millisecond
@@ -92,14 +92,14 @@
 	ReserveHold = 10 * time.Second
 	// ReservePause separates two changes of the reservations.
 	ReservePause = 2 * time.Second
-	// TxnBytes is the most JSON that a transaction may hold; the service's
+	// TransactionBytes is the most JSON that a transaction may hold; the service's
 	// limit is 64 KiB.
-	TxnBytes = 48 << 10
+	TransactionBytes = 48 << 10
 	// RetryPause separates tries after a refusal or a lost reply.
 	RetryPause = 250 * time.Millisecond
-	// StateStale is the time without a fresh read after which a node holds
+	// StoreStaleAfter is the time without a fresh read after which a node holds
 	// that it has lost the state service: two watches would have come back.
-	StateStale = 2500 * time.Millisecond
+	StoreStaleAfter = 2500 * time.Millisecond
 )
 
 // Workers.
@@ -114,17 +114,17 @@
 	// off from the state service may renew and the cancellation limit. It
 	// covers report travel time, clock drift and late timers.
 	CancelMargin = 4 * time.Second
-	// InvalidateStep is by how much an owner raises the token of one of its machines
+	// FencingStep is by how much an owner raises the token of one of its machines
 	// to make void what may still be under way there. Versions that know nothing
 	// of it take the next token after a membership's first: they must not come
 	// upon a raised one and hold it for their own.
-	InvalidateStep = 1 << 10
+	FencingStep = 1 << 10
 	// TokenSpan is how many tokens a membership has: room for fifteen steps.
-	TokenSpan = 16 * InvalidateStep
+	TokenSpan = 16 * FencingStep
 	// WorkerCallTimeout bounds a direct command.
 	WorkerCallTimeout = 2 * time.Second
-	// GreetPause separates direct calls to one worker that does not answer.
-	GreetPause = 2 * time.Second
+	// TokenAnnouncePause separates direct calls to one worker that does not answer.
+	TokenAnnouncePause = 2 * time.Second
 	// ConfirmAfter is how long after an answer with a command a report must
 	// show its effect: workers drop answers after 4 s and report changes
 	// within half a second.
@@ -132,35 +132,35 @@
 	// UnresponsivePause separates direct calls that ask whether a machine whose reports
 	// show nothing of what it is told hears again.
 	UnresponsivePause = 5 * time.Second
-	// UnfitLeases is after how many leases a machine that reports but takes no
+	// QuarantineLeases is after how many leases a machine that reports but takes no
 	// tasks is given back.
-	UnfitLeases = 2
+	QuarantineLeases = 2
 	// WorkerCallsMax is how many direct calls a node has open at once; bounds
 	// sockets and memory.
 	WorkerCallsMax = 32
-	// SilentReports is how many report intervals without any message make a
+	// SilentHeartbeats is how many report intervals without any message make a
 	// machine unfit for new tasks.
-	SilentReports = 2.2
+	SilentHeartbeats = 2.2
 	// UnreachableMin is how long a node that has said that it hears no worker owns
 	// no machines, so that a shaky network does not move them to and fro.
 	UnreachableMin = 10 * time.Second
 	// ReachabilityProbes is the number of workers that it asks whether it hears again.
 	ReachabilityProbes = 4
-	// HostErrorsMax is the number of failed tasks of different jobs, without
+	// MachineFailuresMax is the number of failed tasks of different jobs, without
 	// a success between, after which a machine is taken for faulty.
-	HostErrorsMax = 2
+	MachineFailuresMax = 2
 	// RetryBase and RetryCap bound the pause before a failed task is tried
 	// again; it doubles with each failure.
 	RetryBase = 500 * time.Millisecond
 	RetryCap  = 30 * time.Second
-	// NoRoomPause keeps tasks off a machine that refused one for want of room.
-	NoRoomPause = 5 * time.Second
+	// RefusalPause keeps tasks off a machine that refused one for want of room.
+	RefusalPause = 5 * time.Second
 	// ImagesKept bounds the images that a node remembers per machine; how many
 	// the machine holds follows from its disk.
 	ImagesKept = 64
-	// NoticeKillFactor is the share of a spot notice that a task must be
+	// TerminationNoticeFactor is the share of a spot notice that a task must be
 	// expected to fit in to be left running; notices run up to half short.
-	NoticeKillFactor = 0.5
+	TerminationNoticeFactor = 0.5
 )
 
 // Placement.
@@ -173,27 +173,27 @@
 	SweepEvery = 500 * time.Millisecond
 	// PassPause is the least time between two passes; it batches events.
 	PassPause = 80 * time.Millisecond
-	// RecoveryQuietReports is how many report intervals without a start that waits
+	// RecoveryQuietHeartbeats is how many report intervals without a start that waits
 	// end the catching up of a node: what an outage has ended is released with the
 	// reports, and claimed again after that.
-	RecoveryQuietReports = 2.0
+	RecoveryQuietHeartbeats = 2.0
 	// StartCallGrace is how long a direct call that holds a start may be under way
 	// before the answer to a report holds the start, too. Calls usually take
 	// milliseconds; one that takes longer may not arrive at all.
 	StartCallGrace = 500 * time.Millisecond
-	// RecoveryReports is how many report intervals a machine has to report after
+	// RecoveryHeartbeats is how many report intervals a machine has to report after
 	// a node that has begun anew became a member. A report comes within one and a
 	// quarter, at a node that sends it on, and again after the token has changed.
-	RecoveryReports = 4.0
+	RecoveryHeartbeats = 4.0
 	// StallAfter is how long a loop of a node may stand still before the service
 	// manager is not told any more that it goes on: a call to the state service
 	// that waits for its whole time, several times over.
 	StallAfter = 20 * time.Second
-	// DrainLimit is how long a clean stop waits for what is under way: a decision
+	// ShutdownLimit is how long a clean stop waits for what is under way: a decision
 	// write takes DecisionWait at most, and what follows from it once more.
-	DrainLimit = 8 * time.Second
-	// DrainPoll is how often a clean stop looks whether all has ended.
-	DrainPoll = 20 * time.Millisecond
+	ShutdownLimit = 8 * time.Second
+	// ShutdownPoll is how often a clean stop looks whether all has ended.
+	ShutdownPoll = 20 * time.Millisecond
 	// ConflictPause is the mean wait after a placement lost a race for a
 	// record; jittered, so that two nodes don't meet again.
 	ConflictPause = 120 * time.Millisecond
@@ -206,9 +206,9 @@
 	PassRest = 30
 	// PassPauseMax bounds that rest.
 	PassPauseMax = 400 * time.Millisecond
-	// AgedAfter is how long a job waits without any task begun before nothing
+	// StarvedAfter is how long a job waits without any task begun before nothing
 	// of its priority goes before it: half of the four minutes that users grant.
-	AgedAfter = 100 * time.Second
+	StarvedAfter = 100 * time.Second
 	// GuaranteePreemptAfter is how long work within a guarantee waits before
 	// another team's borrowed work is stopped for it: by then the cloud has had
 	// time for two boots.
@@ -280,9 +280,9 @@
 	TypesEvery = 60 * time.Second
 	// PlanEvery is the pause between capacity decisions.
 	PlanEvery = 1 * time.Second
-	// RefusedPause keeps a type, zone and kind out of the plan after the cloud
+	// NoCapacityPause keeps a type, zone and kind out of the plan after the cloud
 	// had none.
-	RefusedPause = 20 * time.Second
+	NoCapacityPause = 20 * time.Second
 	// SlowBootFactor times a type's boot time is when a machine that has not
 	// reported is deleted: the usual range ends at 1.5.
 	SlowBootFactor = 2.5
@@ -294,37 +294,37 @@
 	// IdleSpot and IdleOrdinary are how long an unneeded machine stays before
 	// it is returned; a deleted machine costs at least 60 s, and a new one a boot.
 	IdleSpot     = 25 * time.Second
-	IdleOrdinary = 30 * time.Second
-	// OrdinaryBatchAfter is how long a task that may use spot machines waits
+	IdleOnDemand = 30 * time.Second
+	// OnDemandBatchAfter is how long a task that may use spot machines waits
 	// before an ordinary one, several times as dear, is rented for it.
-	OrdinaryBatchAfter = 15 * time.Second
+	OnDemandBatchAfter = 15 * time.Second
 	// ListLagFactor times the list's lag is how long after its first listing
 	// a machine's absence from a list starts to count; the lag at times doubles.
 	ListLagFactor = 3
-	// GoneLists is the number of lists in a row that must omit a machine that
+	// MissingLists is the number of lists in a row that must omit a machine that
 	// was listed before it is taken to be gone and returned for proof.
-	GoneLists = 2
-	// MissingReports is how many report intervals a machine that lists omit must
+	MissingLists = 2
+	// MissingHeartbeats is how many report intervals a machine that lists omit must
 	// be silent: reports come up to a quarter late, so one was missed.
-	MissingReports = 1.25
-	// ReturnMax is the most machines named in one return.
-	ReturnMax = 100
-	// RentMax is the most machines asked for in one call.
-	RentMax = 50
-	// MovableTries is how many half-empty service machines a plan looks at, at
+	MissingHeartbeats = 1.25
+	// TerminateMax is the most machines named in one return.
+	TerminateMax = 100
+	// ScaleOutMax is the most machines asked for in one call.
+	ScaleOutMax = 50
+	// DrainableTries is how many half-empty service machines a plan looks at, at
 	// least; in a large fleet, as many as may be emptied at once.
-	MovableTries = 6
+	DrainableTries = 6
 	// DrainGroups is how many groups of machine records one plan may touch to
 	// give idle machines back, and DrainGroupsMost how many while the budget
 	// of changes has room.
-	DrainGroups     = 2
-	DrainGroupsMost = 6
-	// MoversShare is the part of the service machines that may be emptied at
+	DrainGroups    = 2
+	DrainGroupsMax = 6
+	// DrainingShare is the part of the service machines that may be emptied at
 	// once, at least one; each owner still moves its tasks singly.
-	MoversShare = 0.03
-	// GoneKept is how long the leader remembers that a machine was given back,
+	DrainingShare = 0.03
+	// TerminatedKept is how long the leader remembers that a machine was given back,
 	// while lists that are late still show it.
-	GoneKept = 60 * time.Second
+	TerminatedKept = 60 * time.Second
 	// ServiceHeadroom is the spare service capacity kept, as a share of what
 	// services hold.
 	ServiceHeadroom = 0.12
@@ -356,8 +356,8 @@
 	// MaxResponse is the largest response read, in bytes; a watch response has
 	// no limit of its own.
 	MaxResponse = 64 << 20
-	// StateConns and CloudConns bound the connections to the services.
-	StateConns = 48
+	// StoreConns and CloudConns bound the connections to the services.
+	StoreConns = 48
 	CloudConns = 6
 	// WorkerConns bounds the connections to one worker, and WorkerIdle how
 	// long they stay open: the next call to the same worker is seldom near, and
@@ -392,9 +392,9 @@
 	RetryAfter = 2
 	// PeerEvery is the pause between two exchanges of status with a sibling.
 	PeerEvery = 700 * time.Millisecond
-	// ViewEvery is how often a node looks over its machines for what has
+	// MachineStatusEvery is how often a node looks over its machines for what has
 	// changed for its siblings.
-	ViewEvery = 300 * time.Millisecond
+	MachineStatusEvery = 300 * time.Millisecond
 	// PeerTimeout bounds one exchange.
 	PeerTimeout = 1 * time.Second
 	// PeerConns bounds the connections to one sibling; forwarded requests
@@ -405,12 +405,12 @@
 	ForwardTimeout = 1500 * time.Millisecond
 	// PeerFresh is how long a sibling's status is believed.
 	PeerFresh = 3 * time.Second
-	// ConnShare is the share of the socket limit that the user and worker
+	// ConnectionShare is the share of the socket limit that the user and worker
 	// side may hold; the rest is for our own calls.
-	ConnShare = 0.8
-	// CrowdedShare is the share of those connections from which workers'
+	ConnectionShare = 0.8
+	// CrowdedConnShare is the share of those connections from which workers'
 	// connections are closed after each report.
-	CrowdedShare = 0.6
+	CrowdedConnShare = 0.6
 	// MemoryShare is the share of the memory limit given to the Go runtime as
 	// its soft limit; the rest covers the binary, stacks and the C library.
 	MemoryShare = 0.65
