--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -71,7 +71,7 @@
 
 // controller is a node as the daemon runs it.
 type controller struct {
-	*server.Node
+	*server.Controller
 	set   *config.Settings
 	props string         // the operators' properties file
 	level *slog.LevelVar // of the log
--- a/internal/server/budget.go
+++ b/internal/server/budget.go
@@ -6,30 +6,30 @@
 	"wheatspur/internal/tuning"
 )
 
-// shareBudget sets this node's part of the state service's budget: requests in
+// updateBudgetShare sets this node's part of the state service's budget: requests in
 // equal parts; of the changes one half in equal parts, two of them to the
 // leader, which also stores machines, roles and limits, and the other half by
 // what waits at each node, while every member tells it. Guards against most of
 // the budget lying idle at nodes that have little to store. mu is held.
-func (n *Node) shareBudget() {
-	live := float64(max(1, len(n.member.Nodes)))
+func (n *Controller) updateBudgetShare() {
+	live := float64(max(1, len(n.membership.Nodes)))
 	parts := 1 / (live + 1)
-	if n.member.Leader == n.self {
+	if n.membership.Leader == n.self {
 		parts *= 2
 	}
-	allKnown, sum := true, n.queuedChanges
-	for _, m := range n.member.Nodes {
+	allKnown, sum := true, n.queuedWrites
+	for _, m := range n.membership.Nodes {
 		if m == n.self {
 			continue
 		}
 		s := n.siblings[m.Label]
-		if allKnown = allKnown && s != nil && n.freshSibling(s) && s.status.Incarnation == m.Incarnation; !allKnown {
+		if allKnown = allKnown && s != nil && n.isFresh(s) && s.status.Incarnation == m.Incarnation; !allKnown {
 			break
 		}
 		sum += float64(s.status.QueuedChanges)
 	}
 	if allKnown && sum >= 1 {
-		parts = (parts + n.queuedChanges/sum) / 2
+		parts = (parts + n.queuedWrites/sum) / 2
 	}
-	n.lim.SetRate(n.limits.RPS*tuning.BudgetShare/live, n.limits.WriteRPS*tuning.BudgetShare*parts)
+	n.limiter.SetRate(n.limits.RPS*tuning.BudgetShare/live, n.limits.WriteRPS*tuning.BudgetShare*parts)
 }
--- a/internal/server/chunks.go
+++ b/internal/server/chunks.go
@@ -44,11 +44,13 @@
 	return tasks, true
 }
 
-func (n *Node) chunkBytes(j *jobs.Job) int { return min(j.Record.ChunkSize, j.Record.Tasks)*56 + 600 }
+func (n *Controller) maxChunkBytes(j *jobs.Job) int {
+	return min(j.Record.ChunkSize, j.Record.Tasks)*56 + 600
+}
 
 // putChunk stores a chunk; the write that makes a job's last task done also
 // ends the job and drops the chunk.
-func (n *Node) putChunk(t *txn, c *chunkChange, key string, tasks []jobs.Task) {
+func (n *Controller) putChunk(t *pendingWrite, c *chunkChange, key string, tasks []jobs.Task) {
 	j := c.job
 	done, live := 0, 0
 	for _, task := range tasks {
@@ -66,15 +68,15 @@
 		}
 	}
 	if j.Phase == jobs.Open && j.Counts[jobs.Completed]-before+done == j.Record.Tasks {
-		t.set(jobs.JobKey(j.ID), finalRecord(j, jobs.JobCompleted, n.now()))
-		t.drop(key)
+		t.put(jobs.JobKey(j.ID), finalRecord(j, jobs.JobCompleted, n.now()))
+		t.delete(key)
 		return
 	}
 	if j.Phase == jobs.Cancelled && live == 0 {
-		t.drop(key)
+		t.delete(key)
 		return
 	}
-	t.set(key, jobs.ChunkRecord{Tasks: tasks})
+	t.put(key, jobs.ChunkRecord{Tasks: tasks})
 }
 
 // finalRecord is the short record kept forever.
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -14,8 +14,8 @@
 	claims []place.Claim
 }
 
-// byJob groups claims by job, in the order of the first of each.
-func byJob(list []place.Claim) []*jobClaims {
+// groupByJob groups claims by job, in the order of the first of each.
+func groupByJob(list []place.Claim) []*jobClaims {
 	var groups []*jobClaims
 	known := map[string]*jobClaims{}
 	for _, c := range list {
@@ -30,34 +30,34 @@
 	return groups
 }
 
-// claims turns placements into guarded writes, one for each job: its chunks,
+// planClaims turns placements into guarded writes, one for each job: its chunks,
 // and for constraints that span chunks its record. One write a job: if one
 // loses a race, the others stand. A claim stays within this node's share of
 // the team's limit; the leader, which also claims on others' machines, hands
 // their owners the part of the limit that the claims take in the same write.
 // mu is held.
-func (n *Node) claims(txns []*txn, list []place.Claim, most *float64) []*txn {
-	for _, g := range byJob(list) {
+func (n *Controller) planClaims(txns []*pendingWrite, list []place.Claim, most *float64) []*pendingWrite {
+	for _, g := range groupByJob(list) {
 		if *most < 1 {
 			break
 		}
-		if n.busyJob[g.job.ID] || n.quota.Ledger(g.job.Record.Spec.Team).Writing() {
+		if n.writesInFlight[g.job.ID] || n.quota.Ledger(g.job.Record.Spec.Team).Writing() {
 			continue
 		}
-		if t := n.claimJob(g); t != nil {
-			txns = n.under(txns, t, g.job.ID, most)
+		if t := n.planJobClaims(g); t != nil {
+			txns = n.addWrite(txns, t, g.job.ID, most)
 		}
 	}
 	return txns
 }
 
-// claimJob is the write of a job's claims; nil if there is none to make now.
-func (n *Node) claimJob(g *jobClaims) *txn {
+// planJobClaims is the write of a job's claims; nil if there is none to make now.
+func (n *Controller) planJobClaims(g *jobClaims) *pendingWrite {
 	j := g.job
-	t := n.newTxn("claim")
+	t := n.newWrite("claim")
 	changes, amount, others := n.chooseClaims(t, g)
 	jobKey := jobs.JobKey(j.ID)
-	t.guards[jobKey] = n.cache.Version(jobKey)
+	t.compares[jobKey] = n.cache.Version(jobKey)
 	claimed := 0
 	for key, c := range changes {
 		tasks, due := c.apply()
@@ -65,10 +65,10 @@
 			return nil
 		}
 		claimed += len(c.events)
-		t.guards[key] = n.cache.Version(key)
-		t.set(key, jobs.ChunkRecord{Tasks: tasks})
+		t.compares[key] = n.cache.Version(key)
+		t.put(key, jobs.ChunkRecord{Tasks: tasks})
 		for id, e := range c.events {
-			t.note("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Machine, "role", string(n.reg.Machines[e.Machine].Role))
+			t.logWhenStored("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Machine, "role", string(n.inventory.Machines[e.Machine].Role))
 		}
 	}
 	if claimed == 0 || j.Gang() && claimed < len(g.claims) || !n.admit(t, j.Record.Spec.Team, amount, others) {
@@ -77,7 +77,7 @@
 	if j.SpansChunks() {
 		rec := j.Record
 		rec.ClaimSerial++
-		t.set(jobKey, rec)
+		t.put(jobKey, rec)
 	}
 	return t
 }
@@ -85,29 +85,29 @@
 // chooseClaims takes as many of a job's claims as one write may hold: the changes
 // of its chunks, what the claims take in all, and the part of it on others'
 // machines. It adds the guards on the machines' records to the write.
-func (n *Node) chooseClaims(t *txn, g *jobClaims) (changes map[string]*chunkChange, amount quota.Amount, others map[string]quota.Amount) {
+func (n *Controller) chooseClaims(t *pendingWrite, g *jobClaims) (changes map[string]*chunkChange, amount quota.Amount, others map[string]quota.Amount) {
 	j := g.job
 	changes, others = map[string]*chunkChange{}, map[string]quota.Amount{}
 	for _, claim := range g.claims {
 		chunk := claim.Task / j.Record.ChunkSize
-		key, machineKey := jobs.ChunkKey(j.ID, chunk), n.reg.KeyOf(claim.Machine)
+		key, machineKey := jobs.ChunkKey(j.ID, chunk), n.inventory.KeyOf(claim.Machine)
 		c := changes[key]
 		if c == nil {
-			if !n.room(t, len(changes)+3, (len(changes)+1)*n.chunkBytes(j), len(changes)+5) {
+			if !n.fits(t, len(changes)+3, (len(changes)+1)*n.maxChunkBytes(j), len(changes)+5) {
 				break
 			}
 			c = &chunkChange{job: j, chunk: chunk, events: map[int]jobs.TaskEvent{}}
 			changes[key] = c
 		}
-		if _, ok := t.guards[machineKey]; !ok && !n.room(t, 0, 0, len(changes)+4) {
+		if _, ok := t.compares[machineKey]; !ok && !n.fits(t, 0, 0, len(changes)+4) {
 			continue // more machines than one write may name
 		}
 		if !c.claim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Machine: claim.Machine, Incarnation: claim.Incarnation}, int(n.limits.ValueKB*1024)) {
 			continue // its turn comes when others of the chunk are over
 		}
-		t.guards[machineKey] = n.cache.Version(machineKey)
+		t.compares[machineKey] = n.cache.Version(machineKey)
 		amount = amount.Add(j.Need.Amount())
-		if owner := n.ownerOf(claim.Machine); owner != n.self.Label {
+		if owner := n.shardOwner(claim.Machine); owner != n.self.Label {
 			others[owner] = others[owner].Add(j.Need.Amount())
 		}
 	}
--- a/internal/server/displace.go
+++ b/internal/server/displace.go
@@ -8,9 +8,9 @@
 	"wheatspur/internal/place"
 )
 
-// displace moves service tasks off machines that are to lose them, one at a
+// evictMisplacedServices moves service tasks off machines that are to lose them, one at a
 // time, each once another machine has room; mu is held.
-func (n *Node) displace(f *place.Fleet) {
+func (n *Controller) evictMisplacedServices(f *place.Fleet) {
 	machines, tries := f.Machines, 0
 	for _, m := range machines {
 		for _, r := range m.Tasks {
@@ -19,7 +19,7 @@
 			}
 		}
 	}
-	for jobID := range n.unmet {
+	for jobID := range n.unplaced {
 		if j := n.table.Jobs[jobID]; j != nil && j.Service() {
 			return // those that wait come first
 		}
@@ -28,7 +28,7 @@
 		if m.Owner != n.self.Label {
 			continue
 		}
-		rec := n.reg.Machines[m.Name]
+		rec := n.inventory.Machines[m.Name]
 		w := n.workers[m.Name]
 		if w == nil || m.Role == place.Service && rec.Phase == fleet.Active && w.TerminationAt.IsZero() {
 			continue
@@ -37,7 +37,7 @@
 			if !r.Job.Service() || r.Stopping || r.Job.Phase != jobs.Open {
 				continue
 			}
-			if tries++; tries > displaceTries {
+			if tries++; tries > evictionTries {
 				return
 			}
 			if place.FitElsewhere(f, r.Job, r.ID.Task, m.Name) != nil {
@@ -49,5 +49,5 @@
 	}
 }
 
-// displaceTries bounds the tasks that a pass tries to move.
-const displaceTries = 16
+// evictionTries bounds the tasks that a pass tries to move.
+const evictionTries = 16
--- a/internal/server/fleetview.go
+++ b/internal/server/fleetview.go
@@ -10,76 +10,76 @@
 	"wheatspur/internal/tuning"
 )
 
-// fleetView is the picture of all machines that passes, plans and role decisions
+// machineIndex is the picture of all machines that passes, plans and role decisions
 // start from, and the sums of the claims by owner. It is kept from one to the
 // next: only the machines that something has changed on are entered anew. With
 // thousands of machines, entering all of them took most of a pass.
-type fleetView struct {
-	fleet        *place.Fleet
-	list         []*machineView // in the order of fleet.Machines
-	machines     map[string]*machineView
-	stale        bool            // the machines are not those that fleet was built of
-	records      map[string]bool // machines whose records have changed
-	touched      map[string]bool // machines whose claims, worker or owner's status has changed
-	active       map[string]bool // machines of this node that the next pass looks at
-	swept        time.Time       // when a pass last looked at all of them
-	opened       time.Time       // when the openness of all machines was last worked out
-	returned     map[string]bool // machines that are stored as returned
-	unpublished  map[string]bool // machines that may differ from what siblings are told of them
-	publishedAll time.Time       // when all machines were last compared with that
+type machineIndex struct {
+	fleet                *place.Fleet
+	ordered              []*indexedMachine // in the order of fleet.Machines
+	machines             map[string]*indexedMachine
+	rebuild              bool            // the machines are not those that fleet was built of
+	changedRecords       map[string]bool // machines whose records have changed
+	changed              map[string]bool // machines whose claims, worker or owner's status has changed
+	due                  map[string]bool // machines of this node that the next pass looks at
+	fullScanAt           time.Time       // when a pass last looked at all of them
+	schedulableCheckedAt time.Time       // when the openness of all machines was last worked out
+	terminated           map[string]bool // machines that are stored as returned
+	unpublished          map[string]bool // machines that may differ from what siblings are told of them
+	fullPublishAt        time.Time       // when all machines were last compared with that
 
-	claims map[string]hostClaims // what is held on each machine, as it stands in held
-	held   quota.ClaimedByNode
+	claims        map[string]machineClaims // what is held on each machine, as it stands in held
+	claimedByNode quota.ClaimedByNode
 }
 
-// machineView is one machine and what its openness follows from.
-type machineView struct {
+// indexedMachine is one machine and what its openness follows from.
+type indexedMachine struct {
 	*place.Machine
-	worker *fleet.Worker // nil: another node's, or never heard
-	in     bool          // its record lets it take tasks
-	usable bool          // another node's: so does what its owner tells
+	worker        *fleet.Worker // nil: another node's, or never heard
+	inService     bool          // its record lets it take tasks
+	usableByOwner bool          // another node's: so does what its owner tells
 }
 
-// hostClaims is what the claims on one machine take, by team.
-type hostClaims struct {
+// machineClaims is what the claims on one machine take, by team.
+type machineClaims struct {
 	owner string
 	teams map[string]quota.Amount
 }
 
-func newFleetView() fleetView {
-	return fleetView{machines: map[string]*machineView{}, records: map[string]bool{}, touched: map[string]bool{}, active: map[string]bool{},
-		returned: map[string]bool{}, unpublished: map[string]bool{},
-		claims: map[string]hostClaims{}, held: quota.ClaimedByNode{}}
+func newMachineIndex() machineIndex {
+	return machineIndex{machines: map[string]*indexedMachine{}, changedRecords: map[string]bool{}, changed: map[string]bool{}, due: map[string]bool{},
+		terminated: map[string]bool{}, unpublished: map[string]bool{},
+		claims: map[string]machineClaims{}, claimedByNode: quota.ClaimedByNode{}}
 }
 
-// touch notes that something has changed on a machine.
-func (v *fleetView) touch(host string) {
-	v.touched[host], v.active[host], v.unpublished[host] = true, true, true
+// markChanged notes that something has changed on a machine.
+func (v *machineIndex) markChanged(host string) {
+	v.changed[host], v.due[host], v.unpublished[host] = true, true, true
 }
 
-// resetView starts the picture anew: the owners of the machines have changed.
+// resetMachineIndex starts the picture anew: the owners of the machines have changed.
 // mu is held.
-func (n *Node) resetView() {
-	n.view = newFleetView()
+func (n *Controller) resetMachineIndex() {
+	n.machineIndex = newMachineIndex()
 	for host := range n.table.ClaimsByMachine {
-		n.view.touch(host)
+		n.machineIndex.markChanged(host)
 	}
-	for host := range n.reg.Machines {
-		n.view.records[host] = true
+	for host := range n.inventory.Machines {
+		n.machineIndex.changedRecords[host] = true
 	}
 }
 
-// sweep lists the workers of this node that a pass looks at: those that
+// workersToScan lists the workers of this node that a pass looks at: those that
 // something has changed for or is due for, and every so often all, for what
 // follows from time alone, such as the end of a lease; mu is held.
-func (n *Node) sweep(now time.Time) (workers map[string]*fleet.Worker, all bool) {
-	v := &n.view
-	if now.Sub(v.swept) >= tuning.SweepEvery || now.Before(v.swept) {
-		v.swept = now
+func (n *Controller) workersToScan(now time.Time) (workers map[string]*fleet.Worker, all bool) {
+	v := &n.machineIndex
+	if now.Sub(v.fullScanAt) >= tuning.SweepEvery || now.Before(v.fullScanAt) {
+		v.fullScanAt = now
 		return n.workers, true
 	}
-	some := make(map[string]*fleet.Worker, len(v.active))
-	for host := range v.active {
+	some := make(map[string]*fleet.Worker, len(v.due))
+	for host := range v.due {
 		if w := n.workers[host]; w != nil {
 			some[host] = w
 		}
@@ -87,106 +87,106 @@
 	return some, false
 }
 
-// settle takes the machines that nothing is due for out of what the next pass
+// removeQuiescent takes the machines that nothing is due for out of what the next pass
 // looks at; mu is held.
-func (n *Node) settle() {
-	for host := range n.view.active {
+func (n *Controller) removeQuiescent() {
+	for host := range n.machineIndex.due {
 		if w := n.workers[host]; w == nil || w.Quiescent() {
-			delete(n.view.active, host)
+			delete(n.machineIndex.due, host)
 		}
 	}
 }
 
-// machines brings the picture of the fleet up to date; mu is held.
-func (n *Node) machines(now time.Time) *place.Fleet {
-	v := &n.view
-	n.refreshRecords()
-	if v.fleet == nil || v.stale {
-		n.buildFleet()
+// refreshMachines brings the picture of the fleet up to date; mu is held.
+func (n *Controller) refreshMachines(now time.Time) *place.Fleet {
+	v := &n.machineIndex
+	n.applyRecordChanges()
+	if v.fleet == nil || v.rebuild {
+		n.rebuildMachineIndex()
 	}
-	some := n.applyTouched()
-	if now.Sub(v.opened) >= tuning.SweepEvery || now.Before(v.opened) {
-		v.opened = now
-		some = v.list
+	some := n.applyChangedMachines()
+	if now.Sub(v.schedulableCheckedAt) >= tuning.SweepEvery || now.Before(v.schedulableCheckedAt) {
+		v.schedulableCheckedAt = now
+		some = v.ordered
 	}
 	fresh := map[string]bool{} // owners whose status holds for this membership
 	for label, s := range n.siblings {
-		fresh[label] = n.freshSibling(s) && s.seen.FencingToken == n.member.FencingToken
+		fresh[label] = n.isFresh(s) && s.machinesVersion.FencingToken == n.membership.FencingToken
 	}
-	silent := n.silentAfter()
+	silent := n.silenceTimeout()
 	for _, m := range some {
 		if m.Owner == n.self.Label {
-			m.SetSchedulable(m.in && n.takesTasks(m.worker, now, silent))
+			m.SetSchedulable(m.inService && n.isSchedulable(m.worker, now, silent))
 		} else {
-			m.SetSchedulable(m.in && m.usable && fresh[m.Owner])
+			m.SetSchedulable(m.inService && m.usableByOwner && fresh[m.Owner])
 		}
 	}
 	v.fleet.Rollback()
 	return v.fleet
 }
 
-// takesTasks reports whether a machine of this node takes new tasks: only one
+// isSchedulable reports whether a machine of this node takes new tasks: only one
 // that has shown our token, which guards against a late copy of a report of a
 // machine that is gone. And only one whose reports come: one that answers calls
 // and can't report ends with its lease. mu is held.
-func (n *Node) takesTasks(w *fleet.Worker, now time.Time, silent time.Duration) bool {
+func (n *Controller) isSchedulable(w *fleet.Worker, now time.Time, silent time.Duration) bool {
 	return w != nil && w.State == fleet.TokenAcknowledged && now.Sub(w.LastHeard) < silent && now.Sub(w.LeaseRenewedAt()) < silent &&
-		w.TerminationAt.IsZero() && !n.unfit(w, now)
+		w.TerminationAt.IsZero() && !n.isQuarantined(w, now)
 }
 
-// refreshRecords looks at the machine records that have changed: most of them only
+// applyRecordChanges looks at the machine records that have changed: most of them only
 // in their phase, which needs no new index; mu is held.
-func (n *Node) refreshRecords() {
-	v := &n.view
-	for host := range v.records {
-		rec, stored := n.reg.Machines[host]
+func (n *Controller) applyRecordChanges() {
+	v := &n.machineIndex
+	for host := range v.changedRecords {
+		rec, stored := n.inventory.Machines[host]
 		m := v.machines[host]
-		if stored != (m != nil) || stored && !sameMachine(m.Machine, n.newMachine(host, rec)) {
-			v.stale = true
+		if stored != (m != nil) || stored && !sameMachine(m.Machine, n.placementMachine(host, rec)) {
+			v.rebuild = true
 		}
 		if stored && rec.Phase == fleet.Terminated {
-			v.returned[host] = true
+			v.terminated[host] = true
 		} else {
-			delete(v.returned, host)
+			delete(v.terminated, host)
 		}
-		v.touch(host)
+		v.markChanged(host)
 	}
-	clear(v.records)
+	clear(v.changedRecords)
 }
 
-// newMachine is the picture of an empty machine; mu is held.
-func (n *Node) newMachine(host string, rec fleet.Record) *place.Machine {
+// placementMachine is the picture of an empty machine; mu is held.
+func (n *Controller) placementMachine(host string, rec fleet.Record) *place.Machine {
 	t := n.machineTypes[rec.MachineType]
 	return &place.Machine{Name: host, Type: rec.MachineType, Zone: rec.Zone, Spot: rec.Spot, Role: rec.Role,
-		Owner: n.ownerOf(host), FetchGBPerS: t.FetchGBPerS,
+		Owner: n.shardOwner(host), FetchGBPerS: t.FetchGBPerS,
 		Total: jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}}
 }
 
-// buildFleet indexes the machines as stored, and keeps the pictures of those
+// rebuildMachineIndex indexes the machines as stored, and keeps the pictures of those
 // that are what they were; mu is held.
-func (n *Node) buildFleet() {
-	v := &n.view
+func (n *Controller) rebuildMachineIndex() {
+	v := &n.machineIndex
 	if v.fleet != nil {
 		v.fleet.Rollback() // the machines that are kept hold what the last pass placed
 	}
 	kept := v.machines
-	v.machines = make(map[string]*machineView, len(n.reg.Machines))
-	list := make([]*place.Machine, 0, len(n.reg.Machines))
-	for host, rec := range n.reg.Machines {
-		next, m := n.newMachine(host, rec), kept[host]
+	v.machines = make(map[string]*indexedMachine, len(n.inventory.Machines))
+	list := make([]*place.Machine, 0, len(n.inventory.Machines))
+	for host, rec := range n.inventory.Machines {
+		next, m := n.placementMachine(host, rec), kept[host]
 		if m == nil || !sameMachine(m.Machine, next) {
-			m = &machineView{Machine: next}
-			v.touch(host)
+			m = &indexedMachine{Machine: next}
+			v.markChanged(host)
 		}
 		v.machines[host] = m
 		list = append(list, m.Machine)
 	}
 	v.fleet = place.NewFleet(list)
-	v.list = v.list[:0]
+	v.ordered = v.ordered[:0]
 	for _, m := range v.fleet.Machines {
-		v.list = append(v.list, v.machines[m.Name])
+		v.ordered = append(v.ordered, v.machines[m.Name])
 	}
-	v.stale = false
+	v.rebuild = false
 }
 
 // sameMachine reports whether two pictures are of the same machine in the same
@@ -196,35 +196,35 @@
 		a.FetchGBPerS == b.FetchGBPerS && a.Total == b.Total
 }
 
-// applyTouched enters anew the machines that something has changed on, and
+// applyChangedMachines enters anew the machines that something has changed on, and
 // returns them; mu is held.
-func (n *Node) applyTouched() []*machineView {
-	v := &n.view
-	var entered []*machineView
-	for host := range v.touched {
+func (n *Controller) applyChangedMachines() []*indexedMachine {
+	v := &n.machineIndex
+	var entered []*indexedMachine
+	for host := range v.changed {
 		n.sumClaims(host)
 		if m := v.machines[host]; m != nil {
 			n.applyMachine(m)
 			entered = append(entered, m)
 		}
 	}
-	clear(v.touched)
+	clear(v.changed)
 	return entered
 }
 
 // applyMachine enters a machine's claims, and what its owner knows of it; mu is
 // held.
-func (n *Node) applyMachine(m *machineView) {
-	m.in = n.reg.Machines[m.Name].Phase == fleet.Active
-	m.worker, m.usable, m.Incarnation, m.Images = nil, false, 0, nil
+func (n *Controller) applyMachine(m *indexedMachine) {
+	m.inService = n.inventory.Machines[m.Name].Phase == fleet.Active
+	m.worker, m.usableByOwner, m.Incarnation, m.Images = nil, false, 0, nil
 	if m.Owner == n.self.Label {
 		if m.worker = n.workers[m.Name]; m.worker != nil {
 			m.Incarnation, m.Images = m.worker.Incarnation, m.worker.Images
 		}
 	} else if s := n.siblings[m.Owner]; s != nil {
-		if h, ok := s.hosts[m.Name]; ok {
+		if h, ok := s.machines[m.Name]; ok {
 			m.Incarnation, m.Images = h.Incarnation, h.Images
-			m.usable = h.TokenAcknowledged && !h.Silent && h.TerminationNotice < 0 && !h.Quarantined
+			m.usableByOwner = h.TokenAcknowledged && !h.Silent && h.TerminationNotice < 0 && !h.Quarantined
 		}
 	}
 	m.Free, m.Freeing = m.Total.Sub(n.table.ResourcesByMachine[m.Name]), jobs.Resources{}
@@ -244,11 +244,11 @@
 }
 
 // sumClaims enters the claims on a machine in the sums by owner; mu is held.
-func (n *Node) sumClaims(host string) {
-	v := &n.view
+func (n *Controller) sumClaims(host string) {
+	v := &n.machineIndex
 	if old, ok := v.claims[host]; ok {
 		for team, r := range old.teams {
-			v.held[old.owner][team] = v.held[old.owner][team].Sub(r)
+			v.claimedByNode[old.owner][team] = v.claimedByNode[old.owner][team].Sub(r)
 		}
 		delete(v.claims, host)
 	}
@@ -256,15 +256,15 @@
 	if len(claims) == 0 {
 		return
 	}
-	now := hostClaims{owner: n.ownerOf(host), teams: map[string]quota.Amount{}}
+	now := machineClaims{owner: n.shardOwner(host), teams: map[string]quota.Amount{}}
 	for _, j := range claims {
 		now.teams[j.Team] = now.teams[j.Team].Add(j.Need.Amount())
 	}
 	v.claims[host] = now
-	by := v.held[now.owner]
+	by := v.claimedByNode[now.owner]
 	if by == nil {
 		by = map[string]quota.Amount{}
-		v.held[now.owner] = by
+		v.claimedByNode[now.owner] = by
 	}
 	for team, r := range now.teams {
 		by[team] = by[team].Add(r)
--- a/internal/server/headroom.go
+++ b/internal/server/headroom.go
@@ -13,8 +13,8 @@
 	"wheatspur/internal/tuning"
 )
 
-// addHeld enters what the tasks on a machine hold, for the headroom.
-func (b *planBuilder) addHeld(m *place.Machine) {
+// addClaimed enters what the tasks on a machine hold, for the headroom.
+func (b *planBuilder) addClaimed(m *place.Machine) {
 	for _, r := range m.Tasks {
 		spec := r.Job.Record.Spec
 		if spec == nil || r.Job.Phase != jobs.Open {
@@ -27,7 +27,7 @@
 		}
 		held := b.batch[spec.Class]
 		if held == nil {
-			held = &heldBatch{}
+			held = &batchClassLoad{}
 			b.batch[spec.Class] = held
 		}
 		held.add(r.Job, m.Total)
@@ -36,31 +36,31 @@
 
 // addHeadroom enters what each role holds, for its headroom.
 func (b *planBuilder) addHeadroom() {
-	l := b.leader
+	l := b.leaderState
 	l.averageBatch(l.typicalBatch(b.batch), b.now)
-	l.batch.Tasks, l.batch.MinTasks = l.batchAvg, 0
-	if b.now.Sub(l.batchSeen) < tuning.BatchHeadroomHold {
-		l.batch.MinTasks = int(math.Ceil(l.batchSize * tuning.BatchHeadroomJobs))
+	l.batchLoad.Tasks, l.batchLoad.MinTasks = l.meanBatchTasks, 0
+	if b.now.Sub(l.lastArrayAt) < tuning.BatchHeadroomHold {
+		l.batchLoad.MinTasks = int(math.Ceil(l.meanArraySize * tuning.BatchHeadroomJobs))
 	}
-	b.input.Batch = l.batch
-	b.input.OnDemand = b.node.plain(l, b.now)
+	b.input.Batch = l.batchLoad
+	b.input.OnDemand = b.controller.onDemandLoad(l, b.now)
 }
 
 // averageBatch moves the mean of the batch tasks held towards their present number.
-func (l *leading) averageBatch(tasks float64, now time.Time) {
-	if l.avgAt.IsZero() {
-		l.batchAvg = tasks
+func (l *leaderState) averageBatch(tasks float64, now time.Time) {
+	if l.meanUpdatedAt.IsZero() {
+		l.meanBatchTasks = tasks
 	} else {
-		alpha := min(1, now.Sub(l.avgAt).Seconds()/tuning.BatchWindow.Seconds())
-		l.batchAvg += (tasks - l.batchAvg) * alpha
+		alpha := min(1, now.Sub(l.meanUpdatedAt).Seconds()/tuning.BatchWindow.Seconds())
+		l.meanBatchTasks += (tasks - l.meanBatchTasks) * alpha
 	}
-	l.avgAt = now
+	l.meanUpdatedAt = now
 }
 
 // addActiveRoles enters which roles have had work lately.
 func (b *planBuilder) addActiveRoles() {
-	active := b.leader.active
-	for _, j := range b.node.table.Open {
+	active := b.leaderState.roleActiveAt
+	for _, j := range b.controller.table.Open {
 		if j.Service() {
 			active[place.Service] = b.now
 		} else {
@@ -76,10 +76,10 @@
 	}
 }
 
-// plain is the batch work that may not use spot machines: room for one and a
+// onDemandLoad is the batch work that may not use spot machines: room for one and a
 // half of its arrays is kept on ordinary machines while any is open or waits for
 // others, and for a minute after; mu is held.
-func (n *Node) plain(l *leading, now time.Time) fleet.Load {
+func (n *Controller) onDemandLoad(l *leaderState, now time.Time) fleet.Load {
 	var typical *jobs.Job
 	arrays, tasks := 0, 0.0
 	for _, list := range []map[string]*jobs.Job{n.table.Open, n.table.Waiting} {
@@ -95,22 +95,22 @@
 		}
 	}
 	if typical != nil {
-		l.plain = fleet.Load{Need: typical.Need, Spec: typical.Record.Spec, MinTasks: int(math.Ceil(tasks / float64(arrays) * tuning.BatchHeadroomJobs))}
-		l.plainSeen = now
-	} else if now.Sub(l.plainSeen) > tuning.BatchHeadroomHold {
-		l.plain = fleet.Load{}
+		l.onDemandLoad = fleet.Load{Need: typical.Need, Spec: typical.Record.Spec, MinTasks: int(math.Ceil(tasks / float64(arrays) * tuning.BatchHeadroomJobs))}
+		l.onDemandSeenAt = now
+	} else if now.Sub(l.onDemandSeenAt) > tuning.BatchHeadroomHold {
+		l.onDemandLoad = fleet.Load{}
 	}
-	return l.plain
+	return l.onDemandLoad
 }
 
-// heldBatch is what the tasks of a class of batch work hold.
-type heldBatch struct {
+// batchClassLoad is what the tasks of a class of batch work hold.
+type batchClassLoad struct {
 	share float64 // of machines
 	tasks float64
 	job   *jobs.Job // one of them
 }
 
-func (h *heldBatch) add(j *jobs.Job, machine jobs.Resources) {
+func (h *batchClassLoad) add(j *jobs.Job, machine jobs.Resources) {
 	h.share += j.Need.Share(machine)
 	h.tasks++
 	if h.job == nil || j.ID < h.job.ID {
@@ -122,8 +122,8 @@
 // what all hold in tasks of its kind. Guards against headroom for hundreds of
 // tasks of a class that happens to be looked at last: small tasks that may not
 // use spot machines had a hundred ordinary machines rented ahead for them.
-func (l *leading) typicalBatch(held map[string]*heldBatch) float64 {
-	var most *heldBatch
+func (l *leaderState) typicalBatch(held map[string]*batchClassLoad) float64 {
+	var most *batchClassLoad
 	all, class := 0.0, ""
 	for name, h := range held {
 		all += h.share
@@ -134,6 +134,6 @@
 	if most == nil || most.share == 0 {
 		return 0
 	}
-	l.batch.Need, l.batch.Spec = most.job.Need, most.job.Record.Spec
+	l.batchLoad.Need, l.batchLoad.Spec = most.job.Need, most.job.Record.Spec
 	return all * most.tasks / most.share
 }
--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -16,9 +16,9 @@
 // for its own calls.
 type boundedListener struct {
 	net.Listener
-	most  int64
-	open  atomic.Int64
-	after int // seconds after which who is refused should come back
+	max         int64
+	open        atomic.Int64
+	retryAfterS int // seconds after which who is refused should come back
 }
 
 // Accept returns the next connection that there is room for.
@@ -28,8 +28,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
-			return &countedConn{Conn: c, open: &l.open}, nil
+		if l.open.Add(1) <= l.max {
+			return &countedConn{Conn: c, count: &l.open}, nil
 		}
 		l.open.Add(-1)
 		l.refuse(c)
@@ -40,18 +40,18 @@
 // it does not hold up the next connection.
 func (l *boundedListener) refuse(c net.Conn) {
 	_ = c.SetWriteDeadline(time.Now().Add(tuning.RefuseTimeout))
-	_, _ = fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: %d\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", l.after)
+	_, _ = fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: %d\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", l.retryAfterS)
 	_ = c.Close()
 }
 
 // countedConn gives its place back when it is closed.
 type countedConn struct {
 	net.Conn
-	open *atomic.Int64
-	once sync.Once
+	count *atomic.Int64
+	once  sync.Once
 }
 
 func (c *countedConn) Close() error {
-	c.once.Do(func() { c.open.Add(-1) })
+	c.once.Do(func() { c.count.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/server/machines.go
+++ b/internal/server/machines.go
@@ -21,20 +21,20 @@
 	"wheatspur/wire"
 )
 
-// runCloud reads the machine types and the machine list while leading.
-func (n *Node) runCloud(ctx context.Context) error {
+// runCloudSync reads the machine types and the machine list while leading.
+func (n *Controller) runCloudSync(ctx context.Context) error {
 	var types time.Time
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		lead := n.leads()
-		known := len(n.types) > 0
+		lead := n.isLeader()
+		known := len(n.machineTypeList) > 0
 		n.mu.Unlock()
 		if !lead {
 			sleep(ctx, tuning.TickEvery)
 			continue
 		}
 		if !known || n.now().Sub(types) > tuning.TypesEvery {
-			if err := n.readTypes(ctx); err != nil {
+			if err := n.refreshMachineTypes(ctx); err != nil {
 				n.log.Info("machine types not read", "err", err)
 			} else {
 				types = n.now()
@@ -43,28 +43,28 @@
 		if list, err := n.cloud.ListMachines(); err != nil {
 			n.log.Info("machine list not read", "err", err)
 		} else {
-			n.applyList(ctx, list)
+			n.reconcileCloudList(ctx, list)
 		}
 		// A list of many pages takes as many calls of the cloud's budget.
 		n.mu.Lock()
-		pages := len(n.leading.listed)/fleet.ListPageSize + 1
+		pages := len(n.leaderState.listed)/fleet.ListPageSize + 1
 		n.mu.Unlock()
 		sleep(ctx, tuning.ListEvery*time.Duration(max(1, pages/2)))
 	}
 	return nil
 }
 
-// readTypes stores the machine types, if they have changed.
-func (n *Node) readTypes(ctx context.Context) error {
+// refreshMachineTypes stores the machine types, if they have changed.
+func (n *Controller) refreshMachineTypes(ctx context.Context) error {
 	list, err := n.cloud.MachineTypes()
 	if err != nil {
 		return err
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].Label < list[b].Label })
 	n.mu.Lock()
-	same := len(list) == len(n.types)
+	same := len(list) == len(n.machineTypeList)
 	for i := 0; same && i < len(list); i++ {
-		a, b := list[i], n.types[i]
+		a, b := list[i], n.machineTypeList[i]
 		a.SpotPrice = b.SpotPrice // moves all the time
 		same = fmt.Sprint(a) == fmt.Sprint(b)
 	}
@@ -73,29 +73,29 @@
 	if same {
 		return nil
 	}
-	return n.write(ctx, guards, []wire.Operation{{Put: typesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: list})}})
+	return n.storeDecision(ctx, guards, []wire.Operation{{Put: typesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: list})}})
 }
 
-// writeHosts stores changes of machine records, each guarded by the version of
+// storeMachines stores changes of machine records, each guarded by the version of
 // its group's key. Several go in one change, and one call at a time, so that
 // the leader's own writes don't race for a group.
-func (n *Node) writeHosts(ctx context.Context, list []fleet.RecordChange, cut ...string) {
-	n.storeHosts(ctx, list, cut, math.MaxInt)
+func (n *Controller) storeMachines(ctx context.Context, list []fleet.RecordChange, cut ...string) {
+	n.storeMachineGroups(ctx, list, cut, math.MaxInt)
 }
 
-// storeHosts stores the changes of at most most groups.
-func (n *Node) storeHosts(ctx context.Context, list []fleet.RecordChange, cut []string, most int) {
+// storeMachineGroups stores the changes of at most most groups.
+func (n *Controller) storeMachineGroups(ctx context.Context, list []fleet.RecordChange, cut []string, most int) {
 	if len(list) == 0 && len(cut) == 0 {
 		return
 	}
-	n.hostWrites.Lock()
-	defer n.hostWrites.Unlock()
+	n.machineWriteMu.Lock()
+	defer n.machineWriteMu.Unlock()
 	n.mu.Lock()
-	if !n.leads() {
+	if !n.isLeader() {
 		n.mu.Unlock()
 		return
 	}
-	writes := n.reg.PlanWrites(list, cut, n.groupLimit(), n.limits.TxnOps)
+	writes := n.inventory.PlanWrites(list, cut, n.maxGroupBytes(), n.limits.TxnOps)
 	if len(writes) > most && !slices.ContainsFunc(writes, func(w fleet.GroupWrite) bool { return strings.HasPrefix(w.Key, fleet.SingleMachinePrefix) }) {
 		writes = writes[:most]
 	}
@@ -114,17 +114,17 @@
 	idle := map[string][]string{} // machines to go because they are idle, by group
 	for _, c := range list {
 		if c.After != nil && c.After.Phase == fleet.Draining && c.After.Reason == fleet.ReasonIdle {
-			idle[n.keyOf(c.Machine)] = append(idle[n.keyOf(c.Machine)], c.Machine)
+			idle[n.groupKeyOf(c.Machine)] = append(idle[n.groupKeyOf(c.Machine)], c.Machine)
 		}
 	}
 	defer func() {
 		n.mu.Lock()
-		n.storing = 0
+		n.machineWritesLeft = 0
 		n.mu.Unlock()
 	}()
 	for i, w := range writes {
 		n.mu.Lock()
-		n.storing = len(writes) - i
+		n.machineWritesLeft = len(writes) - i
 		if n.cache.Version(member.Key) != seen.Version {
 			n.mu.Unlock()
 			return // the rest would fail, and count as changes
@@ -141,50 +141,50 @@
 			then = append(then, wire.Operation{Put: key, Value: wire.MustMarshal(part)})
 		}
 		n.mu.Unlock()
-		if err := n.write(ctx, guards[i], then); err != nil {
+		if err := n.storeDecision(ctx, guards[i], then); err != nil {
 			n.log.Info("machine records not stored", "group", w.Key, "err", err)
 		}
 	}
 }
 
-// keyOf is the key that holds a machine's record.
-func (n *Node) keyOf(host string) string {
+// groupKeyOf is the key that holds a machine's record.
+func (n *Controller) groupKeyOf(host string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.reg.KeyOf(host)
+	return n.inventory.KeyOf(host)
 }
 
-// groupLimit is how much JSON a group of machine records may hold.
-func (n *Node) groupLimit() int { return int(n.limits.ValueKB * 1024 * tuning.GroupFillShare) }
+// maxGroupBytes is how much JSON a group of machine records may hold.
+func (n *Controller) maxGroupBytes() int { return int(n.limits.ValueKB * 1024 * tuning.GroupFillShare) }
 
-// applyList compares the cloud's list with the stored machines.
-func (n *Node) applyList(ctx context.Context, list []wire.Machine) {
+// reconcileCloudList compares the cloud's list with the stored machines.
+func (n *Controller) reconcileCloudList(ctx context.Context, list []wire.Machine) {
 	n.mu.Lock()
-	if !n.leads() {
+	if !n.isLeader() {
 		n.mu.Unlock()
 		return
 	}
-	l := n.leadMemory()
+	l := n.currentLeaderState()
 	now := n.now()
-	l.listAt = now
+	l.listedAt = now
 	seen := map[string]bool{}
 	var changes []fleet.RecordChange
-	for host, at := range l.gone {
+	for host, at := range l.terminatedAt {
 		if now.Sub(at) > tuning.TerminatedKept {
-			delete(l.gone, host)
+			delete(l.terminatedAt, host)
 		}
 	}
 	for _, h := range list {
-		if _, ok := l.gone[h.Name]; ok {
+		if _, ok := l.terminatedAt[h.Name]; ok {
 			continue
 		}
 		seen[h.Name] = true
-		if _, ok := l.since[h.Name]; !ok {
-			l.since[h.Name] = now
+		if _, ok := l.firstListed[h.Name]; !ok {
+			l.firstListed[h.Name] = now
 		}
 		l.listed[h.Name] = h
-		delete(l.absent, h.Name)
-		rec, known := n.reg.Machines[h.Name]
+		delete(l.missingLists, h.Name)
+		rec, known := n.inventory.Machines[h.Name]
 		switch {
 		case h.State == wire.MachineFailed:
 			was := &rec
@@ -199,11 +199,11 @@
 				n.log.Info("machine failed", "host", h.Name)
 			}
 		case !known:
-			rec = fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Phase: fleet.Active, Role: n.firstRole(l, h, changes)}
+			rec = fleet.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Phase: fleet.Active, Role: n.initialRole(l, h, changes)}
 			changes = append(changes, fleet.RecordChange{Machine: h.Name, After: &rec})
 			n.log.Info("machine joins", "host", h.Name, "type", h.MachineType, "zone", h.Zone, "spot", h.Spot, "role", string(rec.Role))
 		}
-		if n.ownerOf(h.Name) == n.self.Label && h.State == wire.MachineRunning {
+		if n.shardOwner(h.Name) == n.self.Label && h.State == wire.MachineRunning {
 			if w := n.worker(h.Name); w.Address == "" {
 				w.Address = h.Address
 			}
@@ -213,37 +213,37 @@
 	for _, h := range list {
 		newest = max(newest, h.Name)
 	}
-	lag := config.Seconds(n.set.Params.Cloud.ListLagS)
-	for host, rec := range n.reg.Machines {
+	lag := config.Seconds(n.settings.Params.Cloud.ListLagS)
+	for host, rec := range n.inventory.Machines {
 		if seen[host] {
 			continue
 		}
 		// A stored machine was listed once, perhaps to a former leader. A list
 		// may be older than that: a new machine may be missing from it. Names
 		// come in the order of creation, so a list with a later name is newer.
-		if _, ok := l.since[host]; !ok {
-			l.since[host] = now
+		if _, ok := l.firstListed[host]; !ok {
+			l.firstListed[host] = now
 		}
-		if rec.Phase == fleet.Terminated || host < newest || now.Sub(l.since[host]) > tuning.ListLagFactor*lag {
-			l.absent[host]++
+		if rec.Phase == fleet.Terminated || host < newest || now.Sub(l.firstListed[host]) > tuning.ListLagFactor*lag {
+			l.missingLists[host]++
 		}
 	}
-	for host := range l.rented {
+	for host := range l.scalingOut {
 		if seen[host] {
-			delete(l.rented, host)
+			delete(l.scalingOut, host)
 		}
 	}
 	n.mu.Unlock()
-	n.writeHosts(ctx, changes)
+	n.storeMachines(ctx, changes)
 }
 
-// firstRole is the role of a machine that is new to the store: what it was
+// initialRole is the role of a machine that is new to the store: what it was
 // rented for; else the role floors, then what waits, then services.
-func (n *Node) firstRole(l *leading, h wire.Machine, joining []fleet.RecordChange) place.Role {
+func (n *Controller) initialRole(l *leaderState, h wire.Machine, joining []fleet.RecordChange) place.Role {
 	if h.Spot {
 		return place.Batch
 	}
-	if r, ok := l.rented[h.Name]; ok {
+	if r, ok := l.scalingOut[h.Name]; ok {
 		return r.role
 	}
 	count := map[place.Role]int{}
@@ -252,14 +252,14 @@
 			count[r.Role]++
 		}
 	}
-	for _, r := range n.reg.Machines {
+	for _, r := range n.inventory.Machines {
 		add(r)
 	}
 	for _, c := range joining {
 		add(*c.After)
 	}
 	services, arrays := false, false
-	for jobID := range n.unmet {
+	for jobID := range n.unplaced {
 		if j := n.table.Open[jobID]; j != nil && j.Service() {
 			services = true
 		} else if j != nil {
@@ -277,12 +277,12 @@
 	return place.Service
 }
 
-// drainChanges stores that machines take no more tasks; mu is held.
+// planDrains stores that machines take no more tasks; mu is held.
 // Machines that are dead go back at once, by name: what would drain them is
 // over, and their tasks wait for the proof of their return.
-func (n *Node) drainChanges(drains []fleet.ScaleIn) (changes []fleet.RecordChange, dead []string) {
+func (n *Controller) planDrains(drains []fleet.ScaleIn) (changes []fleet.RecordChange, dead []string) {
 	for _, d := range drains {
-		rec, ok := n.reg.Machines[d.Machine]
+		rec, ok := n.inventory.Machines[d.Machine]
 		if !ok {
 			continue
 		}
@@ -302,14 +302,14 @@
 	return changes, dead
 }
 
-// toReturn lists drained machines to give back, and records to drop; mu is
+// planTerminations lists drained machines to give back, and records to drop; mu is
 // held. A drained machine goes back when it is empty.
-func (n *Node) toReturn(l *leading, now time.Time) (returns []string, drops []fleet.RecordChange) {
+func (n *Controller) planTerminations(l *leaderState, now time.Time) (returns []string, drops []fleet.RecordChange) {
 	over := map[string][]fleet.RecordChange{} // by group
-	for host, rec := range n.reg.Machines {
+	for host, rec := range n.inventory.Machines {
 		switch rec.Phase {
 		case fleet.Draining:
-			if n.cache.Revision() < n.cache.Version(n.reg.KeyOf(host)) {
+			if n.cache.Revision() < n.cache.Version(n.inventory.KeyOf(host)) {
 				continue // claims stored before the drain may not be seen yet
 			}
 			open := 0
@@ -325,9 +325,9 @@
 			if len(n.table.ClaimsByMachine[host]) > 0 {
 				continue // its owner releases them first
 			}
-			if l.absent[host] >= tuning.MissingLists {
-				over[n.reg.KeyOf(host)] = append(over[n.reg.KeyOf(host)], fleet.RecordChange{Machine: host, Before: &rec})
-			} else if l.listed[host].State == wire.MachineFailed && l.absent[host] == 0 {
+			if l.missingLists[host] >= tuning.MissingLists {
+				over[n.inventory.KeyOf(host)] = append(over[n.inventory.KeyOf(host)], fleet.RecordChange{Machine: host, Before: &rec})
+			} else if l.listed[host].State == wire.MachineFailed && l.missingLists[host] == 0 {
 				returns = append(returns, host) // stays listed until deleted
 			}
 		}
@@ -339,7 +339,7 @@
 	keys := slices.SortedFunc(maps.Keys(over), func(a, b string) int {
 		return cmp.Or(cmp.Compare(len(over[b]), len(over[a])), cmp.Compare(a, b))
 	})
-	for _, key := range keys[:min(len(keys), max(n.groupsNow(), 1))] {
+	for _, key := range keys[:min(len(keys), max(n.groupWriteBudget(), 1))] {
 		for _, c := range over[key] {
 			drops = append(drops, c)
 			l.forget(c.Machine)
@@ -348,26 +348,26 @@
 	return returns, drops
 }
 
-// groupsNow is how many groups of machine records the leader may change now for
+// groupWriteBudget is how many groups of machine records the leader may change now for
 // what can wait.
-func (n *Node) groupsNow() int {
-	return min(int(n.lim.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMax)
+func (n *Controller) groupWriteBudget() int {
+	return min(int(n.limiter.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMax)
 }
 
 // forget drops what the leader remembers of a machine.
-func (l *leading) forget(host string) {
+func (l *leaderState) forget(host string) {
 	delete(l.listed, host)
-	delete(l.absent, host)
-	delete(l.heard, host)
-	delete(l.since, host)
-	delete(l.idle, host)
-	delete(l.unfit, host)
+	delete(l.missingLists, host)
+	delete(l.lastHeard, host)
+	delete(l.firstListed, host)
+	delete(l.idleSince, host)
+	delete(l.quarantinedSince, host)
 }
 
-// giveBack returns machines to the cloud and stores that they are gone.
+// terminate returns machines to the cloud and stores that they are gone.
 // Its answer is the proof that everything on them is gone. All calls go before
 // the writes: a wave of hundreds of lost machines once took a minute.
-func (n *Node) giveBack(ctx context.Context, list []string) {
+func (n *Controller) terminate(ctx context.Context, list []string) {
 	var hosts []string
 	for len(list) > 0 {
 		some := list[:min(len(list), tuning.TerminateMax)]
@@ -382,15 +382,15 @@
 	n.mu.Lock()
 	var changes []fleet.RecordChange
 	for _, h := range hosts {
-		rec, ok := n.reg.Machines[h]
+		rec, ok := n.inventory.Machines[h]
 		if !ok || rec.Phase == fleet.Terminated {
 			continue
 		}
-		if rec.Phase == fleet.Draining && len(n.table.ClaimsByMachine[h]) == 0 && n.leads() {
+		if rec.Phase == fleet.Draining && len(n.table.ClaimsByMachine[h]) == 0 && n.isLeader() {
 			// Drained and empty: there is nothing that its end would prove. A
 			// machine that was not drained may yet get a claim that is under way.
-			l := n.leadMemory()
-			l.gone[h] = n.now()
+			l := n.currentLeaderState()
+			l.terminatedAt[h] = n.now()
 			l.forget(h)
 			changes = append(changes, fleet.RecordChange{Machine: h, Before: &rec})
 			continue
@@ -405,33 +405,33 @@
 	// What is left is given back again by the next plan, which then has more
 	// for each group. Guards against a wave of lost machines whose groups were
 	// written three times over, while most of its tasks waited for the proof.
-	n.storeHosts(ctx, changes, nil, tuning.GroupsPerBatch)
+	n.storeMachineGroups(ctx, changes, nil, tuning.GroupsPerBatch)
 }
 
-// rent rents machines. A request's name holds the token, which only one leader
+// scaleOut rents machines. A request's name holds the token, which only one leader
 // ever has, and a counter: no name is used twice.
-func (n *Node) rent(ctx context.Context, h fleet.ScaleOut) {
+func (n *Controller) scaleOut(ctx context.Context, h fleet.ScaleOut) {
 	n.mu.Lock()
-	if !n.leads() || ctx.Err() != nil {
+	if !n.isLeader() || ctx.Err() != nil {
 		n.mu.Unlock()
 		return
 	}
-	l := n.leadMemory()
-	l.counter++
-	name := fmt.Sprintf("%s-%d-%d", n.self.Label, l.token, l.counter)
+	l := n.currentLeaderState()
+	l.requestCounter++
+	name := fmt.Sprintf("%s-%d-%d", n.self.Label, l.fencingToken, l.requestCounter)
 	n.mu.Unlock()
 	count := min(h.Count, tuning.ScaleOutMax)
 	names, err := n.cloud.ScaleOut(wire.ScaleOutRequest{Name: name, MachineType: h.Kind.MachineType, Zone: h.Kind.Zone, Spot: h.Kind.Spot, Count: count})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l = n.leadMemory()
+	l = n.currentLeaderState()
 	now := n.now()
 	if errors.Is(err, fleet.ErrNoCapacity) || err == nil && len(names) < count {
-		l.refused[h.Kind] = now
+		l.noCapacityAt[h.Kind] = now
 	}
 	n.log.Info("machines rented", "request", name, "type", h.Kind.MachineType, "zone", h.Kind.Zone, "spot", h.Kind.Spot,
 		"role", string(h.Role), "asked", count, "got", len(names), "why", h.Reason, "err", err)
 	for _, host := range names {
-		l.rented[host] = rental{h.Kind, h.Role, now}
+		l.scalingOut[host] = scaleOutRecord{h.Kind, h.Role, now}
 	}
 }
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -14,27 +14,27 @@
 	"wheatspur/wire"
 )
 
-func (n *Node) applyMembership(v wire.Raw) error {
+func (n *Controller) applyMembership(v wire.Raw) error {
 	if v == nil {
-		n.member = nil
+		n.membership = nil
 		return nil
 	}
 	var r member.Record
 	if err := wire.Unmarshal(v, &r); err != nil {
 		return err
 	}
-	last := n.member
-	n.member = &r
+	last := n.membership
+	n.membership = &r
 	n.memberLabels = r.Labels()
-	n.raisedAt = n.now()
-	clear(n.owners)
-	clear(n.published)
+	n.membershipChangedAt = n.now()
+	clear(n.shardOwners)
+	clear(n.publishedMachines)
 	// Who takes a machine over knows its images from what its former owner
 	// told. Guards against fetches beside machines that hold the image.
-	clear(n.held)
+	clear(n.inheritedImages)
 	for _, s := range n.siblings {
-		for host, h := range s.hosts {
-			n.held[host] = h.Images
+		for host, h := range s.machines {
+			n.inheritedImages[host] = h.Images
 		}
 	}
 	// A machine that was ours under the last membership and is under this one
@@ -43,69 +43,69 @@
 	// that comes or goes, and against tasks behind a cut that nobody may release.
 	next := last != nil && r.Follows(last) && last.Contains(n.self) && r.Contains(n.self)
 	for host, w := range n.workers {
-		n.held[host] = w.Images
-		if n.ownerOf(host) != n.self.Label {
+		n.inheritedImages[host] = w.Images
+		if n.shardOwner(host) != n.self.Label {
 			// What another owner does meanwhile makes this view worthless.
 			delete(n.workers, host)
 		} else if !next || last.Owner(host) != n.self.Label {
 			w.RaiseToken()
 		}
 	}
-	n.resetView()
-	n.shareBudget()
+	n.resetMachineIndex()
+	n.updateBudgetShare()
 	n.log.Info("membership", "token", r.FencingToken, "leader", r.Leader.Label, "nodes", len(r.Nodes))
 	return nil
 }
 
-// ownerOf is the member that a machine is hashed to; mu is held.
-func (n *Node) ownerOf(host string) string {
-	o, ok := n.owners[host]
+// shardOwner is the member that a machine is hashed to; mu is held.
+func (n *Controller) shardOwner(host string) string {
+	o, ok := n.shardOwners[host]
 	if !ok {
-		o = n.member.Owner(host)
-		if n.reg.KeyOf(host) != "" {
-			n.owners[host] = o // bounded by what is stored
+		o = n.membership.Owner(host)
+		if n.inventory.KeyOf(host) != "" {
+			n.shardOwners[host] = o // bounded by what is stored
 		}
 	}
 	return o
 }
 
-// entitled reports whether this node is a member of the newest membership it
+// isMember reports whether this node is a member of the newest membership it
 // knows; mu is held.
-func (n *Node) entitled() bool {
-	return n.member != nil && n.session == member.Registered && n.member.Contains(n.self) && n.cache.Consistent()
+func (n *Controller) isMember() bool {
+	return n.membership != nil && n.session == member.Registered && n.membership.Contains(n.self) && n.cache.Consistent()
 }
 
-// leads reports whether this node is the leader; mu is held.
-func (n *Node) leads() bool {
-	return n.entitled() && n.member.Leader == n.self && n.lead != nil && *n.lead == n.self
+// isLeader reports whether this node is the leader; mu is held.
+func (n *Controller) isLeader() bool {
+	return n.isMember() && n.membership.Leader == n.self && n.leader != nil && *n.leader == n.self
 }
 
-// pipelines reports whether every member reads jobs that are stored waiting; mu
+// dependenciesSupported reports whether every member reads jobs that are stored waiting; mu
 // is held. A node that does not would run such a job at once if it took it in,
 // and would stop its tasks on its machines.
-func (n *Node) pipelines() bool {
-	return n.member != nil && n.member.AllSupport(member.FormatDependencies, n.versions)
+func (n *Controller) dependenciesSupported() bool {
+	return n.membership != nil && n.membership.AllSupport(member.FormatDependencies, n.storedSessions)
 }
 
-// spans reports whether every node with a session knows of memberships that
+// tokenRangesSupported reports whether every node with a session knows of memberships that
 // span several tokens; mu is held.
-func (n *Node) spans() bool {
+func (n *Controller) tokenRangesSupported() bool {
 	for label, s := range n.sessions {
-		if v := n.versions[label]; v.Node != s || v.Format < member.FormatTokenRanges {
+		if v := n.storedSessions[label]; v.Node != s || v.Format < member.FormatTokenRanges {
 			return false
 		}
 	}
 	return true
 }
 
-// superseded reports whether a sibling that reads the state service knows a
+// isFencedOut reports whether a sibling that reads the state service knows a
 // newer membership, so that this node should hand its workers over; mu is held.
-func (n *Node) superseded() bool {
-	if n.member == nil {
+func (n *Controller) isFencedOut() bool {
+	if n.membership == nil {
 		return false
 	}
 	for _, s := range n.siblings {
-		if n.freshSibling(s) && s.status.HasStore && s.status.FencingToken > n.member.FencingToken {
+		if n.isFresh(s) && s.status.HasStore && s.status.FencingToken > n.membership.FencingToken {
 			return true
 		}
 	}
@@ -115,10 +115,10 @@
 // runSession keeps this node's lease in the state service, and does nothing
 // else: a write of the membership that waits, or a busy processor, must not cost
 // the session.
-func (n *Node) runSession(ctx context.Context) error {
+func (n *Controller) runSession(ctx context.Context) error {
 	var due time.Time // of the next renewal
 	for ctx.Err() == nil {
-		n.beat(sessionLoop)
+		n.recordProgress(sessionLoop)
 		n.mu.Lock()
 		state, leaseID := n.session, n.self.Incarnation
 		n.mu.Unlock()
@@ -132,7 +132,7 @@
 		}
 		sleep(ctx, max(due.Sub(n.now()), time.Millisecond))
 		due = n.now().Add(tuning.SessionRenewEvery)
-		if err := n.svc.RenewLease(ctx, leaseID); errors.Is(err, store.ErrLeaseExpired) {
+		if err := n.store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrLeaseExpired) {
 			n.endSession(leaseID)
 		} else if err != nil {
 			n.log.Debug("session not renewed", "err", err)
@@ -143,8 +143,8 @@
 }
 
 // openSession asks for a lease, once.
-func (n *Node) openSession(ctx context.Context) {
-	id, err := n.svc.GrantLease(ctx, tuning.SessionTTL)
+func (n *Controller) openSession(ctx context.Context) {
+	id, err := n.store.GrantLease(ctx, tuning.SessionTTL)
 	if err != nil {
 		n.log.Info("no lease yet", "err", err)
 		sleep(ctx, tuning.RetryPause)
@@ -154,11 +154,11 @@
 	defer n.mu.Unlock()
 	n.self.Incarnation = id
 	n.session = n.session.Next(member.LeaseGranted)
-	wake(n.memberWake)
+	wake(n.membershipWake)
 }
 
 // endSession notes that a lease has ended, unless another has been got since.
-func (n *Node) endSession(leaseID uint64) {
+func (n *Controller) endSession(leaseID uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.self.Incarnation != leaseID || n.session == member.NoLease {
@@ -168,21 +168,21 @@
 	n.log.Info("session ended")
 }
 
-// runMember stores the session's key, and takes part in the leadership and the
+// runMembership stores the session's key, and takes part in the leadership and the
 // membership.
-func (n *Node) runMember(ctx context.Context) error {
+func (n *Controller) runMembership(ctx context.Context) error {
 	for ctx.Err() == nil {
-		n.beat(memberLoop)
+		n.recordProgress(memberLoop)
 		n.mu.Lock()
 		leaseID := n.self.Incarnation
 		ready := n.session != member.NoLease && n.cache.Consistent()
 		n.mu.Unlock()
 		if ready {
-			n.tryMemberStep(ctx, leaseID)
+			n.tryMembershipStep(ctx, leaseID)
 		}
 		select {
 		case <-ctx.Done():
-		case <-n.memberWake:
+		case <-n.membershipWake:
 			sleep(ctx, tuning.MembershipCheckPause)
 		case <-time.After(tuning.MembershipCheckEvery):
 		}
@@ -190,10 +190,10 @@
 	return nil
 }
 
-// tryMemberStep takes a step of the membership. Before the next one after a
+// tryMembershipStep takes a step of the membership. Before the next one after a
 // failure, what is stored now is read.
-func (n *Node) tryMemberStep(ctx context.Context, leaseID uint64) {
-	err := n.memberStep(ctx)
+func (n *Controller) tryMembershipStep(ctx context.Context, leaseID uint64) {
+	err := n.membershipStep(ctx)
 	if err == nil {
 		return
 	}
@@ -202,54 +202,54 @@
 		n.endSession(leaseID)
 		return
 	}
-	_ = n.sync.ReadBarrier(tuning.BarrierWait)
+	_ = n.syncer.ReadBarrier(tuning.BarrierWait)
 }
 
-// memberWrite is a guarded write of one of the keys that make up the membership.
-type memberWrite struct {
-	guards       []wire.Compare
-	change       wire.Operation
+// membershipWrite is a guarded write of one of the keys that make up the membership.
+type membershipWrite struct {
+	compares     []wire.Compare
+	operation    wire.Operation
 	reachability bool // it is about whether this node reaches its workers
 }
 
-// memberStep stores the session key, takes the lead or writes the membership.
-func (n *Node) memberStep(ctx context.Context) error {
+// membershipStep stores the session key, takes the lead or writes the membership.
+func (n *Controller) membershipStep(ctx context.Context) error {
 	n.mu.Lock()
-	write, self := n.nextMemberWrite(), n.self
+	write, self := n.nextMembershipWrite(), n.self
 	n.mu.Unlock()
 	if write == nil {
 		return nil
 	}
-	changes := []wire.Operation{write.change}
-	revision, err := n.svc.CompareAndSwap(ctx, store.ClassLease, write.guards, changes)
+	changes := []wire.Operation{write.operation}
+	revision, err := n.store.CompareAndSwap(ctx, store.ClassLease, write.compares, changes)
 	if err != nil {
 		return err
 	}
 	if write.reachability {
 		// Not before: a node that is cut off tries again and again.
-		n.log.Info("reachability of workers changes", "unreachable", write.change.Put != "")
+		n.log.Info("reachability of workers changes", "unreachable", write.operation.Put != "")
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if write.change.Put != member.Key {
+	if write.operation.Put != member.Key {
 		// The membership comes by watch only: everything stored before it must
 		// be in the cache before it counts.
 		n.cache.ApplyOwnWrite(changes, revision)
 	}
-	if write.change.Put == member.SessionKey(n.self.Label) && self == n.self {
+	if write.operation.Put == member.SessionKey(n.self.Label) && self == n.self {
 		n.session = n.session.Next(member.SessionStored)
 	}
-	wake(n.memberWake)
+	wake(n.membershipWake)
 	return nil
 }
 
-// nextMemberWrite chooses what this node should write about the membership now,
+// nextMembershipWrite chooses what this node should write about the membership now,
 // nil for nothing; mu is held.
-func (n *Node) nextMemberWrite() *memberWrite {
+func (n *Controller) nextMembershipWrite() *membershipWrite {
 	if n.session == member.NoLease {
 		return nil
 	}
-	n.noteStoredSession()
+	n.reconcileSession()
 	if n.session == member.Leased {
 		return n.sessionWrite()
 	}
@@ -259,24 +259,24 @@
 		Self:                 n.self,
 		Sessions:             n.sessions,
 		Unreachable:          n.unreachable,
-		Leader:               n.lead,
-		Membership:           n.member,
-		TokenRangesSupported: n.spans(),
+		Leader:               n.leader,
+		Membership:           n.membership,
+		TokenRangesSupported: n.tokenRangesSupported(),
 	})
 	switch {
 	case unreachable != n.unreachable[n.self.Label]:
 		return n.reachabilityWrite(unreachable, now)
 	case action.BecomeLeader:
-		return n.leadWrite()
+		return n.leaderWrite()
 	case action.WriteMembership != nil:
-		return n.membershipWrite(action.WriteMembership)
+		return n.membershipRecordWrite(action.WriteMembership)
 	}
 	return nil
 }
 
-// noteStoredSession brings the session's state in line with the key that is
+// reconcileSession brings the session's state in line with the key that is
 // stored; mu is held.
-func (n *Node) noteStoredSession() {
+func (n *Controller) reconcileSession() {
 	stored := n.sessions[n.self.Label] == n.self
 	if n.session == member.Registered && !stored {
 		// Guards against a late write of a former process of this node.
@@ -288,56 +288,56 @@
 }
 
 // sessionWrite stores this node's session key; mu is held.
-func (n *Node) sessionWrite() *memberWrite {
+func (n *Controller) sessionWrite() *membershipWrite {
 	key := member.SessionKey(n.self.Label)
 	session := member.Session{Node: n.self, Format: member.CurrentFormat, ProgramVersion: tuning.Version}
-	return &memberWrite{
-		guards: []wire.Compare{n.cache.Compare(key)},
-		change: wire.Operation{Put: key, Value: wire.MustMarshal(session), LeaseID: n.self.Incarnation},
+	return &membershipWrite{
+		compares:  []wire.Compare{n.cache.Compare(key)},
+		operation: wire.Operation{Put: key, Value: wire.MustMarshal(session), LeaseID: n.self.Incarnation},
 	}
 }
 
 // reachabilityWrite stores whether this node reaches its workers, and chooses
 // those to ask when it does not; mu is held.
-func (n *Node) reachabilityWrite(unreachable bool, now time.Time) *memberWrite {
+func (n *Controller) reachabilityWrite(unreachable bool, now time.Time) *membershipWrite {
 	key := member.UnreachableKey(n.self.Label)
 	change := wire.Operation{Delete: key}
 	if unreachable {
 		change = wire.Operation{Put: key, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation}
 		n.chooseProbes(now)
 	}
-	return &memberWrite{
-		guards:       []wire.Compare{n.cache.Compare(member.SessionKey(n.self.Label))},
-		change:       change,
+	return &membershipWrite{
+		compares:     []wire.Compare{n.cache.Compare(member.SessionKey(n.self.Label))},
+		operation:    change,
 		reachability: true,
 	}
 }
 
-// leadWrite takes the lead; mu is held.
-func (n *Node) leadWrite() *memberWrite {
-	return &memberWrite{
-		guards: []wire.Compare{n.cache.Compare(member.LeaderKey), n.cache.Compare(member.SessionKey(n.self.Label))},
-		change: wire.Operation{Put: member.LeaderKey, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation},
+// leaderWrite takes the lead; mu is held.
+func (n *Controller) leaderWrite() *membershipWrite {
+	return &membershipWrite{
+		compares:  []wire.Compare{n.cache.Compare(member.LeaderKey), n.cache.Compare(member.SessionKey(n.self.Label))},
+		operation: wire.Operation{Put: member.LeaderKey, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation},
 	}
 }
 
-// membershipWrite stores the next membership; mu is held.
-func (n *Node) membershipWrite(next *member.Record) *memberWrite {
-	return &memberWrite{
-		guards: []wire.Compare{n.cache.Compare(member.LeaderKey), n.cache.Compare(member.Key)},
-		change: wire.Operation{Put: member.Key, Value: wire.MustMarshal(next)},
+// membershipRecordWrite stores the next membership; mu is held.
+func (n *Controller) membershipRecordWrite(next *member.Record) *membershipWrite {
+	return &membershipWrite{
+		compares:  []wire.Compare{n.cache.Compare(member.LeaderKey), n.cache.Compare(member.Key)},
+		operation: wire.Operation{Put: member.Key, Value: wire.MustMarshal(next)},
 	}
 }
 
 // reachability sums up whether this node hears its workers; mu is held.
-func (n *Node) reachability(now time.Time) member.Reachability {
+func (n *Controller) reachability(now time.Time) member.Reachability {
 	e := member.Reachability{Unreachable: n.unreachable[n.self.Label]}
-	if n.member == nil || !n.entitled() {
+	if n.membership == nil || !n.isMember() {
 		return e
 	}
 	if e.Unreachable {
-		if now.Sub(n.unreachableAt) > tuning.UnreachableMin {
-			e.Answered = len(n.probes) == 0 || n.probed.After(n.unreachableAt)
+		if now.Sub(n.unreachableSince) > tuning.UnreachableMin {
+			e.Answered = len(n.probes) == 0 || n.probeAnsweredAt.After(n.unreachableSince)
 		}
 		return e
 	}
@@ -348,15 +348,15 @@
 
 // countHeard counts this node's machines that are heard, and those with tasks that
 // are silent though they had time to report under this membership; mu is held.
-func (n *Node) countHeard(now time.Time) (heard, silent int) {
-	silentAfter := n.silentAfter()
+func (n *Controller) countHeard(now time.Time) (heard, silent int) {
+	silentAfter := n.silenceTimeout()
 	for host, w := range n.workers {
-		if n.ownerOf(host) != n.self.Label || w.LastHeard.IsZero() {
+		if n.shardOwner(host) != n.self.Label || w.LastHeard.IsZero() {
 			continue
 		}
 		if now.Sub(w.LastHeard) < silentAfter {
 			heard++
-		} else if len(n.table.ClaimsByMachine[host]) > 0 && now.Sub(n.raisedAt) > silentAfter {
+		} else if len(n.table.ClaimsByMachine[host]) > 0 && now.Sub(n.membershipChangedAt) > silentAfter {
 			silent++
 		}
 	}
@@ -365,12 +365,12 @@
 
 // siblingHearsWorkers reports whether any sibling hears a machine of its own; mu
 // is held.
-func (n *Node) siblingHearsWorkers() bool {
+func (n *Controller) siblingHearsWorkers() bool {
 	for _, s := range n.siblings {
-		if !n.freshSibling(s) {
+		if !n.isFresh(s) {
 			continue
 		}
-		for _, h := range s.hosts {
+		for _, h := range s.machines {
 			if !h.Silent {
 				return true
 			}
@@ -380,8 +380,8 @@
 }
 
 // chooseProbes remembers workers to ask until one answers; mu is held.
-func (n *Node) chooseProbes(now time.Time) {
-	n.probes, n.unreachableAt, n.probed = nil, now, time.Time{}
+func (n *Controller) chooseProbes(now time.Time) {
+	n.probes, n.unreachableSince, n.probeAnsweredAt = nil, now, time.Time{}
 	for _, w := range n.workers {
 		if w.Address != "" && len(n.probes) < tuning.ReachabilityProbes {
 			n.probes = append(n.probes, w.Address)
@@ -390,9 +390,9 @@
 }
 
 // runProbes asks workers, while this node is unreachable, whether they reach it again.
-func (n *Node) runProbes(ctx context.Context) error {
+func (n *Controller) runProbes(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, n.set.Report())
+		sleep(ctx, n.settings.Report())
 		n.mu.Lock()
 		var ask []string
 		if n.unreachable[n.self.Label] {
@@ -400,13 +400,13 @@
 		}
 		n.mu.Unlock()
 		for _, address := range ask {
-			if n.call.show(address) != nil {
+			if n.workerClient.probe(address) != nil {
 				continue
 			}
 			n.mu.Lock()
-			n.probed = n.now()
+			n.probeAnsweredAt = n.now()
 			n.mu.Unlock()
-			wake(n.memberWake)
+			wake(n.membershipWake)
 			break
 		}
 	}
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -42,7 +42,7 @@
 	descEvidence = desc("split_evidence_open", "1 while the evidence window is open.", "type")
 )
 
-func newMetrics(n *Node) *metrics {
+func newMetrics(n *Controller) *metrics {
 	m := &metrics{reg: prometheus.NewRegistry(), answers: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheatspur_answers_total", Help: "Answers by kind of request and status."}, []string{"request", "status"}),
 		writes: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -52,7 +52,7 @@
 }
 
 // nodeCollector reads a node's state when metrics are gathered.
-type nodeCollector struct{ n *Node }
+type nodeCollector struct{ n *Controller }
 
 func (c nodeCollector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descToken, descLeader, descState, descJobs, descWaiting, descInfo, descNodes, descTasks, descUnmet, descHosts, descSplit, descEvidence,
@@ -68,21 +68,21 @@
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	if n.member != nil {
-		gauge(descToken, float64(n.member.FencingToken))
+	if n.membership != nil {
+		gauge(descToken, float64(n.membership.FencingToken))
 	}
 	n.collectTeams(gauge)
 	n.collectRecovery(gauge)
-	leads := n.leads()
-	gauge(descLeader, flag(leads))
-	gauge(descState, flag(n.hasState()))
+	leads := n.isLeader()
+	gauge(descLeader, boolValue(leads))
+	gauge(descState, boolValue(n.hasStore()))
 	gauge(descJobs, float64(len(n.table.Open)))
 	gauge(descWaiting, float64(len(n.table.Waiting)))
 	gauge(descInfo, 1, tuning.Version)
-	if n.member != nil {
+	if n.membership != nil {
 		forms := map[uint64]int{}
-		for _, m := range n.member.Nodes {
-			forms[n.versions[m.Label].Format]++
+		for _, m := range n.membership.Nodes {
+			forms[n.storedSessions[m.Label].Format]++
 		}
 		for form, k := range forms {
 			gauge(descNodes, float64(k), strconv.FormatUint(form, 10))
@@ -98,7 +98,7 @@
 		gauge(descTasks, float64(k), jobs.State(s).String())
 	}
 	unmet := 0
-	for _, k := range n.unmet {
+	for _, k := range n.unplaced {
 		unmet += k
 	}
 	gauge(descUnmet, float64(unmet))
@@ -107,7 +107,7 @@
 		phase                   fleet.Phase
 	}
 	hosts := map[group]int{}
-	for _, h := range n.reg.Machines {
+	for _, h := range n.inventory.Machines {
 		kind := "ordinary"
 		if h.Spot {
 			kind = "spot"
@@ -118,28 +118,28 @@
 		gauge(descHosts, float64(k), g.machineType, g.kind, g.role, string(g.phase))
 	}
 	if leads {
-		for machineType, d := range n.leading.decision {
+		for machineType, d := range n.leaderState.roleDecisions {
 			gauge(descSplit, d.BatchLoad, machineType, "batch")
 			gauge(descSplit, d.ServiceLoad, machineType, "service")
-			gauge(descEvidence, flag(d.EvidenceOpen), machineType)
+			gauge(descEvidence, boolValue(d.EvidenceOpen), machineType)
 		}
 	}
 }
 
-func flag(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// count notes an answer.
-func (m *metrics) count(request string, status int) {
+// countAnswer notes an answer.
+func (m *metrics) countAnswer(request string, status int) {
 	m.answers.WithLabelValues(request, strconv.Itoa(status)).Inc()
 }
 
-// wrote notes the outcome of a decision write.
-func (m *metrics) wrote(kind string, err error) {
+// countWrite notes the outcome of a decision write.
+func (m *metrics) countWrite(kind string, err error) {
 	outcome := "stored"
 	switch {
 	case errors.Is(err, store.ErrConflict):
@@ -152,10 +152,10 @@
 	m.writes.WithLabelValues(kind, outcome).Inc()
 }
 
-func (n *Node) serveMetrics(c *fasthttp.RequestCtx) {
+func (n *Controller) serveMetrics(c *fasthttp.RequestCtx) {
 	families, err := n.metrics.reg.Gather()
 	if err != nil {
-		refuse(c, 500, "metrics can't be gathered")
+		respondError(c, 500, "metrics can't be gathered")
 		n.log.Error("metrics can't be gathered", "err", err)
 		return
 	}
--- a/internal/server/pass.go
+++ b/internal/server/pass.go
@@ -10,18 +10,18 @@
 	"wheatspur/internal/tuning"
 )
 
-// runPass runs the owner's part whenever something has changed.
-func (n *Node) runPass(ctx context.Context) error {
+// runScheduler runs the owner's part whenever something has changed.
+func (n *Controller) runScheduler(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-n.passWake:
 		case <-time.After(tuning.TickEvery):
 		}
-		n.beat(passLoop)
+		n.recordProgress(passLoop)
 		start := time.Now()
 		n.mu.Lock()
-		txns := n.pass()
+		txns := n.schedule()
 		n.mu.Unlock()
 		took := time.Since(start)
 		for _, t := range txns {
@@ -33,56 +33,56 @@
 	return nil
 }
 
-// pass computes the writes of this node and sends what is due to workers; mu
+// schedule computes the writes of this node and sends what is due to workers; mu
 // is held.
-func (n *Node) pass() []*txn {
-	if !n.entitled() || !n.hasState() || n.draining() {
+func (n *Controller) schedule() []*pendingWrite {
+	if !n.isMember() || !n.hasStore() || n.draining() {
 		return nil
 	}
 	now := n.now()
-	n.refreshRecords()
-	workers, all := n.sweep(now)
+	n.applyRecordChanges()
+	workers, all := n.workersToScan(now)
 	if all {
-		n.stepRecovery(now)
+		n.advanceRecovery(now)
 	}
-	n.forgetOver(workers, now)
+	n.pruneFinished(workers, now)
 	// What can't be written now is not decided now: it would wait in the
 	// budget's queue until its guards are old, and fail.
-	most := n.lim.AvailableWrites(tuning.WriteReserve)
-	txns := n.shareOut(now, &most)
-	due := n.releases(workers, now)
-	fleet := n.machines(now)
+	most := n.limiter.AvailableWrites(tuning.WriteReserve)
+	txns := n.planRebalances(now, &most)
+	due := n.dueReleases(workers, now)
+	fleet := n.refreshMachines(now)
 	in := n.placeInput(fleet, now)
 	out := place.Schedule(in)
-	n.noteUnmet(out, now)
-	if !n.blind() {
-		n.stopEvicted(out.Preemptions, now)
+	n.recordUnplaced(out, now)
+	if !n.machinesUnknown() {
+		n.preempt(out.Preemptions, now)
 		if all {
-			n.displace(fleet)
+			n.evictMisplacedServices(fleet)
 		}
 	}
-	txns = n.endsAndClaims(txns, due, out.Claims, &most)
-	txns = append(txns, n.offerShares(in.Teams, out.ShareShortfall, now, &most)...)
-	txns = append(txns, n.reserve(out.GuaranteeShortfall, now, &most)...)
-	txns = n.finished(txns, &most)
-	n.noteQueue(len(due) + countJobs(out.Claims) - len(txns))
-	n.shareBudget()
-	n.tellWorkers(workers, now)
-	n.settle()
+	txns = n.planReleasesAndClaims(txns, due, out.Claims, &most)
+	txns = append(txns, n.planTransfers(in.Teams, out.ShareShortfall, now, &most)...)
+	txns = append(txns, n.planReservations(out.GuaranteeShortfall, now, &most)...)
+	txns = n.planFinishedJobs(txns, &most)
+	n.updateQueuedWrites(len(due) + countJobs(out.Claims) - len(txns))
+	n.updateBudgetShare()
+	n.commandWorkers(workers, now)
+	n.removeQuiescent()
 	return txns
 }
 
-// forgetOver drops what is remembered of tasks, machines and jobs and is over; mu
+// pruneFinished drops what is remembered of tasks, machines and jobs and is over; mu
 // is held.
-func (n *Node) forgetOver(workers map[string]*fleet.Worker, now time.Time) {
+func (n *Controller) pruneFinished(workers map[string]*fleet.Worker, now time.Time) {
 	for host, w := range workers {
 		if len(w.Stopping) > 0 && w.PruneStopping(n.table.ClaimsByMachine[host]) {
-			n.view.touch(host)
+			n.machineIndex.markChanged(host)
 		}
 	}
-	for host, w := range n.failing {
+	for host, w := range n.failingWorkers {
 		if len(w.FailedJobs) == 0 || n.workers[host] != w {
-			delete(n.failing, host)
+			delete(n.failingWorkers, host)
 		}
 	}
 	for jobID, at := range n.preemptedFor {
@@ -90,17 +90,17 @@
 			delete(n.preemptedFor, jobID)
 		}
 	}
-	for jobID, at := range n.notUntil {
+	for jobID, at := range n.backoffUntil {
 		if now.After(at) {
-			delete(n.notUntil, jobID)
+			delete(n.backoffUntil, jobID)
 		}
 	}
 }
 
-// stopEvicted stops tasks whose room others need; mu is held.
-func (n *Node) stopEvicted(list []place.Preemption, now time.Time) {
+// preempt stops tasks whose room others need; mu is held.
+func (n *Controller) preempt(list []place.Preemption, now time.Time) {
 	for _, r := range list {
-		w := n.workers[n.hostOf(r.ClaimedTask)]
+		w := n.workers[n.machineOf(r.ClaimedTask)]
 		if w == nil {
 			continue
 		}
@@ -110,29 +110,29 @@
 	}
 }
 
-// endsAndClaims adds the writes of ends and claims. Ends of jobs and of tasks
+// planReleasesAndClaims adds the writes of ends and claims. Ends of jobs and of tasks
 // that are to start again come first, but no more than half of what can be
 // written while tasks wait for their claims. The other ends only free room,
 // which is not short while there are claims. Guards against a half-empty fleet
 // beside a queue: the ends of hundreds of tasks took the budget from the claims.
 // mu is held.
-func (n *Node) endsAndClaims(txns []*txn, due []pendingRelease, claims []place.Claim, most *float64) []*txn {
+func (n *Controller) planReleasesAndClaims(txns []*pendingWrite, due []pendingRelease, claims []place.Claim, most *float64) []*pendingWrite {
 	early := *most
 	if len(claims) > 0 {
-		early = n.earlyShare(*most)
+		early = n.earlyReleaseBudget(*most)
 	}
 	*most -= early
 	for _, r := range due {
 		if r.priority < releaseRoutine {
-			txns = n.release(txns, r, &early)
+			txns = n.planRelease(txns, r, &early)
 		}
 	}
 	*most += early
 	released := len(txns)
-	txns = n.claims(txns, claims, most)
-	n.claimsWaited = len(claims) > 0 && len(txns) == released && released > 0
+	txns = n.planClaims(txns, claims, most)
+	n.claimsDeferred = len(claims) > 0 && len(txns) == released && released > 0
 	for _, r := range due {
-		txns = n.release(txns, r, most) // those that were not written yet
+		txns = n.planRelease(txns, r, most) // those that were not written yet
 	}
 	return txns
 }
@@ -146,52 +146,52 @@
 	return len(seen)
 }
 
-// noteQueue enters how many writes were due and had no room in the budget in the
+// updateQueuedWrites enters how many writes were due and had no room in the budget in the
 // mean of what waits for it; mu is held.
-func (n *Node) noteQueue(left int) {
-	waits := n.lim.QueuedWrites() + float64(n.storing+max(0, left))
-	n.queuedChanges += (waits - n.queuedChanges) / 2
+func (n *Controller) updateQueuedWrites(left int) {
+	waits := n.limiter.QueuedWrites() + float64(n.machineWritesLeft+max(0, left))
+	n.queuedWrites += (waits - n.queuedWrites) / 2
 }
 
-// tellWorkers sends workers what is due, and forgets those of machines that are
+// commandWorkers sends workers what is due, and forgets those of machines that are
 // gone; mu is held.
-func (n *Node) tellWorkers(workers map[string]*fleet.Worker, now time.Time) {
+func (n *Controller) commandWorkers(workers map[string]*fleet.Worker, now time.Time) {
 	for host, w := range workers {
-		if n.ownerOf(host) == n.self.Label {
-			n.invalidateHeldStarts(w)
-			n.direct(w, now)
-		} else if n.reg.KeyOf(host) == "" && now.Sub(w.LastHeard) > 2*n.set.Lease() {
+		if n.shardOwner(host) == n.self.Label {
+			n.fencePendingStarts(w)
+			n.sendDirectCommands(w, now)
+		} else if n.inventory.KeyOf(host) == "" && now.Sub(w.LastHeard) > 2*n.settings.Lease() {
 			delete(n.workers, host)
 		}
 	}
 }
 
-// hostOf is the machine that a claimed task is on.
-func (n *Node) hostOf(r place.ClaimedTask) string { return r.Job.Claims[r.ID.Task].Machine }
+// machineOf is the machine that a claimed task is on.
+func (n *Controller) machineOf(r place.ClaimedTask) string { return r.Job.Claims[r.ID.Task].Machine }
 
-// noteUnmet notes the tasks without a place, why, and since when; mu is held.
-func (n *Node) noteUnmet(out place.Output, now time.Time) {
-	n.unmet, n.why = out.Unplaced, out.Reasons
-	n.noteShortages(out, now)
-	for jobID := range n.unmetAt {
+// recordUnplaced notes the tasks without a place, why, and since when; mu is held.
+func (n *Controller) recordUnplaced(out place.Output, now time.Time) {
+	n.unplaced, n.pendingReasons = out.Unplaced, out.Reasons
+	n.recordShortages(out, now)
+	for jobID := range n.unplacedSince {
 		if out.Unplaced[jobID] == 0 {
-			delete(n.unmetAt, jobID)
+			delete(n.unplacedSince, jobID)
 		}
 	}
 	for jobID := range out.Unplaced {
-		if _, ok := n.unmetAt[jobID]; !ok {
-			n.unmetAt[jobID] = now
+		if _, ok := n.unplacedSince[jobID]; !ok {
+			n.unplacedSince[jobID] = now
 		}
 	}
 }
 
 // placeInput builds the pass's input; mu is held.
-func (n *Node) placeInput(fleet *place.Fleet, now time.Time) place.Input {
-	in := place.Input{Self: n.self.Label, Leader: n.member.Leader.Label, RankNodes: n.member.RankNodes,
+func (n *Controller) placeInput(fleet *place.Fleet, now time.Time) place.Input {
+	in := place.Input{Self: n.self.Label, Leader: n.membership.Leader.Label, RankNodes: n.membership.RankNodes,
 		Fleet: fleet, Teams: n.allowances(), Now: now, MaxJobs: tuning.JobsPerPass,
-		MinimizeLoss: n.set.Operator.QuotaReservations}
+		MinimizeLoss: n.settings.Operator.QuotaReservations}
 	avoid := map[string]map[string]bool{}
-	for host, w := range n.failing {
+	for host, w := range n.failingWorkers {
 		for jobID := range w.FailedJobs {
 			if avoid[jobID] == nil {
 				avoid[jobID] = map[string]bool{}
@@ -199,19 +199,19 @@
 			avoid[jobID][host] = true
 		}
 	}
-	pipelines := n.pipelines()
+	pipelines := n.dependenciesSupported()
 	for jobID, j := range n.table.Open {
 		if j.Counts[jobs.Pending] == 0 || j.Record.Phase == jobs.Waiting && !pipelines {
 			continue // an old member would stop what starts on its machines
 		}
 		d := &place.Demand{Job: j, Avoid: avoid[jobID]}
-		d.Tasks = n.pending(j, tuning.TasksPerJob, now)
+		d.Tasks = n.pendingTasks(j, tuning.TasksPerJob, now)
 		// The cloud may still bring room for a guarantee; work that is stopped
 		// for it is lost.
-		d.MayReclaim = n.pressed(j, now)
+		d.MayReclaim = n.mayReclaim(j, now)
 		d.Starved = j.Counts[jobs.Pending] == j.Record.Tasks && now.UnixMilli()-j.ReadyAtMs > tuning.StarvedAfter.Milliseconds()
 		d.PreemptedFor = now.Sub(n.preemptedFor[jobID]) < tuning.PreemptPause
-		d.WriteInFlight = n.busyJob[jobID] || now.Before(n.notUntil[jobID])
+		d.WriteInFlight = n.writesInFlight[jobID] || now.Before(n.backoffUntil[jobID])
 		if len(d.Tasks) > 0 {
 			in.Demands = append(in.Demands, d)
 		}
@@ -219,8 +219,8 @@
 	return in
 }
 
-// pending lists up to most pending tasks of a job that may be tried now.
-func (n *Node) pending(j *jobs.Job, most int, now time.Time) []int {
+// pendingTasks lists up to most pending tasks of a job that may be tried now.
+func (n *Controller) pendingTasks(j *jobs.Job, most int, now time.Time) []int {
 	var out []int
 	for c := 0; c*j.Record.ChunkSize < j.Record.Tasks && len(out) < most; c++ {
 		tasks := j.Chunks[c] // nil: all pending
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -36,29 +36,29 @@
 }
 
 // quotaView is what decisions about limits start from; mu is held.
-func (n *Node) quotaView() quota.View {
+func (n *Controller) quotaView() quota.View {
 	return quota.View{
 		Self:         n.self.Label,
-		Leader:       n.member.Leader.Label,
+		Leader:       n.membership.Leader.Label,
 		Nodes:        n.memberLabels,
-		FencingToken: n.member.FencingToken,
-		Claimed:      n.holdings(),
+		FencingToken: n.membership.FencingToken,
+		Claimed:      n.claimedByNode(),
 		Revision:     n.cache.Revision(),
 	}
 }
 
-// holdings is what the claims on each node's machines take; mu is held.
-func (n *Node) holdings() quota.ClaimedByNode {
-	for host := range n.view.touched {
+// claimedByNode is what the claims on each node's machines take; mu is held.
+func (n *Controller) claimedByNode() quota.ClaimedByNode {
+	for host := range n.machineIndex.changed {
 		n.sumClaims(host)
 	}
-	return n.view.held
+	return n.machineIndex.claimedByNode
 }
 
 // allowances are what a pass may still give to each team; mu is held.
-func (n *Node) allowances() map[string]*quota.Allowance {
+func (n *Controller) allowances() map[string]*quota.Allowance {
 	view := n.quotaView()
-	scale := n.quota.Scale(n.fleetAmount, n.now())
+	scale := n.quota.Scale(n.totalCapacity, n.now())
 	out := map[string]*quota.Allowance{}
 	for _, l := range n.quota.Ledgers() {
 		l.Forget(n.cache)
@@ -68,10 +68,10 @@
 	return out
 }
 
-// fleetAmount is what all machines that take tasks hold together; mu is held.
-func (n *Node) fleetAmount() quota.Amount {
+// totalCapacity is what all machines that take tasks hold together; mu is held.
+func (n *Controller) totalCapacity() quota.Amount {
 	var sum quota.Amount
-	for _, r := range n.reg.Machines {
+	for _, r := range n.inventory.Machines {
 		if r.Phase == fleet.Active {
 			t := n.machineTypes[r.MachineType]
 			sum = sum.Add(quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs})
@@ -80,22 +80,22 @@
 	return sum
 }
 
-// pressed reports whether a job within its team's guarantee has waited so long
+// mayReclaim reports whether a job within its team's guarantee has waited so long
 // for room that others' borrowed work is stopped for it. The team's wait is
 // stored, and so is the time since when the job could start, so all nodes come to
 // the same answer, also after a restart. mu is held.
-func (n *Node) pressed(j *jobs.Job, now time.Time) bool {
-	if at, ok := n.unmetAt[j.ID]; ok && now.Sub(at) > tuning.GuaranteePreemptAfter {
+func (n *Controller) mayReclaim(j *jobs.Job, now time.Time) bool {
+	if at, ok := n.unplacedSince[j.ID]; ok && now.Sub(at) > tuning.GuaranteePreemptAfter {
 		return true
 	}
-	return n.set.Operator.QuotaReservations && n.quota.MayReclaim(j.Team, now) &&
+	return n.settings.Operator.QuotaReservations && n.quota.MayReclaim(j.Team, now) &&
 		now.UnixMilli()-j.ReadyAtMs > tuning.GuaranteePreemptAfter.Milliseconds()
 }
 
-// reserve lets the leader store which teams wait for room within their
+// planReservations lets the leader store which teams wait for room within their
 // guarantees; mu is held.
-func (n *Node) reserve(short map[string]quota.Amount, now time.Time, most *float64) []*txn {
-	if !n.leads() || *most < 1 {
+func (n *Controller) planReservations(short map[string]quota.Amount, now time.Time, most *float64) []*pendingWrite {
+	if !n.isLeader() || *most < 1 {
 		return nil
 	}
 	next := n.quota.Reserve(now, short)
@@ -104,48 +104,48 @@
 	}
 	n.log.Info("reservations change", "teams", len(next.Teams))
 	*most--
-	t := n.newTxn("reserve")
-	t.guards[quota.ReservationsKey] = n.cache.Version(quota.ReservationsKey)
-	t.set(quota.ReservationsKey, *next)
-	t.reserves = true
-	return []*txn{t}
+	t := n.newWrite("reserve")
+	t.compares[quota.ReservationsKey] = n.cache.Version(quota.ReservationsKey)
+	t.put(quota.ReservationsKey, *next)
+	t.reservations = true
+	return []*pendingWrite{t}
 }
 
 // admit adds to a write of claims the guard on the shares of the team's limit
 // and, for claims on others' machines, the change that hands their owners that
 // part of this node's share; false if the share does not cover it. mu is held.
-func (n *Node) admit(t *txn, team string, amount quota.Amount, others map[string]quota.Amount) bool {
+func (n *Controller) admit(t *pendingWrite, team string, amount quota.Amount, others map[string]quota.Amount) bool {
 	l := n.quota.Ledger(team)
 	if l == nil {
 		return false
 	}
 	admission, err := l.Admit(n.quotaView(), amount, others)
 	if err != nil {
-		n.log.Debug("claims are not admitted", "team", team, "jobs", t.jobs, "err", err)
+		n.log.Debug("claims are not admitted", "team", team, "jobs", t.jobIDs, "err", err)
 		return false
 	}
 	if admission == nil {
 		return true
 	}
 	key := jobs.TeamKey(team)
-	t.guards[key] = n.cache.Version(key)
+	t.compares[key] = n.cache.Version(key)
 	t.admission = admission
 	if admission.Next != nil {
-		t.set(key, *admission.Next)
+		t.put(key, *admission.Next)
 	}
 	return true
 }
 
-// settleQuota tells the team's ledger what became of a write; mu is held.
-func (n *Node) settleQuota(t *txn, err error) {
+// resolveQuota tells the team's ledger what became of a write; mu is held.
+func (n *Controller) resolveQuota(t *pendingWrite, err error) {
 	if t.shares != nil {
-		n.quota.Ledger(t.shares.Team).ResolveWrite(t.shares, outcomeOf(err), t.guards)
+		n.quota.Ledger(t.shares.Team).ResolveWrite(t.shares, outcomeOf(err), t.compares)
 	}
-	if t.reserves {
+	if t.reservations {
 		n.quota.ReservationsWritten()
 	}
 	if t.admission != nil {
-		n.quota.Ledger(t.admission.Team).ResolveAdmission(t.admission, outcomeOf(err), t.guards)
+		n.quota.Ledger(t.admission.Team).ResolveAdmission(t.admission, outcomeOf(err), t.compares)
 	}
 }
 
@@ -160,13 +160,13 @@
 	return quota.Unknown
 }
 
-// shareOut lets the leader share the teams' limits out; most is what the budget
+// planRebalances lets the leader share the teams' limits out; most is what the budget
 // of changes has room for. mu is held.
-func (n *Node) shareOut(now time.Time, most *float64) []*txn {
-	if !n.leads() {
+func (n *Controller) planRebalances(now time.Time, most *float64) []*pendingWrite {
+	if !n.isLeader() {
 		return nil
 	}
-	var out []*txn
+	var out []*pendingWrite
 	view := n.quotaView()
 	for _, l := range n.quota.Ledgers() {
 		team := l.Team().Name
@@ -175,7 +175,7 @@
 		if w == nil {
 			continue
 		}
-		t := n.sharesTxn(w)
+		t := n.shareWrite(w)
 		if urgent {
 			t.class = store.ClassCancel // all claims wait for it
 		}
@@ -185,14 +185,14 @@
 	return out
 }
 
-// offerShares gives what this node does not need of the teams' limits to the
+// planTransfers gives what this node does not need of the teams' limits to the
 // leader, where that is short; teams are what the pass has left of each. mu is
 // held.
-func (n *Node) offerShares(teams map[string]*quota.Allowance, short map[string]quota.Amount, now time.Time, most *float64) []*txn {
-	if !n.set.Operator.QuotaTransfers || n.leads() {
+func (n *Controller) planTransfers(teams map[string]*quota.Allowance, short map[string]quota.Amount, now time.Time, most *float64) []*pendingWrite {
+	if !n.settings.Operator.QuotaTransfers || n.isLeader() {
 		return nil
 	}
-	var out []*txn
+	var out []*pendingWrite
 	view := n.quotaView()
 	for team, lack := range short {
 		if *most < 1 {
@@ -203,24 +203,24 @@
 			continue
 		}
 		*most--
-		out = append(out, n.sharesTxn(w))
+		out = append(out, n.shareWrite(w))
 	}
 	return out
 }
 
-// sharesTxn is the write of a team's shares; mu is held.
-func (n *Node) sharesTxn(w *quota.Write) *txn {
+// shareWrite is the write of a team's shares; mu is held.
+func (n *Controller) shareWrite(w *quota.Write) *pendingWrite {
 	n.log.Info("team's shares change", "team", w.Team, "event", string(w.Event))
-	t := n.newTxn(string(w.Event))
+	t := n.newWrite(string(w.Event))
 	key := jobs.TeamKey(w.Team)
-	t.guards[key] = n.cache.Version(key)
-	t.set(key, w.Record)
+	t.compares[key] = n.cache.Version(key)
+	t.put(key, w.Record)
 	t.shares = w
 	return t
 }
 
 // pendingAmounts is what each waiting job of a team takes; mu is held.
-func (n *Node) pendingAmounts(team string) iter.Seq[quota.Amount] {
+func (n *Controller) pendingAmounts(team string) iter.Seq[quota.Amount] {
 	return func(yield func(quota.Amount) bool) {
 		for _, j := range n.table.Open {
 			pending := j.Counts[jobs.Pending]
@@ -234,10 +234,10 @@
 	}
 }
 
-// noteShortages notes which teams' work waits for other shares; mu is held.
-func (n *Node) noteShortages(out place.Output, now time.Time) {
+// recordShortages notes which teams' work waits for other shares; mu is held.
+func (n *Controller) recordShortages(out place.Output, now time.Time) {
 	for _, l := range n.quota.Ledgers() {
 		_, short := out.ShareShortfall[l.Team().Name]
-		l.RecordShortage(short, now, n.member.FencingToken)
+		l.RecordShortage(short, now, n.membership.FencingToken)
 	}
 }
--- a/internal/server/records.go
+++ b/internal/server/records.go
@@ -16,8 +16,8 @@
 // the cloud is out.
 const typesKey = jobs.Root + "types"
 
-// sink takes changed values from the cache; mu is held.
-func (n *Node) sink(key string, v wire.Raw, version uint64) {
+// applyStored takes changed values from the cache; mu is held.
+func (n *Controller) applyStored(key string, v wire.Raw, version uint64) {
 	if err := n.applyRecord(key, v, version); err != nil {
 		n.log.Error("stored record can't be read", "key", key, "stamp", version, "err", err)
 	}
@@ -25,7 +25,7 @@
 
 // applyRecord enters one stored value; nil says that there is none any more. mu is
 // held, also by the methods for each kind of record.
-func (n *Node) applyRecord(key string, v wire.Raw, version uint64) error {
+func (n *Controller) applyRecord(key string, v wire.Raw, version uint64) error {
 	switch {
 	case strings.HasPrefix(key, jobs.JobPrefix):
 		return n.applyJob(strings.TrimPrefix(key, jobs.JobPrefix), v, version)
@@ -38,13 +38,13 @@
 	case key == quota.ReservationsKey:
 		return n.quota.ApplyReservations(v)
 	case strings.HasPrefix(key, fleet.GroupPrefix), strings.HasPrefix(key, fleet.SingleMachinePrefix):
-		return n.reg.Apply(key, v)
+		return n.inventory.Apply(key, v)
 	case strings.HasPrefix(key, member.SessionPrefix):
 		return n.applySession(strings.TrimPrefix(key, member.SessionPrefix), v)
 	case strings.HasPrefix(key, member.UnreachablePrefix):
 		n.applyUnreachable(strings.TrimPrefix(key, member.UnreachablePrefix), v)
 	case key == member.LeaderKey:
-		return n.applyLead(v)
+		return n.applyLeader(v)
 	case key == member.Key:
 		return n.applyMembership(v)
 	case key == typesKey:
@@ -54,19 +54,19 @@
 }
 
 // applyJob enters a job, and the version of the last cancellation.
-func (n *Node) applyJob(jobID string, v wire.Raw, version uint64) error {
+func (n *Controller) applyJob(jobID string, v wire.Raw, version uint64) error {
 	err := n.table.ApplyJob(jobID, v)
 	if j := n.table.Jobs[jobID]; err != nil || j != nil && j.Record.Phase == jobs.Cancelled {
-		n.cancelled = max(n.cancelled, version)
+		n.lastCancellation = max(n.lastCancellation, version)
 	}
 	return err
 }
 
 // applySession enters a node's session and what it says of its program.
-func (n *Node) applySession(label string, v wire.Raw) error {
+func (n *Controller) applySession(label string, v wire.Raw) error {
 	if v == nil {
 		delete(n.sessions, label)
-		delete(n.versions, label)
+		delete(n.storedSessions, label)
 		return nil
 	}
 	s, err := member.DecodeSession(v)
@@ -74,12 +74,12 @@
 		return err
 	}
 	n.sessions[label] = s.Node
-	n.versions[label] = *s
+	n.storedSessions[label] = *s
 	return nil
 }
 
 // applyUnreachable enters whether a node says that it hears no worker.
-func (n *Node) applyUnreachable(label string, v wire.Raw) {
+func (n *Controller) applyUnreachable(label string, v wire.Raw) {
 	if v == nil {
 		delete(n.unreachable, label)
 	} else {
@@ -87,19 +87,19 @@
 	}
 }
 
-// applyLead enters which node holds the lead; a record that can't be read leaves none.
-func (n *Node) applyLead(v wire.Raw) error {
-	n.lead = nil
+// applyLeader enters which node holds the lead; a record that can't be read leaves none.
+func (n *Controller) applyLeader(v wire.Raw) error {
+	n.leader = nil
 	if v == nil {
 		return nil
 	}
 	m, err := member.DecodeNode(v)
-	n.lead = m
+	n.leader = m
 	return err
 }
 
 // applyTypes enters the machine types; without a record the known ones stay.
-func (n *Node) applyTypes(v wire.Raw) error {
+func (n *Controller) applyTypes(v wire.Raw) error {
 	if v == nil {
 		return nil
 	}
@@ -107,8 +107,8 @@
 	if err := wire.Unmarshal(v, &r); err != nil {
 		return err
 	}
-	n.types = r.Types
-	n.view.stale = true
+	n.machineTypeList = r.Types
+	n.machineIndex.rebuild = true
 	clear(n.machineTypes)
 	for _, t := range r.Types {
 		n.machineTypes[t.Label] = t
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -16,14 +16,14 @@
 	"wheatspur/internal/tuning"
 )
 
-// stepRecovery takes the node's recovery a step on. It looks at all of the node's
+// advanceRecovery takes the node's recovery a step on. It looks at all of the node's
 // machines, and only until recovery is over; mu is held.
-func (n *Node) stepRecovery(now time.Time) {
-	r := n.recovery
+func (n *Controller) advanceRecovery(now time.Time) {
+	r := n.recoveryProgress
 	if r.Done() {
 		return
 	}
-	if !n.entitled() {
+	if !n.isMember() {
 		n.recoveryEvent(recovery.Lost, now)
 		return
 	}
@@ -35,29 +35,29 @@
 		n.recoveryEvent(recovery.Accounted, now)
 	}
 	// Starts that can't be sent for a lease are none that a rate would help.
-	late := r.Phase == recovery.CatchingUp && now.Sub(r.Since) > n.set.Lease()
-	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietHeartbeats*float64(n.set.Report()))) {
+	late := r.Phase == recovery.CatchingUp && now.Sub(r.Since) > n.settings.Lease()
+	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietHeartbeats*float64(n.settings.Report()))) {
 		n.recoveryEvent(recovery.CaughtUp, now)
 	}
 }
 
 // recoveryEvent enters an event and logs what it changes; mu is held.
-func (n *Node) recoveryEvent(e recovery.Event, now time.Time) {
-	before, since := n.recovery.Phase, n.recovery.Since
-	if n.recovery.Apply(e, now) {
-		n.log.Info("recovery", "phase", string(n.recovery.Phase), "after", string(before), "took", now.Sub(since).Round(time.Millisecond),
-			"machines", len(n.reg.Machines), "missing", n.recovery.Machines[recovery.Missing], "starts_left", n.recovery.PendingStarts.Total())
+func (n *Controller) recoveryEvent(e recovery.Event, now time.Time) {
+	before, since := n.recoveryProgress.Phase, n.recoveryProgress.Since
+	if n.recoveryProgress.Apply(e, now) {
+		n.log.Info("recovery", "phase", string(n.recoveryProgress.Phase), "after", string(before), "took", now.Sub(since).Round(time.Millisecond),
+			"machines", len(n.inventory.Machines), "missing", n.recoveryProgress.Machines[recovery.Missing], "starts_left", n.recoveryProgress.PendingStarts.Total())
 	}
 }
 
 // countMachines counts this node's machines by what is known of them, and the
 // starts that are due on those that have been heard; mu is held.
-func (n *Node) countMachines(now time.Time) (count recovery.Count, left recovery.Backlog) {
+func (n *Controller) countMachines(now time.Time) (count recovery.Count, left recovery.Backlog) {
 	count = recovery.Count{}
-	waited := now.Sub(n.recovery.Began)
-	patience := time.Duration(tuning.RecoveryHeartbeats * float64(n.set.Report()))
-	for host, rec := range n.reg.Machines {
-		if rec.Phase == fleet.Terminated || n.ownerOf(host) != n.self.Label {
+	waited := now.Sub(n.recoveryProgress.Began)
+	patience := time.Duration(tuning.RecoveryHeartbeats * float64(n.settings.Report()))
+	for host, rec := range n.inventory.Machines {
+		if rec.Phase == fleet.Terminated || n.shardOwner(host) != n.self.Label {
 			continue
 		}
 		w := n.workers[host]
@@ -87,42 +87,42 @@
 
 // admitStart takes a start from this node's rate of starts while it recovers, if
 // operators have set one; mu is held.
-func (n *Node) admitStart(j *jobs.Job) bool {
+func (n *Controller) admitStart(j *jobs.Job) bool {
 	class := startClass(j)
 	switch {
-	case n.recovery.Done():
+	case n.recoveryProgress.Done():
 		return true
-	case n.recovery.Phase == recovery.Loading && class != recovery.ServiceStart && n.set.Operator.RecoveryStarts > 0:
+	case n.recoveryProgress.Phase == recovery.Loading && class != recovery.ServiceStart && n.settings.Operator.RecoveryStarts > 0:
 		return false // what is more urgent has not been counted yet
 	}
 	return n.pacer.Admit(class, n.now())
 }
 
-// blind reports whether decisions that need a whole picture of the machines have
+// machinesUnknown reports whether decisions that need a whole picture of the machines have
 // to wait: this node, or another member, does not know its machines yet. Guards
 // against work that is stopped, moved or rented for because free machines have
 // not reported yet. mu is held.
-func (n *Node) blind() bool {
-	if !n.set.Operator.RecoveryHold {
+func (n *Controller) machinesUnknown() bool {
+	if !n.settings.Operator.RecoveryHold {
 		return false
 	}
-	if n.member == nil || n.recovery.MachinesUnknown() {
+	if n.membership == nil || n.recoveryProgress.MachinesUnknown() {
 		return true
 	}
-	for _, m := range n.member.Nodes {
-		if s := n.siblings[m.Label]; s != nil && n.freshSibling(s) && s.status.Incarnation == m.Incarnation && s.status.Recovering {
+	for _, m := range n.membership.Nodes {
+		if s := n.siblings[m.Label]; s != nil && n.isFresh(s) && s.status.Incarnation == m.Incarnation && s.status.Recovering {
 			return true
 		}
 	}
 	return false
 }
 
-// recoveryStatus shows operators how far recovery is; mu is held.
-func (n *Node) recoveryStatus(b *strings.Builder) {
-	r := n.recovery
+// writeRecoveryStatus shows operators how far recovery is; mu is held.
+func (n *Controller) writeRecoveryStatus(b *strings.Builder) {
+	r := n.recoveryProgress
 	fmt.Fprintf(b, "recovery %q for %.0f s machines unknown %d reported %d reconciled %d missing %d starts_left services %d arrays %d hold %v\n",
 		r.Phase, n.now().Sub(r.Since).Seconds(), r.Machines[recovery.Unknown], r.Machines[recovery.Reported], r.Machines[recovery.Reconciled],
-		r.Machines[recovery.Missing], r.PendingStarts[recovery.ServiceStart], r.PendingStarts[recovery.ArrayStart], n.blind())
+		r.Machines[recovery.Missing], r.PendingStarts[recovery.ServiceStart], r.PendingStarts[recovery.ArrayStart], n.machinesUnknown())
 }
 
 var (
@@ -132,8 +132,8 @@
 )
 
 // collectRecovery gathers the metrics of recovery; mu is held.
-func (n *Node) collectRecovery(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
-	r := n.recovery
+func (n *Controller) collectRecovery(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
+	r := n.recoveryProgress
 	gauge(descRecoveryPhase, 1, string(r.Phase))
 	for _, state := range []recovery.MachineState{recovery.Unknown, recovery.Reported, recovery.Reconciled, recovery.Missing} {
 		gauge(descRecoveryMachines, float64(r.Machines[state]), string(state))
--- a/internal/server/releases.go
+++ b/internal/server/releases.go
@@ -11,12 +11,12 @@
 	"wheatspur/internal/tuning"
 )
 
-// earlyShare is the part of the changes that may be written now which ends may
+// earlyReleaseBudget is the part of the changes that may be written now which ends may
 // take before claims: half. If that is less than one each, they take turns:
 // with passes that come often, a single change is due at a time, and ends took
 // every one. mu is held.
-func (n *Node) earlyShare(changes float64) float64 {
-	if changes < 2 && n.claimsWaited {
+func (n *Controller) earlyReleaseBudget(changes float64) float64 {
+	if changes < 2 && n.claimsDeferred {
 		return 0
 	}
 	return (changes + 1) / 2
@@ -26,7 +26,7 @@
 type pendingRelease struct {
 	*chunkChange
 	key      string
-	since    time.Time
+	dueSince time.Time
 	priority releasePriority
 }
 
@@ -39,22 +39,22 @@
 	releaseRoutine                        // the rest
 )
 
-// releases lists the ends of tasks on this node's machines that may be stored now,
+// dueReleases lists the ends of tasks on this node's machines that may be stored now,
 // by chunk; what matters most comes first. workers are those that may have any.
 // mu is held.
-func (n *Node) releases(workers map[string]*fleet.Worker, now time.Time) []pendingRelease {
+func (n *Controller) dueReleases(workers map[string]*fleet.Worker, now time.Time) []pendingRelease {
 	changes := n.provenEnds(workers, now)
-	for key := range n.dueSince {
+	for key := range n.releaseDueSince {
 		if changes[key] == nil {
-			delete(n.dueSince, key)
+			delete(n.releaseDueSince, key)
 		}
 	}
 	var out []pendingRelease
 	for key, c := range changes {
-		since, ok := n.dueSince[key]
+		since, ok := n.releaseDueSince[key]
 		if !ok {
 			since = now
-			n.dueSince[key] = now
+			n.releaseDueSince[key] = now
 		}
 		if priority, ok := n.releasePriority(c, changes, now.Sub(since)); ok {
 			out = append(out, pendingRelease{c, key, since, priority})
@@ -66,7 +66,7 @@
 
 // provenEnds collects the claims whose end is proven on this node's machines, by
 // chunk.
-func (n *Node) provenEnds(workers map[string]*fleet.Worker, now time.Time) map[string]*chunkChange {
+func (n *Controller) provenEnds(workers map[string]*fleet.Worker, now time.Time) map[string]*chunkChange {
 	changes := map[string]*chunkChange{}
 	add := func(id jobs.TaskID, kind jobs.TaskEventKind) {
 		j := n.table.Jobs[id.Job]
@@ -78,13 +78,13 @@
 		changes[key].events[id.Task] = jobs.TaskEvent{Kind: kind}
 	}
 	first := map[string]bool{} // jobs whose first node this is
-	for host := range n.view.returned {
+	for host := range n.machineIndex.terminated {
 		// The proof is stored, so any node may release: the job's first
 		// does, in one write for the machines of all owners.
 		for id := range n.table.ClaimsByMachine[host] {
 			mine, ok := first[id.Job]
 			if !ok {
-				mine = n.member.RankNodes(id.Job)[0] == n.self.Label
+				mine = n.membership.RankNodes(id.Job)[0] == n.self.Label
 				first[id.Job] = mine
 			}
 			if mine {
@@ -92,9 +92,9 @@
 			}
 		}
 	}
-	lease := n.set.Lease()
+	lease := n.settings.Lease()
 	for host, w := range workers {
-		if w.NothingToReconcile(now, lease) || n.ownerOf(host) != n.self.Label || n.reg.Machines[host].Phase == fleet.Terminated {
+		if w.NothingToReconcile(now, lease) || n.shardOwner(host) != n.self.Label || n.inventory.Machines[host].Phase == fleet.Terminated {
 			continue
 		}
 		for _, r := range w.ProvenEnds(n.table.ClaimsByMachine[host], now, lease) {
@@ -106,7 +106,7 @@
 
 // releasePriority says how urgent the ends of a chunk's tasks are that have waited
 // so long; false if they are gathered, or can't be stored, for now.
-func (n *Node) releasePriority(c *chunkChange, changes map[string]*chunkChange, wait time.Duration) (releasePriority, bool) {
+func (n *Controller) releasePriority(c *chunkChange, changes map[string]*chunkChange, wait time.Duration) (releasePriority, bool) {
 	over, again := 0, false
 	for _, e := range c.events {
 		if e.Kind == jobs.Complete {
@@ -117,13 +117,13 @@
 	}
 	j := c.job
 	last := j.Counts[jobs.Completed]+over == j.Record.Tasks
-	if n.busyJob[j.ID] || n.now().Before(n.notUntil[j.ID]) || !last && len(c.events) < len(j.Claims) && wait < tuning.ReleaseGather {
+	if n.writesInFlight[j.ID] || n.now().Before(n.backoffUntil[j.ID]) || !last && len(c.events) < len(j.Claims) && wait < tuning.ReleaseGather {
 		return releaseRoutine, false
 	}
 	switch {
 	case last:
 		return releaseJobEnd, true
-	case j.Service() || again || wait > tuning.ReleaseOverdue || n.partOver(j, changes):
+	case j.Service() || again || wait > tuning.ReleaseOverdue || n.lastOnThisNode(j, changes):
 		return releaseRestart, true
 	}
 	return releaseRoutine, true
@@ -138,22 +138,22 @@
 	if len(r.events) != len(o.events) && r.priority == releaseRoutine {
 		return len(r.events) > len(o.events)
 	}
-	if !r.since.Equal(o.since) {
-		return r.since.Before(o.since)
+	if !r.dueSince.Equal(o.dueSince) {
+		return r.dueSince.Before(o.dueSince)
 	}
 	return r.key < o.key
 }
 
-// partOver reports whether the ends that are due leave no task of the job on
+// lastOnThisNode reports whether the ends that are due leave no task of the job on
 // this node's machines, and none waits: the node that stores the job's end
 // waits for these. Guards against jobs whose last end came 12 s late because
 // the ends on other nodes' machines were thought to free room only.
-func (n *Node) partOver(j *jobs.Job, due map[string]*chunkChange) bool {
+func (n *Controller) lastOnThisNode(j *jobs.Job, due map[string]*chunkChange) bool {
 	if j.Counts[jobs.Pending] > 0 {
 		return false
 	}
 	for i, t := range j.Claims {
-		if n.ownerOf(t.Machine) != n.self.Label {
+		if n.shardOwner(t.Machine) != n.self.Label {
 			continue
 		}
 		c := due[jobs.ChunkKey(j.ID, i/j.Record.ChunkSize)]
@@ -167,54 +167,54 @@
 	return true
 }
 
-// release adds the write of one chunk's ends, if the budget has room for it.
-func (n *Node) release(txns []*txn, d pendingRelease, most *float64) []*txn {
-	if *most < 1 || n.busyJob[d.job.ID] {
+// planRelease adds the write of one chunk's ends, if the budget has room for it.
+func (n *Controller) planRelease(txns []*pendingWrite, d pendingRelease, most *float64) []*pendingWrite {
+	if *most < 1 || n.writesInFlight[d.job.ID] {
 		return txns
 	}
 	tasks, ok := d.apply()
 	if !ok {
 		return txns
 	}
-	t := n.newTxn("release")
-	t.guards[d.key] = n.cache.Version(d.key)
-	t.guards[jobs.JobKey(d.job.ID)] = n.cache.Version(jobs.JobKey(d.job.ID))
+	t := n.newWrite("release")
+	t.compares[d.key] = n.cache.Version(d.key)
+	t.compares[jobs.JobKey(d.job.ID)] = n.cache.Version(jobs.JobKey(d.job.ID))
 	n.putChunk(t, d.chunkChange, d.key, tasks)
 	for id, e := range d.events {
-		t.note("task released", "task", jobs.TaskID{Job: d.job.ID, Task: id}, "as", string(e.Kind), "host", d.job.Claims[id].Machine)
+		t.logWhenStored("task released", "task", jobs.TaskID{Job: d.job.ID, Task: id}, "as", string(e.Kind), "host", d.job.Claims[id].Machine)
 	}
-	return n.under(txns, t, d.job.ID, most)
+	return n.addWrite(txns, t, d.job.ID, most)
 }
 
-// finished ends jobs whose chunks were completed by different owners; the
+// planFinishedJobs ends jobs whose chunks were completed by different owners; the
 // job's first node does it.
-func (n *Node) finished(txns []*txn, most *float64) []*txn {
+func (n *Controller) planFinishedJobs(txns []*pendingWrite, most *float64) []*pendingWrite {
 	for jobID, j := range n.table.Open {
-		if *most < 1 || !j.AllDone() || n.busyJob[jobID] || n.member.RankNodes(jobID)[0] != n.self.Label {
+		if *most < 1 || !j.AllDone() || n.writesInFlight[jobID] || n.membership.RankNodes(jobID)[0] != n.self.Label {
 			continue
 		}
-		t := n.newTxn("finish")
-		t.guards[jobs.JobKey(jobID)] = n.cache.Version(jobs.JobKey(jobID))
-		t.set(jobs.JobKey(jobID), finalRecord(j, jobs.JobCompleted, n.now()))
-		txns = n.under(txns, t, jobID, most)
+		t := n.newWrite("finish")
+		t.compares[jobs.JobKey(jobID)] = n.cache.Version(jobs.JobKey(jobID))
+		t.put(jobs.JobKey(jobID), finalRecord(j, jobs.JobCompleted, n.now()))
+		txns = n.addWrite(txns, t, jobID, most)
 	}
 	for jobID, j := range n.table.Unrecorded {
 		// It says nothing new: it lets intake records go, and tells old versions.
-		if *most < 2 || n.busyJob[jobID] || n.member.RankNodes(jobID)[0] != n.self.Label {
+		if *most < 2 || n.writesInFlight[jobID] || n.membership.RankNodes(jobID)[0] != n.self.Label {
 			continue
 		}
-		t := n.newTxn("cancelled with another")
-		t.guards[jobs.JobKey(jobID)] = n.cache.Version(jobs.JobKey(jobID))
-		t.set(jobs.JobKey(jobID), jobs.Record{Phase: j.Phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: n.now().UnixMilli(), CancelledWith: j.CancelledWith})
-		txns = n.under(txns, t, jobID, most)
+		t := n.newWrite("cancelled with another")
+		t.compares[jobs.JobKey(jobID)] = n.cache.Version(jobs.JobKey(jobID))
+		t.put(jobs.JobKey(jobID), jobs.Record{Phase: j.Phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: n.now().UnixMilli(), CancelledWith: j.CancelledWith})
+		txns = n.addWrite(txns, t, jobID, most)
 	}
 	for key := range n.table.JobsByIntake {
 		// Nothing needs it any more: guards against reading it for ever.
-		if *most >= 1 && !n.busyJob[key] && n.table.IntakeFinished(key) && n.member.RankNodes(key)[0] == n.self.Label {
-			t := n.newTxn("intake over")
-			t.guards[key] = n.cache.Version(key)
-			t.drop(key)
-			txns = n.under(txns, t, key, most)
+		if *most >= 1 && !n.writesInFlight[key] && n.table.IntakeFinished(key) && n.membership.RankNodes(key)[0] == n.self.Label {
+			t := n.newWrite("intake over")
+			t.compares[key] = n.cache.Version(key)
+			t.delete(key)
+			txns = n.addWrite(txns, t, key, most)
 		}
 	}
 	return txns
--- a/internal/server/rolemoves.go
+++ b/internal/server/rolemoves.go
@@ -14,12 +14,12 @@
 	"wheatspur/wire"
 )
 
-// noteArrivals feeds the role controllers with service jobs that are new, and the
+// recordArrivals feeds the role controllers with service jobs that are new, and the
 // headroom with batch jobs; mu is held.
-func (n *Node) noteArrivals(l *leading, now time.Time) {
-	for _, t := range n.types {
-		if l.control[t.Label] == nil {
-			l.control[t.Label] = roles.New(n.set.Operator, now)
+func (n *Controller) recordArrivals(l *leaderState, now time.Time) {
+	for _, t := range n.machineTypeList {
+		if l.roleControllers[t.Label] == nil {
+			l.roleControllers[t.Label] = roles.New(n.settings.Operator, now)
 		}
 	}
 	for jobID, j := range n.table.Open {
@@ -28,9 +28,9 @@
 		}
 		l.seenJobs[jobID] = true
 		if !j.Service() {
-			l.noteBatchArrival(j, now)
+			l.recordBatchArrival(j, now)
 		} else if now.Sub(j.FirstSeen) <= tuning.RoleStep {
-			n.noteServiceArrival(l, j, now)
+			n.recordServiceArrival(l, j, now)
 		}
 	}
 	for jobID := range l.seenJobs {
@@ -40,42 +40,42 @@
 	}
 }
 
-// noteBatchArrival enters a new array in the mean size of those of the typical class.
-func (l *leading) noteBatchArrival(j *jobs.Job, now time.Time) {
-	if l.batch.Spec == nil || l.batch.Spec.Class == j.Record.Spec.Class {
+// recordBatchArrival enters a new array in the mean size of those of the typical class.
+func (l *leaderState) recordBatchArrival(j *jobs.Job, now time.Time) {
+	if l.batchLoad.Spec == nil || l.batchLoad.Spec.Class == j.Record.Spec.Class {
 		size := min(float64(j.Record.Tasks), tuning.TasksPerJob)
-		if l.batchSize == 0 {
-			l.batchSize = size
+		if l.meanArraySize == 0 {
+			l.meanArraySize = size
 		}
-		l.batchSize += (size - l.batchSize) * tuning.BatchSizeAlpha
+		l.meanArraySize += (size - l.meanArraySize) * tuning.BatchSizeAlpha
 	}
-	l.batchSeen = now
+	l.lastArrayAt = now
 }
 
-// noteServiceArrival tells the role controller of every type that a new service
+// recordServiceArrival tells the role controller of every type that a new service
 // job may use; mu is held.
-func (n *Node) noteServiceArrival(l *leading, j *jobs.Job, now time.Time) {
-	for _, t := range n.types {
+func (n *Controller) recordServiceArrival(l *leaderState, j *jobs.Job, now time.Time) {
+	for _, t := range n.machineTypeList {
 		if !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
 			continue
 		}
 		total := jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}
-		l.control[t.Label].Arrive(now, j.Need.Share(total)*float64(j.Record.Tasks))
+		l.roleControllers[t.Label].Arrive(now, j.Need.Share(total)*float64(j.Record.Tasks))
 	}
 }
 
-// split describes one type's ordinary machines and demand; mu is held.
-func (n *Node) split(t wire.MachineType, machines *place.Fleet) roles.Split {
+// describeSplit describes one type's ordinary machines and demand; mu is held.
+func (n *Controller) describeSplit(t wire.MachineType, machines *place.Fleet) roles.Split {
 	s := roles.Split{Type: t.Label, Complete: true}
 	for _, sib := range n.siblings {
-		if n.member.Contains(member.Node{Label: sib.cfg.Label, Incarnation: sib.status.Incarnation}) && !n.freshSibling(sib) {
+		if n.membership.Contains(member.Node{Label: sib.settings.Label, Incarnation: sib.status.Incarnation}) && !n.isFresh(sib) {
 			s.Complete = false
 		}
 	}
 	count := map[string]int{}    // machines that take tasks, by type
 	coming := []jobs.Resources{} // room on batch machines of the type that still boot
 	for _, m := range machines.Machines {
-		if n.reg.Machines[m.Name].Phase != fleet.Active {
+		if n.inventory.Machines[m.Name].Phase != fleet.Active {
 			continue
 		}
 		if !m.Schedulable && len(m.Tasks) == 0 {
@@ -113,7 +113,7 @@
 		}
 	}
 	tot := jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}
-	for jobID, k := range n.unmet {
+	for jobID, k := range n.unplaced {
 		j := n.table.Jobs[jobID]
 		if j == nil || j.Record.Spec == nil || !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
 			continue
@@ -145,17 +145,17 @@
 	return s
 }
 
-// stepRoles evaluates every type's split and returns the moves; mu is held.
-func (n *Node) stepRoles(l *leading, machines *place.Fleet, now time.Time) []fleet.RecordChange {
+// moveRoles evaluates every type's split and returns the moves; mu is held.
+func (n *Controller) moveRoles(l *leaderState, machines *place.Fleet, now time.Time) []fleet.RecordChange {
 	var out []fleet.RecordChange
-	for _, t := range n.types {
-		c := l.control[t.Label]
+	for _, t := range n.machineTypeList {
+		c := l.roleControllers[t.Label]
 		if c == nil {
 			continue
 		}
 		var service, batch []*place.Machine
 		for _, m := range machines.Machines {
-			if m.Type == t.Label && !m.Spot && n.reg.Machines[m.Name].Phase == fleet.Active && (m.Schedulable || len(m.Tasks) > 0) {
+			if m.Type == t.Label && !m.Spot && n.inventory.Machines[m.Name].Phase == fleet.Active && (m.Schedulable || len(m.Tasks) > 0) {
 				if m.Role == place.Service {
 					service = append(service, m)
 				} else {
@@ -164,8 +164,8 @@
 			}
 		}
 		victim := roles.Victim(service)
-		d := c.Evaluate(now, n.split(t, machines), func() bool { return victim != nil && fitElsewhere(machines, victim, false) })
-		l.decision[t.Label] = d
+		d := c.Evaluate(now, n.describeSplit(t, machines), func() bool { return victim != nil && tasksFitElsewhere(machines, victim, false) })
+		l.roleDecisions[t.Label] = d
 		var m *place.Machine
 		role := place.Batch
 		switch d.Move {
@@ -180,7 +180,7 @@
 		if m == nil {
 			continue
 		}
-		rec := n.reg.Machines[m.Name]
+		rec := n.inventory.Machines[m.Name]
 		moved := rec
 		moved.Role, moved.Reason = role, string(d.Proposal.Rule)
 		out = append(out, fleet.RecordChange{Machine: m.Name, Before: &rec, After: &moved})
@@ -190,9 +190,9 @@
 	return out
 }
 
-// fitElsewhere reports whether all service tasks of a machine have room on the
+// tasksFitElsewhere reports whether all service tasks of a machine have room on the
 // others at once; held: on machines that hold their images.
-func fitElsewhere(f *place.Fleet, victim *place.Machine, held bool) bool {
+func tasksFitElsewhere(f *place.Fleet, victim *place.Machine, held bool) bool {
 	type booked struct {
 		m    *place.Machine
 		need jobs.Resources
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -21,63 +21,63 @@
 // membership with the version of each node, the splits with the gate that
 // blocks each, the teams, and why jobs wait; with ?job=ID one job, with ?team=NAME
 // one team.
-func (n *Node) serveStatus(c *fasthttp.RequestCtx) {
+func (n *Controller) serveStatus(c *fasthttp.RequestCtx) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var b strings.Builder
 	c.SetContentType("text/plain; charset=utf-8")
 	if jobID := string(c.QueryArgs().Peek("job")); jobID != "" {
-		n.jobStatus(&b, jobID)
+		n.writeJobStatus(&b, jobID)
 		c.SetBodyString(b.String())
 		return
 	}
 	if team := string(c.QueryArgs().Peek("team")); team != "" {
-		n.teamStatus(&b, team)
+		n.writeTeamStatus(&b, team)
 		c.SetBodyString(b.String())
 		return
 	}
-	fmt.Fprintf(&b, "node %s version %s session %s state_service %v\n", n.self.Label, tuning.Version, n.session, n.hasState())
-	if at := n.knownUntil(); !at.IsZero() {
+	fmt.Fprintf(&b, "node %s version %s session %s state_service %v\n", n.self.Label, tuning.Version, n.session, n.hasStore())
+	if at := n.cancellationsKnownUntil(); !at.IsZero() {
 		// What an outage is survived by: it stays short while all siblings attest.
-		fmt.Fprintf(&b, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", n.now().Sub(at).Seconds(), n.set.AnswerBound().Seconds())
+		fmt.Fprintf(&b, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", n.now().Sub(at).Seconds(), n.settings.AnswerBound().Seconds())
 	}
-	if n.member != nil {
-		fmt.Fprintf(&b, "membership token %d leader %s nodes", n.member.FencingToken, n.member.Leader.Label)
-		for _, m := range n.member.Nodes {
+	if n.membership != nil {
+		fmt.Fprintf(&b, "membership token %d leader %s nodes", n.membership.FencingToken, n.membership.Leader.Label)
+		for _, m := range n.membership.Nodes {
 			fmt.Fprintf(&b, " %s", m.Label)
 		}
 		b.WriteByte('\n')
-		for _, m := range n.member.Nodes {
-			s := n.versions[m.Label]
+		for _, m := range n.membership.Nodes {
+			s := n.storedSessions[m.Label]
 			fmt.Fprintf(&b, "version %s %s form %d\n", m.Label, cmp.Or(s.ProgramVersion, "not told (0.1.0 or older)"), s.Format)
 		}
-		fmt.Fprintf(&b, "pipelines taken %v\n", n.pipelines())
+		fmt.Fprintf(&b, "pipelines taken %v\n", n.dependenciesSupported())
 	}
 	fmt.Fprintf(&b, "state_limits write_rps %g value_kb %g txn_ops %d machine_groups_to_cut %d\n", n.limits.WriteRPS, n.limits.ValueKB, n.limits.TxnOps,
-		len(n.reg.OversizeGroups(n.groupLimit(), len(n.reg.Machines))))
+		len(n.inventory.OversizeGroups(n.maxGroupBytes(), len(n.inventory.Machines))))
 	pending := 0
 	for _, j := range n.table.Open {
 		pending += j.Counts[jobs.Pending]
 	}
 	fmt.Fprintf(&b, "jobs open %d waiting_for_others %d tasks_pending %d\n", len(n.table.Open), len(n.table.Waiting), pending)
 	phases := map[fleet.Phase]int{}
-	for _, h := range n.reg.Machines {
+	for _, h := range n.inventory.Machines {
 		phases[h.Phase]++
 	}
 	fmt.Fprintf(&b, "machines in %d draining %d returned %d\n", phases[fleet.Active], phases[fleet.Draining], phases[fleet.Terminated])
-	if n.entitled() && n.leads() {
-		for _, t := range n.types {
-			if d, ok := n.leading.decision[t.Label]; ok {
+	if n.isMember() && n.isLeader() {
+		for _, t := range n.machineTypeList {
+			if d, ok := n.leaderState.roleDecisions[t.Label]; ok {
 				fmt.Fprintf(&b, "split %s batch %d service %d batch_load %.2f service_load %.2f demand_short %.4f demand_long %.4f evidence_open %v proposal %q rule %q confirmations %d gate %q\n",
 					d.Type, d.Batch, d.Service, d.BatchLoad, d.ServiceLoad, d.Short, d.Long, d.EvidenceOpen,
 					d.Proposal.Direction, d.Proposal.Rule, d.Confirmations, d.Gate)
 			}
 		}
 	}
-	n.recoveryStatus(&b)
-	n.teamsStatus(&b)
-	rows(&b, "waiting", n.unmet, func(jobID string) string {
-		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, n.unmet[jobID], n.why[jobID])
+	n.writeRecoveryStatus(&b)
+	n.writeTeamsStatus(&b)
+	rows(&b, "waiting", n.unplaced, func(jobID string) string {
+		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, n.unplaced[jobID], n.pendingReasons[jobID])
 	})
 	rows(&b, "awaits", n.table.Waiting, func(jobID string) string {
 		return fmt.Sprintf("awaits %s: %s", jobID, strings.Join(n.table.Unfinished(n.table.Waiting[jobID]), " "))
@@ -99,9 +99,9 @@
 	}
 }
 
-// jobStatus shows one job: why it waits, or with which job it was cancelled;
+// writeJobStatus shows one job: why it waits, or with which job it was cancelled;
 // mu is held.
-func (n *Node) jobStatus(b *strings.Builder, jobID string) {
+func (n *Controller) writeJobStatus(b *strings.Builder, jobID string) {
 	j := n.table.Jobs[jobID]
 	if j == nil {
 		fmt.Fprintf(b, "job %s is not known here\n", jobID)
@@ -114,7 +114,7 @@
 		fmt.Fprintf(b, "awaits %s\n", strings.Join(n.table.Unfinished(j), " "))
 	case j.Phase == jobs.Cancelled && j.CancelledWith != "":
 		fmt.Fprintf(b, "cancelled with %s\n", j.CancelledWith)
-	case n.unmet[jobID] > 0:
-		fmt.Fprintf(b, "waiting tasks %d because %s\n", n.unmet[jobID], n.why[jobID])
+	case n.unplaced[jobID] > 0:
+		fmt.Fprintf(b, "waiting tasks %d because %s\n", n.unplaced[jobID], n.pendingReasons[jobID])
 	}
 }
--- a/internal/server/teamstatus.go
+++ b/internal/server/teamstatus.go
@@ -13,9 +13,9 @@
 	"wheatspur/internal/quota"
 )
 
-// summaries describe all teams, in the order of the settings; mu is held.
-func (n *Node) summaries() []*quota.Summary {
-	if n.member == nil {
+// quotaSummaries describe all teams, in the order of the settings; mu is held.
+func (n *Controller) quotaSummaries() []*quota.Summary {
+	if n.membership == nil {
 		return nil
 	}
 	view := n.quotaView()
@@ -28,7 +28,7 @@
 }
 
 // waitingAmount is what the pending tasks of a team's open jobs take; mu is held.
-func (n *Node) waitingAmount(team string) quota.Amount {
+func (n *Controller) waitingAmount(team string) quota.Amount {
 	var sum quota.Amount
 	for amount := range n.pendingAmounts(team) {
 		sum = sum.Add(amount)
@@ -40,7 +40,7 @@
 func amountText(a quota.Amount) string { return fmt.Sprintf("%.4g/%.4g", a.CPUs, a.GPUs) }
 
 // teamLine is a team's line of the status page; amounts are CPUs/GPUs. mu is held.
-func (n *Node) teamLine(s *quota.Summary) string {
+func (n *Controller) teamLine(s *quota.Summary) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "team %s shares %q limit %s guarantee %s used %s borrowed %s waiting %s", s.Team.Name, s.Phase, amountText(s.Team.Limit),
 		amountText(s.Team.Guarantee), amountText(s.Used), amountText(s.Borrowed), amountText(n.waitingAmount(s.Team.Name)))
@@ -57,21 +57,21 @@
 	return b.String()
 }
 
-// teamsStatus shows all teams, and whether their guarantees fit the fleet; mu is
+// writeTeamsStatus shows all teams, and whether their guarantees fit the fleet; mu is
 // held.
-func (n *Node) teamsStatus(b *strings.Builder) {
+func (n *Controller) writeTeamsStatus(b *strings.Builder) {
 	all := map[string]*quota.Summary{}
-	for _, s := range n.summaries() {
+	for _, s := range n.quotaSummaries() {
 		all[s.Team.Name] = s
 	}
-	promised, fleet := n.quota.TotalGuarantees(), n.fleetAmount()
+	promised, fleet := n.quota.TotalGuarantees(), n.totalCapacity()
 	fmt.Fprintf(b, "guarantees %s machines_hold %s fit %v\n", amountText(promised), amountText(fleet), promised.Sub(fleet).Max(quota.Amount{}).IsZero())
 	rows(b, "team", all, func(team string) string { return n.teamLine(all[team]) })
 }
 
-// teamStatus shows one team with the share of each node; mu is held.
-func (n *Node) teamStatus(b *strings.Builder, team string) {
-	for _, s := range n.summaries() {
+// writeTeamStatus shows one team with the share of each node; mu is held.
+func (n *Controller) writeTeamStatus(b *strings.Builder, team string) {
+	for _, s := range n.quotaSummaries() {
 		if s.Team.Name != team {
 			continue
 		}
@@ -91,8 +91,8 @@
 )
 
 // collectTeams gathers the metrics of all teams; mu is held.
-func (n *Node) collectTeams(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
-	for _, s := range n.summaries() {
+func (n *Controller) collectTeams(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
+	for _, s := range n.quotaSummaries() {
 		team := s.Team.Name
 		var reserved quota.Amount
 		if s.Reserved != nil {
--- a/internal/server/users.go
+++ b/internal/server/users.go
@@ -18,7 +18,7 @@
 	"wheatspur/wire"
 )
 
-func reply(c *fasthttp.RequestCtx, status int, body any) {
+func respond(c *fasthttp.RequestCtx, status int, body any) {
 	c.SetStatusCode(status)
 	c.SetContentType(wire.ContentType)
 	if body != nil {
@@ -26,31 +26,31 @@
 	}
 }
 
-func refuse(c *fasthttp.RequestCtx, status int, why string) {
-	reply(c, status, wire.ErrorResponse{Error: why})
+func respondError(c *fasthttp.RequestCtx, status int, why string) {
+	respond(c, status, wire.ErrorResponse{Error: why})
 }
 
-// later refuses at once what can't be taken now and says when to come back.
-func (n *Node) later(c *fasthttp.RequestCtx, status int, why string) {
-	c.Response.Header.Set("Retry-After", strconv.Itoa(n.set.Operator.RetryAfterSecond))
-	refuse(c, status, why)
+// replyRetry refuses at once what can't be taken now and says when to come back.
+func (n *Controller) replyRetry(c *fasthttp.RequestCtx, status int, why string) {
+	c.Response.Header.Set("Retry-After", strconv.Itoa(n.settings.Operator.RetryAfterSecond))
+	respondError(c, status, why)
 }
 
 // badRequest answers what fasthttp could not read.
 func badRequest(c *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		refuse(c, 400, "body too large")
+		respondError(c, 400, "body too large")
 		return
 	}
-	refuse(c, 400, "malformed request")
+	respondError(c, 400, "malformed request")
 }
 
-func (n *Node) serveUser(c *fasthttp.RequestCtx) {
-	n.metrics.count(n.routeUser(c), c.Response.StatusCode())
+func (n *Controller) serveUser(c *fasthttp.RequestCtx) {
+	n.metrics.countAnswer(n.routeUser(c), c.Response.StatusCode())
 }
 
 // routeUser serves a request and returns its kind, for the metrics.
-func (n *Node) routeUser(c *fasthttp.RequestCtx) string {
+func (n *Controller) routeUser(c *fasthttp.RequestCtx) string {
 	path, method := string(c.Path()), string(c.Method())
 	want := ""
 	switch {
@@ -65,31 +65,31 @@
 		}
 	}
 	if want == "" {
-		refuse(c, 404, "no such path")
+		respondError(c, 404, "no such path")
 		return "other"
 	}
 	if method != want {
 		c.Response.Header.Set("Allow", want)
-		refuse(c, 405, "method not allowed")
+		respondError(c, 405, "method not allowed")
 		return "other"
 	}
 	if n.draining() && method == "POST" && path != "/checkin" {
-		n.later(c, 503, "this node is stopping")
+		n.replyRetry(c, 503, "this node is stopping")
 		return "stopping"
 	}
 	switch path {
 	case "/up":
 		if n.healthy() {
-			reply(c, 200, nil)
+			respond(c, 200, nil)
 		} else {
-			n.later(c, 503, "not ready")
+			n.replyRetry(c, 503, "not ready")
 		}
 	case "/status":
 		n.serveStatus(c)
 	case "/metrics":
 		n.serveMetrics(c)
 	case "/checkin":
-		n.handleReport(c)
+		n.handleHeartbeat(c)
 		return "report"
 	case "/work":
 		n.serveWork(c, path)
@@ -106,42 +106,42 @@
 
 // serveWork serves a user's request here, or passes it on to a sibling that
 // reads the state service while this node does not.
-func (n *Node) serveWork(c *fasthttp.RequestCtx, path string) {
-	if !n.hasState() && n.forward(c) {
+func (n *Controller) serveWork(c *fasthttp.RequestCtx, path string) {
+	if !n.hasStore() && n.forward(c) {
 		return
 	}
-	n.serveHere(c, path)
-	if c.Response.StatusCode() == 503 && n.lastRefused() && !n.forward(c) {
+	n.serveLocally(c, path)
+	if c.Response.StatusCode() == 503 && n.storeSeemsLost() && !n.forward(c) {
 		// A new connection may reach a node that can serve it.
 		c.SetConnectionClose()
 	}
 }
 
-func (n *Node) serveHere(c *fasthttp.RequestCtx, path string) {
+func (n *Controller) serveLocally(c *fasthttp.RequestCtx, path string) {
 	if path == "/work" {
-		n.submit(c)
+		n.submitJob(c)
 		return
 	}
 	jobID := strings.TrimPrefix(path, "/work/")
 	if id, ok := strings.CutSuffix(jobID, "/cancel"); ok {
-		n.cancel(c, id)
+		n.cancelJob(c, id)
 	} else {
-		n.poll(c, jobID)
+		n.getJob(c, jobID)
 	}
 }
 
-// lastRefused reports whether this node seems to have lost the state service.
-func (n *Node) lastRefused() bool {
-	return n.now().Sub(n.sync.LastReadAt()) > 2*tuning.WatchHold
+// storeSeemsLost reports whether this node seems to have lost the state service.
+func (n *Controller) storeSeemsLost() bool {
+	return n.now().Sub(n.syncer.LastReadAt()) > 2*tuning.WatchHold
 }
 
 // forward passes a user's request on to a sibling that has the state service;
 // false if there is none or it does not answer.
-func (n *Node) forward(c *fasthttp.RequestCtx) bool {
+func (n *Controller) forward(c *fasthttp.RequestCtx) bool {
 	n.mu.Lock()
 	var to *sibling
 	for _, s := range n.siblings {
-		if n.freshSibling(s) && s.status.HasStore && (to == nil || s.cfg.Label < to.cfg.Label) {
+		if n.isFresh(s) && s.status.HasStore && (to == nil || s.settings.Label < to.settings.Label) {
 			to = s
 		}
 	}
@@ -151,7 +151,7 @@
 	}
 	r, err := to.client.Forward(peer.ForwardRequest{Method: string(c.Method()), Path: string(c.Path()), Body: c.PostBody()}, tuning.ForwardTimeout)
 	if err != nil {
-		n.log.Debug("request not passed on", "to", to.cfg.Label, "err", err)
+		n.log.Debug("request not passed on", "to", to.settings.Label, "err", err)
 		return false
 	}
 	c.Response.Reset()
@@ -165,46 +165,46 @@
 }
 
 // serveForwarded serves a request that a sibling passed on; it goes no further.
-func (n *Node) serveForwarded(c *fasthttp.RequestCtx) {
+func (n *Controller) serveForwarded(c *fasthttp.RequestCtx) {
 	r, err := peer.DecodeForwardRequest(c.PostBody())
 	if err != nil || r.Path != "/work" && !strings.HasPrefix(r.Path, "/work/") {
-		refuse(c, 400, "malformed request")
+		respondError(c, 400, "malformed request")
 		return
 	}
 	var inner fasthttp.RequestCtx
 	inner.Request.Header.SetMethod(r.Method)
 	inner.Request.SetRequestURI(r.Path)
 	inner.Request.SetBody(r.Body)
-	n.serveHere(&inner, r.Path)
+	n.serveLocally(&inner, r.Path)
 	out := peer.ForwardResponse{Status: inner.Response.StatusCode(), Body: inner.Response.Body(),
 		RetryAfter: string(inner.Response.Header.Peek("Retry-After"))}
 	c.SetBody(out.Encode())
 }
 
-func (n *Node) servePeer(c *fasthttp.RequestCtx) {
+func (n *Controller) servePeer(c *fasthttp.RequestCtx) {
 	if c.IsPost() && string(c.Path()) == peer.ForwardPath {
 		n.serveForwarded(c)
 		return
 	}
 	if string(c.Path()) != peer.StatusPath || !c.IsPost() {
-		refuse(c, 404, "no such path")
+		respondError(c, 404, "no such path")
 		return
 	}
 	st, err := peer.DecodeStatus(c.PostBody())
 	if err != nil {
-		refuse(c, 400, "malformed status")
+		respondError(c, 400, "malformed status")
 		return
 	}
-	n.notePeer(st, time.Time{})
+	n.applyPeerStatus(st, time.Time{})
 	n.mu.Lock()
 	own := n.ownStatus(st.Known)
 	n.mu.Unlock()
 	c.SetBody(own.Encode())
 }
 
-// known returns a job's status if it is known; final tells that it can't
+// lookupJob returns a job's status if it is known; final tells that it can't
 // change any more and needs no barrier.
-func (n *Node) known(jobID string) (st wire.JobStatus, known, final bool) {
+func (n *Controller) lookupJob(jobID string) (st wire.JobStatus, known, final bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	j := n.table.Jobs[jobID]
@@ -214,15 +214,15 @@
 	return j.Status(), true, j.Phase.Final()
 }
 
-// fresh returns a job's status as of now or later, behind a read barrier.
-func (n *Node) fresh(jobID string) (st wire.JobStatus, known bool, err error) {
-	if st, known, final := n.known(jobID); final {
+// readJob returns a job's status as of now or later, behind a read barrier.
+func (n *Controller) readJob(jobID string) (st wire.JobStatus, known bool, err error) {
+	if st, known, final := n.lookupJob(jobID); final {
 		return st, known, nil
 	}
-	if !n.hasState() {
+	if !n.hasStore() {
 		return st, false, store.ErrRejected // answered at once: a read would not come back
 	}
-	if err := n.sync.ReadBarrier(tuning.BarrierWait); err != nil {
+	if err := n.syncer.ReadBarrier(tuning.BarrierWait); err != nil {
 		return st, false, err
 	}
 	n.mu.Lock()
@@ -231,23 +231,23 @@
 	if !settled {
 		return st, false, store.ErrRejected
 	}
-	st, known, _ = n.known(jobID)
+	st, known, _ = n.lookupJob(jobID)
 	return st, known, nil
 }
 
-func (n *Node) poll(c *fasthttp.RequestCtx, jobID string) {
+func (n *Controller) getJob(c *fasthttp.RequestCtx, jobID string) {
 	if !wire.ValidJobID(jobID) {
-		refuse(c, 404, "no such job")
+		respondError(c, 404, "no such job")
 		return
 	}
-	st, known, err := n.fresh(jobID)
+	st, known, err := n.readJob(jobID)
 	switch {
 	case err != nil:
-		n.later(c, 503, "the state service can't be read")
+		n.replyRetry(c, 503, "the state service can't be read")
 	case !known:
-		refuse(c, 404, "no such job")
+		respondError(c, 404, "no such job")
 	default:
-		reply(c, 200, st)
+		respond(c, 200, st)
 	}
 }
 
@@ -262,30 +262,30 @@
 	return p.ID
 }
 
-func (n *Node) submit(c *fasthttp.RequestCtx) {
+func (n *Controller) submitJob(c *fasthttp.RequestCtx) {
 	body := c.PostBody()
 	jobID := peekJobID(body)
 	if jobID != "" {
 		// A known job is answered before any check.
-		if _, known, _ := n.known(jobID); known {
-			n.resubmitted(c, jobID)
+		if _, known, _ := n.lookupJob(jobID); known {
+			n.replyKnownJob(c, jobID)
 			return
 		}
 	}
 	w, err := wire.DecodeJobSpec(body)
 	status := 400
-	if err == nil && jobs.IntakeBytes(&w) > n.groupLimit() {
+	if err == nil && jobs.IntakeBytes(&w) > n.maxGroupBytes() {
 		status, err = 422, errors.New("the job's description is larger than the state service can hold")
 	}
 	if err == nil {
 		n.mu.Lock()
-		types := n.types
+		types := n.machineTypeList
 		n.mu.Unlock()
 		if len(types) == 0 {
-			n.later(c, 503, "machine types are not known yet")
+			n.replyRetry(c, 503, "machine types are not known yet")
 			return
 		}
-		team, ok := n.set.Team(w.Team)
+		team, ok := n.settings.Team(w.Team)
 		status = 422
 		err = jobs.Validate(&w, jobs.TeamLimits{CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}, ok, types,
 			jobs.ChunkSize(n.limits.ValueKB))
@@ -294,54 +294,54 @@
 		if jobID != "" {
 			// Another node may have accepted the id; an accepted job is never
 			// answered by 400 or 422.
-			if _, known, ferr := n.fresh(jobID); ferr != nil {
-				n.later(c, 503, "the state service can't be read")
+			if _, known, ferr := n.readJob(jobID); ferr != nil {
+				n.replyRetry(c, 503, "the state service can't be read")
 				return
 			} else if known {
-				n.resubmitted(c, jobID)
+				n.replyKnownJob(c, jobID)
 				return
 			}
 		}
-		refuse(c, status, err.Error())
+		respondError(c, status, err.Error())
 		return
 	}
-	if !n.hasState() {
-		n.later(c, 503, "the state service can't be reached")
+	if !n.hasStore() {
+		n.replyRetry(c, 503, "the state service can't be reached")
 		return
 	}
 	phase := jobs.Open
 	if len(w.DependsOn) > 0 {
 		var answered bool
-		if phase, answered = n.checkDependencies(c, &w); answered {
+		if phase, answered = n.admitDependencies(c, &w); answered {
 			return
 		}
 	}
 	select {
-	case n.takes <- struct{}{}:
-		defer func() { <-n.takes }()
+	case n.submissionSlots <- struct{}{}:
+		defer func() { <-n.submissionSlots }()
 	default:
-		n.later(c, 429, "too many submissions under way")
+		n.replyRetry(c, 429, "too many submissions under way")
 		return
 	}
-	n.accept(c, &w, phase)
+	n.storeSubmission(c, &w, phase)
 }
 
-// checkDependencies decides whether a submission may depend on the jobs that it names, and
+// admitDependencies decides whether a submission may depend on the jobs that it names, and
 // the phase in which it is stored. What it can't take is answered here.
-func (n *Node) checkDependencies(c *fasthttp.RequestCtx, w *wire.JobSpec) (phase jobs.Phase, answered bool) {
+func (n *Controller) admitDependencies(c *fasthttp.RequestCtx, w *wire.JobSpec) (phase jobs.Phase, answered bool) {
 	slices.Sort(w.DependsOn)
 	w.DependsOn = slices.Compact(w.DependsOn)
 	// Whether they were accepted is known behind a read that was sent now;
 	// it also tells whether another node has taken this one.
-	if _, known, err := n.fresh(w.ID); err != nil {
-		n.later(c, 503, "the state service can't be read")
+	if _, known, err := n.readJob(w.ID); err != nil {
+		n.replyRetry(c, 503, "the state service can't be read")
 		return "", true
 	} else if known {
-		n.resubmitted(c, w.ID)
+		n.replyKnownJob(c, w.ID)
 		return "", true
 	}
 	n.mu.Lock()
-	all := n.pipelines()
+	all := n.dependenciesSupported()
 	done := true
 	err := jobs.ValidateDependencies(w, func(jobID string) (known, service bool) {
 		j := n.table.Jobs[jobID]
@@ -354,11 +354,11 @@
 	n.mu.Unlock()
 	switch {
 	case err != nil:
-		refuse(c, 422, err.Error())
+		respondError(c, 422, err.Error())
 	case !all:
 		// Guards against a node of an older version that holds the job for one
 		// that may start.
-		n.later(c, 503, "not every node takes jobs that await others yet")
+		n.replyRetry(c, 503, "not every node takes jobs that await others yet")
 	case done:
 		return jobs.Open, false
 	default:
@@ -367,35 +367,35 @@
 	return "", true
 }
 
-func (n *Node) resubmitted(c *fasthttp.RequestCtx, jobID string) {
-	st, known, err := n.fresh(jobID)
+func (n *Controller) replyKnownJob(c *fasthttp.RequestCtx, jobID string) {
+	st, known, err := n.readJob(jobID)
 	if err != nil || !known {
-		n.later(c, 503, "the state service can't be read")
+		n.replyRetry(c, 503, "the state service can't be read")
 		return
 	}
-	reply(c, 200, st)
+	respond(c, 200, st)
 }
 
-func (n *Node) cancel(c *fasthttp.RequestCtx, jobID string) {
+func (n *Controller) cancelJob(c *fasthttp.RequestCtx, jobID string) {
 	if !wire.ValidJobID(jobID) {
-		refuse(c, 404, "no such job")
+		respondError(c, 404, "no such job")
 		return
 	}
 	ctx, stop := context.WithTimeout(context.Background(), tuning.DecisionWait)
 	defer stop()
 	for try := 0; ctx.Err() == nil; try++ {
-		st, known, final := n.known(jobID)
+		st, known, final := n.lookupJob(jobID)
 		if final {
-			reply(c, 200, st)
+			respond(c, 200, st)
 			return
 		}
 		if !known || try > 0 {
-			fst, ok, err := n.fresh(jobID)
+			fst, ok, err := n.readJob(jobID)
 			if err != nil {
 				break
 			}
 			if !ok {
-				refuse(c, 404, "no such job")
+				respondError(c, 404, "no such job")
 				return
 			}
 			if fst.State == wire.StateDone || fst.State == wire.StateCancelled {
@@ -411,9 +411,9 @@
 			continue
 		}
 		then := []wire.Operation{{Put: jobs.JobKey(jobID), Value: wire.MustMarshal(rec)}}
-		revision, err := n.svc.CompareAndSwap(ctx, store.ClassCancel, guards, then)
+		revision, err := n.store.CompareAndSwap(ctx, store.ClassCancel, guards, then)
 		if err == nil {
-			n.answered(then, revision)
+			n.applyWrite(then, revision)
 			n.log.Debug("job cancelled", "job", jobID)
 			continue
 		}
@@ -421,11 +421,11 @@
 			break
 		}
 	}
-	n.later(c, 503, "the cancellation can't be stored now")
+	n.replyRetry(c, 503, "the cancellation can't be stored now")
 }
 
-// due is a job's deadline for the log, 0 if it has none.
-func due(w *wire.JobSpec) float64 {
+// deadlineSeconds is a job's deadline for the log, 0 if it has none.
+func deadlineSeconds(w *wire.JobSpec) float64 {
 	if w.DeadlineS == nil {
 		return 0
 	}
