--- a/internal/controller/budget.go
+++ b/internal/controller/budget.go
@@ -11,25 +11,25 @@
 // leader, which also stores machines, roles and limits, and the other half by
 // what waits at each node, while every member tells it. Guards against most of
 // the budget lying idle at nodes that have little to store. mu is held.
-func (n *Controller) updateBudgetShare() {
-	live := float64(max(1, len(n.membership.Nodes)))
+func (px *peerExchange) updateBudgetShare() {
+	live := float64(max(1, len(px.membership.Nodes)))
 	parts := 1 / (live + 1)
-	if n.membership.Leader == n.self {
+	if px.membership.Leader == px.self {
 		parts *= 2
 	}
-	allKnown, sum := true, n.queuedWrites
-	for _, m := range n.membership.Nodes {
-		if m == n.self {
+	allKnown, sum := true, px.queuedWrites
+	for _, m := range px.membership.Nodes {
+		if m == px.self {
 			continue
 		}
-		s := n.siblings[m.Label]
-		if allKnown = allKnown && s != nil && n.isFresh(s) && s.status.Incarnation == m.Incarnation; !allKnown {
+		s := px.siblings[m.Label]
+		if allKnown = allKnown && s != nil && px.isFresh(s) && s.status.Incarnation == m.Incarnation; !allKnown {
 			break
 		}
 		sum += float64(s.status.QueuedChanges)
 	}
 	if allKnown && sum >= 1 {
-		parts = (parts + n.queuedWrites/sum) / 2
+		parts = (parts + px.queuedWrites/sum) / 2
 	}
-	n.limiter.SetRate(n.limits.RPS*tuning.BudgetShare/live, n.limits.WriteRPS*tuning.BudgetShare*parts)
+	px.limiter.SetRate(px.limits.RPS*tuning.BudgetShare/live, px.limits.WriteRPS*tuning.BudgetShare*parts)
 }
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -36,28 +36,28 @@
 // the team's limit; the leader, which also claims on others' machines, hands
 // their owners the part of the limit that the claims take in the same write.
 // mu is held.
-func (n *Controller) planClaims(txns []*pendingWrite, list []placement.Claim, most *float64) []*pendingWrite {
+func (sc *scheduler) planClaims(txns []*pendingWrite, list []placement.Claim, most *float64) []*pendingWrite {
 	for _, g := range groupByJob(list) {
 		if *most < 1 {
 			break
 		}
-		if n.writesInFlight[g.job.ID] || n.quota.Ledger(g.job.Record.Spec.Team).Writing() {
+		if sc.writesInFlight[g.job.ID] || sc.quota.Ledger(g.job.Record.Spec.Team).Writing() {
 			continue
 		}
-		if t := n.planJobClaims(g); t != nil {
-			txns = n.addWrite(txns, t, g.job.ID, most)
+		if t := sc.planJobClaims(g); t != nil {
+			txns = sc.addWrite(txns, t, g.job.ID, most)
 		}
 	}
 	return txns
 }
 
 // planJobClaims is the write of a job's claims; nil if there is none to make now.
-func (n *Controller) planJobClaims(g *jobClaims) *pendingWrite {
+func (sc *scheduler) planJobClaims(g *jobClaims) *pendingWrite {
 	j := g.job
-	t := n.newWrite("claim")
-	changes, amount, others := n.chooseClaims(t, g)
+	t := sc.newWrite("claim")
+	changes, amount, others := sc.chooseClaims(t, g)
 	jobKey := jobs.JobKey(j.ID)
-	t.compares[jobKey] = n.cache.Version(jobKey)
+	t.compares[jobKey] = sc.cache.Version(jobKey)
 	claimed := 0
 	for key, c := range changes {
 		tasks, due := c.apply()
@@ -65,13 +65,13 @@
 			return nil
 		}
 		claimed += len(c.events)
-		t.compares[key] = n.cache.Version(key)
+		t.compares[key] = sc.cache.Version(key)
 		t.put(key, jobs.ChunkRecord{Tasks: tasks})
 		for id, e := range c.events {
-			t.logWhenStored("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Machine, "role", string(n.inventory.Machines[e.Machine].Role))
+			t.logWhenStored("task claimed", "task", jobs.TaskID{Job: j.ID, Task: id}, "host", e.Machine, "role", string(sc.inventory.Machines[e.Machine].Role))
 		}
 	}
-	if claimed == 0 || j.Gang() && claimed < len(g.claims) || !n.admit(t, j.Record.Spec.Team, amount, others) {
+	if claimed == 0 || j.Gang() && claimed < len(g.claims) || !sc.admit(t, j.Record.Spec.Team, amount, others) {
 		return nil
 	}
 	if j.SpansChunks() {
@@ -85,29 +85,29 @@
 // chooseClaims takes as many of a job's claims as one write may hold: the changes
 // of its chunks, what the claims take in all, and the part of it on others'
 // machines. It adds the guards on the machines' records to the write.
-func (n *Controller) chooseClaims(t *pendingWrite, g *jobClaims) (changes map[string]*chunkChange, amount quota.Amount, others map[string]quota.Amount) {
+func (sc *scheduler) chooseClaims(t *pendingWrite, g *jobClaims) (changes map[string]*chunkChange, amount quota.Amount, others map[string]quota.Amount) {
 	j := g.job
 	changes, others = map[string]*chunkChange{}, map[string]quota.Amount{}
 	for _, claim := range g.claims {
 		chunk := claim.Task / j.Record.ChunkSize
-		key, machineKey := jobs.ChunkKey(j.ID, chunk), n.inventory.KeyOf(claim.Machine)
+		key, machineKey := jobs.ChunkKey(j.ID, chunk), sc.inventory.KeyOf(claim.Machine)
 		c := changes[key]
 		if c == nil {
-			if !n.fits(t, len(changes)+3, (len(changes)+1)*n.maxChunkBytes(j), len(changes)+5) {
+			if !sc.fits(t, len(changes)+3, (len(changes)+1)*sc.maxChunkBytes(j), len(changes)+5) {
 				break
 			}
 			c = &chunkChange{job: j, chunk: chunk, events: map[int]jobs.TaskEvent{}}
 			changes[key] = c
 		}
-		if _, ok := t.compares[machineKey]; !ok && !n.fits(t, 0, 0, len(changes)+4) {
+		if _, ok := t.compares[machineKey]; !ok && !sc.fits(t, 0, 0, len(changes)+4) {
 			continue // more machines than one write may name
 		}
-		if !c.claim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Machine: claim.Machine, Incarnation: claim.Incarnation}, int(n.limits.ValueKB*1024)) {
+		if !c.claim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Machine: claim.Machine, Incarnation: claim.Incarnation}, int(sc.limits.ValueKB*1024)) {
 			continue // its turn comes when others of the chunk are over
 		}
-		t.compares[machineKey] = n.cache.Version(machineKey)
+		t.compares[machineKey] = sc.cache.Version(machineKey)
 		amount = amount.Add(j.Need.Amount())
-		if owner := n.shardOwner(claim.Machine); owner != n.self.Label {
+		if owner := sc.shardOwner(claim.Machine); owner != sc.self.Label {
 			others[owner] = others[owner].Add(j.Need.Amount())
 		}
 	}
--- a/internal/controller/displace.go
+++ b/internal/controller/displace.go
@@ -10,7 +10,7 @@
 
 // evictMisplacedServices moves service tasks off machines that are to lose them, one at a
 // time, each once another machine has room; mu is held.
-func (n *Controller) evictMisplacedServices(f *placement.Fleet) {
+func (sc *scheduler) evictMisplacedServices(f *placement.Fleet) {
 	machines, tries := f.Machines, 0
 	for _, m := range machines {
 		for _, r := range m.Tasks {
@@ -19,17 +19,17 @@
 			}
 		}
 	}
-	for jobID := range n.unplaced {
-		if j := n.table.Jobs[jobID]; j != nil && j.Service() {
+	for jobID := range sc.unplaced {
+		if j := sc.table.Jobs[jobID]; j != nil && j.Service() {
 			return // those that wait come first
 		}
 	}
 	for _, m := range machines {
-		if m.Owner != n.self.Label {
+		if m.Owner != sc.self.Label {
 			continue
 		}
-		rec := n.inventory.Machines[m.Name]
-		w := n.workers[m.Name]
+		rec := sc.inventory.Machines[m.Name]
+		w := sc.workers.byMachine[m.Name]
 		if w == nil || m.Role == placement.Service && rec.Phase == inventory.Active && w.TerminationAt.IsZero() {
 			continue
 		}
@@ -41,8 +41,8 @@
 				return
 			}
 			if placement.FitElsewhere(f, r.Job, r.ID.Task, m.Name) != nil {
-				n.stopTask(w, r.ID)
-				n.log.Info("service task moves", "task", r.ID, "host", m.Name, "role", string(m.Role), "phase", string(rec.Phase))
+				sc.workers.stopTask(w, r.ID)
+				sc.log.Info("service task moves", "task", r.ID, "host", m.Name, "role", string(m.Role), "phase", string(rec.Phase))
 				return
 			}
 		}
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -43,7 +43,7 @@
 		l.batchLoad.MinTasks = int(math.Ceil(l.meanArraySize * tuning.BatchHeadroomJobs))
 	}
 	b.input.Batch = l.batchLoad
-	b.input.OnDemand = b.controller.onDemandLoad(l, b.now)
+	b.input.OnDemand = b.leader.onDemandLoad(l, b.now)
 }
 
 // averageBatch moves the mean of the batch tasks held towards their present number.
@@ -60,7 +60,7 @@
 // addActiveRoles enters which roles have had work lately.
 func (b *planBuilder) addActiveRoles() {
 	active := b.leaderState.roleActiveAt
-	for _, j := range b.controller.table.Open {
+	for _, j := range b.leader.table.Open {
 		if j.Service() {
 			active[placement.Service] = b.now
 		} else {
@@ -79,10 +79,10 @@
 // onDemandLoad is the batch work that may not use spot machines: room for one and a
 // half of its arrays is kept on ordinary machines while any is open or waits for
 // others, and for a minute after; mu is held.
-func (n *Controller) onDemandLoad(l *leaderState, now time.Time) autoscale.Load {
+func (ld *leaderLoop) onDemandLoad(l *leaderState, now time.Time) autoscale.Load {
 	var typical *jobs.Job
 	arrays, tasks := 0, 0.0
-	for _, list := range []map[string]*jobs.Job{n.table.Open, n.table.Waiting} {
+	for _, list := range []map[string]*jobs.Job{ld.table.Open, ld.table.Waiting} {
 		for _, j := range list {
 			if j.Service() || j.Record.Spec.Spot {
 				continue
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -27,17 +27,17 @@
 var errStoreAlone = errors.New("not stored with the others")
 
 // storeSubmission has a new job stored and answers 201 after the write.
-func (n *Controller) storeSubmission(c *fasthttp.RequestCtx, w *wire.JobSpec, phase jobs.Phase) {
-	begun := n.now()
+func (api *userAPI) storeSubmission(c *fasthttp.RequestCtx, w *wire.JobSpec, phase jobs.Phase) {
+	begun := api.now()
 	ctx, stop := context.WithTimeout(context.Background(), tuning.DecisionWait)
 	defer stop()
 	s := &submission{spec: w, deadline: time.Now().Add(tuning.DecisionWait), done: make(chan error, 1),
-		record: jobs.Record{Phase: phase, AcceptedAtMs: n.now().UnixMilli(), Tasks: w.Tasks,
-			ChunkSize: jobs.ChunkSize(n.limits.ValueKB), Spec: w}}
+		record: jobs.Record{Phase: phase, AcceptedAtMs: api.now().UnixMilli(), Tasks: w.Tasks,
+			ChunkSize: jobs.ChunkSize(api.limits.ValueKB), Spec: w}}
 	select {
-	case n.intake <- s:
+	case api.intake <- s:
 	default: // those whose users have been told to come back are still in it
-		n.replyRetry(c, 429, "too many submissions under way")
+		api.replyRetry(c, 429, "too many submissions under way")
 		return
 	}
 	var err error
@@ -47,44 +47,44 @@
 		err = ctx.Err()
 	}
 	if errors.Is(err, errStoreAlone) {
-		err = n.storeOne(ctx, s)
+		err = api.storeOne(ctx, s)
 	}
 	switch {
 	case err == nil:
-		n.log.Debug("job accepted", "job", w.ID, "class", w.Class, "tasks", w.Tasks, "image", w.Image, "image_gb", w.ImageGB, "reckon_s", w.EstimateS, "due_s", deadlineSeconds(w), "awaits", len(w.DependsOn), "took", n.now().Sub(begun))
+		api.log.Debug("job accepted", "job", w.ID, "class", w.Class, "tasks", w.Tasks, "image", w.Image, "image_gb", w.ImageGB, "reckon_s", w.EstimateS, "due_s", deadlineSeconds(w), "awaits", len(w.DependsOn), "took", api.now().Sub(begun))
 		respond(c, 201, wire.JobStatus{ID: w.ID, State: wire.StateQueued})
 	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrOutcomeUnknown):
 		// A lost answer is settled by reading again.
-		n.replyKnownJob(c, w.ID)
+		api.replyKnownJob(c, w.ID)
 	default:
-		n.replyRetry(c, 503, "the job can't be stored now")
+		api.replyRetry(c, 503, "the job can't be stored now")
 	}
 }
 
 // runIntake stores submissions. Those that come while the budget of changes is
 // short go together in one change: hundreds of jobs at once, when a fleet
 // starts or a state service is back, took half a minute one by one.
-func (n *Controller) runIntake(ctx context.Context) error {
+func (api *userAPI) runIntake(ctx context.Context) error {
 	var next *submission
 	for ctx.Err() == nil {
 		if next == nil {
 			select {
 			case <-ctx.Done():
 				return nil
-			case next = <-n.intake:
+			case next = <-api.intake:
 			}
 		}
 		var group []*submission
-		group, next = n.batchSubmissions(next)
+		group, next = api.batchSubmissions(next)
 		switch len(group) {
 		case 0:
 		case 1:
 			s := group[0]
 			sctx, stop := context.WithDeadline(ctx, s.deadline)
-			s.done <- n.storeOne(sctx, s)
+			s.done <- api.storeOne(sctx, s)
 			stop()
 		default:
-			n.storeGroup(ctx, group)
+			api.storeGroup(ctx, group)
 		}
 	}
 	return nil
@@ -92,9 +92,9 @@
 
 // batchSubmissions takes submissions that wait, as many as one record holds; the one
 // that does not fit goes first in the next.
-func (n *Controller) batchSubmissions(first *submission) (group []*submission, next *submission) {
-	room := n.maxGroupBytes()
-	most := min(tuning.IntakeGroup, 4*n.limits.TxnOps-1)
+func (api *userAPI) batchSubmissions(first *submission) (group []*submission, next *submission) {
+	room := api.maxGroupBytes()
+	most := min(tuning.IntakeGroup, 4*api.limits.TxnOps-1)
 	jobIDs := map[string]bool{}
 	for s := first; ; {
 		// Whose user has been told to come back is left out.
@@ -110,7 +110,7 @@
 			return group, nil
 		}
 		select {
-		case s = <-n.intake:
+		case s = <-api.intake:
 		default:
 			return group, nil
 		}
@@ -118,18 +118,18 @@
 }
 
 // storeOne stores a job's own record.
-func (n *Controller) storeOne(ctx context.Context, s *submission) error {
+func (api *userAPI) storeOne(ctx context.Context, s *submission) error {
 	key := jobs.JobKey(s.spec.ID)
-	return n.storeNew(ctx, []wire.Compare{{Key: key}}, wire.Operation{Put: key, Value: wire.MustMarshal(s.record)})
+	return api.storeNew(ctx, []wire.Compare{{Key: key}}, wire.Operation{Put: key, Value: wire.MustMarshal(s.record)})
 }
 
 // storeGroup stores several jobs in one intake record, guarded by the absence
 // of every job's own record. Its key is never used again.
-func (n *Controller) storeGroup(ctx context.Context, group []*submission) {
-	n.mu.Lock()
-	incarnation := n.self.Incarnation
-	n.mu.Unlock()
-	key := fmt.Sprintf("%s%s.%d.%d", jobs.IntakePrefix, n.self.Label, incarnation, n.intakeCounter.Add(1))
+func (api *userAPI) storeGroup(ctx context.Context, group []*submission) {
+	api.mu.Lock()
+	incarnation := api.self.Incarnation
+	api.mu.Unlock()
+	key := fmt.Sprintf("%s%s.%d.%d", jobs.IntakePrefix, api.self.Label, incarnation, api.intakeCounter.Add(1))
 	guards := []wire.Compare{{Key: key}}
 	v := jobs.IntakeRecord{Jobs: map[string]jobs.Record{}}
 	last := group[0].deadline
@@ -142,7 +142,7 @@
 	}
 	gctx, stop := context.WithDeadline(ctx, last)
 	defer stop()
-	err := n.storeNew(gctx, guards, wire.Operation{Put: key, Value: wire.MustMarshal(v)})
+	err := api.storeNew(gctx, guards, wire.Operation{Put: key, Value: wire.MustMarshal(v)})
 	if errors.Is(err, store.ErrConflict) {
 		// One of them is known; which, each finds out by itself.
 		err = errStoreAlone
@@ -152,12 +152,12 @@
 	}
 }
 
-func (n *Controller) storeNew(ctx context.Context, guards []wire.Compare, change wire.Operation) error {
+func (api *userAPI) storeNew(ctx context.Context, guards []wire.Compare, change wire.Operation) error {
 	changes := []wire.Operation{change}
-	revision, err := n.store.CompareAndSwap(ctx, store.ClassIntake, guards, changes)
+	revision, err := api.store.CompareAndSwap(ctx, store.ClassIntake, guards, changes)
 	if err != nil {
 		return err
 	}
-	n.applyWrite(changes, revision)
+	api.applyWrite(changes, revision)
 	return nil
 }
--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -49,16 +49,16 @@
 }
 
 // currentLeaderState returns the leader's memory for the present token; mu is held.
-func (n *Controller) currentLeaderState() *leaderState {
-	if n.leaderState.fencingToken == n.membership.FencingToken {
-		return &n.leaderState
+func (ld *leaderLoop) currentLeaderState() *leaderState {
+	if ld.leaderState.fencingToken == ld.membership.FencingToken {
+		return &ld.leaderState
 	}
-	old := n.leaderState
-	n.leaderState = newLeaderState(n.membership.FencingToken, n.membership.LastToken()+1)
-	if old.fencingToken > 0 && old.nextFencingToken == n.membership.FencingToken && old.scalingOut != nil {
-		n.leaderState.inherit(&old)
+	old := ld.leaderState
+	ld.leaderState = newLeaderState(ld.membership.FencingToken, ld.membership.LastToken()+1)
+	if old.fencingToken > 0 && old.nextFencingToken == ld.membership.FencingToken && old.scalingOut != nil {
+		ld.leaderState.inherit(&old)
 	}
-	return &n.leaderState
+	return &ld.leaderState
 }
 
 // newLeaderState is the memory of a leadership that begins.
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -14,6 +14,18 @@
 	"wheatspur/wire"
 )
 
+// election keeps this controller's session, takes the leadership and writes the
+// membership.
+type election struct {
+	*clusterState
+	workers *workerManager
+	peers   *peerExchange
+
+	probes           []string  // workers' addresses to ask while this controller is unreachable
+	probeAnsweredAt  time.Time // when one of them last answered
+	unreachableSince time.Time
+}
+
 func (n *Controller) applyMembership(v wire.Raw) error {
 	if v == nil {
 		n.membership = nil
@@ -28,13 +40,13 @@
 	n.memberLabels = r.Labels()
 	n.membershipChangedAt = n.now()
 	clear(n.shardOwners)
-	clear(n.publishedMachines)
+	clear(n.peers.publishedMachines)
 	// Who takes a machine over knows its images from what its former owner
 	// told. Guards against fetches beside machines that hold the image.
-	clear(n.inheritedImages)
-	for _, s := range n.siblings {
+	clear(n.workers.inheritedImages)
+	for _, s := range n.peers.siblings {
 		for host, h := range s.machines {
-			n.inheritedImages[host] = h.Images
+			n.workers.inheritedImages[host] = h.Images
 		}
 	}
 	// A machine that was ours under the last membership and is under this one
@@ -42,28 +54,28 @@
 	// fleet that takes nothing until each machine has reported, with every node
 	// that comes or goes, and against tasks behind a cut that nobody may release.
 	next := last != nil && r.Follows(last) && last.Contains(n.self) && r.Contains(n.self)
-	for host, w := range n.workers {
-		n.inheritedImages[host] = w.Images
+	for host, w := range n.workers.byMachine {
+		n.workers.inheritedImages[host] = w.Images
 		if n.shardOwner(host) != n.self.Label {
 			// What another owner does meanwhile makes this view worthless.
-			delete(n.workers, host)
+			delete(n.workers.byMachine, host)
 		} else if !next || last.Owner(host) != n.self.Label {
 			w.RaiseToken()
 		}
 	}
-	n.resetMachineIndex()
-	n.updateBudgetShare()
+	n.machineIndex.resetMachineIndex()
+	n.peers.updateBudgetShare()
 	n.log.Info("membership", "token", r.FencingToken, "leader", r.Leader.Label, "nodes", len(r.Nodes))
 	return nil
 }
 
 // shardOwner is the member that a machine is hashed to; mu is held.
-func (n *Controller) shardOwner(host string) string {
-	o, ok := n.shardOwners[host]
+func (cs *clusterState) shardOwner(host string) string {
+	o, ok := cs.shardOwners[host]
 	if !ok {
-		o = n.membership.Owner(host)
-		if n.inventory.KeyOf(host) != "" {
-			n.shardOwners[host] = o // bounded by what is stored
+		o = cs.membership.Owner(host)
+		if cs.inventory.KeyOf(host) != "" {
+			cs.shardOwners[host] = o // bounded by what is stored
 		}
 	}
 	return o
@@ -71,27 +83,27 @@
 
 // isMember reports whether this node is a member of the newest membership it
 // knows; mu is held.
-func (n *Controller) isMember() bool {
-	return n.membership != nil && n.session == membership.Registered && n.membership.Contains(n.self) && n.cache.Consistent()
+func (cs *clusterState) isMember() bool {
+	return cs.membership != nil && cs.session == membership.Registered && cs.membership.Contains(cs.self) && cs.cache.Consistent()
 }
 
 // isLeader reports whether this node is the leader; mu is held.
-func (n *Controller) isLeader() bool {
-	return n.isMember() && n.membership.Leader == n.self && n.leader != nil && *n.leader == n.self
+func (cs *clusterState) isLeader() bool {
+	return cs.isMember() && cs.membership.Leader == cs.self && cs.leader != nil && *cs.leader == cs.self
 }
 
 // dependenciesSupported reports whether every member reads jobs that are stored waiting; mu
 // is held. A node that does not would run such a job at once if it took it in,
 // and would stop its tasks on its machines.
-func (n *Controller) dependenciesSupported() bool {
-	return n.membership != nil && n.membership.AllSupport(membership.FormatDependencies, n.storedSessions)
+func (cs *clusterState) dependenciesSupported() bool {
+	return cs.membership != nil && cs.membership.AllSupport(membership.FormatDependencies, cs.storedSessions)
 }
 
 // tokenRangesSupported reports whether every node with a session knows of memberships that
 // span several tokens; mu is held.
-func (n *Controller) tokenRangesSupported() bool {
-	for label, s := range n.sessions {
-		if v := n.storedSessions[label]; v.Node != s || v.Format < membership.FormatTokenRanges {
+func (cs *clusterState) tokenRangesSupported() bool {
+	for label, s := range cs.sessions {
+		if v := cs.storedSessions[label]; v.Node != s || v.Format < membership.FormatTokenRanges {
 			return false
 		}
 	}
@@ -100,12 +112,12 @@
 
 // isFencedOut reports whether a sibling that reads the state service knows a
 // newer membership, so that this node should hand its workers over; mu is held.
-func (n *Controller) isFencedOut() bool {
-	if n.membership == nil {
+func (px *peerExchange) isFencedOut() bool {
+	if px.membership == nil {
 		return false
 	}
-	for _, s := range n.siblings {
-		if n.isFresh(s) && s.status.HasStore && s.status.FencingToken > n.membership.FencingToken {
+	for _, s := range px.siblings {
+		if px.isFresh(s) && s.status.HasStore && s.status.FencingToken > px.membership.FencingToken {
 			return true
 		}
 	}
@@ -115,74 +127,74 @@
 // runSession keeps this node's lease in the state service, and does nothing
 // else: a write of the membership that waits, or a busy processor, must not cost
 // the session.
-func (n *Controller) runSession(ctx context.Context) error {
+func (el *election) runSession(ctx context.Context) error {
 	var due time.Time // of the next renewal
 	for ctx.Err() == nil {
-		n.recordProgress(sessionLoop)
-		n.mu.Lock()
-		state, leaseID := n.session, n.self.Incarnation
-		n.mu.Unlock()
+		el.recordProgress(sessionLoop)
+		el.mu.Lock()
+		state, leaseID := el.session, el.self.Incarnation
+		el.mu.Unlock()
 		if state == membership.NoLease {
-			if n.draining() {
+			if el.draining() {
 				return nil // ended for good
 			}
-			n.openSession(ctx)
-			due = n.now().Add(tuning.SessionRenewEvery)
+			el.openSession(ctx)
+			due = el.now().Add(tuning.SessionRenewEvery)
 			continue
 		}
-		sleep(ctx, max(due.Sub(n.now()), time.Millisecond))
-		due = n.now().Add(tuning.SessionRenewEvery)
-		if err := n.store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrLeaseExpired) {
-			n.endSession(leaseID)
+		sleep(ctx, max(due.Sub(el.now()), time.Millisecond))
+		due = el.now().Add(tuning.SessionRenewEvery)
+		if err := el.store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrLeaseExpired) {
+			el.endSession(leaseID)
 		} else if err != nil {
-			n.log.Debug("session not renewed", "err", err)
-			due = n.now().Add(tuning.RetryPause)
+			el.log.Debug("session not renewed", "err", err)
+			due = el.now().Add(tuning.RetryPause)
 		}
 	}
 	return nil
 }
 
 // openSession asks for a lease, once.
-func (n *Controller) openSession(ctx context.Context) {
-	id, err := n.store.GrantLease(ctx, tuning.SessionTTL)
+func (el *election) openSession(ctx context.Context) {
+	id, err := el.store.GrantLease(ctx, tuning.SessionTTL)
 	if err != nil {
-		n.log.Info("no lease yet", "err", err)
+		el.log.Info("no lease yet", "err", err)
 		sleep(ctx, tuning.RetryPause)
 		return
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.self.Incarnation = id
-	n.session = n.session.Next(membership.LeaseGranted)
-	wake(n.membershipWake)
+	el.mu.Lock()
+	defer el.mu.Unlock()
+	el.self.Incarnation = id
+	el.session = el.session.Next(membership.LeaseGranted)
+	wake(el.membershipWake)
 }
 
 // endSession notes that a lease has ended, unless another has been got since.
-func (n *Controller) endSession(leaseID uint64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.self.Incarnation != leaseID || n.session == membership.NoLease {
+func (el *election) endSession(leaseID uint64) {
+	el.mu.Lock()
+	defer el.mu.Unlock()
+	if el.self.Incarnation != leaseID || el.session == membership.NoLease {
 		return
 	}
-	n.session = n.session.Next(membership.LeaseExpired)
-	n.log.Info("session ended")
+	el.session = el.session.Next(membership.LeaseExpired)
+	el.log.Info("session ended")
 }
 
 // runMembership stores the session's key, and takes part in the leadership and the
 // membership.
-func (n *Controller) runMembership(ctx context.Context) error {
+func (el *election) runMembership(ctx context.Context) error {
 	for ctx.Err() == nil {
-		n.recordProgress(memberLoop)
-		n.mu.Lock()
-		leaseID := n.self.Incarnation
-		ready := n.session != membership.NoLease && n.cache.Consistent()
-		n.mu.Unlock()
+		el.recordProgress(memberLoop)
+		el.mu.Lock()
+		leaseID := el.self.Incarnation
+		ready := el.session != membership.NoLease && el.cache.Consistent()
+		el.mu.Unlock()
 		if ready {
-			n.tryMembershipStep(ctx, leaseID)
+			el.tryMembershipStep(ctx, leaseID)
 		}
 		select {
 		case <-ctx.Done():
-		case <-n.membershipWake:
+		case <-el.membershipWake:
 			sleep(ctx, tuning.MembershipCheckPause)
 		case <-time.After(tuning.MembershipCheckEvery):
 		}
@@ -192,17 +204,17 @@
 
 // tryMembershipStep takes a step of the membership. Before the next one after a
 // failure, what is stored now is read.
-func (n *Controller) tryMembershipStep(ctx context.Context, leaseID uint64) {
-	err := n.membershipStep(ctx)
+func (el *election) tryMembershipStep(ctx context.Context, leaseID uint64) {
+	err := el.membershipStep(ctx)
 	if err == nil {
 		return
 	}
-	n.log.Debug("membership step failed", "err", err)
+	el.log.Debug("membership step failed", "err", err)
 	if errors.Is(err, store.ErrLeaseExpired) {
-		n.endSession(leaseID)
+		el.endSession(leaseID)
 		return
 	}
-	_ = n.syncer.ReadBarrier(tuning.BarrierWait)
+	_ = el.syncer.ReadBarrier(tuning.BarrierWait)
 }
 
 // membershipWrite is a guarded write of one of the keys that make up the membership.
@@ -213,150 +225,150 @@
 }
 
 // membershipStep stores the session key, takes the lead or writes the membership.
-func (n *Controller) membershipStep(ctx context.Context) error {
-	n.mu.Lock()
-	write, self := n.nextMembershipWrite(), n.self
-	n.mu.Unlock()
+func (el *election) membershipStep(ctx context.Context) error {
+	el.mu.Lock()
+	write, self := el.nextMembershipWrite(), el.self
+	el.mu.Unlock()
 	if write == nil {
 		return nil
 	}
 	changes := []wire.Operation{write.operation}
-	revision, err := n.store.CompareAndSwap(ctx, store.ClassLease, write.compares, changes)
+	revision, err := el.store.CompareAndSwap(ctx, store.ClassLease, write.compares, changes)
 	if err != nil {
 		return err
 	}
 	if write.reachability {
 		// Not before: a node that is cut off tries again and again.
-		n.log.Info("reachability of workers changes", "unreachable", write.operation.Put != "")
+		el.log.Info("reachability of workers changes", "unreachable", write.operation.Put != "")
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	el.mu.Lock()
+	defer el.mu.Unlock()
 	if write.operation.Put != membership.Key {
 		// The membership comes by watch only: everything stored before it must
 		// be in the cache before it counts.
-		n.cache.ApplyOwnWrite(changes, revision)
+		el.cache.ApplyOwnWrite(changes, revision)
 	}
-	if write.operation.Put == membership.SessionKey(n.self.Label) && self == n.self {
-		n.session = n.session.Next(membership.SessionStored)
+	if write.operation.Put == membership.SessionKey(el.self.Label) && self == el.self {
+		el.session = el.session.Next(membership.SessionStored)
 	}
-	wake(n.membershipWake)
+	wake(el.membershipWake)
 	return nil
 }
 
 // nextMembershipWrite chooses what this node should write about the membership now,
 // nil for nothing; mu is held.
-func (n *Controller) nextMembershipWrite() *membershipWrite {
-	if n.session == membership.NoLease {
+func (el *election) nextMembershipWrite() *membershipWrite {
+	if el.session == membership.NoLease {
 		return nil
 	}
-	n.reconcileSession()
-	if n.session == membership.Leased {
-		return n.sessionWrite()
+	el.reconcileSession()
+	if el.session == membership.Leased {
+		return el.sessionWrite()
 	}
-	now := n.now()
-	unreachable := n.reachability(now).NextUnreachable()
+	now := el.now()
+	unreachable := el.reachability(now).NextUnreachable()
 	action := membership.Decide(membership.View{
-		Self:                 n.self,
-		Sessions:             n.sessions,
-		Unreachable:          n.unreachable,
-		Leader:               n.leader,
-		Membership:           n.membership,
-		TokenRangesSupported: n.tokenRangesSupported(),
+		Self:                 el.self,
+		Sessions:             el.sessions,
+		Unreachable:          el.unreachable,
+		Leader:               el.leader,
+		Membership:           el.membership,
+		TokenRangesSupported: el.tokenRangesSupported(),
 	})
 	switch {
-	case unreachable != n.unreachable[n.self.Label]:
-		return n.reachabilityWrite(unreachable, now)
+	case unreachable != el.unreachable[el.self.Label]:
+		return el.reachabilityWrite(unreachable, now)
 	case action.BecomeLeader:
-		return n.leaderWrite()
+		return el.leaderWrite()
 	case action.WriteMembership != nil:
-		return n.membershipRecordWrite(action.WriteMembership)
+		return el.membershipRecordWrite(action.WriteMembership)
 	}
 	return nil
 }
 
 // reconcileSession brings the session's state in line with the key that is
 // stored; mu is held.
-func (n *Controller) reconcileSession() {
-	stored := n.sessions[n.self.Label] == n.self
-	if n.session == membership.Registered && !stored {
+func (el *election) reconcileSession() {
+	stored := el.sessions[el.self.Label] == el.self
+	if el.session == membership.Registered && !stored {
 		// Guards against a late write of a former process of this node.
-		n.session = membership.Leased
+		el.session = membership.Leased
 	}
-	if n.session == membership.Leased && stored {
-		n.session = n.session.Next(membership.SessionStored)
+	if el.session == membership.Leased && stored {
+		el.session = el.session.Next(membership.SessionStored)
 	}
 }
 
 // sessionWrite stores this node's session key; mu is held.
-func (n *Controller) sessionWrite() *membershipWrite {
-	key := membership.SessionKey(n.self.Label)
-	session := membership.Session{Node: n.self, Format: membership.CurrentFormat, ProgramVersion: tuning.Version}
+func (el *election) sessionWrite() *membershipWrite {
+	key := membership.SessionKey(el.self.Label)
+	session := membership.Session{Node: el.self, Format: membership.CurrentFormat, ProgramVersion: tuning.Version}
 	return &membershipWrite{
-		compares:  []wire.Compare{n.cache.Compare(key)},
-		operation: wire.Operation{Put: key, Value: wire.MustMarshal(session), LeaseID: n.self.Incarnation},
+		compares:  []wire.Compare{el.cache.Compare(key)},
+		operation: wire.Operation{Put: key, Value: wire.MustMarshal(session), LeaseID: el.self.Incarnation},
 	}
 }
 
 // reachabilityWrite stores whether this node reaches its workers, and chooses
 // those to ask when it does not; mu is held.
-func (n *Controller) reachabilityWrite(unreachable bool, now time.Time) *membershipWrite {
-	key := membership.UnreachableKey(n.self.Label)
+func (el *election) reachabilityWrite(unreachable bool, now time.Time) *membershipWrite {
+	key := membership.UnreachableKey(el.self.Label)
 	change := wire.Operation{Delete: key}
 	if unreachable {
-		change = wire.Operation{Put: key, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation}
-		n.chooseProbes(now)
+		change = wire.Operation{Put: key, Value: wire.MustMarshal(el.self), LeaseID: el.self.Incarnation}
+		el.chooseProbes(now)
 	}
 	return &membershipWrite{
-		compares:     []wire.Compare{n.cache.Compare(membership.SessionKey(n.self.Label))},
+		compares:     []wire.Compare{el.cache.Compare(membership.SessionKey(el.self.Label))},
 		operation:    change,
 		reachability: true,
 	}
 }
 
 // leaderWrite takes the lead; mu is held.
-func (n *Controller) leaderWrite() *membershipWrite {
+func (el *election) leaderWrite() *membershipWrite {
 	return &membershipWrite{
-		compares:  []wire.Compare{n.cache.Compare(membership.LeaderKey), n.cache.Compare(membership.SessionKey(n.self.Label))},
-		operation: wire.Operation{Put: membership.LeaderKey, Value: wire.MustMarshal(n.self), LeaseID: n.self.Incarnation},
+		compares:  []wire.Compare{el.cache.Compare(membership.LeaderKey), el.cache.Compare(membership.SessionKey(el.self.Label))},
+		operation: wire.Operation{Put: membership.LeaderKey, Value: wire.MustMarshal(el.self), LeaseID: el.self.Incarnation},
 	}
 }
 
 // membershipRecordWrite stores the next membership; mu is held.
-func (n *Controller) membershipRecordWrite(next *membership.Record) *membershipWrite {
+func (el *election) membershipRecordWrite(next *membership.Record) *membershipWrite {
 	return &membershipWrite{
-		compares:  []wire.Compare{n.cache.Compare(membership.LeaderKey), n.cache.Compare(membership.Key)},
+		compares:  []wire.Compare{el.cache.Compare(membership.LeaderKey), el.cache.Compare(membership.Key)},
 		operation: wire.Operation{Put: membership.Key, Value: wire.MustMarshal(next)},
 	}
 }
 
 // reachability sums up whether this node hears its workers; mu is held.
-func (n *Controller) reachability(now time.Time) membership.Reachability {
-	e := membership.Reachability{Unreachable: n.unreachable[n.self.Label]}
-	if n.membership == nil || !n.isMember() {
+func (el *election) reachability(now time.Time) membership.Reachability {
+	e := membership.Reachability{Unreachable: el.unreachable[el.self.Label]}
+	if el.membership == nil || !el.isMember() {
 		return e
 	}
 	if e.Unreachable {
-		if now.Sub(n.unreachableSince) > tuning.UnreachableMin {
-			e.Answered = len(n.probes) == 0 || n.probeAnsweredAt.After(n.unreachableSince)
+		if now.Sub(el.unreachableSince) > tuning.UnreachableMin {
+			e.Answered = len(el.probes) == 0 || el.probeAnsweredAt.After(el.unreachableSince)
 		}
 		return e
 	}
-	e.Heard, e.Silent = n.countHeard(now)
-	e.SiblingsReachable = n.siblingHearsWorkers()
+	e.Heard, e.Silent = el.countHeard(now)
+	e.SiblingsReachable = el.peers.siblingHearsWorkers()
 	return e
 }
 
 // countHeard counts this node's machines that are heard, and those with tasks that
 // are silent though they had time to report under this membership; mu is held.
-func (n *Controller) countHeard(now time.Time) (heard, silent int) {
-	silentAfter := n.silenceTimeout()
-	for host, w := range n.workers {
-		if n.shardOwner(host) != n.self.Label || w.LastHeard.IsZero() {
+func (el *election) countHeard(now time.Time) (heard, silent int) {
+	silentAfter := el.silenceTimeout()
+	for host, w := range el.workers.byMachine {
+		if el.shardOwner(host) != el.self.Label || w.LastHeard.IsZero() {
 			continue
 		}
 		if now.Sub(w.LastHeard) < silentAfter {
 			heard++
-		} else if len(n.table.ClaimsByMachine[host]) > 0 && now.Sub(n.membershipChangedAt) > silentAfter {
+		} else if len(el.table.ClaimsByMachine[host]) > 0 && now.Sub(el.membershipChangedAt) > silentAfter {
 			silent++
 		}
 	}
@@ -365,9 +377,9 @@
 
 // siblingHearsWorkers reports whether any sibling hears a machine of its own; mu
 // is held.
-func (n *Controller) siblingHearsWorkers() bool {
-	for _, s := range n.siblings {
-		if !n.isFresh(s) {
+func (px *peerExchange) siblingHearsWorkers() bool {
+	for _, s := range px.siblings {
+		if !px.isFresh(s) {
 			continue
 		}
 		for _, h := range s.machines {
@@ -380,33 +392,33 @@
 }
 
 // chooseProbes remembers workers to ask until one answers; mu is held.
-func (n *Controller) chooseProbes(now time.Time) {
-	n.probes, n.unreachableSince, n.probeAnsweredAt = nil, now, time.Time{}
-	for _, w := range n.workers {
-		if w.Address != "" && len(n.probes) < tuning.ReachabilityProbes {
-			n.probes = append(n.probes, w.Address)
+func (el *election) chooseProbes(now time.Time) {
+	el.probes, el.unreachableSince, el.probeAnsweredAt = nil, now, time.Time{}
+	for _, w := range el.workers.byMachine {
+		if w.Address != "" && len(el.probes) < tuning.ReachabilityProbes {
+			el.probes = append(el.probes, w.Address)
 		}
 	}
 }
 
 // runProbes asks workers, while this node is unreachable, whether they reach it again.
-func (n *Controller) runProbes(ctx context.Context) error {
+func (el *election) runProbes(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, n.settings.HeartbeatInterval())
-		n.mu.Lock()
+		sleep(ctx, el.settings.HeartbeatInterval())
+		el.mu.Lock()
 		var ask []string
-		if n.unreachable[n.self.Label] {
-			ask = n.probes
+		if el.unreachable[el.self.Label] {
+			ask = el.probes
 		}
-		n.mu.Unlock()
+		el.mu.Unlock()
 		for _, address := range ask {
-			if n.workerClient.probe(address) != nil {
+			if el.workers.client.probe(address) != nil {
 				continue
 			}
-			n.mu.Lock()
-			n.probeAnsweredAt = n.now()
-			n.mu.Unlock()
-			wake(n.membershipWake)
+			el.mu.Lock()
+			el.probeAnsweredAt = el.now()
+			el.mu.Unlock()
+			wake(el.membershipWake)
 			break
 		}
 	}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -42,54 +42,54 @@
 	descEvidence = desc("split_evidence_open", "1 while the evidence window is open.", "type")
 )
 
-func newMetrics(n *Controller) *metrics {
+func newMetrics(ob *observer) *metrics {
 	m := &metrics{reg: prometheus.NewRegistry(), answers: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheatspur_answers_total", Help: "Answers by kind of request and status."}, []string{"request", "status"}),
 		writes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "wheatspur_writes_total", Help: "Decision writes by kind and outcome."}, []string{"kind", "outcome"})}
-	m.reg.MustRegister(m.answers, m.writes, nodeCollector{n})
+	m.reg.MustRegister(m.answers, m.writes, stateCollector{ob})
 	return m
 }
 
-// nodeCollector reads a node's state when metrics are gathered.
-type nodeCollector struct{ n *Controller }
+// stateCollector reads a controller's state when metrics are gathered.
+type stateCollector struct{ observer *observer }
 
-func (c nodeCollector) Describe(ch chan<- *prometheus.Desc) {
+func (c stateCollector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descToken, descLeader, descState, descJobs, descWaiting, descInfo, descNodes, descTasks, descUnmet, descHosts, descSplit, descEvidence,
 		descTeam, descTeamShare, descTeamPhase, descRecoveryPhase, descRecoveryMachines, descRecoveryStarts} {
 		ch <- d
 	}
 }
 
-func (c nodeCollector) Collect(ch chan<- prometheus.Metric) {
-	n := c.n
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (c stateCollector) Collect(ch chan<- prometheus.Metric) {
+	ob := c.observer
+	ob.mu.Lock()
+	defer ob.mu.Unlock()
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	if n.membership != nil {
-		gauge(descToken, float64(n.membership.FencingToken))
+	if ob.membership != nil {
+		gauge(descToken, float64(ob.membership.FencingToken))
 	}
-	n.collectTeams(gauge)
-	n.collectRecovery(gauge)
-	leads := n.isLeader()
+	ob.collectTeams(gauge)
+	ob.collectRecovery(gauge)
+	leads := ob.isLeader()
 	gauge(descLeader, boolValue(leads))
-	gauge(descState, boolValue(n.hasStore()))
-	gauge(descJobs, float64(len(n.table.Open)))
-	gauge(descWaiting, float64(len(n.table.Waiting)))
+	gauge(descState, boolValue(ob.hasStore()))
+	gauge(descJobs, float64(len(ob.table.Open)))
+	gauge(descWaiting, float64(len(ob.table.Waiting)))
 	gauge(descInfo, 1, tuning.Version)
-	if n.membership != nil {
+	if ob.membership != nil {
 		forms := map[uint64]int{}
-		for _, m := range n.membership.Nodes {
-			forms[n.storedSessions[m.Label].Format]++
+		for _, m := range ob.membership.Nodes {
+			forms[ob.storedSessions[m.Label].Format]++
 		}
 		for form, k := range forms {
 			gauge(descNodes, float64(k), strconv.FormatUint(form, 10))
 		}
 	}
 	var tasks [3]int
-	for _, j := range n.table.Open {
+	for _, j := range ob.table.Open {
 		for s, k := range j.Counts {
 			tasks[s] += k
 		}
@@ -98,7 +98,7 @@
 		gauge(descTasks, float64(k), jobs.State(s).String())
 	}
 	unmet := 0
-	for _, k := range n.unplaced {
+	for _, k := range ob.scheduler.unplaced {
 		unmet += k
 	}
 	gauge(descUnmet, float64(unmet))
@@ -107,7 +107,7 @@
 		phase                   inventory.Phase
 	}
 	hosts := map[group]int{}
-	for _, h := range n.inventory.Machines {
+	for _, h := range ob.inventory.Machines {
 		kind := "ordinary"
 		if h.Spot {
 			kind = "spot"
@@ -118,7 +118,7 @@
 		gauge(descHosts, float64(k), g.machineType, g.kind, g.role, string(g.phase))
 	}
 	if leads {
-		for machineType, d := range n.leaderState.roleDecisions {
+		for machineType, d := range ob.leaderLoop.leaderState.roleDecisions {
 			gauge(descSplit, d.BatchLoad, machineType, "batch")
 			gauge(descSplit, d.ServiceLoad, machineType, "service")
 			gauge(descEvidence, boolValue(d.EvidenceOpen), machineType)
@@ -152,17 +152,17 @@
 	m.writes.WithLabelValues(kind, outcome).Inc()
 }
 
-func (n *Controller) serveMetrics(c *fasthttp.RequestCtx) {
-	families, err := n.metrics.reg.Gather()
+func (ob *observer) serveMetrics(c *fasthttp.RequestCtx) {
+	families, err := ob.metrics.reg.Gather()
 	if err != nil {
 		respondError(c, 500, "metrics can't be gathered")
-		n.log.Error("metrics can't be gathered", "err", err)
+		ob.log.Error("metrics can't be gathered", "err", err)
 		return
 	}
 	var b bytes.Buffer
 	for _, f := range families {
 		if _, err := expfmt.MetricFamilyToText(&b, f); err != nil {
-			n.log.Error("metrics can't be written", "err", err)
+			ob.log.Error("metrics can't be written", "err", err)
 			return
 		}
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -9,8 +9,6 @@
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -18,161 +16,95 @@
 
 	"wheatspur/internal/cloud"
 	"wheatspur/internal/config"
-	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/membership"
-	"wheatspur/internal/peer"
-	"wheatspur/internal/quota"
-	"wheatspur/internal/recovery"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
 	"wheatspur/internal/worker"
 	"wheatspur/wire"
 )
 
-// Controller is one controller.
+// Controller is one controller process: it owns the components and runs their
+// loops. Their shared state, and the lock that guards it, is clusterState.
 type Controller struct {
+	*clusterState
+	election     *election
+	workers      *workerManager
+	peers        *peerExchange
+	machineIndex *machineIndex
+	recovery     *recoveryTracker
+	scheduler    *scheduler
+	leaderLoop   *leaderLoop
+	api          *userAPI
+	observer     *observer
+}
+
+// New returns a controller that is ready to run.
+func New(settings *config.Settings, log *slog.Logger) *Controller {
+	now := time.Now
+	share := tuning.BudgetShare / float64(max(1, len(settings.Siblings)+1))
+	limits := settings.StateLimits()
+	limiter := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.BudgetQueue, now)
+	return newController(dependencies{
+		settings:     settings,
+		log:          log,
+		now:          now,
+		store:        store.NewClient(settings.Endpoints.State, limiter),
+		limiter:      limiter,
+		cloud:        cloud.NewClient(settings.Endpoints.Cloud, settings.Params.Cloud.RPS*tuning.BudgetShare, now),
+		workerClient: newHTTPWorkerClient(),
+	})
+}
+
+// dependencies is what a controller is built from: its settings, and the
+// systems that it calls.
+type dependencies struct {
 	settings     *config.Settings
-	limits       config.Limits // of the state service, that everything keeps to
 	log          *slog.Logger
 	now          func() time.Time
 	store        store.KeyValueStore
 	limiter      *store.Limiter
 	cloud        cloud.Provider
 	workerClient workerClient
-
-	metrics *metrics
-
-	mu                  sync.Mutex // guards all below
-	cache               *store.Cache
-	table               *jobs.Table
-	syncer              *store.Syncer
-	session             membership.SessionState
-	self                membership.Node
-	sessions            map[string]membership.Node
-	storedSessions      map[string]membership.Session // the same, with what they say of their programs
-	unreachable         map[string]bool               // nodes that say that they hear no worker
-	probes              []string                      // workers' addresses to ask while we are unreachable
-	probeAnsweredAt     time.Time                     // when one of them last answered
-	unreachableSince    time.Time
-	leader              *membership.Node
-	membership          *membership.Record
-	memberLabels        []string // of its nodes
-	inventory           *inventory.Inventory
-	shardOwners         map[string]string // of machines under the present membership
-	machineIndex        machineIndex
-	publishedMachines   map[string]*publishedMachine
-	publishedVersion    uint64 // number of the last change in told
-	publishedAt         time.Time
-	machineTypeList     []wire.MachineType
-	machineTypes        map[string]wire.MachineType
-	imageSizes          map[string]float64  // sizes of images
-	inheritedImages     map[string][]string // images of machines, as their former owners knew them
-	workers             map[string]*worker.Worker
-	failingWorkers      map[string]*worker.Worker // those whose tasks failed lately
-	siblings            map[string]*sibling
-	writesInFlight      map[string]bool // a write about the job is under way
-	quota               *quota.Manager
-	recoveryProgress    *recovery.Progress
-	pacer               *recovery.Pacer      // of starts while this node recovers
-	queuedWrites        float64              // changes that wait for the budget, a mean over the last passes
-	machineWritesLeft   int                  // changes of machine records that the leader has yet to write
-	claimsDeferred      bool                 // the last pass wrote ends, and no claim though some were due
-	releaseDueSince     map[string]time.Time // chunks with ends to store, since when
-	backoffUntil        map[string]time.Time // jobs that lost a race, by when to try again
-	preemptedFor        map[string]time.Time // jobs that others were stopped for, by when
-	unplaced            map[string]int       // tasks without a place, by job, of the last pass
-	pendingReasons      map[string]string
-	unplacedSince       map[string]time.Time
-	membershipChangedAt time.Time // when our membership last changed
-	// The stamp of the last cancellation that is known here, and the time up to
-	// which all that users were told of are, beyond the last read.
-	lastCancellation uint64
-	attestedUntil    time.Time
-	leaderState      leaderState
-
-	stopping     atomic.Bool // the node takes nothing new (Drain)
-	loopProgress loopTimes
-
-	openConnections func() int // connections of users and workers
-	machineWriteMu  sync.Mutex // held while the leader stores machine records
-
-	passWake        chan struct{} // wakes the pass
-	membershipWake  chan struct{} // wakes the membership
-	callSlots       chan struct{} // bounds direct calls
-	submissionSlots chan struct{} // bounds submissions under way
-
-	intake        chan *submission // submissions that wait for their durable write
-	intakeCounter atomic.Uint64    // counts intake records
 }
 
-// New returns a node that is ready to run.
-func New(set *config.Settings, log *slog.Logger) *Controller {
-	now := time.Now
-	share := tuning.BudgetShare / float64(max(1, len(set.Siblings)+1))
-	limits := set.StateLimits()
-	lim := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.BudgetQueue, now)
-	cloud := cloud.NewClient(set.Endpoints.Cloud, set.Params.Cloud.RPS*tuning.BudgetShare, now)
-	return newNode(set, log, now, store.NewClient(set.Endpoints.State, lim), lim, cloud, newHTTPWorkerClient())
-}
-
-func newNode(set *config.Settings, log *slog.Logger, now func() time.Time, svc store.KeyValueStore, lim *store.Limiter, cloud cloud.Provider, call workerClient) *Controller {
-	n := &Controller{
-		settings:          set,
-		limits:            set.StateLimits(),
-		log:               log,
-		now:               now,
-		store:             svc,
-		limiter:           lim,
-		cloud:             cloud,
-		workerClient:      call,
-		session:           membership.NoLease,
-		sessions:          map[string]membership.Node{},
-		storedSessions:    map[string]membership.Session{},
-		inventory:         inventory.NewInventory(),
-		shardOwners:       map[string]string{},
-		publishedMachines: map[string]*publishedMachine{},
-		quota:             quota.NewManager(quotaTeams(set.Params.Teams), quotaOptions(set)),
-		releaseDueSince:   map[string]time.Time{},
-		machineTypes:      map[string]wire.MachineType{},
-		imageSizes:        map[string]float64{},
-		inheritedImages:   map[string][]string{},
-		workers:           map[string]*worker.Worker{},
-		failingWorkers:    map[string]*worker.Worker{},
-		siblings:          map[string]*sibling{},
-		writesInFlight:    map[string]bool{},
-		backoffUntil:      map[string]time.Time{},
-		preemptedFor:      map[string]time.Time{},
-		unreachable:       map[string]bool{},
-		unplaced:          map[string]int{},
-		pendingReasons:    map[string]string{},
-		unplacedSince:     map[string]time.Time{},
-		passWake:          make(chan struct{}, 1),
-		membershipWake:    make(chan struct{}, 1),
-		callSlots:         make(chan struct{}, tuning.WorkerCallsMax),
-		submissionSlots:   make(chan struct{}, set.Operator.IntakeQueue),
-		intake:            make(chan *submission, set.Operator.IntakeQueue),
+// newController builds the components and connects them.
+func newController(d dependencies) *Controller {
+	state := newClusterState(d)
+	workers := newWorkerManager(state, d.workerClient)
+	peers := newPeerExchange(state)
+	index := newMachineIndex(state)
+	tracker := newRecoveryTracker(state)
+	scheduler := newScheduler(state)
+	leader := newLeaderLoop(state, d.cloud)
+	workers.peers, workers.machineIndex, workers.recovery = peers, index, tracker
+	peers.workers, peers.machineIndex, peers.recovery, peers.leaderLoop = workers, index, tracker, leader
+	index.workers, index.peers = workers, peers
+	tracker.workers, tracker.peers = workers, peers
+	scheduler.workers, scheduler.peers, scheduler.machineIndex, scheduler.recovery = workers, peers, index, tracker
+	leader.workers, leader.peers, leader.machineIndex, leader.recovery, leader.scheduler = workers, peers, index, tracker, scheduler
+	c := &Controller{
+		clusterState: state,
+		election:     &election{clusterState: state, workers: workers, peers: peers},
+		workers:      workers,
+		peers:        peers,
+		machineIndex: index,
+		recovery:     tracker,
+		scheduler:    scheduler,
+		leaderLoop:   leader,
+		api:          newUserAPI(state, peers),
 	}
-	n.self.Label = set.Label
-	n.recoveryProgress = recovery.NewProgress(now())
-	n.pacer = recovery.NewPacer(float64(set.Operator.RecoveryStarts), now())
-	n.openConnections = func() int { return 0 }
-	n.metrics = newMetrics(n)
-	n.table = jobs.NewTable(now)
-	n.machineIndex = newMachineIndex()
-	n.inventory.OnChange = func(host string) { n.machineIndex.changedRecords[host] = true }
-	n.table.OnMachineChange = func(host string) {
-		n.machineIndex.markChanged(host)
-		if w := n.workers[host]; w != nil {
+	c.observer = &observer{clusterState: state, peers: peers, recovery: tracker, scheduler: scheduler, leaderLoop: leader}
+	state.metrics = newMetrics(c.observer)
+	state.inventory.OnChange = func(machine string) { index.changedRecords[machine] = true }
+	state.table.OnMachineChange = func(machine string) {
+		index.markChanged(machine)
+		if w := workers.byMachine[machine]; w != nil {
 			w.MarkChanged()
 		}
 	}
-	n.cache = store.NewCache(n.applyStored)
-	n.syncer = store.NewSyncer(svc, jobs.Root, &n.mu, n.cache, n.onStoreChange, set.Operator.PollQueue, now, log)
-	for _, s := range set.Siblings {
-		n.siblings[s.Label] = &sibling{settings: s, client: peer.NewClient(s.Endpoint), machines: map[string]peer.MachineStatus{}}
-	}
-	return n
+	state.cache = store.NewCache(c.applyStored)
+	state.syncer = store.NewSyncer(d.store, jobs.Root, &state.mu, state.cache, state.onStoreChange, d.settings.Operator.PollQueue, d.now, d.log)
+	return c
 }
 
 // Run serves until ctx ends or a listener fails. It returns nil in the first case.
@@ -190,8 +122,8 @@
 	g, ctx := errgroup.WithContext(ctx)
 	user := n.httpServer(n.serveUser, n.maxConnections())
 	bounded := &boundedListener{Listener: ul, max: int64(n.maxConnections()), retryAfterS: n.settings.Operator.RetryAfterSecond}
-	n.openConnections = func() int { return int(bounded.open.Load()) }
-	peers := n.httpServer(n.servePeer, 2*tuning.PeerConns*(len(n.siblings)+1))
+	n.workers.openConnections = func() int { return int(bounded.open.Load()) }
+	peers := n.httpServer(n.servePeer, 2*tuning.PeerConns*(len(n.peers.siblings)+1))
 	peers.MaxRequestBodySize = 1 << 20
 	g.Go(func() error { return user.Serve(bounded) })
 	g.Go(func() error { return peers.Serve(pl) })
@@ -201,19 +133,19 @@
 	})
 	g.Go(func() error { return n.syncer.Run(ctx) })
 	g.Go(func() error { return n.syncer.ServeBarriers(ctx) })
-	g.Go(func() error { return n.runSession(ctx) })
-	g.Go(func() error { return n.runMembership(ctx) })
-	g.Go(func() error { return n.runProbes(ctx) })
+	g.Go(func() error { return n.election.runSession(ctx) })
+	g.Go(func() error { return n.election.runMembership(ctx) })
+	g.Go(func() error { return n.election.runProbes(ctx) })
 	for range tuning.IntakeLanes {
-		g.Go(func() error { return n.runIntake(ctx) })
+		g.Go(func() error { return n.api.runIntake(ctx) })
 	}
-	g.Go(func() error { return n.runScheduler(ctx) })
-	g.Go(func() error { return n.runCloudSync(ctx) })
-	g.Go(func() error { return n.runLeader(ctx) })
-	for _, s := range n.siblings {
-		g.Go(func() error { return n.runPeerExchange(ctx, s) })
+	g.Go(func() error { return n.scheduler.runScheduler(ctx) })
+	g.Go(func() error { return n.leaderLoop.runCloudSync(ctx) })
+	g.Go(func() error { return n.leaderLoop.runLeader(ctx) })
+	for _, s := range n.peers.siblings {
+		g.Go(func() error { return n.peers.runPeerExchange(ctx, s) })
 	}
-	n.log.Info("serving", "node", n.settings.Label, "bind", n.settings.Bind, "peers", len(n.siblings))
+	n.log.Info("serving", "node", n.settings.Label, "bind", n.settings.Bind, "peers", len(n.peers.siblings))
 	if err := g.Wait(); asked.Err() == nil {
 		return err
 	}
@@ -221,8 +153,8 @@
 }
 
 // maxConnections is how many connections of users and workers this node takes.
-func (n *Controller) maxConnections() int {
-	return int(float64(n.settings.Params.Limits.MaxConnections) * tuning.ConnectionShare)
+func (cs *clusterState) maxConnections() int {
+	return int(float64(cs.settings.Params.Limits.MaxConnections) * tuning.ConnectionShare)
 }
 
 func (n *Controller) httpServer(h fasthttp.RequestHandler, conns int) *fasthttp.Server {
@@ -250,14 +182,14 @@
 }
 
 // onStoreChange runs with mu held after each watch response.
-func (n *Controller) onStoreChange() {
-	wake(n.passWake)
-	wake(n.membershipWake)
+func (cs *clusterState) onStoreChange() {
+	wake(cs.passWake)
+	wake(cs.membershipWake)
 }
 
 // hasStore reports whether the state service was read lately.
-func (n *Controller) hasStore() bool {
-	return n.now().Sub(n.syncer.LastReadAt()) < tuning.StoreStaleAfter
+func (cs *clusterState) hasStore() bool {
+	return cs.now().Sub(cs.syncer.LastReadAt()) < tuning.StoreStaleAfter
 }
 
 // healthy decides GET /up: a node without the state service passes users on
@@ -274,9 +206,9 @@
 	if n.hasStore() {
 		return n.cache.Consistent()
 	}
-	alone := len(n.siblings) > 0
-	for _, s := range n.siblings {
-		if n.isFresh(s) {
+	alone := len(n.peers.siblings) > 0
+	for _, s := range n.peers.siblings {
+		if n.peers.isFresh(s) {
 			if s.status.HasStore {
 				return false
 			}
@@ -301,11 +233,11 @@
 }
 
 // silenceTimeout is how long after its last message a machine counts as silent.
-func (n *Controller) silenceTimeout() time.Duration {
-	return time.Duration(tuning.SilentHeartbeats * float64(n.settings.HeartbeatInterval()))
+func (cs *clusterState) silenceTimeout() time.Duration {
+	return time.Duration(tuning.SilentHeartbeats * float64(cs.settings.HeartbeatInterval()))
 }
 
 // isQuarantined reports whether a machine should get no tasks for now.
-func (n *Controller) isQuarantined(w *worker.Worker, now time.Time) bool {
+func (wm *workerManager) isQuarantined(w *worker.Worker, now time.Time) bool {
 	return w.Unresponsive || len(w.FailedJobs) >= tuning.MachineFailuresMax || now.Sub(w.LastRefusal) < tuning.RefusalPause
 }
--- a/internal/controller/pass.go
+++ b/internal/controller/pass.go
@@ -10,22 +10,54 @@
 	"wheatspur/internal/worker"
 )
 
+// scheduler places tasks, claims machines for them and releases claims whose end
+// is proven. It decides in passes; each pass returns guarded writes.
+type scheduler struct {
+	*clusterState
+	workers      *workerManager
+	peers        *peerExchange
+	machineIndex *machineIndex
+	recovery     *recoveryTracker
+
+	writesInFlight  map[string]bool      // jobs, and intake records, that a write under way is about
+	claimsDeferred  bool                 // the last pass wrote releases, and no claim though some were due
+	releaseDueSince map[string]time.Time // chunks with releases to store, since when
+	backoffUntil    map[string]time.Time // jobs that lost a race, by when to try again
+	preemptedFor    map[string]time.Time // jobs that others were preempted for, by when
+	unplaced        map[string]int       // tasks without a place, by job, of the last pass
+	pendingReasons  map[string]string    // why they wait, by job
+	unplacedSince   map[string]time.Time // since when they wait, by job
+}
+
+func newScheduler(state *clusterState) *scheduler {
+	return &scheduler{
+		clusterState:    state,
+		writesInFlight:  map[string]bool{},
+		releaseDueSince: map[string]time.Time{},
+		backoffUntil:    map[string]time.Time{},
+		preemptedFor:    map[string]time.Time{},
+		unplaced:        map[string]int{},
+		pendingReasons:  map[string]string{},
+		unplacedSince:   map[string]time.Time{},
+	}
+}
+
 // runScheduler runs the owner's part whenever something has changed.
-func (n *Controller) runScheduler(ctx context.Context) error {
+func (sc *scheduler) runScheduler(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-n.passWake:
+		case <-sc.passWake:
 		case <-time.After(tuning.TickEvery):
 		}
-		n.recordProgress(passLoop)
+		sc.recordProgress(passLoop)
 		start := time.Now()
-		n.mu.Lock()
-		txns := n.schedule()
-		n.mu.Unlock()
+		sc.mu.Lock()
+		txns := sc.schedule()
+		sc.mu.Unlock()
 		took := time.Since(start)
 		for _, t := range txns {
-			go n.commit(ctx, t)
+			go sc.commit(ctx, t)
 		}
 		// Guards against passes that leave no processor for reports and polls.
 		sleep(ctx, min(max(tuning.PassPause, tuning.PassRest*took), tuning.PassPauseMax))
@@ -35,78 +67,78 @@
 
 // schedule computes the writes of this node and sends what is due to workers; mu
 // is held.
-func (n *Controller) schedule() []*pendingWrite {
-	if !n.isMember() || !n.hasStore() || n.draining() {
+func (sc *scheduler) schedule() []*pendingWrite {
+	if !sc.isMember() || !sc.hasStore() || sc.draining() {
 		return nil
 	}
-	now := n.now()
-	n.applyRecordChanges()
-	workers, all := n.workersToScan(now)
+	now := sc.now()
+	sc.machineIndex.applyRecordChanges()
+	workers, all := sc.machineIndex.workersToScan(now)
 	if all {
-		n.advanceRecovery(now)
+		sc.recovery.advanceRecovery(now)
 	}
-	n.pruneFinished(workers, now)
+	sc.pruneFinished(workers, now)
 	// What can't be written now is not decided now: it would wait in the
 	// budget's queue until its guards are old, and fail.
-	most := n.limiter.AvailableWrites(tuning.WriteReserve)
-	txns := n.planRebalances(now, &most)
-	due := n.dueReleases(workers, now)
-	fleet := n.refreshMachines(now)
-	in := n.placeInput(fleet, now)
+	most := sc.limiter.AvailableWrites(tuning.WriteReserve)
+	txns := sc.planRebalances(now, &most)
+	due := sc.dueReleases(workers, now)
+	fleet := sc.machineIndex.refreshMachines(now)
+	in := sc.placeInput(fleet, now)
 	out := placement.Schedule(in)
-	n.recordUnplaced(out, now)
-	if !n.machinesUnknown() {
-		n.preempt(out.Preemptions, now)
+	sc.recordUnplaced(out, now)
+	if !sc.recovery.machinesUnknown() {
+		sc.preempt(out.Preemptions, now)
 		if all {
-			n.evictMisplacedServices(fleet)
+			sc.evictMisplacedServices(fleet)
 		}
 	}
-	txns = n.planReleasesAndClaims(txns, due, out.Claims, &most)
-	txns = append(txns, n.planTransfers(in.Teams, out.ShareShortfall, now, &most)...)
-	txns = append(txns, n.planReservations(out.GuaranteeShortfall, now, &most)...)
-	txns = n.planFinishedJobs(txns, &most)
-	n.updateQueuedWrites(len(due) + countJobs(out.Claims) - len(txns))
-	n.updateBudgetShare()
-	n.commandWorkers(workers, now)
-	n.removeQuiescent()
+	txns = sc.planReleasesAndClaims(txns, due, out.Claims, &most)
+	txns = append(txns, sc.planTransfers(in.Teams, out.ShareShortfall, now, &most)...)
+	txns = append(txns, sc.planReservations(out.GuaranteeShortfall, now, &most)...)
+	txns = sc.planFinishedJobs(txns, &most)
+	sc.updateQueuedWrites(len(due) + countJobs(out.Claims) - len(txns))
+	sc.peers.updateBudgetShare()
+	sc.workers.commandWorkers(workers, now)
+	sc.machineIndex.removeQuiescent()
 	return txns
 }
 
 // pruneFinished drops what is remembered of tasks, machines and jobs and is over; mu
 // is held.
-func (n *Controller) pruneFinished(workers map[string]*worker.Worker, now time.Time) {
+func (sc *scheduler) pruneFinished(workers map[string]*worker.Worker, now time.Time) {
 	for host, w := range workers {
-		if len(w.Stopping) > 0 && w.PruneStopping(n.table.ClaimsByMachine[host]) {
-			n.machineIndex.markChanged(host)
+		if len(w.Stopping) > 0 && w.PruneStopping(sc.table.ClaimsByMachine[host]) {
+			sc.machineIndex.markChanged(host)
 		}
 	}
-	for host, w := range n.failingWorkers {
-		if len(w.FailedJobs) == 0 || n.workers[host] != w {
-			delete(n.failingWorkers, host)
+	for host, w := range sc.workers.failing {
+		if len(w.FailedJobs) == 0 || sc.workers.byMachine[host] != w {
+			delete(sc.workers.failing, host)
 		}
 	}
-	for jobID, at := range n.preemptedFor {
+	for jobID, at := range sc.preemptedFor {
 		if now.Sub(at) > tuning.PreemptPause {
-			delete(n.preemptedFor, jobID)
+			delete(sc.preemptedFor, jobID)
 		}
 	}
-	for jobID, at := range n.backoffUntil {
+	for jobID, at := range sc.backoffUntil {
 		if now.After(at) {
-			delete(n.backoffUntil, jobID)
+			delete(sc.backoffUntil, jobID)
 		}
 	}
 }
 
 // preempt stops tasks whose room others need; mu is held.
-func (n *Controller) preempt(list []placement.Preemption, now time.Time) {
+func (sc *scheduler) preempt(list []placement.Preemption, now time.Time) {
 	for _, r := range list {
-		w := n.workers[n.machineOf(r.ClaimedTask)]
+		w := sc.workers.byMachine[sc.machineOf(r.ClaimedTask)]
 		if w == nil {
 			continue
 		}
-		n.stopTask(w, r.ID)
-		n.preemptedFor[r.For] = now
-		n.log.Debug("task stopped for a job of higher claim", "task", r.ID, "host", w.Machine, "for", r.For)
+		sc.workers.stopTask(w, r.ID)
+		sc.preemptedFor[r.For] = now
+		sc.log.Debug("task stopped for a job of higher claim", "task", r.ID, "host", w.Machine, "for", r.For)
 	}
 }
 
@@ -116,23 +148,23 @@
 // which is not short while there are claims. Guards against a half-empty fleet
 // beside a queue: the ends of hundreds of tasks took the budget from the claims.
 // mu is held.
-func (n *Controller) planReleasesAndClaims(txns []*pendingWrite, due []pendingRelease, claims []placement.Claim, most *float64) []*pendingWrite {
+func (sc *scheduler) planReleasesAndClaims(txns []*pendingWrite, due []pendingRelease, claims []placement.Claim, most *float64) []*pendingWrite {
 	early := *most
 	if len(claims) > 0 {
-		early = n.earlyReleaseBudget(*most)
+		early = sc.earlyReleaseBudget(*most)
 	}
 	*most -= early
 	for _, r := range due {
 		if r.priority < releaseRoutine {
-			txns = n.planRelease(txns, r, &early)
+			txns = sc.planRelease(txns, r, &early)
 		}
 	}
 	*most += early
 	released := len(txns)
-	txns = n.planClaims(txns, claims, most)
-	n.claimsDeferred = len(claims) > 0 && len(txns) == released && released > 0
+	txns = sc.planClaims(txns, claims, most)
+	sc.claimsDeferred = len(claims) > 0 && len(txns) == released && released > 0
 	for _, r := range due {
-		txns = n.planRelease(txns, r, most) // those that were not written yet
+		txns = sc.planRelease(txns, r, most) // those that were not written yet
 	}
 	return txns
 }
@@ -148,52 +180,52 @@
 
 // updateQueuedWrites enters how many writes were due and had no room in the budget in the
 // mean of what waits for it; mu is held.
-func (n *Controller) updateQueuedWrites(left int) {
-	waits := n.limiter.QueuedWrites() + float64(n.machineWritesLeft+max(0, left))
-	n.queuedWrites += (waits - n.queuedWrites) / 2
+func (sc *scheduler) updateQueuedWrites(left int) {
+	waits := sc.limiter.QueuedWrites() + float64(sc.machineWritesLeft+max(0, left))
+	sc.queuedWrites += (waits - sc.queuedWrites) / 2
 }
 
 // commandWorkers sends workers what is due, and forgets those of machines that are
 // gone; mu is held.
-func (n *Controller) commandWorkers(workers map[string]*worker.Worker, now time.Time) {
+func (wm *workerManager) commandWorkers(workers map[string]*worker.Worker, now time.Time) {
 	for host, w := range workers {
-		if n.shardOwner(host) == n.self.Label {
-			n.fencePendingStarts(w)
-			n.sendDirectCommands(w, now)
-		} else if n.inventory.KeyOf(host) == "" && now.Sub(w.LastHeard) > 2*n.settings.WorkerLease() {
-			delete(n.workers, host)
+		if wm.shardOwner(host) == wm.self.Label {
+			wm.fencePendingStarts(w)
+			wm.sendDirectCommands(w, now)
+		} else if wm.inventory.KeyOf(host) == "" && now.Sub(w.LastHeard) > 2*wm.settings.WorkerLease() {
+			delete(wm.byMachine, host)
 		}
 	}
 }
 
 // machineOf is the machine that a claimed task is on.
-func (n *Controller) machineOf(r placement.ClaimedTask) string {
+func (sc *scheduler) machineOf(r placement.ClaimedTask) string {
 	return r.Job.Claims[r.ID.Task].Machine
 }
 
 // recordUnplaced notes the tasks without a place, why, and since when; mu is held.
-func (n *Controller) recordUnplaced(out placement.Output, now time.Time) {
-	n.unplaced, n.pendingReasons = out.Unplaced, out.Reasons
-	n.recordShortages(out, now)
-	for jobID := range n.unplacedSince {
+func (sc *scheduler) recordUnplaced(out placement.Output, now time.Time) {
+	sc.unplaced, sc.pendingReasons = out.Unplaced, out.Reasons
+	sc.recordShortages(out, now)
+	for jobID := range sc.unplacedSince {
 		if out.Unplaced[jobID] == 0 {
-			delete(n.unplacedSince, jobID)
+			delete(sc.unplacedSince, jobID)
 		}
 	}
 	for jobID := range out.Unplaced {
-		if _, ok := n.unplacedSince[jobID]; !ok {
-			n.unplacedSince[jobID] = now
+		if _, ok := sc.unplacedSince[jobID]; !ok {
+			sc.unplacedSince[jobID] = now
 		}
 	}
 }
 
 // placeInput builds the pass's input; mu is held.
-func (n *Controller) placeInput(fleet *placement.Fleet, now time.Time) placement.Input {
-	in := placement.Input{Self: n.self.Label, Leader: n.membership.Leader.Label, RankNodes: n.membership.RankNodes,
-		Fleet: fleet, Teams: n.allowances(), Now: now, MaxJobs: tuning.JobsPerPass,
-		MinimizeLoss: n.settings.Operator.QuotaReservations}
+func (sc *scheduler) placeInput(fleet *placement.Fleet, now time.Time) placement.Input {
+	in := placement.Input{Self: sc.self.Label, Leader: sc.membership.Leader.Label, RankNodes: sc.membership.RankNodes,
+		Fleet: fleet, Teams: sc.allowances(), Now: now, MaxJobs: tuning.JobsPerPass,
+		MinimizeLoss: sc.settings.Operator.QuotaReservations}
 	avoid := map[string]map[string]bool{}
-	for host, w := range n.failingWorkers {
+	for host, w := range sc.workers.failing {
 		for jobID := range w.FailedJobs {
 			if avoid[jobID] == nil {
 				avoid[jobID] = map[string]bool{}
@@ -201,19 +233,19 @@
 			avoid[jobID][host] = true
 		}
 	}
-	pipelines := n.dependenciesSupported()
-	for jobID, j := range n.table.Open {
+	pipelines := sc.dependenciesSupported()
+	for jobID, j := range sc.table.Open {
 		if j.Counts[jobs.Pending] == 0 || j.Record.Phase == jobs.Waiting && !pipelines {
 			continue // an old member would stop what starts on its machines
 		}
 		d := &placement.Demand{Job: j, Avoid: avoid[jobID]}
-		d.Tasks = n.pendingTasks(j, tuning.TasksPerJob, now)
+		d.Tasks = sc.pendingTasks(j, tuning.TasksPerJob, now)
 		// The cloud may still bring room for a guarantee; work that is stopped
 		// for it is lost.
-		d.MayReclaim = n.mayReclaim(j, now)
+		d.MayReclaim = sc.mayReclaim(j, now)
 		d.Starved = j.Counts[jobs.Pending] == j.Record.Tasks && now.UnixMilli()-j.ReadyAtMs > tuning.StarvedAfter.Milliseconds()
-		d.PreemptedFor = now.Sub(n.preemptedFor[jobID]) < tuning.PreemptPause
-		d.WriteInFlight = n.writesInFlight[jobID] || now.Before(n.backoffUntil[jobID])
+		d.PreemptedFor = now.Sub(sc.preemptedFor[jobID]) < tuning.PreemptPause
+		d.WriteInFlight = sc.writesInFlight[jobID] || now.Before(sc.backoffUntil[jobID])
 		if len(d.Tasks) > 0 {
 			in.Demands = append(in.Demands, d)
 		}
@@ -222,7 +254,7 @@
 }
 
 // pendingTasks lists up to most pending tasks of a job that may be tried now.
-func (n *Controller) pendingTasks(j *jobs.Job, most int, now time.Time) []int {
+func (sc *scheduler) pendingTasks(j *jobs.Job, most int, now time.Time) []int {
 	var out []int
 	for c := 0; c*j.Record.ChunkSize < j.Record.Tasks && len(out) < most; c++ {
 		tasks := j.Chunks[c] // nil: all pending
@@ -237,7 +269,7 @@
 			}
 			if errs := tasks[k].Failures; errs > 0 {
 				pause := min(tuning.RetryBase<<min(errs-1, 10), tuning.RetryCap)
-				if now.Sub(n.table.FailedAt[jobs.TaskID{Job: j.ID, Task: i}]) < pause {
+				if now.Sub(sc.table.FailedAt[jobs.TaskID{Job: j.ID, Task: i}]) < pause {
 					continue
 				}
 			}
--- a/internal/controller/planinput.go
+++ b/internal/controller/planinput.go
@@ -16,7 +16,7 @@
 
 // drainable finds the service machines, the emptiest first, whose tasks have
 // room elsewhere; only a few are looked at.
-func (n *Controller) drainable(f *placement.Fleet) map[string]bool {
+func (ld *leaderLoop) drainable(f *placement.Fleet) map[string]bool {
 	var list []*placement.Machine
 	for _, m := range f.Machines {
 		if m.Schedulable && m.Role == placement.Service && len(m.Tasks) > 0 {
@@ -34,8 +34,8 @@
 }
 
 // planInput builds the capacity plan's input; mu is held.
-func (n *Controller) planInput(l *leaderState, machines *placement.Fleet, now time.Time) autoscale.Input {
-	b := n.newPlanBuilder(l, machines, now)
+func (ld *leaderLoop) planInput(l *leaderState, machines *placement.Fleet, now time.Time) autoscale.Input {
+	b := ld.newPlanBuilder(l, machines, now)
 	l.lostWhileDraining = nil
 	for _, m := range machines.Machines {
 		b.addMachine(m)
@@ -45,8 +45,8 @@
 	b.addHeadroom()
 	b.addActiveRoles()
 	b.addUntried()
-	b.input.MaxGroups = n.groupWriteBudget()
-	b.input.Demands = append(b.input.Demands, n.tasksAtRisk(machines, b.sinceHeard, now)...)
+	b.input.MaxGroups = ld.groupWriteBudget()
+	b.input.Demands = append(b.input.Demands, ld.tasksAtRisk(machines, b.sinceHeard, now)...)
 	b.addUnmet()
 	return b.input
 }
@@ -54,7 +54,7 @@
 // planBuilder puts the input of one capacity plan together. It lives while mu
 // is held, and so do all of its methods run.
 type planBuilder struct {
-	controller      *Controller
+	leader          *leaderLoop
 	leaderState     *leaderState
 	now             time.Time
 	lease           time.Duration              // after which a machine's lease has ended for certain
@@ -65,19 +65,19 @@
 	input           autoscale.Input
 }
 
-func (n *Controller) newPlanBuilder(l *leaderState, machines *placement.Fleet, now time.Time) *planBuilder {
+func (ld *leaderLoop) newPlanBuilder(l *leaderState, machines *placement.Fleet, now time.Time) *planBuilder {
 	return &planBuilder{
-		controller:  n,
+		leader:      ld,
 		leaderState: l,
 		now:         now,
-		lease:       time.Duration(float64(n.settings.WorkerLease())*tuning.DriftFactor) + tuning.LeaseMargin,
-		sinceHeard:  n.lastHeardByOwners(now),
-		drainable:   n.drainable(machines),
+		lease:       time.Duration(float64(ld.settings.WorkerLease())*tuning.DriftFactor) + tuning.LeaseMargin,
+		sinceHeard:  ld.peers.lastHeardByOwners(now),
+		drainable:   ld.drainable(machines),
 		batch:       map[string]*batchClassLoad{},
 		input: autoscale.Input{
 			Now:             now,
-			Operator:        n.settings.Operator,
-			Types:           n.machineTypeList,
+			Operator:        ld.settings.Operator,
+			Types:           ld.machineTypeList,
 			NoCapacitySince: l.noCapacityAt,
 			SurplusSince:    l.surplusSince,
 		},
@@ -87,7 +87,7 @@
 // addMachine enters a machine that has a record: what its tasks hold, and itself
 // if it is neither drained nor given back.
 func (b *planBuilder) addMachine(m *placement.Machine) {
-	phase := b.controller.inventory.Machines[m.Name].Phase
+	phase := b.leader.inventory.Machines[m.Name].Phase
 	b.recordHeard(m)
 	unit := b.describeMachine(m, phase)
 	b.addClaimed(m)
@@ -124,7 +124,7 @@
 func (b *planBuilder) describeMachine(m *placement.Machine, phase inventory.Phase) autoscale.Machine {
 	_, wasUp := b.leaderState.lastHeard[m.Name]
 	quiet := b.silentFor(m.Name)
-	missing := time.Duration(tuning.MissingHeartbeats * float64(b.controller.settings.HeartbeatInterval()))
+	missing := time.Duration(tuning.MissingHeartbeats * float64(b.leader.settings.HeartbeatInterval()))
 	unit := autoscale.Machine{
 		Name:             m.Name,
 		Kind:             autoscale.MachineKind{MachineType: m.Type, Zone: m.Zone, Spot: m.Spot},
@@ -138,8 +138,8 @@
 		Free:             m.Free,
 		Silent:           wasUp && quiet > 2*b.lease,
 		Missing:          b.leaderState.missingLists[m.Name] >= tuning.MissingLists && wasUp && quiet > missing,
-		HeartbeatOverdue: wasUp && quiet > b.controller.silenceTimeout(),
-		Group:            b.controller.inventory.KeyOf(m.Name),
+		HeartbeatOverdue: wasUp && quiet > b.leader.silenceTimeout(),
+		Group:            b.leader.inventory.KeyOf(m.Name),
 	}
 	unit.Quarantined = b.quarantinedTooLong(m, phase, unit.Booting) || b.hasFailingTasks(m)
 	return unit
@@ -177,7 +177,7 @@
 // for instance because it does not hear: another takes its place. It notes when
 // that began.
 func (b *planBuilder) quarantinedTooLong(m *placement.Machine, phase inventory.Phase, booting bool) bool {
-	if m.Schedulable || booting || phase != inventory.Active || b.silentFor(m.Name) > b.controller.silenceTimeout() {
+	if m.Schedulable || booting || phase != inventory.Active || b.silentFor(m.Name) > b.leader.silenceTimeout() {
 		delete(b.leaderState.quarantinedSince, m.Name)
 		return false
 	}
@@ -191,18 +191,18 @@
 
 // hasFailingTasks reports whether too many tasks failed lately on a machine of this node.
 func (b *planBuilder) hasFailingTasks(m *placement.Machine) bool {
-	w := b.controller.workers[m.Name]
-	return m.Owner == b.controller.self.Label && w != nil && len(w.FailedJobs) >= tuning.MachineFailuresMax
+	w := b.leader.workers.byMachine[m.Name]
+	return m.Owner == b.leader.self.Label && w != nil && len(w.FailedJobs) >= tuning.MachineFailuresMax
 }
 
 // addScalingOut enters the machines that were hired and have no record yet.
 func (b *planBuilder) addScalingOut() {
 	for host, rented := range b.leaderState.scalingOut {
-		if _, known := b.controller.inventory.Machines[host]; known || b.now.Sub(rented.requestedAt) > time.Minute {
+		if _, known := b.leader.inventory.Machines[host]; known || b.now.Sub(rented.requestedAt) > time.Minute {
 			delete(b.leaderState.scalingOut, host)
 			continue
 		}
-		t := b.controller.machineTypes[rented.kind.MachineType]
+		t := b.leader.machineTypes[rented.kind.MachineType]
 		b.input.Machines = append(b.input.Machines, autoscale.Machine{
 			Name:    host,
 			Kind:    rented.kind,
@@ -215,14 +215,14 @@
 }
 
 // lastHeardByOwners is how long ago each machine was heard by its owner.
-func (n *Controller) lastHeardByOwners(now time.Time) map[string]time.Duration {
+func (px *peerExchange) lastHeardByOwners(now time.Time) map[string]time.Duration {
 	out := map[string]time.Duration{}
-	for host, w := range n.workers {
+	for host, w := range px.workers.byMachine {
 		if !w.LastHeard.IsZero() {
 			out[host] = now.Sub(w.LastHeard)
 		}
 	}
-	for _, s := range n.siblings {
+	for _, s := range px.siblings {
 		if s.machinesConfirmedAt.IsZero() || now.Sub(s.machinesConfirmedAt) > 5*tuning.PeerFresh {
 			continue
 		}
--- a/internal/controller/quota.go
+++ b/internal/controller/quota.go
@@ -36,44 +36,44 @@
 }
 
 // quotaView is what decisions about limits start from; mu is held.
-func (n *Controller) quotaView() quota.View {
+func (sc *scheduler) quotaView() quota.View {
 	return quota.View{
-		Self:         n.self.Label,
-		Leader:       n.membership.Leader.Label,
-		Nodes:        n.memberLabels,
-		FencingToken: n.membership.FencingToken,
-		Claimed:      n.claimedByNode(),
-		Revision:     n.cache.Revision(),
+		Self:         sc.self.Label,
+		Leader:       sc.membership.Leader.Label,
+		Nodes:        sc.memberLabels,
+		FencingToken: sc.membership.FencingToken,
+		Claimed:      sc.machineIndex.claimedByNode(),
+		Revision:     sc.cache.Revision(),
 	}
 }
 
 // claimedByNode is what the claims on each node's machines take; mu is held.
-func (n *Controller) claimedByNode() quota.ClaimedByNode {
-	for host := range n.machineIndex.changed {
-		n.sumClaims(host)
+func (mi *machineIndex) claimedByNode() quota.ClaimedByNode {
+	for host := range mi.changed {
+		mi.sumClaims(host)
 	}
-	return n.machineIndex.claimedByNode
+	return mi.claimedTotals
 }
 
 // allowances are what a pass may still give to each team; mu is held.
-func (n *Controller) allowances() map[string]*quota.Allowance {
-	view := n.quotaView()
-	scale := n.quota.Scale(n.totalCapacity, n.now())
+func (sc *scheduler) allowances() map[string]*quota.Allowance {
+	view := sc.quotaView()
+	scale := sc.quota.Scale(sc.totalCapacity, sc.now())
 	out := map[string]*quota.Allowance{}
-	for _, l := range n.quota.Ledgers() {
-		l.Forget(n.cache)
+	for _, l := range sc.quota.Ledgers() {
+		l.Forget(sc.cache)
 		name := l.Team().Name
-		out[name] = l.Allowance(view, n.table.ResourcesByTeam[name].Amount(), scale)
+		out[name] = l.Allowance(view, sc.table.ResourcesByTeam[name].Amount(), scale)
 	}
 	return out
 }
 
 // totalCapacity is what all machines that take tasks hold together; mu is held.
-func (n *Controller) totalCapacity() quota.Amount {
+func (sc *scheduler) totalCapacity() quota.Amount {
 	var sum quota.Amount
-	for _, r := range n.inventory.Machines {
+	for _, r := range sc.inventory.Machines {
 		if r.Phase == inventory.Active {
-			t := n.machineTypes[r.MachineType]
+			t := sc.machineTypes[r.MachineType]
 			sum = sum.Add(quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs})
 		}
 	}
@@ -84,28 +84,28 @@
 // for room that others' borrowed work is stopped for it. The team's wait is
 // stored, and so is the time since when the job could start, so all nodes come to
 // the same answer, also after a restart. mu is held.
-func (n *Controller) mayReclaim(j *jobs.Job, now time.Time) bool {
-	if at, ok := n.unplacedSince[j.ID]; ok && now.Sub(at) > tuning.GuaranteePreemptAfter {
+func (sc *scheduler) mayReclaim(j *jobs.Job, now time.Time) bool {
+	if at, ok := sc.unplacedSince[j.ID]; ok && now.Sub(at) > tuning.GuaranteePreemptAfter {
 		return true
 	}
-	return n.settings.Operator.QuotaReservations && n.quota.MayReclaim(j.Team, now) &&
+	return sc.settings.Operator.QuotaReservations && sc.quota.MayReclaim(j.Team, now) &&
 		now.UnixMilli()-j.ReadyAtMs > tuning.GuaranteePreemptAfter.Milliseconds()
 }
 
 // planReservations lets the leader store which teams wait for room within their
 // guarantees; mu is held.
-func (n *Controller) planReservations(short map[string]quota.Amount, now time.Time, most *float64) []*pendingWrite {
-	if !n.isLeader() || *most < 1 {
+func (sc *scheduler) planReservations(short map[string]quota.Amount, now time.Time, most *float64) []*pendingWrite {
+	if !sc.isLeader() || *most < 1 {
 		return nil
 	}
-	next := n.quota.Reserve(now, short)
+	next := sc.quota.Reserve(now, short)
 	if next == nil {
 		return nil
 	}
-	n.log.Info("reservations change", "teams", len(next.Teams))
+	sc.log.Info("reservations change", "teams", len(next.Teams))
 	*most--
-	t := n.newWrite("reserve")
-	t.compares[quota.ReservationsKey] = n.cache.Version(quota.ReservationsKey)
+	t := sc.newWrite("reserve")
+	t.compares[quota.ReservationsKey] = sc.cache.Version(quota.ReservationsKey)
 	t.put(quota.ReservationsKey, *next)
 	t.reservations = true
 	return []*pendingWrite{t}
@@ -114,21 +114,21 @@
 // admit adds to a write of claims the guard on the shares of the team's limit
 // and, for claims on others' machines, the change that hands their owners that
 // part of this node's share; false if the share does not cover it. mu is held.
-func (n *Controller) admit(t *pendingWrite, team string, amount quota.Amount, others map[string]quota.Amount) bool {
-	l := n.quota.Ledger(team)
+func (sc *scheduler) admit(t *pendingWrite, team string, amount quota.Amount, others map[string]quota.Amount) bool {
+	l := sc.quota.Ledger(team)
 	if l == nil {
 		return false
 	}
-	admission, err := l.Admit(n.quotaView(), amount, others)
+	admission, err := l.Admit(sc.quotaView(), amount, others)
 	if err != nil {
-		n.log.Debug("claims are not admitted", "team", team, "jobs", t.jobIDs, "err", err)
+		sc.log.Debug("claims are not admitted", "team", team, "jobs", t.jobIDs, "err", err)
 		return false
 	}
 	if admission == nil {
 		return true
 	}
 	key := jobs.TeamKey(team)
-	t.compares[key] = n.cache.Version(key)
+	t.compares[key] = sc.cache.Version(key)
 	t.admission = admission
 	if admission.Next != nil {
 		t.put(key, *admission.Next)
@@ -137,15 +137,15 @@
 }
 
 // resolveQuota tells the team's ledger what became of a write; mu is held.
-func (n *Controller) resolveQuota(t *pendingWrite, err error) {
+func (sc *scheduler) resolveQuota(t *pendingWrite, err error) {
 	if t.shares != nil {
-		n.quota.Ledger(t.shares.Team).ResolveWrite(t.shares, outcomeOf(err), t.compares)
+		sc.quota.Ledger(t.shares.Team).ResolveWrite(t.shares, outcomeOf(err), t.compares)
 	}
 	if t.reservations {
-		n.quota.ReservationsWritten()
+		sc.quota.ReservationsWritten()
 	}
 	if t.admission != nil {
-		n.quota.Ledger(t.admission.Team).ResolveAdmission(t.admission, outcomeOf(err), t.compares)
+		sc.quota.Ledger(t.admission.Team).ResolveAdmission(t.admission, outcomeOf(err), t.compares)
 	}
 }
 
@@ -162,20 +162,20 @@
 
 // planRebalances lets the leader share the teams' limits out; most is what the budget
 // of changes has room for. mu is held.
-func (n *Controller) planRebalances(now time.Time, most *float64) []*pendingWrite {
-	if !n.isLeader() {
+func (sc *scheduler) planRebalances(now time.Time, most *float64) []*pendingWrite {
+	if !sc.isLeader() {
 		return nil
 	}
 	var out []*pendingWrite
-	view := n.quotaView()
-	for _, l := range n.quota.Ledgers() {
+	view := sc.quotaView()
+	for _, l := range sc.quota.Ledgers() {
 		team := l.Team().Name
 		urgent := l.Phase(view.FencingToken) == quota.Unshared
-		w := l.Rebalance(now, view, n.pendingAmounts(team), *most >= 1)
+		w := l.Rebalance(now, view, sc.pendingAmounts(team), *most >= 1)
 		if w == nil {
 			continue
 		}
-		t := n.shareWrite(w)
+		t := sc.shareWrite(w)
 		if urgent {
 			t.class = store.ClassCancel // all claims wait for it
 		}
@@ -188,41 +188,41 @@
 // planTransfers gives what this node does not need of the teams' limits to the
 // leader, where that is short; teams are what the pass has left of each. mu is
 // held.
-func (n *Controller) planTransfers(teams map[string]*quota.Allowance, short map[string]quota.Amount, now time.Time, most *float64) []*pendingWrite {
-	if !n.settings.Operator.QuotaTransfers || n.isLeader() {
+func (sc *scheduler) planTransfers(teams map[string]*quota.Allowance, short map[string]quota.Amount, now time.Time, most *float64) []*pendingWrite {
+	if !sc.settings.Operator.QuotaTransfers || sc.isLeader() {
 		return nil
 	}
 	var out []*pendingWrite
-	view := n.quotaView()
+	view := sc.quotaView()
 	for team, lack := range short {
 		if *most < 1 {
 			break
 		}
-		w := n.quota.Ledger(team).Transfer(now, view, view.Leader, lack, teams[team].Left[view.Self])
+		w := sc.quota.Ledger(team).Transfer(now, view, view.Leader, lack, teams[team].Left[view.Self])
 		if w == nil {
 			continue
 		}
 		*most--
-		out = append(out, n.shareWrite(w))
+		out = append(out, sc.shareWrite(w))
 	}
 	return out
 }
 
 // shareWrite is the write of a team's shares; mu is held.
-func (n *Controller) shareWrite(w *quota.Write) *pendingWrite {
-	n.log.Info("team's shares change", "team", w.Team, "event", string(w.Event))
-	t := n.newWrite(string(w.Event))
+func (sc *scheduler) shareWrite(w *quota.Write) *pendingWrite {
+	sc.log.Info("team's shares change", "team", w.Team, "event", string(w.Event))
+	t := sc.newWrite(string(w.Event))
 	key := jobs.TeamKey(w.Team)
-	t.compares[key] = n.cache.Version(key)
+	t.compares[key] = sc.cache.Version(key)
 	t.put(key, w.Record)
 	t.shares = w
 	return t
 }
 
 // pendingAmounts is what each waiting job of a team takes; mu is held.
-func (n *Controller) pendingAmounts(team string) iter.Seq[quota.Amount] {
+func (sc *scheduler) pendingAmounts(team string) iter.Seq[quota.Amount] {
 	return func(yield func(quota.Amount) bool) {
-		for _, j := range n.table.Open {
+		for _, j := range sc.table.Open {
 			pending := j.Counts[jobs.Pending]
 			if j.Team != team || pending == 0 {
 				continue
@@ -235,9 +235,9 @@
 }
 
 // recordShortages notes which teams' work waits for other shares; mu is held.
-func (n *Controller) recordShortages(out placement.Output, now time.Time) {
-	for _, l := range n.quota.Ledgers() {
+func (sc *scheduler) recordShortages(out placement.Output, now time.Time) {
+	for _, l := range sc.quota.Ledgers() {
 		_, short := out.ShareShortfall[l.Team().Name]
-		l.RecordShortage(short, now, n.membership.FencingToken)
+		l.RecordShortage(short, now, sc.membership.FencingToken)
 	}
 }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -48,58 +48,58 @@
 	case key == membership.Key:
 		return n.applyMembership(v)
 	case key == typesKey:
-		return n.applyTypes(v)
+		return n.machineIndex.applyTypes(v)
 	}
 	return nil
 }
 
 // applyJob enters a job, and the version of the last cancellation.
-func (n *Controller) applyJob(jobID string, v wire.Raw, version uint64) error {
-	err := n.table.ApplyJob(jobID, v)
-	if j := n.table.Jobs[jobID]; err != nil || j != nil && j.Record.Phase == jobs.Cancelled {
-		n.lastCancellation = max(n.lastCancellation, version)
+func (cs *clusterState) applyJob(jobID string, v wire.Raw, version uint64) error {
+	err := cs.table.ApplyJob(jobID, v)
+	if j := cs.table.Jobs[jobID]; err != nil || j != nil && j.Record.Phase == jobs.Cancelled {
+		cs.lastCancellation = max(cs.lastCancellation, version)
 	}
 	return err
 }
 
 // applySession enters a node's session and what it says of its program.
-func (n *Controller) applySession(label string, v wire.Raw) error {
+func (cs *clusterState) applySession(label string, v wire.Raw) error {
 	if v == nil {
-		delete(n.sessions, label)
-		delete(n.storedSessions, label)
+		delete(cs.sessions, label)
+		delete(cs.storedSessions, label)
 		return nil
 	}
 	s, err := membership.DecodeSession(v)
 	if err != nil {
 		return err
 	}
-	n.sessions[label] = s.Node
-	n.storedSessions[label] = *s
+	cs.sessions[label] = s.Node
+	cs.storedSessions[label] = *s
 	return nil
 }
 
 // applyUnreachable enters whether a node says that it hears no worker.
-func (n *Controller) applyUnreachable(label string, v wire.Raw) {
+func (cs *clusterState) applyUnreachable(label string, v wire.Raw) {
 	if v == nil {
-		delete(n.unreachable, label)
+		delete(cs.unreachable, label)
 	} else {
-		n.unreachable[label] = true
+		cs.unreachable[label] = true
 	}
 }
 
 // applyLeader enters which node holds the lead; a record that can't be read leaves none.
-func (n *Controller) applyLeader(v wire.Raw) error {
-	n.leader = nil
+func (cs *clusterState) applyLeader(v wire.Raw) error {
+	cs.leader = nil
 	if v == nil {
 		return nil
 	}
 	m, err := membership.DecodeNode(v)
-	n.leader = m
+	cs.leader = m
 	return err
 }
 
 // applyTypes enters the machine types; without a record the known ones stay.
-func (n *Controller) applyTypes(v wire.Raw) error {
+func (mi *machineIndex) applyTypes(v wire.Raw) error {
 	if v == nil {
 		return nil
 	}
@@ -107,11 +107,11 @@
 	if err := wire.Unmarshal(v, &r); err != nil {
 		return err
 	}
-	n.machineTypeList = r.Types
-	n.machineIndex.rebuild = true
-	clear(n.machineTypes)
+	mi.machineTypeList = r.Types
+	mi.rebuild = true
+	clear(mi.machineTypes)
 	for _, t := range r.Types {
-		n.machineTypes[t.Label] = t
+		mi.machineTypes[t.Label] = t
 	}
 	return nil
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -17,58 +17,77 @@
 	"wheatspur/internal/worker"
 )
 
+// recoveryTracker follows how far this controller is in knowing its machines
+// after a start, and paces its starts meanwhile.
+type recoveryTracker struct {
+	*clusterState
+	workers *workerManager
+	peers   *peerExchange
+
+	progress *recovery.Progress
+	pacer    *recovery.Pacer // of starts while this controller recovers
+}
+
+func newRecoveryTracker(state *clusterState) *recoveryTracker {
+	return &recoveryTracker{
+		clusterState: state,
+		progress:     recovery.NewProgress(state.now()),
+		pacer:        recovery.NewPacer(float64(state.settings.Operator.RecoveryStarts), state.now()),
+	}
+}
+
 // advanceRecovery takes the node's recovery a step on. It looks at all of the node's
 // machines, and only until recovery is over; mu is held.
-func (n *Controller) advanceRecovery(now time.Time) {
-	r := n.recoveryProgress
+func (rt *recoveryTracker) advanceRecovery(now time.Time) {
+	r := rt.progress
 	if r.Done() {
 		return
 	}
-	if !n.isMember() {
-		n.recoveryEvent(recovery.Lost, now)
+	if !rt.isMember() {
+		rt.recoveryEvent(recovery.Lost, now)
 		return
 	}
-	n.recoveryEvent(recovery.Loaded, now)
-	machines, left := n.countMachines(now)
-	r.RecordCounts(machines, len(n.table.Open), left, now)
-	n.pacer.SetBacklog(r.PendingStarts)
+	rt.recoveryEvent(recovery.Loaded, now)
+	machines, left := rt.countMachines(now)
+	r.RecordCounts(machines, len(rt.table.Open), left, now)
+	rt.pacer.SetBacklog(r.PendingStarts)
 	if r.Machines.Accounted() {
-		n.recoveryEvent(recovery.Accounted, now)
+		rt.recoveryEvent(recovery.Accounted, now)
 	}
 	// Starts that can't be sent for a lease are none that a rate would help.
-	late := r.Phase == recovery.CatchingUp && now.Sub(r.Since) > n.settings.WorkerLease()
-	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietHeartbeats*float64(n.settings.HeartbeatInterval()))) {
-		n.recoveryEvent(recovery.CaughtUp, now)
+	late := r.Phase == recovery.CatchingUp && now.Sub(r.Since) > rt.settings.WorkerLease()
+	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietHeartbeats*float64(rt.settings.HeartbeatInterval()))) {
+		rt.recoveryEvent(recovery.CaughtUp, now)
 	}
 }
 
 // recoveryEvent enters an event and logs what it changes; mu is held.
-func (n *Controller) recoveryEvent(e recovery.Event, now time.Time) {
-	before, since := n.recoveryProgress.Phase, n.recoveryProgress.Since
-	if n.recoveryProgress.Apply(e, now) {
-		n.log.Info("recovery", "phase", string(n.recoveryProgress.Phase), "after", string(before), "took", now.Sub(since).Round(time.Millisecond),
-			"machines", len(n.inventory.Machines), "missing", n.recoveryProgress.Machines[recovery.Missing], "starts_left", n.recoveryProgress.PendingStarts.Total())
+func (rt *recoveryTracker) recoveryEvent(e recovery.Event, now time.Time) {
+	before, since := rt.progress.Phase, rt.progress.Since
+	if rt.progress.Apply(e, now) {
+		rt.log.Info("recovery", "phase", string(rt.progress.Phase), "after", string(before), "took", now.Sub(since).Round(time.Millisecond),
+			"machines", len(rt.inventory.Machines), "missing", rt.progress.Machines[recovery.Missing], "starts_left", rt.progress.PendingStarts.Total())
 	}
 }
 
 // countMachines counts this node's machines by what is known of them, and the
 // starts that are due on those that have been heard; mu is held.
-func (n *Controller) countMachines(now time.Time) (count recovery.Count, left recovery.Backlog) {
+func (rt *recoveryTracker) countMachines(now time.Time) (count recovery.Count, left recovery.Backlog) {
 	count = recovery.Count{}
-	waited := now.Sub(n.recoveryProgress.Began)
-	patience := time.Duration(tuning.RecoveryHeartbeats * float64(n.settings.HeartbeatInterval()))
-	for host, rec := range n.inventory.Machines {
-		if rec.Phase == inventory.Terminated || n.shardOwner(host) != n.self.Label {
+	waited := now.Sub(rt.progress.Began)
+	patience := time.Duration(tuning.RecoveryHeartbeats * float64(rt.settings.HeartbeatInterval()))
+	for host, rec := range rt.inventory.Machines {
+		if rec.Phase == inventory.Terminated || rt.shardOwner(host) != rt.self.Label {
 			continue
 		}
-		w := n.workers[host]
+		w := rt.workers.byMachine[host]
 		heard := w != nil && !w.LastHeard.IsZero()
 		state := recovery.StateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, patience)
 		count[state]++
 		if !heard {
 			continue
 		}
-		for id, j := range n.table.ClaimsByMachine[host] {
+		for id, j := range rt.table.ClaimsByMachine[host] {
 			t := j.Claims[id.Task]
 			if s, on := w.Tasks[id]; j.Phase == jobs.Open && t.Incarnation == w.Incarnation && (!on || s.Attempt < t.Attempt) {
 				left[startClass(j)]++
@@ -88,30 +107,30 @@
 
 // admitStart takes a start from this node's rate of starts while it recovers, if
 // operators have set one; mu is held.
-func (n *Controller) admitStart(j *jobs.Job) bool {
+func (rt *recoveryTracker) admitStart(j *jobs.Job) bool {
 	class := startClass(j)
 	switch {
-	case n.recoveryProgress.Done():
+	case rt.progress.Done():
 		return true
-	case n.recoveryProgress.Phase == recovery.Loading && class != recovery.ServiceStart && n.settings.Operator.RecoveryStarts > 0:
+	case rt.progress.Phase == recovery.Loading && class != recovery.ServiceStart && rt.settings.Operator.RecoveryStarts > 0:
 		return false // what is more urgent has not been counted yet
 	}
-	return n.pacer.Admit(class, n.now())
+	return rt.pacer.Admit(class, rt.now())
 }
 
 // machinesUnknown reports whether decisions that need a whole picture of the machines have
 // to wait: this node, or another member, does not know its machines yet. Guards
 // against work that is stopped, moved or rented for because free machines have
 // not reported yet. mu is held.
-func (n *Controller) machinesUnknown() bool {
-	if !n.settings.Operator.RecoveryHold {
+func (rt *recoveryTracker) machinesUnknown() bool {
+	if !rt.settings.Operator.RecoveryHold {
 		return false
 	}
-	if n.membership == nil || n.recoveryProgress.MachinesUnknown() {
+	if rt.membership == nil || rt.progress.MachinesUnknown() {
 		return true
 	}
-	for _, m := range n.membership.Nodes {
-		if s := n.siblings[m.Label]; s != nil && n.isFresh(s) && s.status.Incarnation == m.Incarnation && s.status.Recovering {
+	for _, m := range rt.membership.Nodes {
+		if s := rt.peers.siblings[m.Label]; s != nil && rt.peers.isFresh(s) && s.status.Incarnation == m.Incarnation && s.status.Recovering {
 			return true
 		}
 	}
@@ -119,11 +138,11 @@
 }
 
 // writeRecoveryStatus shows operators how far recovery is; mu is held.
-func (n *Controller) writeRecoveryStatus(b *strings.Builder) {
-	r := n.recoveryProgress
+func (ob *observer) writeRecoveryStatus(b *strings.Builder) {
+	r := ob.recovery.progress
 	fmt.Fprintf(b, "recovery %q for %.0f s machines unknown %d reported %d reconciled %d missing %d starts_left services %d arrays %d hold %v\n",
-		r.Phase, n.now().Sub(r.Since).Seconds(), r.Machines[recovery.Unknown], r.Machines[recovery.Reported], r.Machines[recovery.Reconciled],
-		r.Machines[recovery.Missing], r.PendingStarts[recovery.ServiceStart], r.PendingStarts[recovery.ArrayStart], n.machinesUnknown())
+		r.Phase, ob.now().Sub(r.Since).Seconds(), r.Machines[recovery.Unknown], r.Machines[recovery.Reported], r.Machines[recovery.Reconciled],
+		r.Machines[recovery.Missing], r.PendingStarts[recovery.ServiceStart], r.PendingStarts[recovery.ArrayStart], ob.recovery.machinesUnknown())
 }
 
 var (
@@ -133,8 +152,8 @@
 )
 
 // collectRecovery gathers the metrics of recovery; mu is held.
-func (n *Controller) collectRecovery(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
-	r := n.recoveryProgress
+func (ob *observer) collectRecovery(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
+	r := ob.recovery.progress
 	gauge(descRecoveryPhase, 1, string(r.Phase))
 	for _, state := range []recovery.MachineState{recovery.Unknown, recovery.Reported, recovery.Reconciled, recovery.Missing} {
 		gauge(descRecoveryMachines, float64(r.Machines[state]), string(state))
--- a/internal/controller/releases.go
+++ b/internal/controller/releases.go
@@ -16,8 +16,8 @@
 // take before claims: half. If that is less than one each, they take turns:
 // with passes that come often, a single change is due at a time, and ends took
 // every one. mu is held.
-func (n *Controller) earlyReleaseBudget(changes float64) float64 {
-	if changes < 2 && n.claimsDeferred {
+func (sc *scheduler) earlyReleaseBudget(changes float64) float64 {
+	if changes < 2 && sc.claimsDeferred {
 		return 0
 	}
 	return (changes + 1) / 2
@@ -43,21 +43,21 @@
 // dueReleases lists the ends of tasks on this node's machines that may be stored now,
 // by chunk; what matters most comes first. workers are those that may have any.
 // mu is held.
-func (n *Controller) dueReleases(workers map[string]*worker.Worker, now time.Time) []pendingRelease {
-	changes := n.provenEnds(workers, now)
-	for key := range n.releaseDueSince {
+func (sc *scheduler) dueReleases(workers map[string]*worker.Worker, now time.Time) []pendingRelease {
+	changes := sc.provenEnds(workers, now)
+	for key := range sc.releaseDueSince {
 		if changes[key] == nil {
-			delete(n.releaseDueSince, key)
+			delete(sc.releaseDueSince, key)
 		}
 	}
 	var out []pendingRelease
 	for key, c := range changes {
-		since, ok := n.releaseDueSince[key]
+		since, ok := sc.releaseDueSince[key]
 		if !ok {
 			since = now
-			n.releaseDueSince[key] = now
+			sc.releaseDueSince[key] = now
 		}
-		if priority, ok := n.releasePriority(c, changes, now.Sub(since)); ok {
+		if priority, ok := sc.releasePriority(c, changes, now.Sub(since)); ok {
 			out = append(out, pendingRelease{c, key, since, priority})
 		}
 	}
@@ -67,10 +67,10 @@
 
 // provenEnds collects the claims whose end is proven on this node's machines, by
 // chunk.
-func (n *Controller) provenEnds(workers map[string]*worker.Worker, now time.Time) map[string]*chunkChange {
+func (sc *scheduler) provenEnds(workers map[string]*worker.Worker, now time.Time) map[string]*chunkChange {
 	changes := map[string]*chunkChange{}
 	add := func(id jobs.TaskID, kind jobs.TaskEventKind) {
-		j := n.table.Jobs[id.Job]
+		j := sc.table.Jobs[id.Job]
 		chunk := id.Task / j.Record.ChunkSize
 		key := jobs.ChunkKey(id.Job, chunk)
 		if changes[key] == nil {
@@ -79,13 +79,13 @@
 		changes[key].events[id.Task] = jobs.TaskEvent{Kind: kind}
 	}
 	first := map[string]bool{} // jobs whose first node this is
-	for host := range n.machineIndex.terminated {
+	for host := range sc.machineIndex.terminated {
 		// The proof is stored, so any node may release: the job's first
 		// does, in one write for the machines of all owners.
-		for id := range n.table.ClaimsByMachine[host] {
+		for id := range sc.table.ClaimsByMachine[host] {
 			mine, ok := first[id.Job]
 			if !ok {
-				mine = n.membership.RankNodes(id.Job)[0] == n.self.Label
+				mine = sc.membership.RankNodes(id.Job)[0] == sc.self.Label
 				first[id.Job] = mine
 			}
 			if mine {
@@ -93,12 +93,12 @@
 			}
 		}
 	}
-	lease := n.settings.WorkerLease()
+	lease := sc.settings.WorkerLease()
 	for host, w := range workers {
-		if w.NothingToReconcile(now, lease) || n.shardOwner(host) != n.self.Label || n.inventory.Machines[host].Phase == inventory.Terminated {
+		if w.NothingToReconcile(now, lease) || sc.shardOwner(host) != sc.self.Label || sc.inventory.Machines[host].Phase == inventory.Terminated {
 			continue
 		}
-		for _, r := range w.ProvenEnds(n.table.ClaimsByMachine[host], now, lease) {
+		for _, r := range w.ProvenEnds(sc.table.ClaimsByMachine[host], now, lease) {
 			add(r.Task, r.Kind)
 		}
 	}
@@ -107,7 +107,7 @@
 
 // releasePriority says how urgent the ends of a chunk's tasks are that have waited
 // so long; false if they are gathered, or can't be stored, for now.
-func (n *Controller) releasePriority(c *chunkChange, changes map[string]*chunkChange, wait time.Duration) (releasePriority, bool) {
+func (sc *scheduler) releasePriority(c *chunkChange, changes map[string]*chunkChange, wait time.Duration) (releasePriority, bool) {
 	over, again := 0, false
 	for _, e := range c.events {
 		if e.Kind == jobs.Complete {
@@ -118,13 +118,13 @@
 	}
 	j := c.job
 	last := j.Counts[jobs.Completed]+over == j.Record.Tasks
-	if n.writesInFlight[j.ID] || n.now().Before(n.backoffUntil[j.ID]) || !last && len(c.events) < len(j.Claims) && wait < tuning.ReleaseGather {
+	if sc.writesInFlight[j.ID] || sc.now().Before(sc.backoffUntil[j.ID]) || !last && len(c.events) < len(j.Claims) && wait < tuning.ReleaseGather {
 		return releaseRoutine, false
 	}
 	switch {
 	case last:
 		return releaseJobEnd, true
-	case j.Service() || again || wait > tuning.ReleaseOverdue || n.lastOnThisNode(j, changes):
+	case j.Service() || again || wait > tuning.ReleaseOverdue || sc.lastOnThisNode(j, changes):
 		return releaseRestart, true
 	}
 	return releaseRoutine, true
@@ -149,12 +149,12 @@
 // this node's machines, and none waits: the node that stores the job's end
 // waits for these. Guards against jobs whose last end came 12 s late because
 // the ends on other nodes' machines were thought to free room only.
-func (n *Controller) lastOnThisNode(j *jobs.Job, due map[string]*chunkChange) bool {
+func (sc *scheduler) lastOnThisNode(j *jobs.Job, due map[string]*chunkChange) bool {
 	if j.Counts[jobs.Pending] > 0 {
 		return false
 	}
 	for i, t := range j.Claims {
-		if n.shardOwner(t.Machine) != n.self.Label {
+		if sc.shardOwner(t.Machine) != sc.self.Label {
 			continue
 		}
 		c := due[jobs.ChunkKey(j.ID, i/j.Record.ChunkSize)]
@@ -169,53 +169,53 @@
 }
 
 // planRelease adds the write of one chunk's ends, if the budget has room for it.
-func (n *Controller) planRelease(txns []*pendingWrite, d pendingRelease, most *float64) []*pendingWrite {
-	if *most < 1 || n.writesInFlight[d.job.ID] {
+func (sc *scheduler) planRelease(txns []*pendingWrite, d pendingRelease, most *float64) []*pendingWrite {
+	if *most < 1 || sc.writesInFlight[d.job.ID] {
 		return txns
 	}
 	tasks, ok := d.apply()
 	if !ok {
 		return txns
 	}
-	t := n.newWrite("release")
-	t.compares[d.key] = n.cache.Version(d.key)
-	t.compares[jobs.JobKey(d.job.ID)] = n.cache.Version(jobs.JobKey(d.job.ID))
-	n.putChunk(t, d.chunkChange, d.key, tasks)
+	t := sc.newWrite("release")
+	t.compares[d.key] = sc.cache.Version(d.key)
+	t.compares[jobs.JobKey(d.job.ID)] = sc.cache.Version(jobs.JobKey(d.job.ID))
+	sc.putChunk(t, d.chunkChange, d.key, tasks)
 	for id, e := range d.events {
 		t.logWhenStored("task released", "task", jobs.TaskID{Job: d.job.ID, Task: id}, "as", string(e.Kind), "host", d.job.Claims[id].Machine)
 	}
-	return n.addWrite(txns, t, d.job.ID, most)
+	return sc.addWrite(txns, t, d.job.ID, most)
 }
 
 // planFinishedJobs ends jobs whose chunks were completed by different owners; the
 // job's first node does it.
-func (n *Controller) planFinishedJobs(txns []*pendingWrite, most *float64) []*pendingWrite {
-	for jobID, j := range n.table.Open {
-		if *most < 1 || !j.AllDone() || n.writesInFlight[jobID] || n.membership.RankNodes(jobID)[0] != n.self.Label {
+func (sc *scheduler) planFinishedJobs(txns []*pendingWrite, most *float64) []*pendingWrite {
+	for jobID, j := range sc.table.Open {
+		if *most < 1 || !j.AllDone() || sc.writesInFlight[jobID] || sc.membership.RankNodes(jobID)[0] != sc.self.Label {
 			continue
 		}
-		t := n.newWrite("finish")
-		t.compares[jobs.JobKey(jobID)] = n.cache.Version(jobs.JobKey(jobID))
-		t.put(jobs.JobKey(jobID), finalRecord(j, jobs.JobCompleted, n.now()))
-		txns = n.addWrite(txns, t, jobID, most)
+		t := sc.newWrite("finish")
+		t.compares[jobs.JobKey(jobID)] = sc.cache.Version(jobs.JobKey(jobID))
+		t.put(jobs.JobKey(jobID), finalRecord(j, jobs.JobCompleted, sc.now()))
+		txns = sc.addWrite(txns, t, jobID, most)
 	}
-	for jobID, j := range n.table.Unrecorded {
+	for jobID, j := range sc.table.Unrecorded {
 		// It says nothing new: it lets intake records go, and tells old versions.
-		if *most < 2 || n.writesInFlight[jobID] || n.membership.RankNodes(jobID)[0] != n.self.Label {
+		if *most < 2 || sc.writesInFlight[jobID] || sc.membership.RankNodes(jobID)[0] != sc.self.Label {
 			continue
 		}
-		t := n.newWrite("cancelled with another")
-		t.compares[jobs.JobKey(jobID)] = n.cache.Version(jobs.JobKey(jobID))
-		t.put(jobs.JobKey(jobID), jobs.Record{Phase: j.Phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: n.now().UnixMilli(), CancelledWith: j.CancelledWith})
-		txns = n.addWrite(txns, t, jobID, most)
+		t := sc.newWrite("cancelled with another")
+		t.compares[jobs.JobKey(jobID)] = sc.cache.Version(jobs.JobKey(jobID))
+		t.put(jobs.JobKey(jobID), jobs.Record{Phase: j.Phase, AcceptedAtMs: j.Record.AcceptedAtMs, Tasks: j.Record.Tasks, ChunkSize: j.Record.ChunkSize, EndedAtMs: sc.now().UnixMilli(), CancelledWith: j.CancelledWith})
+		txns = sc.addWrite(txns, t, jobID, most)
 	}
-	for key := range n.table.JobsByIntake {
+	for key := range sc.table.JobsByIntake {
 		// Nothing needs it any more: guards against reading it for ever.
-		if *most >= 1 && !n.writesInFlight[key] && n.table.IntakeFinished(key) && n.membership.RankNodes(key)[0] == n.self.Label {
-			t := n.newWrite("intake over")
-			t.compares[key] = n.cache.Version(key)
+		if *most >= 1 && !sc.writesInFlight[key] && sc.table.IntakeFinished(key) && sc.membership.RankNodes(key)[0] == sc.self.Label {
+			t := sc.newWrite("intake over")
+			t.compares[key] = sc.cache.Version(key)
 			t.delete(key)
-			txns = n.addWrite(txns, t, key, most)
+			txns = sc.addWrite(txns, t, key, most)
 		}
 	}
 	return txns
--- a/internal/controller/rolemoves.go
+++ b/internal/controller/rolemoves.go
@@ -16,13 +16,13 @@
 
 // recordArrivals feeds the role controllers with service jobs that are new, and the
 // headroom with batch jobs; mu is held.
-func (n *Controller) recordArrivals(l *leaderState, now time.Time) {
-	for _, t := range n.machineTypeList {
+func (ld *leaderLoop) recordArrivals(l *leaderState, now time.Time) {
+	for _, t := range ld.machineTypeList {
 		if l.roleControllers[t.Label] == nil {
-			l.roleControllers[t.Label] = roles.New(n.settings.Operator, now)
+			l.roleControllers[t.Label] = roles.New(ld.settings.Operator, now)
 		}
 	}
-	for jobID, j := range n.table.Open {
+	for jobID, j := range ld.table.Open {
 		if l.seenJobs[jobID] {
 			continue
 		}
@@ -30,11 +30,11 @@
 		if !j.Service() {
 			l.recordBatchArrival(j, now)
 		} else if now.Sub(j.FirstSeen) <= tuning.RoleStep {
-			n.recordServiceArrival(l, j, now)
+			ld.recordServiceArrival(l, j, now)
 		}
 	}
 	for jobID := range l.seenJobs {
-		if n.table.Open[jobID] == nil {
+		if ld.table.Open[jobID] == nil {
 			delete(l.seenJobs, jobID)
 		}
 	}
@@ -54,8 +54,8 @@
 
 // recordServiceArrival tells the role controller of every type that a new service
 // job may use; mu is held.
-func (n *Controller) recordServiceArrival(l *leaderState, j *jobs.Job, now time.Time) {
-	for _, t := range n.machineTypeList {
+func (ld *leaderLoop) recordServiceArrival(l *leaderState, j *jobs.Job, now time.Time) {
+	for _, t := range ld.machineTypeList {
 		if !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
 			continue
 		}
@@ -65,17 +65,17 @@
 }
 
 // describeSplit describes one type's ordinary machines and demand; mu is held.
-func (n *Controller) describeSplit(t wire.MachineType, machines *placement.Fleet) roles.Split {
+func (ld *leaderLoop) describeSplit(t wire.MachineType, machines *placement.Fleet) roles.Split {
 	s := roles.Split{Type: t.Label, Complete: true}
-	for _, sib := range n.siblings {
-		if n.membership.Contains(membership.Node{Label: sib.settings.Label, Incarnation: sib.status.Incarnation}) && !n.isFresh(sib) {
+	for _, sib := range ld.peers.siblings {
+		if ld.membership.Contains(membership.Node{Label: sib.settings.Label, Incarnation: sib.status.Incarnation}) && !ld.peers.isFresh(sib) {
 			s.Complete = false
 		}
 	}
 	count := map[string]int{}    // machines that take tasks, by type
 	coming := []jobs.Resources{} // room on batch machines of the type that still boot
 	for _, m := range machines.Machines {
-		if n.inventory.Machines[m.Name].Phase != inventory.Active {
+		if ld.inventory.Machines[m.Name].Phase != inventory.Active {
 			continue
 		}
 		if !m.Schedulable && len(m.Tasks) == 0 {
@@ -113,8 +113,8 @@
 		}
 	}
 	tot := jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}
-	for jobID, k := range n.unplaced {
-		j := n.table.Jobs[jobID]
+	for jobID, k := range ld.scheduler.unplaced {
+		j := ld.table.Jobs[jobID]
 		if j == nil || j.Record.Spec == nil || !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
 			continue
 		}
@@ -146,16 +146,16 @@
 }
 
 // moveRoles evaluates every type's split and returns the moves; mu is held.
-func (n *Controller) moveRoles(l *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
+func (ld *leaderLoop) moveRoles(l *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var out []inventory.RecordChange
-	for _, t := range n.machineTypeList {
+	for _, t := range ld.machineTypeList {
 		c := l.roleControllers[t.Label]
 		if c == nil {
 			continue
 		}
 		var service, batch []*placement.Machine
 		for _, m := range machines.Machines {
-			if m.Type == t.Label && !m.Spot && n.inventory.Machines[m.Name].Phase == inventory.Active && (m.Schedulable || len(m.Tasks) > 0) {
+			if m.Type == t.Label && !m.Spot && ld.inventory.Machines[m.Name].Phase == inventory.Active && (m.Schedulable || len(m.Tasks) > 0) {
 				if m.Role == placement.Service {
 					service = append(service, m)
 				} else {
@@ -164,7 +164,7 @@
 			}
 		}
 		victim := roles.Victim(service)
-		d := c.Evaluate(now, n.describeSplit(t, machines), func() bool { return victim != nil && tasksFitElsewhere(machines, victim, false) })
+		d := c.Evaluate(now, ld.describeSplit(t, machines), func() bool { return victim != nil && tasksFitElsewhere(machines, victim, false) })
 		l.roleDecisions[t.Label] = d
 		var m *placement.Machine
 		role := placement.Batch
@@ -174,17 +174,17 @@
 		case roles.ToService:
 			m, role = roles.Emptiest(batch), placement.Service
 		}
-		n.log.Debug("roles evaluated", "type", t.Label, "batch", d.Batch, "service", d.Service, "batch_load", d.BatchLoad,
+		ld.log.Debug("roles evaluated", "type", t.Label, "batch", d.Batch, "service", d.Service, "batch_load", d.BatchLoad,
 			"service_load", d.ServiceLoad, "proposal", string(d.Proposal.Direction), "rule", string(d.Proposal.Rule),
 			"confirmations", d.Confirmations, "gate", string(d.Gate), "evidence_open", d.EvidenceOpen)
 		if m == nil {
 			continue
 		}
-		rec := n.inventory.Machines[m.Name]
+		rec := ld.inventory.Machines[m.Name]
 		moved := rec
 		moved.Role, moved.Reason = role, string(d.Proposal.Rule)
 		out = append(out, inventory.RecordChange{Machine: m.Name, Before: &rec, After: &moved})
-		n.log.Info("role move", "host", m.Name, "type", t.Label, "to", string(role), "rule", string(d.Proposal.Rule),
+		ld.log.Info("role move", "host", m.Name, "type", t.Label, "to", string(role), "rule", string(d.Proposal.Rule),
 			"batch_load", d.BatchLoad, "service_load", d.ServiceLoad)
 	}
 	return out
--- a/internal/controller/siblings.go
+++ b/internal/controller/siblings.go
@@ -35,22 +35,46 @@
 	version uint64 // of its last change
 }
 
-func (n *Controller) isFresh(s *sibling) bool {
-	return !s.receivedAt.IsZero() && n.now().Sub(s.receivedAt) < tuning.PeerFresh
+// peerExchange is what this controller and its siblings tell each other.
+type peerExchange struct {
+	*clusterState
+	workers      *workerManager
+	machineIndex *machineIndex
+	recovery     *recoveryTracker
+	leaderLoop   *leaderLoop
+
+	siblings          map[string]*sibling
+	publishedMachines map[string]*publishedMachine
+	publishedVersion  uint64    // number of the last change in publishedMachines
+	publishedAt       time.Time // when publishedMachines was last refreshed
+	attestedUntil     time.Time // up to when every cancellation is known here because all siblings attest it
+}
+
+func newPeerExchange(state *clusterState) *peerExchange {
+	px := &peerExchange{clusterState: state, siblings: map[string]*sibling{}, publishedMachines: map[string]*publishedMachine{}}
+	for _, s := range state.settings.Siblings {
+		px.siblings[s.Label] = &sibling{settings: s, client: peer.NewClient(s.Endpoint), machines: map[string]peer.MachineStatus{}}
+	}
+	return px
+}
+
+// isFresh reports whether a sibling's status is recent enough to be believed.
+func (px *peerExchange) isFresh(s *sibling) bool {
+	return !s.receivedAt.IsZero() && px.now().Sub(s.receivedAt) < tuning.PeerFresh
 }
 
 // runPeerExchange exchanges statuses with one sibling.
-func (n *Controller) runPeerExchange(ctx context.Context, s *sibling) error {
+func (px *peerExchange) runPeerExchange(ctx context.Context, s *sibling) error {
 	for ctx.Err() == nil {
-		n.mu.Lock()
-		own := n.ownStatus(peer.MachinesVersion{})
+		px.mu.Lock()
+		own := px.ownStatus(peer.MachinesVersion{})
 		own.Known = s.machinesVersion
-		n.mu.Unlock()
+		px.mu.Unlock()
 		own.Machines, own.AllMachines = nil, false // they come with the answer to the sibling's own
-		asked := n.now()
+		asked := px.now()
 		st, err := s.client.Exchange(own.Encode(), tuning.PeerTimeout)
 		if err == nil {
-			n.applyPeerStatus(st, asked)
+			px.applyPeerStatus(st, asked)
 		}
 		sleep(ctx, tuning.PeerEvery)
 	}
@@ -60,93 +84,93 @@
 // applyPeerStatus enters a sibling's status. If it answers one of ours, asked is when
 // that was sent, and the changes of its machines since the view that we have
 // come with it; else asked is zero.
-func (n *Controller) applyPeerStatus(st peer.Status, asked time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	s := n.siblings[st.Label]
+func (px *peerExchange) applyPeerStatus(st peer.Status, asked time.Time) {
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	s := px.siblings[st.Label]
 	if s == nil {
 		return
 	}
-	now := n.now()
+	now := px.now()
 	seen := peer.MachinesVersion{Number: st.MachinesVersion, FencingToken: st.FencingToken, Incarnation: st.Incarnation}
 	answer := !asked.IsZero()
 	if answer {
-		n.applyAttestation(s, st, asked, now)
+		px.applyAttestation(s, st, asked, now)
 	}
 	if answer && (st.AllMachines || seen.FencingToken == s.machinesVersion.FencingToken && seen.Incarnation == s.machinesVersion.Incarnation) {
-		n.applyPeerMachines(s, st, now)
+		px.applyPeerMachines(s, st, now)
 		s.machinesVersion, s.machinesConfirmedAt = seen, now
 	}
 	st.Machines = nil
 	s.status, s.receivedAt = st, now
-	if n.membership != nil && st.FencingToken > n.membership.FencingToken {
-		wake(n.membershipWake)
+	if px.membership != nil && st.FencingToken > px.membership.FencingToken {
+		wake(px.membershipWake)
 	}
 }
 
 // applyPeerMachines enters what has changed of a sibling's machines, or all of them
 // in place of those known before; mu is held.
-func (n *Controller) applyPeerMachines(s *sibling, st peer.Status, now time.Time) {
+func (px *peerExchange) applyPeerMachines(s *sibling, st peer.Status, now time.Time) {
 	if st.AllMachines {
 		for host := range s.machines {
-			n.machineIndex.markChanged(host)
+			px.machineIndex.markChanged(host)
 		}
 		clear(s.machines)
 	}
 	for _, h := range st.Machines {
-		n.machineIndex.markChanged(h.Name)
+		px.machineIndex.markChanged(h.Name)
 		s.machines[h.Name] = h
-		if h.Silent && n.leaderState.lastHeard != nil {
-			n.leaderState.recordHeard(h.Name, now.Add(-h.SinceHeard))
+		if h.Silent && px.leaderLoop.leaderState.lastHeard != nil {
+			px.leaderLoop.leaderState.recordHeard(h.Name, now.Add(-h.SinceHeard))
 		}
 	}
 }
 
 // applyAttestation enters what a sibling says of cancellations, and how far all of them
 // are known by it; mu is held.
-func (n *Controller) applyAttestation(s *sibling, st peer.Status, asked, now time.Time) {
+func (px *peerExchange) applyAttestation(s *sibling, st peer.Status, asked, now time.Time) {
 	if !st.ReportsCancellations || st.Incarnation == 0 {
 		s.attestation = membership.Attestation{}
 		return
 	}
 	s.attestation = s.attestation.Update(st.Incarnation, st.LastCancellation, asked, now)
-	all := make([]membership.Attestation, 0, len(n.siblings))
-	for _, o := range n.siblings {
+	all := make([]membership.Attestation, 0, len(px.siblings))
+	for _, o := range px.siblings {
 		all = append(all, o.attestation)
 	}
-	if at := membership.CancellationsKnownUntil(n.syncer.LastReadAt(), n.cache.Revision(), all); at.After(n.attestedUntil) {
-		n.attestedUntil = at
+	if at := membership.CancellationsKnownUntil(px.syncer.LastReadAt(), px.cache.Revision(), all); at.After(px.attestedUntil) {
+		px.attestedUntil = at
 	}
 }
 
 // cancellationsKnownUntil is the time up to which every cancellation that a user was told of
 // is in the cache; mu is held.
-func (n *Controller) cancellationsKnownUntil() time.Time {
-	if fresh := n.syncer.LastReadAt(); fresh.After(n.attestedUntil) {
+func (px *peerExchange) cancellationsKnownUntil() time.Time {
+	if fresh := px.syncer.LastReadAt(); fresh.After(px.attestedUntil) {
 		return fresh
 	}
-	return n.attestedUntil
+	return px.attestedUntil
 }
 
 // ownStatus is this node's status, with what has changed of its machines since
 // the view that a sibling has; mu is held.
-func (n *Controller) ownStatus(seen peer.MachinesVersion) peer.Status {
-	now := n.now()
-	st := peer.Status{Label: n.self.Label, Incarnation: n.self.Incarnation, Revision: n.cache.Revision(), HasStore: n.hasStore() && n.cache.Consistent()}
-	if n.membership != nil {
-		st.FencingToken = n.membership.FencingToken
-	}
-	if n.isMember() && now.Sub(n.publishedAt) >= tuning.MachineStatusEvery {
-		n.publishedAt = now
-		n.refreshPublished(now)
-	}
-	st.Recovering = n.recoveryProgress.MachinesUnknown()
-	st.ReportsCancellations, st.LastCancellation = n.cache.Consistent(), n.lastCancellation
-	st.QueuedChanges = uint32(math.Ceil(n.queuedWrites))
-	st.MachinesVersion = n.publishedVersion
-	st.AllMachines = seen.FencingToken != st.FencingToken || seen.Incarnation != st.Incarnation || seen.Number > n.publishedVersion
-	if n.isMember() {
-		for _, t := range n.publishedMachines {
+func (px *peerExchange) ownStatus(seen peer.MachinesVersion) peer.Status {
+	now := px.now()
+	st := peer.Status{Label: px.self.Label, Incarnation: px.self.Incarnation, Revision: px.cache.Revision(), HasStore: px.hasStore() && px.cache.Consistent()}
+	if px.membership != nil {
+		st.FencingToken = px.membership.FencingToken
+	}
+	if px.isMember() && now.Sub(px.publishedAt) >= tuning.MachineStatusEvery {
+		px.publishedAt = now
+		px.refreshPublished(now)
+	}
+	st.Recovering = px.recovery.progress.MachinesUnknown()
+	st.ReportsCancellations, st.LastCancellation = px.cache.Consistent(), px.lastCancellation
+	st.QueuedChanges = uint32(math.Ceil(px.queuedWrites))
+	st.MachinesVersion = px.publishedVersion
+	st.AllMachines = seen.FencingToken != st.FencingToken || seen.Incarnation != st.Incarnation || seen.Number > px.publishedVersion
+	if px.isMember() {
+		for _, t := range px.publishedMachines {
 			if st.AllMachines || t.version > seen.Number {
 				st.Machines = append(st.Machines, t.status)
 			}
@@ -156,42 +180,42 @@
 }
 
 // refreshPublished notes what has changed of this node's machines; mu is held.
-func (n *Controller) refreshPublished(now time.Time) {
-	silent := n.silenceTimeout()
-	for host, w := range n.unpublished(now) {
+func (px *peerExchange) refreshPublished(now time.Time) {
+	silent := px.silenceTimeout()
+	for host, w := range px.unpublished(now) {
 		if w.LastHeard.IsZero() {
 			continue
 		}
 		h := peer.MachineStatus{Name: host, Incarnation: w.Incarnation, Silent: now.Sub(w.LastHeard) > silent, TokenAcknowledged: w.State == worker.TokenAcknowledged,
-			TerminationNotice: -1, Quarantined: n.isQuarantined(w, now)}
+			TerminationNotice: -1, Quarantined: px.workers.isQuarantined(w, now)}
 		if !w.TerminationAt.IsZero() {
 			h.TerminationNotice = 0
 		}
-		t := n.publishedMachines[host]
+		t := px.publishedMachines[host]
 		if t == nil {
 			t = &publishedMachine{}
-			n.publishedMachines[host] = t
+			px.publishedMachines[host] = t
 		} else if o := t.status; o.Incarnation == h.Incarnation && o.Silent == h.Silent && o.TokenAcknowledged == h.TokenAcknowledged && o.TerminationNotice == h.TerminationNotice &&
 			o.Quarantined == h.Quarantined && slices.Equal(o.Images, w.Images) {
 			continue
 		}
 		h.SinceHeard = now.Sub(w.LastHeard)
 		h.Images = slices.Clone(w.Images)
-		n.publishedVersion++
-		t.status, t.version = h, n.publishedVersion
+		px.publishedVersion++
+		t.status, t.version = h, px.publishedVersion
 	}
 }
 
 // unpublished lists the workers whose machines may differ from what siblings are
 // told of them: those that something has changed for, and every so often all, for
 // those that have fallen silent; mu is held.
-func (n *Controller) unpublished(now time.Time) map[string]*worker.Worker {
-	v := &n.machineIndex
-	some := n.workers
+func (px *peerExchange) unpublished(now time.Time) map[string]*worker.Worker {
+	v := px.machineIndex
+	some := px.workers.byMachine
 	if now.Sub(v.fullPublishAt) < tuning.SweepEvery && !now.Before(v.fullPublishAt) {
 		some = make(map[string]*worker.Worker, len(v.unpublished))
 		for host := range v.unpublished {
-			if w := n.workers[host]; w != nil {
+			if w := px.workers.byMachine[host]; w != nil {
 				some[host] = w
 			}
 		}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -17,73 +17,83 @@
 // statusRows bounds the rows of a kind that the status page shows.
 const statusRows = 50
 
+// observer shows operators the state of a controller: the status page and the
+// metrics.
+type observer struct {
+	*clusterState
+	peers      *peerExchange
+	recovery   *recoveryTracker
+	scheduler  *scheduler
+	leaderLoop *leaderLoop
+}
+
 // serveStatus shows operators, as plain text, what this node knows: the
 // membership with the version of each node, the splits with the gate that
 // blocks each, the teams, and why jobs wait; with ?job=ID one job, with ?team=NAME
 // one team.
-func (n *Controller) serveStatus(c *fasthttp.RequestCtx) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (ob *observer) serveStatus(c *fasthttp.RequestCtx) {
+	ob.mu.Lock()
+	defer ob.mu.Unlock()
 	var b strings.Builder
 	c.SetContentType("text/plain; charset=utf-8")
 	if jobID := string(c.QueryArgs().Peek("job")); jobID != "" {
-		n.writeJobStatus(&b, jobID)
+		ob.writeJobStatus(&b, jobID)
 		c.SetBodyString(b.String())
 		return
 	}
 	if team := string(c.QueryArgs().Peek("team")); team != "" {
-		n.writeTeamStatus(&b, team)
+		ob.writeTeamStatus(&b, team)
 		c.SetBodyString(b.String())
 		return
 	}
-	fmt.Fprintf(&b, "node %s version %s session %s state_service %v\n", n.self.Label, tuning.Version, n.session, n.hasStore())
-	if at := n.cancellationsKnownUntil(); !at.IsZero() {
+	fmt.Fprintf(&b, "node %s version %s session %s state_service %v\n", ob.self.Label, tuning.Version, ob.session, ob.hasStore())
+	if at := ob.peers.cancellationsKnownUntil(); !at.IsZero() {
 		// What an outage is survived by: it stays short while all siblings attest.
-		fmt.Fprintf(&b, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", n.now().Sub(at).Seconds(), n.settings.RenewalBound().Seconds())
+		fmt.Fprintf(&b, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", ob.now().Sub(at).Seconds(), ob.settings.RenewalBound().Seconds())
 	}
-	if n.membership != nil {
-		fmt.Fprintf(&b, "membership token %d leader %s nodes", n.membership.FencingToken, n.membership.Leader.Label)
-		for _, m := range n.membership.Nodes {
+	if ob.membership != nil {
+		fmt.Fprintf(&b, "membership token %d leader %s nodes", ob.membership.FencingToken, ob.membership.Leader.Label)
+		for _, m := range ob.membership.Nodes {
 			fmt.Fprintf(&b, " %s", m.Label)
 		}
 		b.WriteByte('\n')
-		for _, m := range n.membership.Nodes {
-			s := n.storedSessions[m.Label]
+		for _, m := range ob.membership.Nodes {
+			s := ob.storedSessions[m.Label]
 			fmt.Fprintf(&b, "version %s %s form %d\n", m.Label, cmp.Or(s.ProgramVersion, "not told (0.1.0 or older)"), s.Format)
 		}
-		fmt.Fprintf(&b, "pipelines taken %v\n", n.dependenciesSupported())
+		fmt.Fprintf(&b, "pipelines taken %v\n", ob.dependenciesSupported())
 	}
-	fmt.Fprintf(&b, "state_limits write_rps %g value_kb %g txn_ops %d machine_groups_to_cut %d\n", n.limits.WriteRPS, n.limits.ValueKB, n.limits.TxnOps,
-		len(n.inventory.OversizeGroups(n.maxGroupBytes(), len(n.inventory.Machines))))
+	fmt.Fprintf(&b, "state_limits write_rps %g value_kb %g txn_ops %d machine_groups_to_cut %d\n", ob.limits.WriteRPS, ob.limits.ValueKB, ob.limits.TxnOps,
+		len(ob.inventory.OversizeGroups(ob.maxGroupBytes(), len(ob.inventory.Machines))))
 	pending := 0
-	for _, j := range n.table.Open {
+	for _, j := range ob.table.Open {
 		pending += j.Counts[jobs.Pending]
 	}
-	fmt.Fprintf(&b, "jobs open %d waiting_for_others %d tasks_pending %d\n", len(n.table.Open), len(n.table.Waiting), pending)
+	fmt.Fprintf(&b, "jobs open %d waiting_for_others %d tasks_pending %d\n", len(ob.table.Open), len(ob.table.Waiting), pending)
 	phases := map[inventory.Phase]int{}
-	for _, h := range n.inventory.Machines {
+	for _, h := range ob.inventory.Machines {
 		phases[h.Phase]++
 	}
 	fmt.Fprintf(&b, "machines in %d draining %d returned %d\n", phases[inventory.Active], phases[inventory.Draining], phases[inventory.Terminated])
-	if n.isMember() && n.isLeader() {
-		for _, t := range n.machineTypeList {
-			if d, ok := n.leaderState.roleDecisions[t.Label]; ok {
+	if ob.isMember() && ob.isLeader() {
+		for _, t := range ob.machineTypeList {
+			if d, ok := ob.leaderLoop.leaderState.roleDecisions[t.Label]; ok {
 				fmt.Fprintf(&b, "split %s batch %d service %d batch_load %.2f service_load %.2f demand_short %.4f demand_long %.4f evidence_open %v proposal %q rule %q confirmations %d gate %q\n",
 					d.Type, d.Batch, d.Service, d.BatchLoad, d.ServiceLoad, d.Short, d.Long, d.EvidenceOpen,
 					d.Proposal.Direction, d.Proposal.Rule, d.Confirmations, d.Gate)
 			}
 		}
 	}
-	n.writeRecoveryStatus(&b)
-	n.writeTeamsStatus(&b)
-	rows(&b, "waiting", n.unplaced, func(jobID string) string {
-		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, n.unplaced[jobID], n.pendingReasons[jobID])
+	ob.writeRecoveryStatus(&b)
+	ob.writeTeamsStatus(&b)
+	rows(&b, "waiting", ob.scheduler.unplaced, func(jobID string) string {
+		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, ob.scheduler.unplaced[jobID], ob.scheduler.pendingReasons[jobID])
 	})
-	rows(&b, "awaits", n.table.Waiting, func(jobID string) string {
-		return fmt.Sprintf("awaits %s: %s", jobID, strings.Join(n.table.Unfinished(n.table.Waiting[jobID]), " "))
+	rows(&b, "awaits", ob.table.Waiting, func(jobID string) string {
+		return fmt.Sprintf("awaits %s: %s", jobID, strings.Join(ob.table.Unfinished(ob.table.Waiting[jobID]), " "))
 	})
-	rows(&b, "cancelled with others", n.table.Unrecorded, func(jobID string) string {
-		return fmt.Sprintf("cancelled %s with %s", jobID, n.table.Unrecorded[jobID].CancelledWith)
+	rows(&b, "cancelled with others", ob.table.Unrecorded, func(jobID string) string {
+		return fmt.Sprintf("cancelled %s with %s", jobID, ob.table.Unrecorded[jobID].CancelledWith)
 	})
 	c.SetBodyString(b.String())
 }
@@ -101,8 +111,8 @@
 
 // writeJobStatus shows one job: why it waits, or with which job it was cancelled;
 // mu is held.
-func (n *Controller) writeJobStatus(b *strings.Builder, jobID string) {
-	j := n.table.Jobs[jobID]
+func (ob *observer) writeJobStatus(b *strings.Builder, jobID string) {
+	j := ob.table.Jobs[jobID]
 	if j == nil {
 		fmt.Fprintf(b, "job %s is not known here\n", jobID)
 		return
@@ -111,10 +121,10 @@
 		j.Counts[jobs.Pending], j.Counts[jobs.Claimed], j.Counts[jobs.Completed])
 	switch {
 	case j.Phase == jobs.Waiting:
-		fmt.Fprintf(b, "awaits %s\n", strings.Join(n.table.Unfinished(j), " "))
+		fmt.Fprintf(b, "awaits %s\n", strings.Join(ob.table.Unfinished(j), " "))
 	case j.Phase == jobs.Cancelled && j.CancelledWith != "":
 		fmt.Fprintf(b, "cancelled with %s\n", j.CancelledWith)
-	case n.unplaced[jobID] > 0:
-		fmt.Fprintf(b, "waiting tasks %d because %s\n", n.unplaced[jobID], n.pendingReasons[jobID])
+	case ob.scheduler.unplaced[jobID] > 0:
+		fmt.Fprintf(b, "waiting tasks %d because %s\n", ob.scheduler.unplaced[jobID], ob.scheduler.pendingReasons[jobID])
 	}
 }
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -32,7 +32,7 @@
 type loopTimes [loops]atomic.Int64
 
 // recordProgress notes that a loop goes round.
-func (n *Controller) recordProgress(l loop) { n.loopProgress[l].Store(n.now().UnixNano()) }
+func (cs *clusterState) recordProgress(l loop) { cs.loopProgress[l].Store(cs.now().UnixNano()) }
 
 // ErrStalled says that a loop of the node does not go round.
 var ErrStalled = errors.New("loop stalled")
@@ -55,7 +55,7 @@
 func (n *Controller) Ready() bool { return n.healthy() }
 
 // draining reports whether the node takes nothing new.
-func (n *Controller) draining() bool { return n.stopping.Load() }
+func (cs *clusterState) draining() bool { return cs.stopping.Load() }
 
 // ErrWritesInFlight says that writes were still under way when the time for a clean
 // stop was over.
@@ -97,5 +97,5 @@
 func (n *Controller) inFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.submissionSlots) + len(n.intake) + len(n.writesInFlight) + len(n.callSlots)
+	return len(n.api.submissionSlots) + len(n.api.intake) + len(n.scheduler.writesInFlight) + len(n.workers.callSlots)
 }
--- a/internal/controller/teamstatus.go
+++ b/internal/controller/teamstatus.go
@@ -14,23 +14,23 @@
 )
 
 // quotaSummaries describe all teams, in the order of the settings; mu is held.
-func (n *Controller) quotaSummaries() []*quota.Summary {
-	if n.membership == nil {
+func (ob *observer) quotaSummaries() []*quota.Summary {
+	if ob.membership == nil {
 		return nil
 	}
-	view := n.quotaView()
+	view := ob.scheduler.quotaView()
 	var out []*quota.Summary
-	for _, l := range n.quota.Ledgers() {
+	for _, l := range ob.quota.Ledgers() {
 		name := l.Team().Name
-		out = append(out, n.quota.Summary(view, name, n.table.ResourcesByTeam[name].Amount()))
+		out = append(out, ob.quota.Summary(view, name, ob.table.ResourcesByTeam[name].Amount()))
 	}
 	return out
 }
 
 // waitingAmount is what the pending tasks of a team's open jobs take; mu is held.
-func (n *Controller) waitingAmount(team string) quota.Amount {
+func (ob *observer) waitingAmount(team string) quota.Amount {
 	var sum quota.Amount
-	for amount := range n.pendingAmounts(team) {
+	for amount := range ob.scheduler.pendingAmounts(team) {
 		sum = sum.Add(amount)
 	}
 	return sum
@@ -40,15 +40,15 @@
 func amountText(a quota.Amount) string { return fmt.Sprintf("%.4g/%.4g", a.CPUs, a.GPUs) }
 
 // teamLine is a team's line of the status page; amounts are CPUs/GPUs. mu is held.
-func (n *Controller) teamLine(s *quota.Summary) string {
+func (ob *observer) teamLine(s *quota.Summary) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "team %s shares %q limit %s guarantee %s used %s borrowed %s waiting %s", s.Team.Name, s.Phase, amountText(s.Team.Limit),
-		amountText(s.Team.Guarantee), amountText(s.Used), amountText(s.Borrowed), amountText(n.waitingAmount(s.Team.Name)))
+		amountText(s.Team.Guarantee), amountText(s.Used), amountText(s.Borrowed), amountText(ob.waitingAmount(s.Team.Name)))
 	if !s.InFlight.IsZero() || !s.InDoubt.IsZero() {
 		fmt.Fprintf(&b, " in_flight %s in_doubt %s", amountText(s.InFlight), amountText(s.InDoubt))
 	}
 	if s.Reserved != nil {
-		since := n.now().Sub(time.UnixMilli(s.Reserved.Since))
+		since := ob.now().Sub(time.UnixMilli(s.Reserved.Since))
 		fmt.Fprintf(&b, " reserved %s for %.0f s", amountText(s.Reserved.Amount()), since.Seconds())
 	}
 	if s.Damage != nil {
@@ -59,23 +59,23 @@
 
 // writeTeamsStatus shows all teams, and whether their guarantees fit the fleet; mu is
 // held.
-func (n *Controller) writeTeamsStatus(b *strings.Builder) {
+func (ob *observer) writeTeamsStatus(b *strings.Builder) {
 	all := map[string]*quota.Summary{}
-	for _, s := range n.quotaSummaries() {
+	for _, s := range ob.quotaSummaries() {
 		all[s.Team.Name] = s
 	}
-	promised, fleet := n.quota.TotalGuarantees(), n.totalCapacity()
+	promised, fleet := ob.quota.TotalGuarantees(), ob.scheduler.totalCapacity()
 	fmt.Fprintf(b, "guarantees %s machines_hold %s fit %v\n", amountText(promised), amountText(fleet), promised.Sub(fleet).Max(quota.Amount{}).IsZero())
-	rows(b, "team", all, func(team string) string { return n.teamLine(all[team]) })
+	rows(b, "team", all, func(team string) string { return ob.teamLine(all[team]) })
 }
 
 // writeTeamStatus shows one team with the share of each node; mu is held.
-func (n *Controller) writeTeamStatus(b *strings.Builder, team string) {
-	for _, s := range n.quotaSummaries() {
+func (ob *observer) writeTeamStatus(b *strings.Builder, team string) {
+	for _, s := range ob.quotaSummaries() {
 		if s.Team.Name != team {
 			continue
 		}
-		fmt.Fprintln(b, n.teamLine(s))
+		fmt.Fprintln(b, ob.teamLine(s))
 		for _, share := range s.Shares {
 			fmt.Fprintf(b, "share %s of %s held %s\n", share.Node, amountText(share.Share), amountText(share.Claimed))
 		}
@@ -91,8 +91,8 @@
 )
 
 // collectTeams gathers the metrics of all teams; mu is held.
-func (n *Controller) collectTeams(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
-	for _, s := range n.quotaSummaries() {
+func (ob *observer) collectTeams(gauge func(d *prometheus.Desc, v float64, labels ...string)) {
+	for _, s := range ob.quotaSummaries() {
 		team := s.Team.Name
 		var reserved quota.Amount
 		if s.Reserved != nil {
@@ -100,7 +100,7 @@
 		}
 		for kind, amount := range map[string]quota.Amount{
 			"limit": s.Team.Limit, "guarantee": s.Team.Guarantee, "used": s.Used, "borrowed": s.Borrowed, "reserved": reserved,
-			"in_flight": s.InFlight, "in_doubt": s.InDoubt, "waiting": n.waitingAmount(team),
+			"in_flight": s.InFlight, "in_doubt": s.InDoubt, "waiting": ob.waitingAmount(team),
 		} {
 			gauge(descTeam, amount.CPUs, team, "cpus", kind)
 			gauge(descTeam, amount.GPUs, team, "gpus", kind)
--- a/internal/controller/txn.go
+++ b/internal/controller/txn.go
@@ -33,13 +33,13 @@
 	t.logLines = append(t.logLines, append([]any{msg}, args...))
 }
 
-func (n *Controller) newWrite(what string) *pendingWrite {
-	return &pendingWrite{class: store.ClassClaim, kind: what, compares: map[string]uint64{membership.Key: n.cache.Version(membership.Key)}}
+func (sc *scheduler) newWrite(what string) *pendingWrite {
+	return &pendingWrite{class: store.ClassClaim, kind: what, compares: map[string]uint64{membership.Key: sc.cache.Version(membership.Key)}}
 }
 
 // fits reports whether n more changes of the given size fit.
-func (n *Controller) fits(t *pendingWrite, changes, bytes, guards int) bool {
-	ops := n.limits.TxnOps
+func (sc *scheduler) fits(t *pendingWrite, changes, bytes, guards int) bool {
+	ops := sc.limits.TxnOps
 	return len(t.operations)+changes <= ops && t.bytes+bytes <= tuning.TransactionBytes && len(t.compares)+guards <= 4*ops
 }
 
@@ -55,51 +55,51 @@
 }
 
 // addWrite adds a write about a job, and marks it as under way.
-func (n *Controller) addWrite(txns []*pendingWrite, t *pendingWrite, jobID string, most *float64) []*pendingWrite {
+func (sc *scheduler) addWrite(txns []*pendingWrite, t *pendingWrite, jobID string, most *float64) []*pendingWrite {
 	t.jobIDs = append(t.jobIDs, jobID)
-	n.writesInFlight[jobID] = true
+	sc.writesInFlight[jobID] = true
 	*most -= float64(len(t.operations))
 	return append(txns, t)
 }
 
 // commit runs one transaction and enters its outcome.
-func (n *Controller) commit(ctx context.Context, t *pendingWrite) {
+func (sc *scheduler) commit(ctx context.Context, t *pendingWrite) {
 	guards := make([]wire.Compare, 0, len(t.compares))
 	for k, s := range t.compares {
 		guards = append(guards, wire.Compare{Key: k, Version: s})
 	}
 	sort.Slice(guards, func(a, b int) bool { return guards[a].Key < guards[b].Key })
 	cctx, stop := context.WithTimeout(ctx, tuning.DecisionWait)
-	revision, err := n.store.CompareAndSwap(cctx, t.class, guards, t.operations)
+	revision, err := sc.store.CompareAndSwap(cctx, t.class, guards, t.operations)
 	stop()
 	if err != nil {
-		n.log.Debug("write failed", "what", t.kind, "jobs", t.jobIDs, "err", err)
+		sc.log.Debug("write failed", "what", t.kind, "jobs", t.jobIDs, "err", err)
 		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
 			// What is stored now decides; read it before the next try.
-			_ = n.syncer.ReadBarrier(tuning.BarrierWait)
+			_ = sc.syncer.ReadBarrier(tuning.BarrierWait)
 		}
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.metrics.countWrite(t.kind, err)
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.metrics.countWrite(t.kind, err)
 	if err == nil {
-		n.cache.ApplyOwnWrite(t.operations, revision)
+		sc.cache.ApplyOwnWrite(t.operations, revision)
 		for _, l := range t.logLines {
-			n.log.Debug(l[0].(string), l[1:]...)
+			sc.log.Debug(l[0].(string), l[1:]...)
 		}
 	}
-	n.resolveQuota(t, err)
+	sc.resolveQuota(t, err)
 	for _, jobID := range t.jobIDs {
-		delete(n.writesInFlight, jobID)
+		delete(sc.writesInFlight, jobID)
 		if errors.Is(err, store.ErrMalformed) {
 			// It would be refused again: guards against a write every pass.
-			n.backoffUntil[jobID] = n.now().Add(tuning.RetryCap)
-			n.log.Error("write refused as malformed", "what", t.kind, "job", jobID, "err", err)
+			sc.backoffUntil[jobID] = sc.now().Add(tuning.RetryCap)
+			sc.log.Error("write refused as malformed", "what", t.kind, "job", jobID, "err", err)
 		} else if err != nil {
-			n.backoffUntil[jobID] = n.now().Add(jitter(tuning.ConflictPause))
+			sc.backoffUntil[jobID] = sc.now().Add(jitter(tuning.ConflictPause))
 		} else {
-			delete(n.backoffUntil, jobID)
+			delete(sc.backoffUntil, jobID)
 		}
 	}
-	wake(n.passWake)
+	wake(sc.passWake)
 }
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strconv"
 	"strings"
+	"sync/atomic"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -18,6 +19,25 @@
 	"wheatspur/wire"
 )
 
+// userAPI answers users: submissions, polls and cancellations.
+type userAPI struct {
+	*clusterState
+	peers *peerExchange
+
+	submissionSlots chan struct{}    // bounds submissions under way
+	intake          chan *submission // submissions that wait for their durable write
+	intakeCounter   atomic.Uint64    // counts intake records
+}
+
+func newUserAPI(state *clusterState, peers *peerExchange) *userAPI {
+	return &userAPI{
+		clusterState:    state,
+		peers:           peers,
+		submissionSlots: make(chan struct{}, state.settings.Operator.IntakeQueue),
+		intake:          make(chan *submission, state.settings.Operator.IntakeQueue),
+	}
+}
+
 func respond(c *fasthttp.RequestCtx, status int, body any) {
 	c.SetStatusCode(status)
 	c.SetContentType(wire.ContentType)
@@ -31,8 +51,8 @@
 }
 
 // replyRetry refuses at once what can't be taken now and says when to come back.
-func (n *Controller) replyRetry(c *fasthttp.RequestCtx, status int, why string) {
-	c.Response.Header.Set("Retry-After", strconv.Itoa(n.settings.Operator.RetryAfterSecond))
+func (api *userAPI) replyRetry(c *fasthttp.RequestCtx, status int, why string) {
+	c.Response.Header.Set("Retry-After", strconv.Itoa(api.settings.Operator.RetryAfterSecond))
 	respondError(c, status, why)
 }
 
@@ -74,7 +94,7 @@
 		return "other"
 	}
 	if n.draining() && method == "POST" && path != "/checkin" {
-		n.replyRetry(c, 503, "this node is stopping")
+		n.api.replyRetry(c, 503, "this node is stopping")
 		return "stopping"
 	}
 	switch path {
@@ -82,20 +102,20 @@
 		if n.healthy() {
 			respond(c, 200, nil)
 		} else {
-			n.replyRetry(c, 503, "not ready")
+			n.api.replyRetry(c, 503, "not ready")
 		}
 	case "/status":
-		n.serveStatus(c)
+		n.observer.serveStatus(c)
 	case "/metrics":
-		n.serveMetrics(c)
+		n.observer.serveMetrics(c)
 	case "/checkin":
-		n.handleHeartbeat(c)
+		n.workers.handleHeartbeat(c)
 		return "report"
 	case "/work":
-		n.serveWork(c, path)
+		n.api.serveWork(c, path)
 		return "submission"
 	default:
-		n.serveWork(c, path)
+		n.api.serveWork(c, path)
 		if want == "POST" {
 			return "cancellation"
 		}
@@ -106,52 +126,52 @@
 
 // serveWork serves a user's request here, or passes it on to a sibling that
 // reads the state service while this node does not.
-func (n *Controller) serveWork(c *fasthttp.RequestCtx, path string) {
-	if !n.hasStore() && n.forward(c) {
+func (api *userAPI) serveWork(c *fasthttp.RequestCtx, path string) {
+	if !api.hasStore() && api.forward(c) {
 		return
 	}
-	n.serveLocally(c, path)
-	if c.Response.StatusCode() == 503 && n.storeSeemsLost() && !n.forward(c) {
+	api.serveLocally(c, path)
+	if c.Response.StatusCode() == 503 && api.storeSeemsLost() && !api.forward(c) {
 		// A new connection may reach a node that can serve it.
 		c.SetConnectionClose()
 	}
 }
 
-func (n *Controller) serveLocally(c *fasthttp.RequestCtx, path string) {
+func (api *userAPI) serveLocally(c *fasthttp.RequestCtx, path string) {
 	if path == "/work" {
-		n.submitJob(c)
+		api.submitJob(c)
 		return
 	}
 	jobID := strings.TrimPrefix(path, "/work/")
 	if id, ok := strings.CutSuffix(jobID, "/cancel"); ok {
-		n.cancelJob(c, id)
+		api.cancelJob(c, id)
 	} else {
-		n.getJob(c, jobID)
+		api.getJob(c, jobID)
 	}
 }
 
 // storeSeemsLost reports whether this node seems to have lost the state service.
-func (n *Controller) storeSeemsLost() bool {
-	return n.now().Sub(n.syncer.LastReadAt()) > 2*tuning.WatchHold
+func (api *userAPI) storeSeemsLost() bool {
+	return api.now().Sub(api.syncer.LastReadAt()) > 2*tuning.WatchHold
 }
 
 // forward passes a user's request on to a sibling that has the state service;
 // false if there is none or it does not answer.
-func (n *Controller) forward(c *fasthttp.RequestCtx) bool {
-	n.mu.Lock()
+func (api *userAPI) forward(c *fasthttp.RequestCtx) bool {
+	api.mu.Lock()
 	var to *sibling
-	for _, s := range n.siblings {
-		if n.isFresh(s) && s.status.HasStore && (to == nil || s.settings.Label < to.settings.Label) {
+	for _, s := range api.peers.siblings {
+		if api.peers.isFresh(s) && s.status.HasStore && (to == nil || s.settings.Label < to.settings.Label) {
 			to = s
 		}
 	}
-	n.mu.Unlock()
+	api.mu.Unlock()
 	if to == nil {
 		return false
 	}
 	r, err := to.client.Forward(peer.ForwardRequest{Method: string(c.Method()), Path: string(c.Path()), Body: c.PostBody()}, tuning.ForwardTimeout)
 	if err != nil {
-		n.log.Debug("request not passed on", "to", to.settings.Label, "err", err)
+		api.log.Debug("request not passed on", "to", to.settings.Label, "err", err)
 		return false
 	}
 	c.Response.Reset()
@@ -165,7 +185,7 @@
 }
 
 // serveForwarded serves a request that a sibling passed on; it goes no further.
-func (n *Controller) serveForwarded(c *fasthttp.RequestCtx) {
+func (api *userAPI) serveForwarded(c *fasthttp.RequestCtx) {
 	r, err := peer.DecodeForwardRequest(c.PostBody())
 	if err != nil || r.Path != "/work" && !strings.HasPrefix(r.Path, "/work/") {
 		respondError(c, 400, "malformed request")
@@ -175,7 +195,7 @@
 	inner.Request.Header.SetMethod(r.Method)
 	inner.Request.SetRequestURI(r.Path)
 	inner.Request.SetBody(r.Body)
-	n.serveLocally(&inner, r.Path)
+	api.serveLocally(&inner, r.Path)
 	out := peer.ForwardResponse{Status: inner.Response.StatusCode(), Body: inner.Response.Body(),
 		RetryAfter: string(inner.Response.Header.Peek("Retry-After"))}
 	c.SetBody(out.Encode())
@@ -183,7 +203,7 @@
 
 func (n *Controller) servePeer(c *fasthttp.RequestCtx) {
 	if c.IsPost() && string(c.Path()) == peer.ForwardPath {
-		n.serveForwarded(c)
+		n.api.serveForwarded(c)
 		return
 	}
 	if string(c.Path()) != peer.StatusPath || !c.IsPost() {
@@ -195,19 +215,19 @@
 		respondError(c, 400, "malformed status")
 		return
 	}
-	n.applyPeerStatus(st, time.Time{})
+	n.peers.applyPeerStatus(st, time.Time{})
 	n.mu.Lock()
-	own := n.ownStatus(st.Known)
+	own := n.peers.ownStatus(st.Known)
 	n.mu.Unlock()
 	c.SetBody(own.Encode())
 }
 
 // lookupJob returns a job's status if it is known; final tells that it can't
 // change any more and needs no barrier.
-func (n *Controller) lookupJob(jobID string) (st wire.JobStatus, known, final bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	j := n.table.Jobs[jobID]
+func (api *userAPI) lookupJob(jobID string) (st wire.JobStatus, known, final bool) {
+	api.mu.Lock()
+	defer api.mu.Unlock()
+	j := api.table.Jobs[jobID]
 	if j == nil {
 		return st, false, false
 	}
@@ -215,35 +235,35 @@
 }
 
 // readJob returns a job's status as of now or later, behind a read barrier.
-func (n *Controller) readJob(jobID string) (st wire.JobStatus, known bool, err error) {
-	if st, known, final := n.lookupJob(jobID); final {
+func (api *userAPI) readJob(jobID string) (st wire.JobStatus, known bool, err error) {
+	if st, known, final := api.lookupJob(jobID); final {
 		return st, known, nil
 	}
-	if !n.hasStore() {
+	if !api.hasStore() {
 		return st, false, store.ErrRejected // answered at once: a read would not come back
 	}
-	if err := n.syncer.ReadBarrier(tuning.BarrierWait); err != nil {
+	if err := api.syncer.ReadBarrier(tuning.BarrierWait); err != nil {
 		return st, false, err
 	}
-	n.mu.Lock()
-	settled := n.cache.Consistent()
-	n.mu.Unlock()
+	api.mu.Lock()
+	settled := api.cache.Consistent()
+	api.mu.Unlock()
 	if !settled {
 		return st, false, store.ErrRejected
 	}
-	st, known, _ = n.lookupJob(jobID)
+	st, known, _ = api.lookupJob(jobID)
 	return st, known, nil
 }
 
-func (n *Controller) getJob(c *fasthttp.RequestCtx, jobID string) {
+func (api *userAPI) getJob(c *fasthttp.RequestCtx, jobID string) {
 	if !wire.ValidJobID(jobID) {
 		respondError(c, 404, "no such job")
 		return
 	}
-	st, known, err := n.readJob(jobID)
+	st, known, err := api.readJob(jobID)
 	switch {
 	case err != nil:
-		n.replyRetry(c, 503, "the state service can't be read")
+		api.replyRetry(c, 503, "the state service can't be read")
 	case !known:
 		respondError(c, 404, "no such job")
 	default:
@@ -262,103 +282,103 @@
 	return p.ID
 }
 
-func (n *Controller) submitJob(c *fasthttp.RequestCtx) {
+func (api *userAPI) submitJob(c *fasthttp.RequestCtx) {
 	body := c.PostBody()
 	jobID := peekJobID(body)
 	if jobID != "" {
 		// A known job is answered before any check.
-		if _, known, _ := n.lookupJob(jobID); known {
-			n.replyKnownJob(c, jobID)
+		if _, known, _ := api.lookupJob(jobID); known {
+			api.replyKnownJob(c, jobID)
 			return
 		}
 	}
 	w, err := wire.DecodeJobSpec(body)
 	status := 400
-	if err == nil && jobs.IntakeBytes(&w) > n.maxGroupBytes() {
+	if err == nil && jobs.IntakeBytes(&w) > api.maxGroupBytes() {
 		status, err = 422, errors.New("the job's description is larger than the state service can hold")
 	}
 	if err == nil {
-		n.mu.Lock()
-		types := n.machineTypeList
-		n.mu.Unlock()
+		api.mu.Lock()
+		types := api.machineTypeList
+		api.mu.Unlock()
 		if len(types) == 0 {
-			n.replyRetry(c, 503, "machine types are not known yet")
+			api.replyRetry(c, 503, "machine types are not known yet")
 			return
 		}
-		team, ok := n.settings.Team(w.Team)
+		team, ok := api.settings.Team(w.Team)
 		status = 422
 		err = jobs.Validate(&w, jobs.TeamLimits{CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}, ok, types,
-			jobs.ChunkSize(n.limits.ValueKB))
+			jobs.ChunkSize(api.limits.ValueKB))
 	}
 	if err != nil {
 		if jobID != "" {
 			// Another node may have accepted the id; an accepted job is never
 			// answered by 400 or 422.
-			if _, known, ferr := n.readJob(jobID); ferr != nil {
-				n.replyRetry(c, 503, "the state service can't be read")
+			if _, known, ferr := api.readJob(jobID); ferr != nil {
+				api.replyRetry(c, 503, "the state service can't be read")
 				return
 			} else if known {
-				n.replyKnownJob(c, jobID)
+				api.replyKnownJob(c, jobID)
 				return
 			}
 		}
 		respondError(c, status, err.Error())
 		return
 	}
-	if !n.hasStore() {
-		n.replyRetry(c, 503, "the state service can't be reached")
+	if !api.hasStore() {
+		api.replyRetry(c, 503, "the state service can't be reached")
 		return
 	}
 	phase := jobs.Open
 	if len(w.DependsOn) > 0 {
 		var answered bool
-		if phase, answered = n.admitDependencies(c, &w); answered {
+		if phase, answered = api.admitDependencies(c, &w); answered {
 			return
 		}
 	}
 	select {
-	case n.submissionSlots <- struct{}{}:
-		defer func() { <-n.submissionSlots }()
+	case api.submissionSlots <- struct{}{}:
+		defer func() { <-api.submissionSlots }()
 	default:
-		n.replyRetry(c, 429, "too many submissions under way")
+		api.replyRetry(c, 429, "too many submissions under way")
 		return
 	}
-	n.storeSubmission(c, &w, phase)
+	api.storeSubmission(c, &w, phase)
 }
 
 // admitDependencies decides whether a submission may depend on the jobs that it names, and
 // the phase in which it is stored. What it can't take is answered here.
-func (n *Controller) admitDependencies(c *fasthttp.RequestCtx, w *wire.JobSpec) (phase jobs.Phase, answered bool) {
+func (api *userAPI) admitDependencies(c *fasthttp.RequestCtx, w *wire.JobSpec) (phase jobs.Phase, answered bool) {
 	slices.Sort(w.DependsOn)
 	w.DependsOn = slices.Compact(w.DependsOn)
 	// Whether they were accepted is known behind a read that was sent now;
 	// it also tells whether another node has taken this one.
-	if _, known, err := n.readJob(w.ID); err != nil {
-		n.replyRetry(c, 503, "the state service can't be read")
+	if _, known, err := api.readJob(w.ID); err != nil {
+		api.replyRetry(c, 503, "the state service can't be read")
 		return "", true
 	} else if known {
-		n.replyKnownJob(c, w.ID)
+		api.replyKnownJob(c, w.ID)
 		return "", true
 	}
-	n.mu.Lock()
-	all := n.dependenciesSupported()
+	api.mu.Lock()
+	all := api.dependenciesSupported()
 	done := true
 	err := jobs.ValidateDependencies(w, func(jobID string) (known, service bool) {
-		j := n.table.Jobs[jobID]
+		j := api.table.Jobs[jobID]
 		if j == nil {
 			return false, false
 		}
 		done = done && j.Phase == jobs.Done
 		return true, j.Service()
 	})
-	n.mu.Unlock()
+	api.mu.Unlock()
 	switch {
 	case err != nil:
 		respondError(c, 422, err.Error())
 	case !all:
 		// Guards against a node of an older version that holds the job for one
 		// that may start.
-		n.replyRetry(c, 503, "not every node takes jobs that await others yet")
+		api.replyRetry(c, 503, "not every node takes jobs that await others yet")
 	case done:
 		return jobs.Open, false
 	default:
@@ -367,16 +387,16 @@
 	return "", true
 }
 
-func (n *Controller) replyKnownJob(c *fasthttp.RequestCtx, jobID string) {
-	st, known, err := n.readJob(jobID)
+func (api *userAPI) replyKnownJob(c *fasthttp.RequestCtx, jobID string) {
+	st, known, err := api.readJob(jobID)
 	if err != nil || !known {
-		n.replyRetry(c, 503, "the state service can't be read")
+		api.replyRetry(c, 503, "the state service can't be read")
 		return
 	}
 	respond(c, 200, st)
 }
 
-func (n *Controller) cancelJob(c *fasthttp.RequestCtx, jobID string) {
+func (api *userAPI) cancelJob(c *fasthttp.RequestCtx, jobID string) {
 	if !wire.ValidJobID(jobID) {
 		respondError(c, 404, "no such job")
 		return
@@ -384,13 +404,13 @@
 	ctx, stop := context.WithTimeout(context.Background(), tuning.DecisionWait)
 	defer stop()
 	for try := 0; ctx.Err() == nil; try++ {
-		st, known, final := n.lookupJob(jobID)
+		st, known, final := api.lookupJob(jobID)
 		if final {
 			respond(c, 200, st)
 			return
 		}
 		if !known || try > 0 {
-			fst, ok, err := n.readJob(jobID)
+			fst, ok, err := api.readJob(jobID)
 			if err != nil {
 				break
 			}
@@ -402,26 +422,26 @@
 				continue
 			}
 		}
-		n.mu.Lock()
-		j := n.table.Jobs[jobID]
-		rec, err := j.Record.Cancel(n.now())
-		guards := []wire.Compare{n.cache.Compare(membership.Key), n.cache.Compare(jobs.JobKey(jobID))}
-		n.mu.Unlock()
+		api.mu.Lock()
+		j := api.table.Jobs[jobID]
+		rec, err := j.Record.Cancel(api.now())
+		guards := []wire.Compare{api.cache.Compare(membership.Key), api.cache.Compare(jobs.JobKey(jobID))}
+		api.mu.Unlock()
 		if err != nil {
 			continue
 		}
 		then := []wire.Operation{{Put: jobs.JobKey(jobID), Value: wire.MustMarshal(rec)}}
-		revision, err := n.store.CompareAndSwap(ctx, store.ClassCancel, guards, then)
+		revision, err := api.store.CompareAndSwap(ctx, store.ClassCancel, guards, then)
 		if err == nil {
-			n.applyWrite(then, revision)
-			n.log.Debug("job cancelled", "job", jobID)
+			api.applyWrite(then, revision)
+			api.log.Debug("job cancelled", "job", jobID)
 			continue
 		}
 		if !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrOutcomeUnknown) {
 			break
 		}
 	}
-	n.replyRetry(c, 503, "the cancellation can't be stored now")
+	api.replyRetry(c, 503, "the cancellation can't be stored now")
 }
 
 // deadlineSeconds is a job's deadline for the log, 0 if it has none.
--- a/internal/controller/wants.go
+++ b/internal/controller/wants.go
@@ -16,11 +16,11 @@
 // only when the last free machine is taken: with hundreds of jobs that took half
 // a minute.
 func (b *planBuilder) addUntried() {
-	for jobID, j := range b.controller.table.Open {
-		why := b.controller.pendingReasons[jobID]
+	for jobID, j := range b.leader.table.Open {
+		why := b.leader.scheduler.pendingReasons[jobID]
 		count := j.Counts[jobs.Pending]
 		if why != placement.ReasonNoTurn {
-			count -= b.controller.unplaced[jobID]
+			count -= b.leader.scheduler.unplaced[jobID]
 		}
 		if count > 0 && (why == "" || why == placement.ReasonNoTurn || why == placement.ReasonNoRoom) {
 			b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: j, Count: count, NotScheduledYet: true})
@@ -33,30 +33,32 @@
 // addUnmet enters the tasks that the pass found no room for, those that have
 // waited longest first.
 func (b *planBuilder) addUnmet() {
-	for _, jobID := range b.controller.unplacedByAge() {
-		j := b.controller.table.Open[jobID]
-		if j == nil || b.controller.pendingReasons[jobID] != placement.ReasonNoRoom {
+	for _, jobID := range b.leader.unplacedByAge() {
+		j := b.leader.table.Open[jobID]
+		if j == nil || b.leader.scheduler.pendingReasons[jobID] != placement.ReasonNoRoom {
 			continue
 		}
-		count := b.controller.unplaced[jobID]
+		count := b.leader.scheduler.unplaced[jobID]
 		if j.Service() {
 			// The headroom is for what will run too.
 			b.input.Service.Tasks += float64(count)
 			b.input.Service.AwaitingBoot += float64(count)
 			b.input.Service.Need, b.input.Service.Spec = j.Need, j.Record.Spec
 		}
-		b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: j, Count: count, Waiting: b.now.Sub(b.controller.unplacedSince[jobID])})
+		b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: j, Count: count, Waiting: b.now.Sub(b.leader.scheduler.unplacedSince[jobID])})
 	}
 }
 
 // unplacedByAge lists the jobs with tasks without a place, the oldest wait first; mu
 // is held.
-func (n *Controller) unplacedByAge() []string {
-	jobIDs := make([]string, 0, len(n.unplaced))
-	for jobID := range n.unplaced {
+func (ld *leaderLoop) unplacedByAge() []string {
+	jobIDs := make([]string, 0, len(ld.scheduler.unplaced))
+	for jobID := range ld.scheduler.unplaced {
 		jobIDs = append(jobIDs, jobID)
 	}
-	sort.Slice(jobIDs, func(i, k int) bool { return n.unplacedSince[jobIDs[i]].Before(n.unplacedSince[jobIDs[k]]) })
+	sort.Slice(jobIDs, func(i, k int) bool {
+		return ld.scheduler.unplacedSince[jobIDs[i]].Before(ld.scheduler.unplacedSince[jobIDs[k]])
+	})
 	return jobIDs
 }
 
@@ -66,14 +68,14 @@
 // machines had died, services waited for their replacements for 45 s. A node
 // that hears hardly any of its machines has trouble of its own. up is how long
 // ago each machine was heard; mu is held.
-func (n *Controller) tasksAtRisk(machines *placement.Fleet, up map[string]time.Duration, now time.Time) []autoscale.Demand {
+func (ld *leaderLoop) tasksAtRisk(machines *placement.Fleet, up map[string]time.Duration, now time.Time) []autoscale.Demand {
 	heard, quiet := map[string]int{}, map[string]int{}
 	var list []*placement.Machine
 	for _, m := range machines.Machines {
 		age, ok := up[m.Name]
-		if ok && age < n.silenceTimeout() {
+		if ok && age < ld.silenceTimeout() {
 			heard[m.Owner]++
-		} else if at, wasUp := n.leaderState.lastHeard[m.Name]; wasUp && now.Sub(at) > n.silenceTimeout() {
+		} else if at, wasUp := ld.leaderState.lastHeard[m.Name]; wasUp && now.Sub(at) > ld.silenceTimeout() {
 			quiet[m.Owner]++
 			if m.Role == placement.Service {
 				list = append(list, m)
