--- a/internal/controller/forward.go
+++ b/internal/api/forward.go
@@ -1,22 +1,24 @@
-package controller
+package api
 
 import (
 	"strings"
 
 	"github.com/valyala/fasthttp"
 
+	"wheatspur/internal/fleet"
 	"wheatspur/internal/peer"
+	"wheatspur/internal/response"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
 
 // forward passes a user's request on to a sibling that has the state service;
 // false if there is none or it does not answer.
-func (api *userAPI) forward(c *fasthttp.RequestCtx) bool {
+func (api *UserAPI) forward(c *fasthttp.RequestCtx) bool {
 	api.Lock()
-	var to *sibling
-	for _, s := range api.peers.siblings {
-		if api.peers.isFresh(s) && s.status.HasStore && (to == nil || s.settings.Label < to.settings.Label) {
+	var to *fleet.Sibling
+	for _, s := range api.peers.Siblings {
+		if api.peers.IsFresh(s) && s.Status.HasStore && (to == nil || s.Settings.Label < to.Settings.Label) {
 			to = s
 		}
 	}
@@ -24,9 +26,9 @@
 	if to == nil {
 		return false
 	}
-	r, err := to.client.Forward(peer.ForwardRequest{Method: string(c.Method()), Path: string(c.Path()), Body: c.PostBody()}, tuning.ForwardTimeout)
+	r, err := to.Client.Forward(peer.ForwardRequest{Method: string(c.Method()), Path: string(c.Path()), Body: c.PostBody()}, tuning.ForwardTimeout)
 	if err != nil {
-		api.log.Debug("request not passed on", "to", to.settings.Label, "err", err)
+		api.Log.Debug("request not passed on", "to", to.Settings.Label, "err", err)
 		return false
 	}
 	c.Response.Reset()
@@ -39,11 +41,11 @@
 	return true
 }
 
-// serveForwarded serves a request that a sibling passed on; it goes no further.
-func (api *userAPI) serveForwarded(c *fasthttp.RequestCtx) {
+// ServeForwarded serves a request that a sibling passed on; it goes no further.
+func (api *UserAPI) ServeForwarded(c *fasthttp.RequestCtx) {
 	r, err := peer.DecodeForwardRequest(c.PostBody())
 	if err != nil || r.Path != "/work" && !strings.HasPrefix(r.Path, "/work/") {
-		respondError(c, 400, "malformed request")
+		response.Error(c, 400, "malformed request")
 		return
 	}
 	var inner fasthttp.RequestCtx
@@ -57,6 +59,6 @@
 }
 
 // storeSeemsLost reports whether this node seems to have lost the state service.
-func (api *userAPI) storeSeemsLost() bool {
-	return api.now().Sub(api.syncer.LastReadAt()) > 2*tuning.WatchHold
+func (api *UserAPI) storeSeemsLost() bool {
+	return api.Now().Sub(api.Syncer.LastReadAt()) > 2*tuning.WatchHold
 }
--- a/internal/controller/submit.go
+++ b/internal/api/submit.go
@@ -1,4 +1,4 @@
-package controller
+package api
 
 import (
 	"errors"
@@ -7,6 +7,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/response"
 	"wheatspur/wire"
 )
 
@@ -21,51 +22,51 @@
 	return p.ID
 }
 
-func (api *userAPI) submitJob(c *fasthttp.RequestCtx) {
+func (api *UserAPI) submitJob(c *fasthttp.RequestCtx) {
 	body := c.PostBody()
 	jobID := peekJobID(body)
 	if jobID != "" {
 		// A known job is answered before any check.
-		if _, known, _ := api.lookupJob(jobID); known {
+		if _, known, _ := api.LookupJob(jobID); known {
 			api.replyKnownJob(c, jobID)
 			return
 		}
 	}
 	w, err := wire.DecodeJobSpec(body)
 	status := 400
-	if err == nil && jobs.IntakeBytes(&w) > api.maxGroupBytes() {
+	if err == nil && jobs.IntakeBytes(&w) > api.MaxGroupBytes() {
 		status, err = 422, errors.New("the job's description is larger than the state service can hold")
 	}
 	if err == nil {
 		api.Lock()
-		types := api.machineTypeList
+		types := api.MachineTypeList
 		api.Unlock()
 		if len(types) == 0 {
-			api.refuseForNow(c, 503, "machine types are not known yet")
+			api.RefuseForNow(c, 503, "machine types are not known yet")
 			return
 		}
-		team, ok := api.settings.Team(w.Team)
+		team, ok := api.Settings.Team(w.Team)
 		status = 422
 		err = jobs.Validate(&w, jobs.TeamLimits{CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}, ok, types,
-			jobs.ChunkSize(api.limits.ValueKB))
+			jobs.ChunkSize(api.Limits.ValueKB))
 	}
 	if err != nil {
 		if jobID != "" {
 			// Another node may have accepted the id; an accepted job is never
 			// answered by 400 or 422.
 			if _, known, ferr := api.readJob(jobID); ferr != nil {
-				api.refuseForNow(c, 503, "the state service can't be read")
+				api.RefuseForNow(c, 503, "the state service can't be read")
 				return
 			} else if known {
 				api.replyKnownJob(c, jobID)
 				return
 			}
 		}
-		respondError(c, status, err.Error())
+		response.Error(c, status, err.Error())
 		return
 	}
-	if !api.hasStore() {
-		api.refuseForNow(c, 503, "the state service can't be reached")
+	if !api.HasStore() {
+		api.RefuseForNow(c, 503, "the state service can't be reached")
 		return
 	}
 	phase := jobs.Open
@@ -76,10 +77,10 @@
 		}
 	}
 	select {
-	case api.submissionSlots <- struct{}{}:
-		defer func() { <-api.submissionSlots }()
+	case api.SubmissionSlots <- struct{}{}:
+		defer func() { <-api.SubmissionSlots }()
 	default:
-		api.refuseForNow(c, 429, "too many submissions under way")
+		api.RefuseForNow(c, 429, "too many submissions under way")
 		return
 	}
 	api.storeSubmission(c, &w, phase)
@@ -87,23 +88,23 @@
 
 // admitDependencies decides whether a submission may depend on the jobs that it names, and
 // the phase in which it is stored. What it can't take is answered here.
-func (api *userAPI) admitDependencies(c *fasthttp.RequestCtx, w *wire.JobSpec) (phase jobs.Phase, answered bool) {
+func (api *UserAPI) admitDependencies(c *fasthttp.RequestCtx, w *wire.JobSpec) (phase jobs.Phase, answered bool) {
 	slices.Sort(w.DependsOn)
 	w.DependsOn = slices.Compact(w.DependsOn)
 	// Whether they were accepted is known behind a read that was sent now;
 	// it also tells whether another node has taken this one.
 	if _, known, err := api.readJob(w.ID); err != nil {
-		api.refuseForNow(c, 503, "the state service can't be read")
+		api.RefuseForNow(c, 503, "the state service can't be read")
 		return "", true
 	} else if known {
 		api.replyKnownJob(c, w.ID)
 		return "", true
 	}
 	api.Lock()
-	all := api.dependenciesSupported()
+	all := api.DependenciesSupported()
 	done := true
 	err := jobs.ValidateDependencies(w, func(jobID string) (known, service bool) {
-		j := api.table.Jobs[jobID]
+		j := api.Table.Jobs[jobID]
 		if j == nil {
 			return false, false
 		}
@@ -113,11 +114,11 @@
 	api.Unlock()
 	switch {
 	case err != nil:
-		respondError(c, 422, err.Error())
+		response.Error(c, 422, err.Error())
 	case !all:
 		// Guards against a node of an older version that holds the job for one
 		// that may start.
-		api.refuseForNow(c, 503, "not every node takes jobs that await others yet")
+		api.RefuseForNow(c, 503, "not every node takes jobs that await others yet")
 	case done:
 		return jobs.Open, false
 	default:
@@ -126,11 +127,11 @@
 	return "", true
 }
 
-func (api *userAPI) replyKnownJob(c *fasthttp.RequestCtx, jobID string) {
+func (api *UserAPI) replyKnownJob(c *fasthttp.RequestCtx, jobID string) {
 	st, known, err := api.readJob(jobID)
 	if err != nil || !known {
-		api.refuseForNow(c, 503, "the state service can't be read")
+		api.RefuseForNow(c, 503, "the state service can't be read")
 		return
 	}
-	respond(c, 200, st)
+	response.Write(c, 200, st)
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,3 +1,5 @@
+// Package cloud calls the cloud's API: machine types, scale out, termination and
+// the list of machines.
 package cloud
 
 import (
--- a/internal/controller/counters.go
+++ b/internal/cluster/metrics.go
@@ -1,4 +1,4 @@
-package controller
+package cluster
 
 import (
 	"errors"
@@ -12,14 +12,14 @@
 // metrics are gathered when they are asked for; only the counts of answers
 // are kept on the way.
 type metrics struct {
-	registry *prometheus.Registry
+	Registry *prometheus.Registry
 	answers  *prometheus.CounterVec
 	writes   *prometheus.CounterVec
 }
 
 func newMetrics() *metrics {
 	m := &metrics{
-		registry: prometheus.NewRegistry(),
+		Registry: prometheus.NewRegistry(),
 		answers: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "wheatspur_answers_total",
 			Help: "Answers by kind of request and status.",
@@ -29,17 +29,17 @@
 			Help: "Decision writes by kind and outcome.",
 		}, []string{"kind", "outcome"}),
 	}
-	m.registry.MustRegister(m.answers, m.writes)
+	m.Registry.MustRegister(m.answers, m.writes)
 	return m
 }
 
-// countAnswer notes an answer.
-func (m *metrics) countAnswer(request string, status int) {
+// CountAnswer notes an answer.
+func (m *metrics) CountAnswer(request string, status int) {
 	m.answers.WithLabelValues(request, strconv.Itoa(status)).Inc()
 }
 
-// countWrite notes the outcome of a decision write.
-func (m *metrics) countWrite(kind string, err error) {
+// CountWrite notes the outcome of a decision write.
+func (m *metrics) CountWrite(kind string, err error) {
 	outcome := "stored"
 	switch {
 	case errors.Is(err, store.ErrConflict):
--- a/internal/controller/node.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,4 @@
-// Package server runs a controller node: it ties the decision packages to the
+// Package controller runs a controller node: it ties the decision packages to the
 // state service, the cloud, the workers, the users and the sibling nodes.
 package controller
 
@@ -13,8 +13,16 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
+	"wheatspur/internal/api"
 	"wheatspur/internal/cloud"
+	"wheatspur/internal/cluster"
 	"wheatspur/internal/config"
+	"wheatspur/internal/election"
+	"wheatspur/internal/fleet"
+	"wheatspur/internal/leader"
+	"wheatspur/internal/observability"
+	"wheatspur/internal/response"
+	"wheatspur/internal/scheduler"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
@@ -23,13 +31,13 @@
 // Controller is one controller process: it owns the components and runs their
 // loops. Their shared state, and the lock that guards it, is clusterState.
 type Controller struct {
-	*clusterState
-	*fleet
-	election   *election
-	scheduler  *scheduler
-	leaderLoop *leaderLoop
-	api        *userAPI
-	observer   *observer
+	*cluster.State
+	*fleet.Fleet
+	election   *election.Election
+	scheduler  *scheduler.Scheduler
+	leaderLoop *leader.Loop
+	api        *api.UserAPI
+	observer   *observability.Observer
 }
 
 // New returns a controller that is ready to run.
@@ -39,58 +47,58 @@
 	limits := settings.StateLimits()
 	limiter := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.BudgetQueue, now)
 	return newController(dependencies{
-		environment:  newEnvironment(settings, log, now, store.NewClient(settings.Endpoints.State, limiter), limiter),
+		Environment:  cluster.NewEnvironment(settings, log, now, store.NewClient(settings.Endpoints.State, limiter), limiter),
 		cloud:        cloud.NewClient(settings.Endpoints.Cloud, settings.Params.Cloud.RPS*tuning.BudgetShare, now),
-		workerClient: newHTTPWorkerClient(),
+		workerClient: fleet.NewHTTPWorkerClient(),
 	})
 }
 
 // dependencies is what a controller is built from.
 type dependencies struct {
-	environment
+	cluster.Environment
 	cloud        cloud.Provider
-	workerClient workerClient
+	workerClient fleet.WorkerClient
 }
 
 // newController builds the components and connects them.
 func newController(d dependencies) *Controller {
-	state := newClusterState(d.environment)
-	fleet := newFleet(state, d.workerClient)
-	scheduler := newScheduler(state, fleet)
-	leader := newLeaderLoop(state, fleet, scheduler, d.cloud)
-	fleet.peers.onSilent = leader.recordSilent
+	state := cluster.New(d.Environment)
+	fleet := fleet.New(state, d.workerClient)
+	scheduler := scheduler.New(state, fleet)
+	leader := leader.New(state, fleet, scheduler, d.cloud)
+	fleet.Peers.OnSilent = leader.RecordSilent
 	c := &Controller{
-		clusterState: state,
-		fleet:        fleet,
-		election:     newElection(state, fleet),
-		scheduler:    scheduler,
-		leaderLoop:   leader,
-		api:          newUserAPI(state, fleet.peers),
-		observer:     newObserver(state, fleet, scheduler, leader),
+		State:      state,
+		Fleet:      fleet,
+		election:   election.New(state, fleet),
+		scheduler:  scheduler,
+		leaderLoop: leader,
+		api:        api.New(state, fleet.Peers),
+		observer:   observability.New(state, fleet, scheduler, leader),
 	}
-	state.inventory.OnChange = fleet.machineIndex.markRecordChanged
-	state.table.OnMachineChange = fleet.markChanged
-	state.openCache(c.applyStored)
+	state.Inventory.OnChange = fleet.MachineIndex.MarkRecordChanged
+	state.Table.OnMachineChange = fleet.MarkChanged
+	state.OpenCache(c.applyStored)
 	return c
 }
 
 // Run serves until ctx ends or a listener fails. It returns nil in the first case.
 func (n *Controller) Run(ctx context.Context) error {
-	ul, err := net.Listen("tcp4", n.settings.Bind)
+	ul, err := net.Listen("tcp4", n.Settings.Bind)
 	if err != nil {
 		return fmt.Errorf("bind: %w", err)
 	}
-	pl, err := net.Listen("tcp4", n.settings.PeerListen)
+	pl, err := net.Listen("tcp4", n.Settings.PeerListen)
 	if err != nil {
 		ul.Close()
 		return fmt.Errorf("peer_listen: %w", err)
 	}
 	asked := ctx
 	g, ctx := errgroup.WithContext(ctx)
-	user := n.httpServer(n.serveUser, n.maxConnections())
-	bounded := &boundedListener{Listener: ul, max: int64(n.maxConnections()), retryAfterS: n.settings.Operator.RetryAfterSecond}
-	n.workers.openConnections = func() int { return int(bounded.open.Load()) }
-	peers := n.httpServer(n.servePeer, 2*tuning.PeerConns*(len(n.peers.siblings)+1))
+	user := n.httpServer(n.serveUser, n.MaxConnections())
+	bounded := &boundedListener{Listener: ul, max: int64(n.MaxConnections()), retryAfterS: n.Settings.Operator.RetryAfterSecond}
+	n.Workers.OpenConnections = func() int { return int(bounded.open.Load()) }
+	peers := n.httpServer(n.servePeer, 2*tuning.PeerConns*(len(n.Peers.Siblings)+1))
 	peers.MaxRequestBodySize = 1 << 20
 	g.Go(func() error { return user.Serve(bounded) })
 	g.Go(func() error { return peers.Serve(pl) })
@@ -98,21 +106,21 @@
 		<-ctx.Done()
 		return errors.Join(ul.Close(), pl.Close())
 	})
-	g.Go(func() error { return n.syncer.Run(ctx) })
-	g.Go(func() error { return n.syncer.ServeBarriers(ctx) })
-	g.Go(func() error { return n.election.runSession(ctx) })
-	g.Go(func() error { return n.election.runMembership(ctx) })
-	g.Go(func() error { return n.election.runProbes(ctx) })
+	g.Go(func() error { return n.Syncer.Run(ctx) })
+	g.Go(func() error { return n.Syncer.ServeBarriers(ctx) })
+	g.Go(func() error { return n.election.RunSession(ctx) })
+	g.Go(func() error { return n.election.RunMembership(ctx) })
+	g.Go(func() error { return n.election.RunProbes(ctx) })
 	for range tuning.IntakeLanes {
-		g.Go(func() error { return n.api.runIntake(ctx) })
+		g.Go(func() error { return n.api.RunIntake(ctx) })
 	}
-	g.Go(func() error { return n.scheduler.runScheduler(ctx) })
-	g.Go(func() error { return n.leaderLoop.runCloudSync(ctx) })
-	g.Go(func() error { return n.leaderLoop.runLeader(ctx) })
-	for _, s := range n.peers.siblings {
-		g.Go(func() error { return n.peers.runPeerExchange(ctx, s) })
+	g.Go(func() error { return n.scheduler.RunScheduler(ctx) })
+	g.Go(func() error { return n.leaderLoop.RunCloudSync(ctx) })
+	g.Go(func() error { return n.leaderLoop.RunLeader(ctx) })
+	for _, s := range n.Peers.Siblings {
+		g.Go(func() error { return n.Peers.RunPeerExchange(ctx, s) })
 	}
-	n.log.Info("serving", "node", n.settings.Label, "bind", n.settings.Bind, "peers", len(n.peers.siblings))
+	n.Log.Info("serving", "node", n.Settings.Label, "bind", n.Settings.Bind, "peers", len(n.Peers.Siblings))
 	if err := g.Wait(); asked.Err() == nil {
 		return err
 	}
@@ -126,7 +134,7 @@
 		ReadTimeout: tuning.ReadTimeout, WriteTimeout: tuning.WriteTimeout, IdleTimeout: tuning.IdleTimeout,
 		MaxRequestBodySize: wire.MaxBody, ReadBufferSize: 4096, WriteBufferSize: 4096,
 		NoDefaultServerHeader: true, NoDefaultDate: true, ReduceMemoryUsage: true, CloseOnShutdown: true,
-		ErrorHandler: badRequest, Logger: discardLogger{},
+		ErrorHandler: response.Malformed, Logger: discardLogger{},
 	}
 }
 
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -6,10 +6,11 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatspur/internal/peer"
+	"wheatspur/internal/response"
 )
 
 func (n *Controller) serveUser(c *fasthttp.RequestCtx) {
-	n.metrics.countAnswer(n.routeUser(c), c.Response.StatusCode())
+	n.Metrics.CountAnswer(n.routeUser(c), c.Response.StatusCode())
 }
 
 // routeUser serves a request and returns its kind, for the metrics.
@@ -28,37 +29,37 @@
 		}
 	}
 	if want == "" {
-		respondError(c, 404, "no such path")
+		response.Error(c, 404, "no such path")
 		return "other"
 	}
 	if method != want {
 		c.Response.Header.Set("Allow", want)
-		respondError(c, 405, "method not allowed")
+		response.Error(c, 405, "method not allowed")
 		return "other"
 	}
-	if n.draining() && method == "POST" && path != "/checkin" {
-		n.api.refuseForNow(c, 503, "this node is stopping")
+	if n.Draining() && method == "POST" && path != "/checkin" {
+		n.api.RefuseForNow(c, 503, "this node is stopping")
 		return "stopping"
 	}
 	switch path {
 	case "/up":
 		if n.healthy() {
-			respond(c, 200, nil)
+			response.Write(c, 200, nil)
 		} else {
-			n.api.refuseForNow(c, 503, "not ready")
+			n.api.RefuseForNow(c, 503, "not ready")
 		}
 	case "/status":
-		n.observer.serveStatus(c)
+		n.observer.ServeStatus(c)
 	case "/metrics":
-		n.observer.serveMetrics(c)
+		n.observer.ServeMetrics(c)
 	case "/checkin":
-		n.workers.handleHeartbeat(c)
+		n.Workers.HandleHeartbeat(c)
 		return "report"
 	case "/work":
-		n.api.serveWork(c, path)
+		n.api.ServeWork(c, path)
 		return "submission"
 	default:
-		n.api.serveWork(c, path)
+		n.api.ServeWork(c, path)
 		if want == "POST" {
 			return "cancellation"
 		}
@@ -69,14 +70,14 @@
 
 func (n *Controller) servePeer(c *fasthttp.RequestCtx) {
 	if c.IsPost() && string(c.Path()) == peer.ForwardPath {
-		n.api.serveForwarded(c)
+		n.api.ServeForwarded(c)
 		return
 	}
 	if string(c.Path()) != peer.StatusPath || !c.IsPost() {
-		respondError(c, 404, "no such path")
+		response.Error(c, 404, "no such path")
 		return
 	}
-	n.peers.serveStatus(c)
+	n.Peers.ServeStatus(c)
 }
 
 // healthy decides GET /up: a node without the state service passes users on
@@ -85,22 +86,22 @@
 // Guards against a cut-off node, which refuses every request and closes its
 // connections, drawing all users as the one with the fewest.
 func (n *Controller) healthy() bool {
-	if n.draining() {
+	if n.Draining() {
 		return false
 	}
 	n.Lock()
 	defer n.Unlock()
-	if n.hasStore() {
-		return n.cache.Consistent()
+	if n.HasStore() {
+		return n.Cache.Consistent()
 	}
-	alone := len(n.peers.siblings) > 0
-	for _, s := range n.peers.siblings {
-		if n.peers.isFresh(s) {
-			if s.status.HasStore {
+	alone := len(n.Peers.Siblings) > 0
+	for _, s := range n.Peers.Siblings {
+		if n.Peers.IsFresh(s) {
+			if s.Status.HasStore {
 				return false
 			}
 			alone = false
 		}
 	}
-	return !alone && n.cache.Consistent()
+	return !alone && n.Cache.Consistent()
 }
--- a/internal/controller/stop.go
+++ b/internal/controller/shutdown.go
@@ -9,6 +9,7 @@
 
 	"wheatspur/internal/membership"
 	"wheatspur/internal/store"
+	"wheatspur/internal/timing"
 	"wheatspur/internal/tuning"
 )
 
@@ -25,22 +26,22 @@
 // machines goes on. Whatever it can't end within ctx is settled as after a
 // crash.
 func (n *Controller) Drain(ctx context.Context) error {
-	n.stopping.Store(true)
+	n.Stopping.Store(true)
 	left := 0
 	for {
 		if left = n.inFlight(); left == 0 || ctx.Err() != nil {
 			break
 		}
-		sleep(ctx, tuning.ShutdownPoll)
+		timing.Sleep(ctx, tuning.ShutdownPoll)
 	}
 	n.Lock()
-	leaseID, session := n.self.Incarnation, n.session
-	n.session = membership.NoLease // this node answers no report any more
+	leaseID, session := n.Self.Incarnation, n.Session
+	n.Session = membership.NoLease // this node answers no report any more
 	n.Unlock()
 	if session != membership.NoLease {
 		end, stop := context.WithTimeout(context.Background(), tuning.StoreCallTimeout)
 		defer stop()
-		if err := n.store.RevokeLease(end, leaseID); err != nil && !errors.Is(err, store.ErrLeaseExpired) {
+		if err := n.Store.RevokeLease(end, leaseID); err != nil && !errors.Is(err, store.ErrLeaseExpired) {
 			return fmt.Errorf("session not ended, it runs out by itself: %w", err)
 		}
 	}
@@ -55,5 +56,5 @@
 func (n *Controller) inFlight() int {
 	n.Lock()
 	defer n.Unlock()
-	return len(n.api.submissionSlots) + len(n.api.intake) + len(n.scheduler.writesInFlight) + len(n.workers.callSlots)
+	return len(n.api.SubmissionSlots) + len(n.api.Intake) + len(n.scheduler.WritesInFlight) + len(n.Workers.CallSlots)
 }
--- a/internal/controller/storedrecords.go
+++ b/internal/controller/storedrecords.go
@@ -3,6 +3,7 @@
 import (
 	"strings"
 
+	"wheatspur/internal/cluster"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/membership"
@@ -13,7 +14,7 @@
 // applyStored takes changed values from the cache; the lock is held.
 func (n *Controller) applyStored(key string, v wire.Raw, version uint64) {
 	if err := n.applyRecord(key, v, version); err != nil {
-		n.log.Error("stored record can't be read", "key", key, "stamp", version, "err", err)
+		n.Log.Error("stored record can't be read", "key", key, "stamp", version, "err", err)
 	}
 }
 
@@ -22,27 +23,27 @@
 func (n *Controller) applyRecord(key string, v wire.Raw, version uint64) error {
 	switch {
 	case strings.HasPrefix(key, jobs.JobPrefix):
-		return n.applyJob(strings.TrimPrefix(key, jobs.JobPrefix), v, version)
+		return n.ApplyJob(strings.TrimPrefix(key, jobs.JobPrefix), v, version)
 	case strings.HasPrefix(key, jobs.IntakePrefix):
-		return n.table.ApplyIntake(key, v, version)
+		return n.Table.ApplyIntake(key, v, version)
 	case strings.HasPrefix(key, jobs.ChunkPrefix):
-		return n.table.ApplyChunk(key, v)
+		return n.Table.ApplyChunk(key, v)
 	case strings.HasPrefix(key, jobs.TeamPrefix):
-		return n.quota.Apply(strings.TrimPrefix(key, jobs.TeamPrefix), v, version)
+		return n.Quota.Apply(strings.TrimPrefix(key, jobs.TeamPrefix), v, version)
 	case key == quota.ReservationsKey:
-		return n.quota.ApplyReservations(v)
+		return n.Quota.ApplyReservations(v)
 	case strings.HasPrefix(key, inventory.GroupPrefix), strings.HasPrefix(key, inventory.SingleMachinePrefix):
-		return n.inventory.Apply(key, v)
+		return n.Inventory.Apply(key, v)
 	case strings.HasPrefix(key, membership.SessionPrefix):
-		return n.applySession(strings.TrimPrefix(key, membership.SessionPrefix), v)
+		return n.ApplySession(strings.TrimPrefix(key, membership.SessionPrefix), v)
 	case strings.HasPrefix(key, membership.UnreachablePrefix):
-		n.applyUnreachable(strings.TrimPrefix(key, membership.UnreachablePrefix), v)
+		n.ApplyUnreachable(strings.TrimPrefix(key, membership.UnreachablePrefix), v)
 	case key == membership.LeaderKey:
-		return n.applyLeader(v)
+		return n.ApplyLeader(v)
 	case key == membership.Key:
 		return n.applyMembership(v)
-	case key == typesKey:
-		return n.machineIndex.applyTypes(v)
+	case key == cluster.TypesKey:
+		return n.MachineIndex.ApplyTypes(v)
 	}
 	return nil
 }
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,4 +1,4 @@
-// Package standin holds stand-ins for what the controllers talk to: the state
+// Package fake holds stand-ins for what the controllers talk to: the state
 // service, the cloud and the workers, after the protocol's page. They are for
 // tests: in one process with a fake clock, or over HTTP on loopback with links
 // that fail.
--- a/internal/controller/fleetview.go
+++ b/internal/fleet/index.go
@@ -1,8 +1,9 @@
-package controller
+package fleet
 
 import (
 	"time"
 
+	"wheatspur/internal/cluster"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/placement"
@@ -17,20 +18,20 @@
 // next: only the machines that something has changed on are entered anew. With
 // thousands of machines, entering all of them took most of a pass.
 type machineIndex struct {
-	*clusterState
-	workers *workerManager
-	peers   *peerExchange
+	*cluster.State
+	workers *WorkerManager
+	peers   *PeerExchange
 
-	fleet                *placement.Fleet
+	Fleet                *placement.Fleet
 	ordered              []*indexedMachine // in the order of fleet.Machines
 	machines             map[string]*indexedMachine
-	rebuild              bool            // the machines are not those that fleet was built of
+	Rebuild              bool            // the machines are not those that fleet was built of
 	changedRecords       map[string]bool // machines whose records have changed
-	changed              map[string]bool // machines whose claims, worker or owner's status has changed
+	Changed              map[string]bool // machines whose claims, worker or owner's status has changed
 	due                  map[string]bool // machines of this node that the next pass looks at
 	fullScanAt           time.Time       // when a pass last looked at all of them
 	schedulableCheckedAt time.Time       // when the openness of all machines was last worked out
-	terminated           map[string]bool // machines that are stored as returned
+	Terminated           map[string]bool // machines that are stored as returned
 	unpublished          map[string]bool // machines that may differ from what siblings are told of them
 	fullPublishAt        time.Time       // when all machines were last compared with that
 
@@ -52,8 +53,8 @@
 	teams map[string]quota.Amount
 }
 
-func newMachineIndex(state *clusterState) *machineIndex {
-	mi := &machineIndex{clusterState: state}
+func newMachineIndex(state *cluster.State) *machineIndex {
+	mi := &machineIndex{State: state}
 	mi.clear()
 	return mi
 }
@@ -61,71 +62,71 @@
 // clear empties the index.
 func (mi *machineIndex) clear() {
 	*mi = machineIndex{
-		clusterState:   mi.clusterState,
+		State:          mi.State,
 		workers:        mi.workers,
 		peers:          mi.peers,
 		machines:       map[string]*indexedMachine{},
 		changedRecords: map[string]bool{},
-		changed:        map[string]bool{},
+		Changed:        map[string]bool{},
 		due:            map[string]bool{},
-		terminated:     map[string]bool{},
+		Terminated:     map[string]bool{},
 		unpublished:    map[string]bool{},
 		claims:         map[string]machineClaims{},
 		claimedTotals:  quota.ClaimedByNode{},
 	}
 }
 
-// markRecordChanged notes that the stored record of a machine has changed.
-func (mi *machineIndex) markRecordChanged(machine string) { mi.changedRecords[machine] = true }
+// MarkRecordChanged notes that the stored record of a machine has changed.
+func (mi *machineIndex) MarkRecordChanged(machine string) { mi.changedRecords[machine] = true }
 
-// markChanged notes that something has changed on a machine.
-func (mi *machineIndex) markChanged(host string) {
-	mi.changed[host], mi.due[host], mi.unpublished[host] = true, true, true
+// MarkChanged notes that something has changed on a machine.
+func (mi *machineIndex) MarkChanged(host string) {
+	mi.Changed[host], mi.due[host], mi.unpublished[host] = true, true, true
 }
 
-// reset starts the picture anew: the owners of the machines have changed.
+// Reset starts the picture anew: the owners of the machines have changed.
 // The lock is held.
-func (mi *machineIndex) reset() {
+func (mi *machineIndex) Reset() {
 	mi.clear()
-	for host := range mi.table.ClaimsByMachine {
-		mi.markChanged(host)
+	for host := range mi.Table.ClaimsByMachine {
+		mi.MarkChanged(host)
 	}
-	for host := range mi.inventory.Machines {
+	for host := range mi.Inventory.Machines {
 		mi.changedRecords[host] = true
 	}
 }
 
-// workersToScan lists the workers of this node that a pass looks at: those that
+// WorkersToScan lists the workers of this node that a pass looks at: those that
 // something has changed for or is due for, and every so often all, for what
 // follows from time alone, such as the end of a lease; the lock is held.
-func (mi *machineIndex) workersToScan(now time.Time) (workers map[string]*worker.Worker, all bool) {
+func (mi *machineIndex) WorkersToScan(now time.Time) (workers map[string]*worker.Worker, all bool) {
 	if now.Sub(mi.fullScanAt) >= tuning.SweepEvery || now.Before(mi.fullScanAt) {
 		mi.fullScanAt = now
-		return mi.workers.byMachine, true
+		return mi.workers.ByMachine, true
 	}
 	some := make(map[string]*worker.Worker, len(mi.due))
 	for host := range mi.due {
-		if w := mi.workers.byMachine[host]; w != nil {
+		if w := mi.workers.ByMachine[host]; w != nil {
 			some[host] = w
 		}
 	}
 	return some, false
 }
 
-// removeQuiescent takes the machines that nothing is due for out of what the next pass
+// RemoveQuiescent takes the machines that nothing is due for out of what the next pass
 // looks at; the lock is held.
-func (mi *machineIndex) removeQuiescent() {
+func (mi *machineIndex) RemoveQuiescent() {
 	for host := range mi.due {
-		if w := mi.workers.byMachine[host]; w == nil || w.Quiescent() {
+		if w := mi.workers.ByMachine[host]; w == nil || w.Quiescent() {
 			delete(mi.due, host)
 		}
 	}
 }
 
-// refreshMachines brings the picture of the fleet up to date; the lock is held.
-func (mi *machineIndex) refreshMachines(now time.Time) *placement.Fleet {
-	mi.applyRecordChanges()
-	if mi.fleet == nil || mi.rebuild {
+// RefreshMachines brings the picture of the fleet up to date; the lock is held.
+func (mi *machineIndex) RefreshMachines(now time.Time) *placement.Fleet {
+	mi.ApplyRecordChanges()
+	if mi.Fleet == nil || mi.Rebuild {
 		mi.rebuildMachineIndex()
 	}
 	some := mi.applyChangedMachines()
@@ -134,19 +135,19 @@
 		some = mi.ordered
 	}
 	fresh := map[string]bool{} // owners whose status holds for this membership
-	for label, s := range mi.peers.siblings {
-		fresh[label] = mi.peers.isFresh(s) && s.machinesVersion.FencingToken == mi.membership.FencingToken
+	for label, s := range mi.peers.Siblings {
+		fresh[label] = mi.peers.IsFresh(s) && s.MachinesVersion.FencingToken == mi.Membership.FencingToken
 	}
-	silent := mi.silenceTimeout()
+	silent := mi.SilenceTimeout()
 	for _, m := range some {
-		if m.Owner == mi.self.Label {
+		if m.Owner == mi.Self.Label {
 			m.SetSchedulable(m.inService && mi.isSchedulable(m.worker, now, silent))
 		} else {
 			m.SetSchedulable(m.inService && m.usableByOwner && fresh[m.Owner])
 		}
 	}
-	mi.fleet.Rollback()
-	return mi.fleet
+	mi.Fleet.Rollback()
+	return mi.Fleet
 }
 
 // isSchedulable reports whether a machine of this node takes new tasks: only one
@@ -158,57 +159,57 @@
 		w.TerminationAt.IsZero() && !mi.workers.isQuarantined(w, now)
 }
 
-// applyRecordChanges looks at the machine records that have changed: most of them only
+// ApplyRecordChanges looks at the machine records that have changed: most of them only
 // in their phase, which needs no new index; the lock is held.
-func (mi *machineIndex) applyRecordChanges() {
+func (mi *machineIndex) ApplyRecordChanges() {
 	for host := range mi.changedRecords {
-		rec, stored := mi.inventory.Machines[host]
+		rec, stored := mi.Inventory.Machines[host]
 		m := mi.machines[host]
 		if stored != (m != nil) || stored && !sameMachine(m.Machine, mi.placementMachine(host, rec)) {
-			mi.rebuild = true
+			mi.Rebuild = true
 		}
 		if stored && rec.Phase == inventory.Terminated {
-			mi.terminated[host] = true
+			mi.Terminated[host] = true
 		} else {
-			delete(mi.terminated, host)
+			delete(mi.Terminated, host)
 		}
-		mi.markChanged(host)
+		mi.MarkChanged(host)
 	}
 	clear(mi.changedRecords)
 }
 
 // placementMachine is the picture of an empty machine; the lock is held.
 func (mi *machineIndex) placementMachine(host string, rec inventory.Record) *placement.Machine {
-	t := mi.machineTypes[rec.MachineType]
+	t := mi.MachineTypes[rec.MachineType]
 	return &placement.Machine{Name: host, Type: rec.MachineType, Zone: rec.Zone, Spot: rec.Spot, Role: rec.Role,
-		Owner: mi.shardOwner(host), FetchGBPerS: t.FetchGBPerS,
+		Owner: mi.ShardOwner(host), FetchGBPerS: t.FetchGBPerS,
 		Total: jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}}
 }
 
 // rebuildMachineIndex indexes the machines as stored, and keeps the pictures of those
 // that are what they were; the lock is held.
 func (mi *machineIndex) rebuildMachineIndex() {
-	if mi.fleet != nil {
-		mi.fleet.Rollback() // the machines that are kept hold what the last pass placed
+	if mi.Fleet != nil {
+		mi.Fleet.Rollback() // the machines that are kept hold what the last pass placed
 	}
 	kept := mi.machines
-	mi.machines = make(map[string]*indexedMachine, len(mi.inventory.Machines))
-	list := make([]*placement.Machine, 0, len(mi.inventory.Machines))
-	for host, rec := range mi.inventory.Machines {
+	mi.machines = make(map[string]*indexedMachine, len(mi.Inventory.Machines))
+	list := make([]*placement.Machine, 0, len(mi.Inventory.Machines))
+	for host, rec := range mi.Inventory.Machines {
 		next, m := mi.placementMachine(host, rec), kept[host]
 		if m == nil || !sameMachine(m.Machine, next) {
 			m = &indexedMachine{Machine: next}
-			mi.markChanged(host)
+			mi.MarkChanged(host)
 		}
 		mi.machines[host] = m
 		list = append(list, m.Machine)
 	}
-	mi.fleet = placement.NewFleet(list)
+	mi.Fleet = placement.NewFleet(list)
 	mi.ordered = mi.ordered[:0]
-	for _, m := range mi.fleet.Machines {
+	for _, m := range mi.Fleet.Machines {
 		mi.ordered = append(mi.ordered, mi.machines[m.Name])
 	}
-	mi.rebuild = false
+	mi.Rebuild = false
 }
 
 // sameMachine reports whether two pictures are of the same machine in the same
@@ -222,36 +223,36 @@
 // returns them; the lock is held.
 func (mi *machineIndex) applyChangedMachines() []*indexedMachine {
 	var entered []*indexedMachine
-	for host := range mi.changed {
+	for host := range mi.Changed {
 		mi.sumClaims(host)
 		if m := mi.machines[host]; m != nil {
 			mi.applyMachine(m)
 			entered = append(entered, m)
 		}
 	}
-	clear(mi.changed)
+	clear(mi.Changed)
 	return entered
 }
 
 // applyMachine enters a machine's claims, and what its owner knows of it; the lock is
 // held.
 func (mi *machineIndex) applyMachine(m *indexedMachine) {
-	m.inService = mi.inventory.Machines[m.Name].Phase == inventory.Active
+	m.inService = mi.Inventory.Machines[m.Name].Phase == inventory.Active
 	m.worker, m.usableByOwner, m.Incarnation, m.Images = nil, false, 0, nil
-	if m.Owner == mi.self.Label {
-		if m.worker = mi.workers.byMachine[m.Name]; m.worker != nil {
+	if m.Owner == mi.Self.Label {
+		if m.worker = mi.workers.ByMachine[m.Name]; m.worker != nil {
 			m.Incarnation, m.Images = m.worker.Incarnation, m.worker.Images
 		}
-	} else if s := mi.peers.siblings[m.Owner]; s != nil {
-		if h, ok := s.machines[m.Name]; ok {
+	} else if s := mi.peers.Siblings[m.Owner]; s != nil {
+		if h, ok := s.Machines[m.Name]; ok {
 			m.Incarnation, m.Images = h.Incarnation, h.Images
 			m.usableByOwner = h.TokenAcknowledged && !h.Silent && h.TerminationNotice < 0 && !h.Quarantined
 		}
 	}
-	m.Free, m.Freeing = m.Total.Sub(mi.table.ResourcesByMachine[m.Name]), jobs.Resources{}
+	m.Free, m.Freeing = m.Total.Sub(mi.Table.ResourcesByMachine[m.Name]), jobs.Resources{}
 	m.Tasks = m.Tasks[:0]
-	for id, j := range mi.table.ClaimsByMachine[m.Name] {
-		stopping := j.Phase != jobs.Open || mi.workers.byMachine[m.Name] != nil && mi.workers.byMachine[m.Name].IsLeaving(id)
+	for id, j := range mi.Table.ClaimsByMachine[m.Name] {
+		stopping := j.Phase != jobs.Open || mi.workers.ByMachine[m.Name] != nil && mi.workers.ByMachine[m.Name].IsLeaving(id)
 		resident := placement.ClaimedTask{ID: id, Job: j, Stopping: stopping}
 		if m.worker != nil {
 			resident.RunningSince = m.worker.RunningSince[id]
@@ -272,11 +273,11 @@
 		}
 		delete(mi.claims, host)
 	}
-	claims := mi.table.ClaimsByMachine[host]
+	claims := mi.Table.ClaimsByMachine[host]
 	if len(claims) == 0 {
 		return
 	}
-	now := machineClaims{owner: mi.shardOwner(host), teams: map[string]quota.Amount{}}
+	now := machineClaims{owner: mi.ShardOwner(host), teams: map[string]quota.Amount{}}
 	for _, j := range claims {
 		now.teams[j.Team] = now.teams[j.Team].Add(j.Need.Amount())
 	}
@@ -291,16 +292,16 @@
 	}
 }
 
-// claimedByNode is what the claims on each node's machines take; the lock is held.
-func (mi *machineIndex) claimedByNode() quota.ClaimedByNode {
-	for host := range mi.changed {
+// ClaimedByNode is what the claims on each node's machines take; the lock is held.
+func (mi *machineIndex) ClaimedByNode() quota.ClaimedByNode {
+	for host := range mi.Changed {
 		mi.sumClaims(host)
 	}
 	return mi.claimedTotals
 }
 
-// applyTypes enters the machine types; without a record the known ones stay.
-func (mi *machineIndex) applyTypes(v wire.Raw) error {
+// ApplyTypes enters the machine types; without a record the known ones stay.
+func (mi *machineIndex) ApplyTypes(v wire.Raw) error {
 	if v == nil {
 		return nil
 	}
@@ -308,11 +309,11 @@
 	if err := wire.Unmarshal(v, &r); err != nil {
 		return err
 	}
-	mi.machineTypeList = r.Types
-	mi.rebuild = true
-	clear(mi.machineTypes)
+	mi.MachineTypeList = r.Types
+	mi.Rebuild = true
+	clear(mi.MachineTypes)
 	for _, t := range r.Types {
-		mi.machineTypes[t.Label] = t
+		mi.MachineTypes[t.Label] = t
 	}
 	return nil
 }
--- a/internal/controller/siblings.go
+++ b/internal/fleet/peers.go
@@ -1,7 +1,7 @@
 // This file holds what a node exchanges with the other nodes: statuses, the
 // machines of each and what they attest about cancellations.
 
-package controller
+package fleet
 
 import (
 	"context"
@@ -11,24 +11,27 @@
 
 	"github.com/valyala/fasthttp"
 
+	"wheatspur/internal/cluster"
 	"wheatspur/internal/config"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/peer"
+	"wheatspur/internal/response"
+	"wheatspur/internal/timing"
 	"wheatspur/internal/tuning"
 	"wheatspur/internal/worker"
 )
 
-// sibling is what is known of another node.
-type sibling struct {
-	settings            config.Sibling
-	client              *peer.Client
-	status              peer.Status
+// Sibling is what is known of another node.
+type Sibling struct {
+	Settings            config.Sibling
+	Client              *peer.Client
+	Status              peer.Status
 	receivedAt          time.Time
-	machinesVersion     peer.MachinesVersion          // the view of its machines that hosts holds
+	MachinesVersion     peer.MachinesVersion          // the view of its machines that hosts holds
 	machinesConfirmedAt time.Time                     // when that was last confirmed
-	machines            map[string]peer.MachineStatus // its machines
+	Machines            map[string]peer.MachineStatus // its machines
 	// what it attests about cancellations
-	attestation membership.Attestation
+	Attestation membership.Attestation
 }
 
 // publishedMachine is what siblings are told of one of this node's machines.
@@ -37,157 +40,157 @@
 	version uint64 // of its last change
 }
 
-// peerExchange is what this controller and its siblings tell each other.
-type peerExchange struct {
-	*clusterState
-	workers      *workerManager
+// PeerExchange is what this controller and its siblings tell each other.
+type PeerExchange struct {
+	*cluster.State
+	workers      *WorkerManager
 	machineIndex *machineIndex
 	recovery     *recoveryTracker
 
-	siblings          map[string]*sibling
-	publishedMachines map[string]*publishedMachine
+	Siblings          map[string]*Sibling
+	PublishedMachines map[string]*publishedMachine
 	publishedVersion  uint64    // number of the last change in publishedMachines
-	publishedAt       time.Time // when publishedMachines was last refreshed
-	// onSilent is told of a machine that its owner last heard at a time.
-	onSilent      func(machine string, heardAt time.Time)
+	PublishedAt       time.Time // when publishedMachines was last refreshed
+	// OnSilent is told of a machine that its owner last heard at a time.
+	OnSilent      func(machine string, heardAt time.Time)
 	attestedUntil time.Time // up to when every cancellation is known here because all siblings attest it
 }
 
-func newPeerExchange(state *clusterState) *peerExchange {
-	px := &peerExchange{clusterState: state, siblings: map[string]*sibling{}, publishedMachines: map[string]*publishedMachine{}}
-	for _, s := range state.settings.Siblings {
-		px.siblings[s.Label] = &sibling{settings: s, client: peer.NewClient(s.Endpoint), machines: map[string]peer.MachineStatus{}}
+func newPeerExchange(state *cluster.State) *PeerExchange {
+	px := &PeerExchange{State: state, Siblings: map[string]*Sibling{}, PublishedMachines: map[string]*publishedMachine{}}
+	for _, s := range state.Settings.Siblings {
+		px.Siblings[s.Label] = &Sibling{Settings: s, Client: peer.NewClient(s.Endpoint), Machines: map[string]peer.MachineStatus{}}
 	}
 	return px
 }
 
-// isFresh reports whether a sibling's status is recent enough to be believed.
-func (px *peerExchange) isFresh(s *sibling) bool {
-	return !s.receivedAt.IsZero() && px.now().Sub(s.receivedAt) < tuning.PeerFresh
+// IsFresh reports whether a sibling's status is recent enough to be believed.
+func (px *PeerExchange) IsFresh(s *Sibling) bool {
+	return !s.receivedAt.IsZero() && px.Now().Sub(s.receivedAt) < tuning.PeerFresh
 }
 
-// runPeerExchange exchanges statuses with one sibling.
-func (px *peerExchange) runPeerExchange(ctx context.Context, s *sibling) error {
+// RunPeerExchange exchanges statuses with one sibling.
+func (px *PeerExchange) RunPeerExchange(ctx context.Context, s *Sibling) error {
 	for ctx.Err() == nil {
 		px.Lock()
-		own := px.ownStatus(peer.MachinesVersion{})
-		own.Known = s.machinesVersion
+		own := px.OwnStatus(peer.MachinesVersion{})
+		own.Known = s.MachinesVersion
 		px.Unlock()
 		own.Machines, own.AllMachines = nil, false // they come with the answer to the sibling's own
-		asked := px.now()
-		st, err := s.client.Exchange(own.Encode(), tuning.PeerTimeout)
+		asked := px.Now()
+		st, err := s.Client.Exchange(own.Encode(), tuning.PeerTimeout)
 		if err == nil {
-			px.applyPeerStatus(st, asked)
+			px.ApplyPeerStatus(st, asked)
 		}
-		sleep(ctx, tuning.PeerEvery)
+		timing.Sleep(ctx, tuning.PeerEvery)
 	}
 	return nil
 }
 
-// serveStatus takes a sibling's status and answers with this controller's.
-func (px *peerExchange) serveStatus(c *fasthttp.RequestCtx) {
+// ServeStatus takes a sibling's status and answers with this controller's.
+func (px *PeerExchange) ServeStatus(c *fasthttp.RequestCtx) {
 	status, err := peer.DecodeStatus(c.PostBody())
 	if err != nil {
-		respondError(c, 400, "malformed status")
+		response.Error(c, 400, "malformed status")
 		return
 	}
-	px.applyPeerStatus(status, time.Time{})
+	px.ApplyPeerStatus(status, time.Time{})
 	px.Lock()
-	own := px.ownStatus(status.Known)
+	own := px.OwnStatus(status.Known)
 	px.Unlock()
 	c.SetBody(own.Encode())
 }
 
-// applyPeerStatus enters a sibling's status. If it answers one of ours, asked is when
+// ApplyPeerStatus enters a sibling's status. If it answers one of ours, asked is when
 // that was sent, and the changes of its machines since the view that we have
 // come with it; else asked is zero.
-func (px *peerExchange) applyPeerStatus(st peer.Status, asked time.Time) {
+func (px *PeerExchange) ApplyPeerStatus(st peer.Status, asked time.Time) {
 	px.Lock()
 	defer px.Unlock()
-	s := px.siblings[st.Label]
+	s := px.Siblings[st.Label]
 	if s == nil {
 		return
 	}
-	now := px.now()
+	now := px.Now()
 	seen := peer.MachinesVersion{Number: st.MachinesVersion, FencingToken: st.FencingToken, Incarnation: st.Incarnation}
 	answer := !asked.IsZero()
 	if answer {
 		px.applyAttestation(s, st, asked, now)
 	}
-	if answer && (st.AllMachines || seen.FencingToken == s.machinesVersion.FencingToken && seen.Incarnation == s.machinesVersion.Incarnation) {
+	if answer && (st.AllMachines || seen.FencingToken == s.MachinesVersion.FencingToken && seen.Incarnation == s.MachinesVersion.Incarnation) {
 		px.applyPeerMachines(s, st, now)
-		s.machinesVersion, s.machinesConfirmedAt = seen, now
+		s.MachinesVersion, s.machinesConfirmedAt = seen, now
 	}
 	st.Machines = nil
-	s.status, s.receivedAt = st, now
-	if px.membership != nil && st.FencingToken > px.membership.FencingToken {
-		wake(px.membershipWake)
+	s.Status, s.receivedAt = st, now
+	if px.Membership != nil && st.FencingToken > px.Membership.FencingToken {
+		cluster.Wake(px.MembershipWake)
 	}
 }
 
 // applyPeerMachines enters what has changed of a sibling's machines, or all of them
 // in place of those known before; the lock is held.
-func (px *peerExchange) applyPeerMachines(s *sibling, st peer.Status, now time.Time) {
+func (px *PeerExchange) applyPeerMachines(s *Sibling, st peer.Status, now time.Time) {
 	if st.AllMachines {
-		for host := range s.machines {
-			px.machineIndex.markChanged(host)
+		for host := range s.Machines {
+			px.machineIndex.MarkChanged(host)
 		}
-		clear(s.machines)
+		clear(s.Machines)
 	}
 	for _, h := range st.Machines {
-		px.machineIndex.markChanged(h.Name)
-		s.machines[h.Name] = h
+		px.machineIndex.MarkChanged(h.Name)
+		s.Machines[h.Name] = h
 		if h.Silent {
-			px.onSilent(h.Name, now.Add(-h.SinceHeard))
+			px.OnSilent(h.Name, now.Add(-h.SinceHeard))
 		}
 	}
 }
 
 // applyAttestation enters what a sibling says of cancellations, and how far all of them
 // are known by it; the lock is held.
-func (px *peerExchange) applyAttestation(s *sibling, st peer.Status, asked, now time.Time) {
+func (px *PeerExchange) applyAttestation(s *Sibling, st peer.Status, asked, now time.Time) {
 	if !st.ReportsCancellations || st.Incarnation == 0 {
-		s.attestation = membership.Attestation{}
+		s.Attestation = membership.Attestation{}
 		return
 	}
-	s.attestation = s.attestation.Update(st.Incarnation, st.LastCancellation, asked, now)
-	all := make([]membership.Attestation, 0, len(px.siblings))
-	for _, o := range px.siblings {
-		all = append(all, o.attestation)
+	s.Attestation = s.Attestation.Update(st.Incarnation, st.LastCancellation, asked, now)
+	all := make([]membership.Attestation, 0, len(px.Siblings))
+	for _, o := range px.Siblings {
+		all = append(all, o.Attestation)
 	}
-	if at := membership.CancellationsKnownUntil(px.syncer.LastReadAt(), px.cache.Revision(), all); at.After(px.attestedUntil) {
+	if at := membership.CancellationsKnownUntil(px.Syncer.LastReadAt(), px.Cache.Revision(), all); at.After(px.attestedUntil) {
 		px.attestedUntil = at
 	}
 }
 
-// cancellationsKnownUntil is the time up to which every cancellation that a user was told of
+// CancellationsKnownUntil is the time up to which every cancellation that a user was told of
 // is in the cache; the lock is held.
-func (px *peerExchange) cancellationsKnownUntil() time.Time {
-	if fresh := px.syncer.LastReadAt(); fresh.After(px.attestedUntil) {
+func (px *PeerExchange) CancellationsKnownUntil() time.Time {
+	if fresh := px.Syncer.LastReadAt(); fresh.After(px.attestedUntil) {
 		return fresh
 	}
 	return px.attestedUntil
 }
 
-// ownStatus is this node's status, with what has changed of its machines since
+// OwnStatus is this node's status, with what has changed of its machines since
 // the view that a sibling has; the lock is held.
-func (px *peerExchange) ownStatus(seen peer.MachinesVersion) peer.Status {
-	now := px.now()
-	st := peer.Status{Label: px.self.Label, Incarnation: px.self.Incarnation, Revision: px.cache.Revision(), HasStore: px.hasStore() && px.cache.Consistent()}
-	if px.membership != nil {
-		st.FencingToken = px.membership.FencingToken
+func (px *PeerExchange) OwnStatus(seen peer.MachinesVersion) peer.Status {
+	now := px.Now()
+	st := peer.Status{Label: px.Self.Label, Incarnation: px.Self.Incarnation, Revision: px.Cache.Revision(), HasStore: px.HasStore() && px.Cache.Consistent()}
+	if px.Membership != nil {
+		st.FencingToken = px.Membership.FencingToken
 	}
-	if px.isMember() && now.Sub(px.publishedAt) >= tuning.MachineStatusEvery {
-		px.publishedAt = now
+	if px.IsMember() && now.Sub(px.PublishedAt) >= tuning.MachineStatusEvery {
+		px.PublishedAt = now
 		px.refreshPublished(now)
 	}
-	st.Recovering = px.recovery.progress.MachinesUnknown()
-	st.ReportsCancellations, st.LastCancellation = px.cache.Consistent(), px.lastCancellation
-	st.QueuedChanges = uint32(math.Ceil(px.queuedWrites))
+	st.Recovering = px.recovery.Progress.MachinesUnknown()
+	st.ReportsCancellations, st.LastCancellation = px.Cache.Consistent(), px.LastCancellation
+	st.QueuedChanges = uint32(math.Ceil(px.QueuedWrites))
 	st.MachinesVersion = px.publishedVersion
 	st.AllMachines = seen.FencingToken != st.FencingToken || seen.Incarnation != st.Incarnation || seen.Number > px.publishedVersion
-	if px.isMember() {
-		for _, t := range px.publishedMachines {
+	if px.IsMember() {
+		for _, t := range px.PublishedMachines {
 			if st.AllMachines || t.version > seen.Number {
 				st.Machines = append(st.Machines, t.status)
 			}
@@ -197,8 +200,8 @@
 }
 
 // refreshPublished notes what has changed of this node's machines; the lock is held.
-func (px *peerExchange) refreshPublished(now time.Time) {
-	silent := px.silenceTimeout()
+func (px *PeerExchange) refreshPublished(now time.Time) {
+	silent := px.SilenceTimeout()
 	for host, w := range px.unpublished(now) {
 		if w.LastHeard.IsZero() {
 			continue
@@ -208,10 +211,10 @@
 		if !w.TerminationAt.IsZero() {
 			h.TerminationNotice = 0
 		}
-		t := px.publishedMachines[host]
+		t := px.PublishedMachines[host]
 		if t == nil {
 			t = &publishedMachine{}
-			px.publishedMachines[host] = t
+			px.PublishedMachines[host] = t
 		} else if o := t.status; o.Incarnation == h.Incarnation && o.Silent == h.Silent && o.TokenAcknowledged == h.TokenAcknowledged && o.TerminationNotice == h.TerminationNotice &&
 			o.Quarantined == h.Quarantined && slices.Equal(o.Images, w.Images) {
 			continue
@@ -226,13 +229,13 @@
 // unpublished lists the workers whose machines may differ from what siblings are
 // told of them: those that something has changed for, and every so often all, for
 // those that have fallen silent; the lock is held.
-func (px *peerExchange) unpublished(now time.Time) map[string]*worker.Worker {
+func (px *PeerExchange) unpublished(now time.Time) map[string]*worker.Worker {
 	v := px.machineIndex
-	some := px.workers.byMachine
+	some := px.workers.ByMachine
 	if now.Sub(v.fullPublishAt) < tuning.SweepEvery && !now.Before(v.fullPublishAt) {
 		some = make(map[string]*worker.Worker, len(v.unpublished))
 		for host := range v.unpublished {
-			if w := px.workers.byMachine[host]; w != nil {
+			if w := px.workers.ByMachine[host]; w != nil {
 				some[host] = w
 			}
 		}
@@ -245,26 +248,26 @@
 
 // isFencedOut reports whether a sibling that reads the state service knows a
 // newer membership, so that this node should hand its workers over; the lock is held.
-func (px *peerExchange) isFencedOut() bool {
-	if px.membership == nil {
+func (px *PeerExchange) isFencedOut() bool {
+	if px.Membership == nil {
 		return false
 	}
-	for _, s := range px.siblings {
-		if px.isFresh(s) && s.status.HasStore && s.status.FencingToken > px.membership.FencingToken {
+	for _, s := range px.Siblings {
+		if px.IsFresh(s) && s.Status.HasStore && s.Status.FencingToken > px.Membership.FencingToken {
 			return true
 		}
 	}
 	return false
 }
 
-// siblingHearsWorkers reports whether any sibling hears a machine of its own; the
+// SiblingHearsWorkers reports whether any sibling hears a machine of its own; the
 // lock is held.
-func (px *peerExchange) siblingHearsWorkers() bool {
-	for _, s := range px.siblings {
-		if !px.isFresh(s) {
+func (px *PeerExchange) SiblingHearsWorkers() bool {
+	for _, s := range px.Siblings {
+		if !px.IsFresh(s) {
 			continue
 		}
-		for _, h := range s.machines {
+		for _, h := range s.Machines {
 			if !h.Silent {
 				return true
 			}
@@ -273,19 +276,19 @@
 	return false
 }
 
-// lastHeardByOwners is how long ago each machine was heard by its owner.
-func (px *peerExchange) lastHeardByOwners(now time.Time) map[string]time.Duration {
+// LastHeardByOwners is how long ago each machine was heard by its owner.
+func (px *PeerExchange) LastHeardByOwners(now time.Time) map[string]time.Duration {
 	out := map[string]time.Duration{}
-	for host, w := range px.workers.byMachine {
+	for host, w := range px.workers.ByMachine {
 		if !w.LastHeard.IsZero() {
 			out[host] = now.Sub(w.LastHeard)
 		}
 	}
-	for _, s := range px.siblings {
+	for _, s := range px.Siblings {
 		if s.machinesConfirmedAt.IsZero() || now.Sub(s.machinesConfirmedAt) > 5*tuning.PeerFresh {
 			continue
 		}
-		for name, h := range s.machines {
+		for name, h := range s.Machines {
 			if h.Silent {
 				continue // entered when it was told
 			}
--- a/internal/controller/recovery.go
+++ b/internal/fleet/recovery.go
@@ -1,11 +1,12 @@
 // This file carries out what package recovery decides: how far this node is in
 // knowing its machines, and which starts may go now.
 
-package controller
+package fleet
 
 import (
 	"time"
 
+	"wheatspur/internal/cluster"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/recovery"
@@ -16,53 +17,53 @@
 // recoveryTracker follows how far this controller is in knowing its machines
 // after a start, and paces its starts meanwhile.
 type recoveryTracker struct {
-	*clusterState
-	workers *workerManager
-	peers   *peerExchange
+	*cluster.State
+	workers *WorkerManager
+	peers   *PeerExchange
 
-	progress *recovery.Progress
+	Progress *recovery.Progress
 	pacer    *recovery.Pacer // of starts while this controller recovers
 }
 
-func newRecoveryTracker(state *clusterState) *recoveryTracker {
+func newRecoveryTracker(state *cluster.State) *recoveryTracker {
 	return &recoveryTracker{
-		clusterState: state,
-		progress:     recovery.NewProgress(state.now()),
-		pacer:        recovery.NewPacer(float64(state.settings.Operator.RecoveryStarts), state.now()),
+		State:    state,
+		Progress: recovery.NewProgress(state.Now()),
+		pacer:    recovery.NewPacer(float64(state.Settings.Operator.RecoveryStarts), state.Now()),
 	}
 }
 
-// advanceRecovery takes the node's recovery a step on. It looks at all of the node's
+// AdvanceRecovery takes the node's recovery a step on. It looks at all of the node's
 // machines, and only until recovery is over; the lock is held.
-func (rt *recoveryTracker) advanceRecovery(now time.Time) {
-	r := rt.progress
+func (rt *recoveryTracker) AdvanceRecovery(now time.Time) {
+	r := rt.Progress
 	if r.Done() {
 		return
 	}
-	if !rt.isMember() {
+	if !rt.IsMember() {
 		rt.recoveryEvent(recovery.Lost, now)
 		return
 	}
 	rt.recoveryEvent(recovery.Loaded, now)
 	machines, left := rt.countMachines(now)
-	r.RecordCounts(machines, len(rt.table.Open), left, now)
+	r.RecordCounts(machines, len(rt.Table.Open), left, now)
 	rt.pacer.SetBacklog(r.PendingStarts)
 	if r.Machines.Accounted() {
 		rt.recoveryEvent(recovery.Accounted, now)
 	}
 	// Starts that can't be sent for a lease are none that a rate would help.
-	late := r.Phase == recovery.CatchingUp && now.Sub(r.Since) > rt.settings.WorkerLease()
-	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietHeartbeats*float64(rt.settings.HeartbeatInterval()))) {
+	late := r.Phase == recovery.CatchingUp && now.Sub(r.Since) > rt.Settings.WorkerLease()
+	if late || r.Quiet(now, time.Duration(tuning.RecoveryQuietHeartbeats*float64(rt.Settings.HeartbeatInterval()))) {
 		rt.recoveryEvent(recovery.CaughtUp, now)
 	}
 }
 
 // recoveryEvent enters an event and logs what it changes; the lock is held.
 func (rt *recoveryTracker) recoveryEvent(e recovery.Event, now time.Time) {
-	before, since := rt.progress.Phase, rt.progress.Since
-	if rt.progress.Apply(e, now) {
-		rt.log.Info("recovery", "phase", string(rt.progress.Phase), "after", string(before), "took", now.Sub(since).Round(time.Millisecond),
-			"machines", len(rt.inventory.Machines), "missing", rt.progress.Machines[recovery.Missing], "starts_left", rt.progress.PendingStarts.Total())
+	before, since := rt.Progress.Phase, rt.Progress.Since
+	if rt.Progress.Apply(e, now) {
+		rt.Log.Info("recovery", "phase", string(rt.Progress.Phase), "after", string(before), "took", now.Sub(since).Round(time.Millisecond),
+			"machines", len(rt.Inventory.Machines), "missing", rt.Progress.Machines[recovery.Missing], "starts_left", rt.Progress.PendingStarts.Total())
 	}
 }
 
@@ -70,20 +71,20 @@
 // starts that are due on those that have been heard; the lock is held.
 func (rt *recoveryTracker) countMachines(now time.Time) (count recovery.Count, left recovery.Backlog) {
 	count = recovery.Count{}
-	waited := now.Sub(rt.progress.Began)
-	patience := time.Duration(tuning.RecoveryHeartbeats * float64(rt.settings.HeartbeatInterval()))
-	for host, rec := range rt.inventory.Machines {
-		if rec.Phase == inventory.Terminated || rt.shardOwner(host) != rt.self.Label {
+	waited := now.Sub(rt.Progress.Began)
+	patience := time.Duration(tuning.RecoveryHeartbeats * float64(rt.Settings.HeartbeatInterval()))
+	for host, rec := range rt.Inventory.Machines {
+		if rec.Phase == inventory.Terminated || rt.ShardOwner(host) != rt.Self.Label {
 			continue
 		}
-		w := rt.workers.byMachine[host]
+		w := rt.workers.ByMachine[host]
 		heard := w != nil && !w.LastHeard.IsZero()
 		state := recovery.StateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, patience)
 		count[state]++
 		if !heard {
 			continue
 		}
-		for id, j := range rt.table.ClaimsByMachine[host] {
+		for id, j := range rt.Table.ClaimsByMachine[host] {
 			t := j.Claims[id.Task]
 			if s, on := w.Tasks[id]; j.Phase == jobs.Open && t.Incarnation == w.Incarnation && (!on || s.Attempt < t.Attempt) {
 				left[startClass(j)]++
@@ -106,27 +107,27 @@
 func (rt *recoveryTracker) admitStart(j *jobs.Job) bool {
 	class := startClass(j)
 	switch {
-	case rt.progress.Done():
+	case rt.Progress.Done():
 		return true
-	case rt.progress.Phase == recovery.Loading && class != recovery.ServiceStart && rt.settings.Operator.RecoveryStarts > 0:
+	case rt.Progress.Phase == recovery.Loading && class != recovery.ServiceStart && rt.Settings.Operator.RecoveryStarts > 0:
 		return false // what is more urgent has not been counted yet
 	}
-	return rt.pacer.Admit(class, rt.now())
+	return rt.pacer.Admit(class, rt.Now())
 }
 
-// machinesUnknown reports whether decisions that need a whole picture of the machines have
+// MachinesUnknown reports whether decisions that need a whole picture of the machines have
 // to wait: this node, or another member, does not know its machines yet. Guards
 // against work that is stopped, moved or rented for because free machines have
 // not reported yet. The lock is held.
-func (rt *recoveryTracker) machinesUnknown() bool {
-	if !rt.settings.Operator.RecoveryHold {
+func (rt *recoveryTracker) MachinesUnknown() bool {
+	if !rt.Settings.Operator.RecoveryHold {
 		return false
 	}
-	if rt.membership == nil || rt.progress.MachinesUnknown() {
+	if rt.Membership == nil || rt.Progress.MachinesUnknown() {
 		return true
 	}
-	for _, m := range rt.membership.Nodes {
-		if s := rt.peers.siblings[m.Label]; s != nil && rt.peers.isFresh(s) && s.status.Incarnation == m.Incarnation && s.status.Recovering {
+	for _, m := range rt.Membership.Nodes {
+		if s := rt.peers.Siblings[m.Label]; s != nil && rt.peers.IsFresh(s) && s.Status.Incarnation == m.Incarnation && s.Status.Recovering {
 			return true
 		}
 	}
--- a/internal/controller/workerclient.go
+++ b/internal/fleet/workerclient.go
@@ -1,4 +1,4 @@
-package controller
+package fleet
 
 import (
 	"fmt"
@@ -10,15 +10,15 @@
 	"wheatspur/wire"
 )
 
-// workerClient sends direct commands to workers.
-type workerClient interface {
+// WorkerClient sends direct commands to workers.
+type WorkerClient interface {
 	SendCommands(address string, cmd wire.CommandRequest) (int, *wire.Heartbeat, error)
 	Probe(address string) error
 }
 
 type httpWorkerClient struct{ hc *fasthttp.Client }
 
-func newHTTPWorkerClient() *httpWorkerClient {
+func NewHTTPWorkerClient() *httpWorkerClient {
 	return &httpWorkerClient{httpclient.Many(tuning.WorkerConns)}
 }
 
--- a/internal/httpclient/httpclient.go
+++ b/internal/httpclient/httpclient.go
@@ -1,4 +1,4 @@
-// Package httpc is how this program calls others over HTTP: IPv4 only, a
+// Package httpclient is how this program calls others over HTTP: IPv4 only, a
 // deadline on every call, bounded connections, and no repeats by the library:
 // a repeat must be a decision of the caller, who knows what a lost answer
 // means.
--- a/internal/controller/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"context"
@@ -7,79 +7,81 @@
 	"time"
 
 	"wheatspur/internal/cloud"
+	"wheatspur/internal/cluster"
 	"wheatspur/internal/config"
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/placement"
+	"wheatspur/internal/timing"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
 
-// runCloudSync reads the machine types and the machine list while leading.
-func (ld *leaderLoop) runCloudSync(ctx context.Context) error {
+// RunCloudSync reads the machine types and the machine list while leading.
+func (ld *Loop) RunCloudSync(ctx context.Context) error {
 	var types time.Time
 	for ctx.Err() == nil {
 		ld.Lock()
-		lead := ld.isLeader()
-		known := len(ld.machineTypeList) > 0
+		lead := ld.IsLeader()
+		known := len(ld.MachineTypeList) > 0
 		ld.Unlock()
 		if !lead {
-			sleep(ctx, tuning.TickEvery)
+			timing.Sleep(ctx, tuning.TickEvery)
 			continue
 		}
-		if !known || ld.now().Sub(types) > tuning.TypesEvery {
-			if err := ld.refreshMachineTypes(ctx); err != nil {
-				ld.log.Info("machine types not read", "err", err)
+		if !known || ld.Now().Sub(types) > tuning.TypesEvery {
+			if err := ld.RefreshMachineTypes(ctx); err != nil {
+				ld.Log.Info("machine types not read", "err", err)
 			} else {
-				types = ld.now()
+				types = ld.Now()
 			}
 		}
 		if list, err := ld.cloud.ListMachines(); err != nil {
-			ld.log.Info("machine list not read", "err", err)
+			ld.Log.Info("machine list not read", "err", err)
 		} else {
-			ld.reconcileCloudList(ctx, list)
+			ld.ReconcileCloudList(ctx, list)
 		}
 		// A list of many pages takes as many calls of the cloud's budget.
 		ld.Lock()
-		pages := len(ld.leaderState.listed)/cloud.ListPageSize + 1
+		pages := len(ld.LeaderState.listed)/cloud.ListPageSize + 1
 		ld.Unlock()
-		sleep(ctx, tuning.ListEvery*time.Duration(max(1, pages/2)))
+		timing.Sleep(ctx, tuning.ListEvery*time.Duration(max(1, pages/2)))
 	}
 	return nil
 }
 
-// refreshMachineTypes stores the machine types, if they have changed.
-func (ld *leaderLoop) refreshMachineTypes(ctx context.Context) error {
+// RefreshMachineTypes stores the machine types, if they have changed.
+func (ld *Loop) RefreshMachineTypes(ctx context.Context) error {
 	list, err := ld.cloud.MachineTypes()
 	if err != nil {
 		return err
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].Label < list[b].Label })
 	ld.Lock()
-	same := len(list) == len(ld.machineTypeList)
+	same := len(list) == len(ld.MachineTypeList)
 	for i := 0; same && i < len(list); i++ {
-		a, b := list[i], ld.machineTypeList[i]
+		a, b := list[i], ld.MachineTypeList[i]
 		a.SpotPrice = b.SpotPrice // moves all the time
 		same = fmt.Sprint(a) == fmt.Sprint(b)
 	}
-	guards := []wire.Compare{ld.cache.Compare(membership.Key), ld.cache.Compare(typesKey)}
+	guards := []wire.Compare{ld.Cache.Compare(membership.Key), ld.Cache.Compare(cluster.TypesKey)}
 	ld.Unlock()
 	if same {
 		return nil
 	}
-	return ld.storeDecision(ctx, guards, []wire.Operation{{Put: typesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: list})}})
+	return ld.StoreDecision(ctx, guards, []wire.Operation{{Put: cluster.TypesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: list})}})
 }
 
-// reconcileCloudList compares the cloud's list with the stored machines.
-func (ld *leaderLoop) reconcileCloudList(ctx context.Context, list []wire.Machine) {
+// ReconcileCloudList compares the cloud's list with the stored machines.
+func (ld *Loop) ReconcileCloudList(ctx context.Context, list []wire.Machine) {
 	ld.Lock()
-	if !ld.isLeader() {
+	if !ld.IsLeader() {
 		ld.Unlock()
 		return
 	}
-	l := ld.currentLeaderState()
-	now := ld.now()
-	l.listedAt = now
+	l := ld.CurrentLeaderState()
+	now := ld.Now()
+	l.ListedAt = now
 	seen := map[string]bool{}
 	var changes []inventory.RecordChange
 	for host, at := range l.terminatedAt {
@@ -92,12 +94,12 @@
 			continue
 		}
 		seen[h.Name] = true
-		if _, ok := l.firstListed[h.Name]; !ok {
-			l.firstListed[h.Name] = now
+		if _, ok := l.FirstListed[h.Name]; !ok {
+			l.FirstListed[h.Name] = now
 		}
 		l.listed[h.Name] = h
-		delete(l.missingLists, h.Name)
-		rec, known := ld.inventory.Machines[h.Name]
+		delete(l.MissingLists, h.Name)
+		rec, known := ld.Inventory.Machines[h.Name]
 		switch {
 		case h.State == wire.MachineFailed:
 			was := &rec
@@ -109,15 +111,15 @@
 				gone := rec
 				gone.Phase, gone.Reason = next, "listed as failed"
 				changes = append(changes, inventory.RecordChange{Machine: h.Name, Before: was, After: &gone})
-				ld.log.Info("machine failed", "host", h.Name)
+				ld.Log.Info("machine failed", "host", h.Name)
 			}
 		case !known:
 			rec = inventory.Record{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Phase: inventory.Active, Role: ld.initialRole(l, h, changes)}
 			changes = append(changes, inventory.RecordChange{Machine: h.Name, After: &rec})
-			ld.log.Info("machine joins", "host", h.Name, "type", h.MachineType, "zone", h.Zone, "spot", h.Spot, "role", string(rec.Role))
+			ld.Log.Info("machine joins", "host", h.Name, "type", h.MachineType, "zone", h.Zone, "spot", h.Spot, "role", string(rec.Role))
 		}
-		if ld.shardOwner(h.Name) == ld.self.Label && h.State == wire.MachineRunning {
-			if w := ld.workers.worker(h.Name); w.Address == "" {
+		if ld.ShardOwner(h.Name) == ld.Self.Label && h.State == wire.MachineRunning {
+			if w := ld.Workers.Worker(h.Name); w.Address == "" {
 				w.Address = h.Address
 			}
 		}
@@ -126,38 +128,38 @@
 	for _, h := range list {
 		newest = max(newest, h.Name)
 	}
-	lag := config.Seconds(ld.settings.Params.Cloud.ListLagS)
-	for host, rec := range ld.inventory.Machines {
+	lag := config.Seconds(ld.Settings.Params.Cloud.ListLagS)
+	for host, rec := range ld.Inventory.Machines {
 		if seen[host] {
 			continue
 		}
 		// A stored machine was listed once, perhaps to a former leader. A list
 		// may be older than that: a new machine may be missing from it. Names
 		// come in the order of creation, so a list with a later name is newer.
-		if _, ok := l.firstListed[host]; !ok {
-			l.firstListed[host] = now
+		if _, ok := l.FirstListed[host]; !ok {
+			l.FirstListed[host] = now
 		}
-		if rec.Phase == inventory.Terminated || host < newest || now.Sub(l.firstListed[host]) > tuning.ListLagFactor*lag {
-			l.missingLists[host]++
+		if rec.Phase == inventory.Terminated || host < newest || now.Sub(l.FirstListed[host]) > tuning.ListLagFactor*lag {
+			l.MissingLists[host]++
 		}
 	}
-	for host := range l.scalingOut {
+	for host := range l.ScalingOut {
 		if seen[host] {
-			delete(l.scalingOut, host)
+			delete(l.ScalingOut, host)
 		}
 	}
 	ld.Unlock()
-	ld.storeMachines(ctx, changes)
+	ld.StoreMachines(ctx, changes)
 }
 
 // initialRole is the role of a machine that is new to the store: what it was
 // rented for; else the role floors, then what waits, then services.
-func (ld *leaderLoop) initialRole(l *leaderState, h wire.Machine, joining []inventory.RecordChange) placement.Role {
+func (ld *Loop) initialRole(l *leaderState, h wire.Machine, joining []inventory.RecordChange) placement.Role {
 	if h.Spot {
 		return placement.Batch
 	}
-	if r, ok := l.scalingOut[h.Name]; ok {
-		return r.role
+	if r, ok := l.ScalingOut[h.Name]; ok {
+		return r.Role
 	}
 	count := map[placement.Role]int{}
 	add := func(r inventory.Record) {
@@ -165,15 +167,15 @@
 			count[r.Role]++
 		}
 	}
-	for _, r := range ld.inventory.Machines {
+	for _, r := range ld.Inventory.Machines {
 		add(r)
 	}
 	for _, c := range joining {
 		add(*c.After)
 	}
 	services, arrays := false, false
-	for jobID := range ld.scheduler.unplaced {
-		if j := ld.table.Open[jobID]; j != nil && j.Service() {
+	for jobID := range ld.scheduler.Unplaced {
+		if j := ld.Table.Open[jobID]; j != nil && j.Service() {
 			services = true
 		} else if j != nil {
 			arrays = true
--- a/internal/controller/wants.go
+++ b/internal/leader/demands.go
@@ -1,6 +1,6 @@
 // This file holds the part of the capacity plan's input that says which tasks need room.
 
-package controller
+package leader
 
 import (
 	"sort"
@@ -16,11 +16,11 @@
 // only when the last free machine is taken: with hundreds of jobs that took half
 // a minute.
 func (b *planBuilder) addUntried() {
-	for jobID, j := range b.leader.table.Open {
-		why := b.leader.scheduler.pendingReasons[jobID]
+	for jobID, j := range b.leader.Table.Open {
+		why := b.leader.scheduler.PendingReasons[jobID]
 		count := j.Counts[jobs.Pending]
 		if why != placement.ReasonNoTurn {
-			count -= b.leader.scheduler.unplaced[jobID]
+			count -= b.leader.scheduler.Unplaced[jobID]
 		}
 		if count > 0 && (why == "" || why == placement.ReasonNoTurn || why == placement.ReasonNoRoom) {
 			b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: j, Count: count, NotScheduledYet: true})
@@ -34,30 +34,30 @@
 // waited longest first.
 func (b *planBuilder) addUnmet() {
 	for _, jobID := range b.leader.unplacedByAge() {
-		j := b.leader.table.Open[jobID]
-		if j == nil || b.leader.scheduler.pendingReasons[jobID] != placement.ReasonNoRoom {
+		j := b.leader.Table.Open[jobID]
+		if j == nil || b.leader.scheduler.PendingReasons[jobID] != placement.ReasonNoRoom {
 			continue
 		}
-		count := b.leader.scheduler.unplaced[jobID]
+		count := b.leader.scheduler.Unplaced[jobID]
 		if j.Service() {
 			// The headroom is for what will run too.
 			b.input.Service.Tasks += float64(count)
 			b.input.Service.AwaitingBoot += float64(count)
 			b.input.Service.Need, b.input.Service.Spec = j.Need, j.Record.Spec
 		}
-		b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: j, Count: count, Waiting: b.now.Sub(b.leader.scheduler.unplacedSince[jobID])})
+		b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: j, Count: count, Waiting: b.now.Sub(b.leader.scheduler.UnplacedSince[jobID])})
 	}
 }
 
 // unplacedByAge lists the jobs with tasks without a place, the oldest wait first; the
 // lock is held.
-func (ld *leaderLoop) unplacedByAge() []string {
-	jobIDs := make([]string, 0, len(ld.scheduler.unplaced))
-	for jobID := range ld.scheduler.unplaced {
+func (ld *Loop) unplacedByAge() []string {
+	jobIDs := make([]string, 0, len(ld.scheduler.Unplaced))
+	for jobID := range ld.scheduler.Unplaced {
 		jobIDs = append(jobIDs, jobID)
 	}
 	sort.Slice(jobIDs, func(i, k int) bool {
-		return ld.scheduler.unplacedSince[jobIDs[i]].Before(ld.scheduler.unplacedSince[jobIDs[k]])
+		return ld.scheduler.UnplacedSince[jobIDs[i]].Before(ld.scheduler.UnplacedSince[jobIDs[k]])
 	})
 	return jobIDs
 }
@@ -68,14 +68,14 @@
 // machines had died, services waited for their replacements for 45 s. A node
 // that hears hardly any of its machines has trouble of its own. up is how long
 // ago each machine was heard; the lock is held.
-func (ld *leaderLoop) tasksAtRisk(machines *placement.Fleet, up map[string]time.Duration, now time.Time) []autoscale.Demand {
+func (ld *Loop) tasksAtRisk(machines *placement.Fleet, up map[string]time.Duration, now time.Time) []autoscale.Demand {
 	heard, quiet := map[string]int{}, map[string]int{}
 	var list []*placement.Machine
 	for _, m := range machines.Machines {
 		age, ok := up[m.Name]
-		if ok && age < ld.silenceTimeout() {
+		if ok && age < ld.SilenceTimeout() {
 			heard[m.Owner]++
-		} else if at, wasUp := ld.leaderState.lastHeard[m.Name]; wasUp && now.Sub(at) > ld.silenceTimeout() {
+		} else if at, wasUp := ld.LeaderState.LastHeard[m.Name]; wasUp && now.Sub(at) > ld.SilenceTimeout() {
 			quiet[m.Owner]++
 			if m.Role == placement.Service {
 				list = append(list, m)
--- a/internal/controller/headroom.go
+++ b/internal/leader/headroom.go
@@ -1,7 +1,7 @@
 // This file holds the part of the capacity plan's input that headroom is kept for:
 // what the roles hold, which of them are active and what is typical of batch work.
 
-package controller
+package leader
 
 import (
 	"math"
@@ -60,7 +60,7 @@
 // addActiveRoles enters which roles have had work lately.
 func (b *planBuilder) addActiveRoles() {
 	active := b.leaderState.roleActiveAt
-	for _, j := range b.leader.table.Open {
+	for _, j := range b.leader.Table.Open {
 		if j.Service() {
 			active[placement.Service] = b.now
 		} else {
@@ -79,10 +79,10 @@
 // onDemandLoad is the batch work that may not use spot machines: room for one and a
 // half of its arrays is kept on ordinary machines while any is open or waits for
 // others, and for a minute after; the lock is held.
-func (ld *leaderLoop) onDemandLoad(l *leaderState, now time.Time) autoscale.Load {
+func (ld *Loop) onDemandLoad(l *leaderState, now time.Time) autoscale.Load {
 	var typical *jobs.Job
 	arrays, tasks := 0, 0.0
-	for _, list := range []map[string]*jobs.Job{ld.table.Open, ld.table.Waiting} {
+	for _, list := range []map[string]*jobs.Job{ld.Table.Open, ld.Table.Waiting} {
 		for _, j := range list {
 			if j.Service() || j.Record.Spec.Spot {
 				continue
--- a/internal/controller/lead.go
+++ b/internal/leader/leader.go
@@ -1,4 +1,7 @@
-package controller
+// Package leader does what the leader alone does: it reconciles the cloud's machine
+// list, scales out and in, moves machines between the roles and stores the machine
+// records. Packages autoscale and roles decide.
+package leader
 
 import (
 	"context"
@@ -10,44 +13,48 @@
 
 	"wheatspur/internal/autoscale"
 	"wheatspur/internal/cloud"
+	"wheatspur/internal/cluster"
+	"wheatspur/internal/fleet"
 	"wheatspur/internal/inventory"
+	"wheatspur/internal/scheduler"
+	"wheatspur/internal/timing"
 	"wheatspur/internal/tuning"
 )
 
-// leaderLoop is what the leader alone does: it plans capacity, moves machines
+// Loop is what the leader alone does: it plans capacity, moves machines
 // between the roles and stores the machine records.
-type leaderLoop struct {
-	*clusterState
-	*fleet
-	scheduler *scheduler
+type Loop struct {
+	*cluster.State
+	*fleet.Fleet
+	scheduler *scheduler.Scheduler
 
 	cloud          cloud.Provider
-	leaderState    leaderState
+	LeaderState    leaderState
 	machineWriteMu sync.Mutex // held while the leader stores machine records; taken before the lock
 }
 
-func newLeaderLoop(state *clusterState, fleet *fleet, scheduler *scheduler, provider cloud.Provider) *leaderLoop {
-	return &leaderLoop{clusterState: state, fleet: fleet, scheduler: scheduler, cloud: provider}
+func New(state *cluster.State, fleet *fleet.Fleet, scheduler *scheduler.Scheduler, provider cloud.Provider) *Loop {
+	return &Loop{State: state, Fleet: fleet, scheduler: scheduler, cloud: provider}
 }
 
-// runLeader plans capacity and moves roles while leading. What it gives back and
+// RunLeader plans capacity and moves roles while leading. What it gives back and
 // stores goes beside the next plans, which meanwhile only rent. Guards against
 // a wave of lost machines whose records took the budget of changes for half a
 // minute, while nothing was rented in their place.
-func (ld *leaderLoop) runLeader(ctx context.Context) error {
+func (ld *Loop) RunLeader(ctx context.Context) error {
 	var stepped time.Time
 	storing := make(chan struct{}, 1)
 	var background errgroup.Group
 	defer func() { _ = background.Wait() }()
 	for ctx.Err() == nil {
-		sleep(ctx, tuning.PlanEvery)
+		timing.Sleep(ctx, tuning.PlanEvery)
 		ld.Lock()
-		if !ld.isLeader() || !ld.hasStore() || len(ld.machineTypeList) == 0 || ld.recovery.machinesUnknown() {
+		if !ld.IsLeader() || !ld.HasStore() || len(ld.MachineTypeList) == 0 || ld.Recovery.MachinesUnknown() {
 			ld.Unlock()
 			continue
 		}
-		l, now := ld.currentLeaderState(), ld.now()
-		machines := ld.machineIndex.refreshMachines(now)
+		l, now := ld.CurrentLeaderState(), ld.Now()
+		machines := ld.MachineIndex.RefreshMachines(now)
 		ld.recordArrivals(l, now)
 		free := len(storing) == 0
 		var moves []inventory.RecordChange
@@ -55,10 +62,10 @@
 			stepped = now
 			moves = ld.moveRoles(l, machines, now)
 		}
-		listed := !l.listedAt.IsZero() && now.Sub(l.listedAt) < 5*tuning.ListEvery
+		listed := !l.ListedAt.IsZero() && now.Sub(l.ListedAt) < 5*tuning.ListEvery
 		var out autoscale.Output
 		if listed {
-			out = autoscale.Plan(ld.planInput(l, machines, now))
+			out = autoscale.Plan(ld.PlanInput(l, machines, now))
 		}
 		if !free {
 			ld.Unlock()
@@ -67,20 +74,20 @@
 			}
 			continue
 		}
-		drains, dead := ld.planDrains(out.ScaleIn)
-		returns, drops := ld.planTerminations(l, now)
-		returns = slices.Concat(dead, l.lostWhileDraining, returns)
+		drains, dead := ld.PlanDrains(out.ScaleIn)
+		returns, drops := ld.PlanTerminations(l, now)
+		returns = slices.Concat(dead, l.LostWhileDraining, returns)
 		var cut []string
-		if ld.limiter.AvailableWrites(tuning.WriteReserve) >= 2 {
-			cut = ld.inventory.OversizeGroups(ld.maxGroupBytes(), tuning.GroupSplitsPerPlan)
+		if ld.Limiter.AvailableWrites(tuning.WriteReserve) >= 2 {
+			cut = ld.Inventory.OversizeGroups(ld.MaxGroupBytes(), tuning.GroupSplitsPerPlan)
 		}
 		ld.Unlock()
 
 		// Rentals don't wait for the budget of changes.
 		storing <- struct{}{}
 		background.Go(func() error {
-			ld.storeMachines(ctx, moves)
-			ld.terminate(ctx, returns)
+			ld.StoreMachines(ctx, moves)
+			ld.Terminate(ctx, returns)
 			ld.storeMachineGroups(ctx, append(drains, drops...), cut, tuning.GroupsPerBatch)
 			<-storing
 			return nil
--- a/internal/controller/planinput.go
+++ b/internal/leader/planinput.go
@@ -1,6 +1,6 @@
 // This file builds the input of the capacity plan.
 
-package controller
+package leader
 
 import (
 	"sort"
@@ -16,7 +16,7 @@
 
 // drainable finds the service machines, the emptiest first, whose tasks have
 // room elsewhere; only a few are looked at.
-func (ld *leaderLoop) drainable(f *placement.Fleet) map[string]bool {
+func (ld *Loop) drainable(f *placement.Fleet) map[string]bool {
 	var list []*placement.Machine
 	for _, m := range f.Machines {
 		if m.Schedulable && m.Role == placement.Service && len(m.Tasks) > 0 {
@@ -33,10 +33,10 @@
 	return out
 }
 
-// planInput builds the capacity plan's input; the lock is held.
-func (ld *leaderLoop) planInput(l *leaderState, machines *placement.Fleet, now time.Time) autoscale.Input {
+// PlanInput builds the capacity plan's input; the lock is held.
+func (ld *Loop) PlanInput(l *leaderState, machines *placement.Fleet, now time.Time) autoscale.Input {
 	b := ld.newPlanBuilder(l, machines, now)
-	l.lostWhileDraining = nil
+	l.LostWhileDraining = nil
 	for _, m := range machines.Machines {
 		b.addMachine(m)
 	}
@@ -54,7 +54,7 @@
 // planBuilder puts the input of one capacity plan together. It lives while the lock
 // is held, and so do all of its methods run.
 type planBuilder struct {
-	leader          *leaderLoop
+	leader          *Loop
 	leaderState     *leaderState
 	now             time.Time
 	lease           time.Duration              // after which a machine's lease has ended for certain
@@ -65,19 +65,19 @@
 	input           autoscale.Input
 }
 
-func (ld *leaderLoop) newPlanBuilder(l *leaderState, machines *placement.Fleet, now time.Time) *planBuilder {
+func (ld *Loop) newPlanBuilder(l *leaderState, machines *placement.Fleet, now time.Time) *planBuilder {
 	return &planBuilder{
 		leader:      ld,
 		leaderState: l,
 		now:         now,
-		lease:       time.Duration(float64(ld.settings.WorkerLease())*tuning.DriftFactor) + tuning.LeaseMargin,
-		sinceHeard:  ld.peers.lastHeardByOwners(now),
+		lease:       time.Duration(float64(ld.Settings.WorkerLease())*tuning.DriftFactor) + tuning.LeaseMargin,
+		sinceHeard:  ld.Peers.LastHeardByOwners(now),
 		drainable:   ld.drainable(machines),
 		batch:       map[string]*batchClassLoad{},
 		input: autoscale.Input{
 			Now:             now,
-			Operator:        ld.settings.Operator,
-			Types:           ld.machineTypeList,
+			Operator:        ld.Settings.Operator,
+			Types:           ld.MachineTypeList,
 			NoCapacitySince: l.noCapacityAt,
 			SurplusSince:    l.surplusSince,
 		},
@@ -87,7 +87,7 @@
 // addMachine enters a machine that has a record: what its tasks hold, and itself
 // if it is neither drained nor given back.
 func (b *planBuilder) addMachine(m *placement.Machine) {
-	phase := b.leader.inventory.Machines[m.Name].Phase
+	phase := b.leader.Inventory.Machines[m.Name].Phase
 	b.recordHeard(m)
 	unit := b.describeMachine(m, phase)
 	b.addClaimed(m)
@@ -99,7 +99,7 @@
 		b.input.Draining++
 	}
 	if draining && (unit.Missing || unit.Silent) {
-		b.leaderState.lostWhileDraining = append(b.leaderState.lostWhileDraining, m.Name)
+		b.leaderState.LostWhileDraining = append(b.leaderState.LostWhileDraining, m.Name)
 	}
 	if phase == inventory.Active {
 		b.input.Machines = append(b.input.Machines, unit)
@@ -114,7 +114,7 @@
 	}
 	listed, isListed := b.leaderState.listed[m.Name]
 	running := len(m.Tasks) > 0 || isListed && listed.State == wire.MachineRunning
-	if _, ok := b.leaderState.lastHeard[m.Name]; !ok && running {
+	if _, ok := b.leaderState.LastHeard[m.Name]; !ok && running {
 		// Up, but not heard under this leader yet: its time begins now.
 		b.leaderState.recordHeard(m.Name, b.now)
 	}
@@ -122,9 +122,9 @@
 
 // describeMachine describes a machine to the plan, and notes since when it is idle or unfit.
 func (b *planBuilder) describeMachine(m *placement.Machine, phase inventory.Phase) autoscale.Machine {
-	_, wasUp := b.leaderState.lastHeard[m.Name]
+	_, wasUp := b.leaderState.LastHeard[m.Name]
 	quiet := b.silentFor(m.Name)
-	missing := time.Duration(tuning.MissingHeartbeats * float64(b.leader.settings.HeartbeatInterval()))
+	missing := time.Duration(tuning.MissingHeartbeats * float64(b.leader.Settings.HeartbeatInterval()))
 	unit := autoscale.Machine{
 		Name:             m.Name,
 		Kind:             autoscale.MachineKind{MachineType: m.Type, Zone: m.Zone, Spot: m.Spot},
@@ -137,9 +137,9 @@
 		Claims:           len(m.Tasks),
 		Free:             m.Free,
 		Silent:           wasUp && quiet > 2*b.lease,
-		Missing:          b.leaderState.missingLists[m.Name] >= tuning.MissingLists && wasUp && quiet > missing,
-		HeartbeatOverdue: wasUp && quiet > b.leader.silenceTimeout(),
-		Group:            b.leader.inventory.KeyOf(m.Name),
+		Missing:          b.leaderState.MissingLists[m.Name] >= tuning.MissingLists && wasUp && quiet > missing,
+		HeartbeatOverdue: wasUp && quiet > b.leader.SilenceTimeout(),
+		Group:            b.leader.Inventory.KeyOf(m.Name),
 	}
 	unit.Quarantined = b.quarantinedTooLong(m, phase, unit.Booting) || b.hasFailingTasks(m)
 	return unit
@@ -147,7 +147,7 @@
 
 // silentFor is how long ago a machine was last heard by anybody.
 func (b *planBuilder) silentFor(host string) time.Duration {
-	return b.now.Sub(b.leaderState.lastHeard[host])
+	return b.now.Sub(b.leaderState.LastHeard[host])
 }
 
 // age is how old a machine is by the cloud's last list, 0 if it is not on it.
@@ -156,7 +156,7 @@
 	if !ok {
 		return 0
 	}
-	return time.Duration(listed.AgeS*float64(time.Second)) + b.now.Sub(b.leaderState.listedAt)
+	return time.Duration(listed.AgeS*float64(time.Second)) + b.now.Sub(b.leaderState.ListedAt)
 }
 
 // idleFor is how long a machine has had no claims, and notes when that began.
@@ -177,7 +177,7 @@
 // for instance because it does not hear: another takes its place. It notes when
 // that began.
 func (b *planBuilder) quarantinedTooLong(m *placement.Machine, phase inventory.Phase, booting bool) bool {
-	if m.Schedulable || booting || phase != inventory.Active || b.silentFor(m.Name) > b.leader.silenceTimeout() {
+	if m.Schedulable || booting || phase != inventory.Active || b.silentFor(m.Name) > b.leader.SilenceTimeout() {
 		delete(b.leaderState.quarantinedSince, m.Name)
 		return false
 	}
@@ -191,22 +191,22 @@
 
 // hasFailingTasks reports whether too many tasks failed lately on a machine of this node.
 func (b *planBuilder) hasFailingTasks(m *placement.Machine) bool {
-	w := b.leader.workers.byMachine[m.Name]
-	return m.Owner == b.leader.self.Label && w != nil && len(w.FailedJobs) >= tuning.MachineFailuresMax
+	w := b.leader.Workers.ByMachine[m.Name]
+	return m.Owner == b.leader.Self.Label && w != nil && len(w.FailedJobs) >= tuning.MachineFailuresMax
 }
 
 // addScalingOut enters the machines that were hired and have no record yet.
 func (b *planBuilder) addScalingOut() {
-	for host, rented := range b.leaderState.scalingOut {
-		if _, known := b.leader.inventory.Machines[host]; known || b.now.Sub(rented.requestedAt) > time.Minute {
-			delete(b.leaderState.scalingOut, host)
+	for host, rented := range b.leaderState.ScalingOut {
+		if _, known := b.leader.Inventory.Machines[host]; known || b.now.Sub(rented.requestedAt) > time.Minute {
+			delete(b.leaderState.ScalingOut, host)
 			continue
 		}
-		t := b.leader.machineTypes[rented.kind.MachineType]
+		t := b.leader.MachineTypes[rented.kind.MachineType]
 		b.input.Machines = append(b.input.Machines, autoscale.Machine{
 			Name:    host,
 			Kind:    rented.kind,
-			Role:    rented.role,
+			Role:    rented.Role,
 			Booting: true,
 			Age:     b.now.Sub(rented.requestedAt),
 			Free:    jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB},
--- a/internal/controller/machines.go
+++ b/internal/leader/records.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"context"
@@ -12,60 +12,60 @@
 	"wheatspur/wire"
 )
 
-// storeMachines stores changes of machine records, each guarded by the version of
+// StoreMachines stores changes of machine records, each guarded by the version of
 // its group's key. Several go in one change, and one call at a time, so that
 // the leader's own writes don't race for a group.
-func (ld *leaderLoop) storeMachines(ctx context.Context, list []inventory.RecordChange, cut ...string) {
+func (ld *Loop) StoreMachines(ctx context.Context, list []inventory.RecordChange, cut ...string) {
 	ld.storeMachineGroups(ctx, list, cut, math.MaxInt)
 }
 
 // storeMachineGroups stores the changes of at most most groups.
-func (ld *leaderLoop) storeMachineGroups(ctx context.Context, list []inventory.RecordChange, cut []string, most int) {
+func (ld *Loop) storeMachineGroups(ctx context.Context, list []inventory.RecordChange, cut []string, most int) {
 	if len(list) == 0 && len(cut) == 0 {
 		return
 	}
 	ld.machineWriteMu.Lock()
 	defer ld.machineWriteMu.Unlock()
 	ld.Lock()
-	if !ld.isLeader() {
+	if !ld.IsLeader() {
 		ld.Unlock()
 		return
 	}
-	writes := ld.inventory.PlanWrites(list, cut, ld.maxGroupBytes(), ld.limits.TxnOps)
+	writes := ld.Inventory.PlanWrites(list, cut, ld.MaxGroupBytes(), ld.Limits.TxnOps)
 	if len(writes) > most && !slices.ContainsFunc(writes, func(w inventory.GroupWrite) bool { return strings.HasPrefix(w.Key, inventory.SingleMachinePrefix) }) {
 		writes = writes[:most]
 	}
 	// The versions of what the writes were computed from. Guards against a node
 	// that has lost the lead and got it back, or not, and stores over what
 	// another leader has changed meanwhile.
-	seen := ld.cache.Compare(membership.Key)
+	seen := ld.Cache.Compare(membership.Key)
 	guards := make([][]wire.Compare, len(writes))
 	for i, w := range writes {
-		guards[i] = []wire.Compare{seen, ld.cache.Compare(w.Key)}
+		guards[i] = []wire.Compare{seen, ld.Cache.Compare(w.Key)}
 		for key := range w.SplitOff {
-			guards[i] = append(guards[i], ld.cache.Compare(key))
+			guards[i] = append(guards[i], ld.Cache.Compare(key))
 		}
 	}
 	ld.Unlock()
 	idle := map[string][]string{} // machines to go because they are idle, by group
 	for _, c := range list {
 		if c.After != nil && c.After.Phase == inventory.Draining && c.After.Reason == autoscale.ReasonIdle {
-			idle[ld.groupKeyOf(c.Machine)] = append(idle[ld.groupKeyOf(c.Machine)], c.Machine)
+			idle[ld.GroupKeyOf(c.Machine)] = append(idle[ld.GroupKeyOf(c.Machine)], c.Machine)
 		}
 	}
 	defer func() {
 		ld.Lock()
-		ld.machineWritesLeft = 0
+		ld.MachineWritesLeft = 0
 		ld.Unlock()
 	}()
 	for i, w := range writes {
 		ld.Lock()
-		ld.machineWritesLeft = len(writes) - i
-		if ld.cache.Version(membership.Key) != seen.Version {
+		ld.MachineWritesLeft = len(writes) - i
+		if ld.Cache.Version(membership.Key) != seen.Version {
 			ld.Unlock()
 			return // the rest would fail, and count as changes
 		}
-		if slices.ContainsFunc(idle[w.Key], func(host string) bool { return len(ld.table.ClaimsByMachine[host]) > 0 }) {
+		if slices.ContainsFunc(idle[w.Key], func(host string) bool { return len(ld.Table.ClaimsByMachine[host]) > 0 }) {
 			ld.Unlock()
 			continue // one of them has got work while this waited
 		}
@@ -77,8 +77,8 @@
 			then = append(then, wire.Operation{Put: key, Value: wire.MustMarshal(part)})
 		}
 		ld.Unlock()
-		if err := ld.storeDecision(ctx, guards[i], then); err != nil {
-			ld.log.Info("machine records not stored", "group", w.Key, "err", err)
+		if err := ld.StoreDecision(ctx, guards[i], then); err != nil {
+			ld.Log.Info("machine records not stored", "group", w.Key, "err", err)
 		}
 	}
 }
@@ -86,9 +86,9 @@
 // forget drops what the leader remembers of a machine.
 func (l *leaderState) forget(host string) {
 	delete(l.listed, host)
-	delete(l.missingLists, host)
-	delete(l.lastHeard, host)
-	delete(l.firstListed, host)
+	delete(l.MissingLists, host)
+	delete(l.LastHeard, host)
+	delete(l.FirstListed, host)
 	delete(l.idleSince, host)
 	delete(l.quarantinedSince, host)
 }
--- a/internal/controller/rolemoves.go
+++ b/internal/leader/roles.go
@@ -1,6 +1,6 @@
 // This file holds the leader's moves of machines between the roles.
 
-package controller
+package leader
 
 import (
 	"time"
@@ -16,13 +16,13 @@
 
 // recordArrivals feeds the role controllers with service jobs that are new, and the
 // headroom with batch jobs; the lock is held.
-func (ld *leaderLoop) recordArrivals(l *leaderState, now time.Time) {
-	for _, t := range ld.machineTypeList {
+func (ld *Loop) recordArrivals(l *leaderState, now time.Time) {
+	for _, t := range ld.MachineTypeList {
 		if l.roleControllers[t.Label] == nil {
-			l.roleControllers[t.Label] = roles.New(ld.settings.Operator, now)
+			l.roleControllers[t.Label] = roles.New(ld.Settings.Operator, now)
 		}
 	}
-	for jobID, j := range ld.table.Open {
+	for jobID, j := range ld.Table.Open {
 		if l.seenJobs[jobID] {
 			continue
 		}
@@ -34,7 +34,7 @@
 		}
 	}
 	for jobID := range l.seenJobs {
-		if ld.table.Open[jobID] == nil {
+		if ld.Table.Open[jobID] == nil {
 			delete(l.seenJobs, jobID)
 		}
 	}
@@ -54,8 +54,8 @@
 
 // recordServiceArrival tells the role controller of every type that a new service
 // job may use; the lock is held.
-func (ld *leaderLoop) recordServiceArrival(l *leaderState, j *jobs.Job, now time.Time) {
-	for _, t := range ld.machineTypeList {
+func (ld *Loop) recordServiceArrival(l *leaderState, j *jobs.Job, now time.Time) {
+	for _, t := range ld.MachineTypeList {
 		if !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
 			continue
 		}
@@ -65,17 +65,17 @@
 }
 
 // describeSplit describes one type's ordinary machines and demand; the lock is held.
-func (ld *leaderLoop) describeSplit(t wire.MachineType, machines *placement.Fleet) roles.Split {
+func (ld *Loop) describeSplit(t wire.MachineType, machines *placement.Fleet) roles.Split {
 	s := roles.Split{Type: t.Label, Complete: true}
-	for _, sib := range ld.peers.siblings {
-		if ld.membership.Contains(membership.Node{Label: sib.settings.Label, Incarnation: sib.status.Incarnation}) && !ld.peers.isFresh(sib) {
+	for _, sib := range ld.Peers.Siblings {
+		if ld.Membership.Contains(membership.Node{Label: sib.Settings.Label, Incarnation: sib.Status.Incarnation}) && !ld.Peers.IsFresh(sib) {
 			s.Complete = false
 		}
 	}
 	count := map[string]int{}    // machines that take tasks, by type
 	coming := []jobs.Resources{} // room on batch machines of the type that still boot
 	for _, m := range machines.Machines {
-		if ld.inventory.Machines[m.Name].Phase != inventory.Active {
+		if ld.Inventory.Machines[m.Name].Phase != inventory.Active {
 			continue
 		}
 		if !m.Schedulable && len(m.Tasks) == 0 {
@@ -113,8 +113,8 @@
 		}
 	}
 	tot := jobs.Resources{CPUs: t.CPUs, GPUs: t.GPUs, RAM: t.RAMGB}
-	for jobID, k := range ld.scheduler.unplaced {
-		j := ld.table.Jobs[jobID]
+	for jobID, k := range ld.scheduler.Unplaced {
+		j := ld.Table.Jobs[jobID]
 		if j == nil || j.Record.Spec == nil || !jobs.AllowsMachineType(j.Record.Spec, t.Label) {
 			continue
 		}
@@ -146,16 +146,16 @@
 }
 
 // moveRoles evaluates every type's split and returns the moves; the lock is held.
-func (ld *leaderLoop) moveRoles(l *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
+func (ld *Loop) moveRoles(l *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var out []inventory.RecordChange
-	for _, t := range ld.machineTypeList {
+	for _, t := range ld.MachineTypeList {
 		c := l.roleControllers[t.Label]
 		if c == nil {
 			continue
 		}
 		var service, batch []*placement.Machine
 		for _, m := range machines.Machines {
-			if m.Type == t.Label && !m.Spot && ld.inventory.Machines[m.Name].Phase == inventory.Active && (m.Schedulable || len(m.Tasks) > 0) {
+			if m.Type == t.Label && !m.Spot && ld.Inventory.Machines[m.Name].Phase == inventory.Active && (m.Schedulable || len(m.Tasks) > 0) {
 				if m.Role == placement.Service {
 					service = append(service, m)
 				} else {
@@ -165,7 +165,7 @@
 		}
 		victim := roles.Victim(service)
 		d := c.Evaluate(now, ld.describeSplit(t, machines), func() bool { return victim != nil && tasksFitElsewhere(machines, victim, false) })
-		l.roleDecisions[t.Label] = d
+		l.RoleDecisions[t.Label] = d
 		var m *placement.Machine
 		role := placement.Batch
 		switch d.Move {
@@ -174,17 +174,17 @@
 		case roles.ToService:
 			m, role = roles.Emptiest(batch), placement.Service
 		}
-		ld.log.Debug("roles evaluated", "type", t.Label, "batch", d.Batch, "service", d.Service, "batch_load", d.BatchLoad,
+		ld.Log.Debug("roles evaluated", "type", t.Label, "batch", d.Batch, "service", d.Service, "batch_load", d.BatchLoad,
 			"service_load", d.ServiceLoad, "proposal", string(d.Proposal.Direction), "rule", string(d.Proposal.Rule),
 			"confirmations", d.Confirmations, "gate", string(d.Gate), "evidence_open", d.EvidenceOpen)
 		if m == nil {
 			continue
 		}
-		rec := ld.inventory.Machines[m.Name]
+		rec := ld.Inventory.Machines[m.Name]
 		moved := rec
 		moved.Role, moved.Reason = role, string(d.Proposal.Rule)
 		out = append(out, inventory.RecordChange{Machine: m.Name, Before: &rec, After: &moved})
-		ld.log.Info("role move", "host", m.Name, "type", t.Label, "to", string(role), "rule", string(d.Proposal.Rule),
+		ld.Log.Info("role move", "host", m.Name, "type", t.Label, "to", string(role), "rule", string(d.Proposal.Rule),
 			"batch_load", d.BatchLoad, "service_load", d.ServiceLoad)
 	}
 	return out
--- a/internal/controller/scaling.go
+++ b/internal/leader/scaling.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"cmp"
@@ -18,12 +18,12 @@
 	"wheatspur/wire"
 )
 
-// planDrains stores that machines take no more tasks; the lock is held.
+// PlanDrains stores that machines take no more tasks; the lock is held.
 // Machines that are dead go back at once, by name: what would drain them is
 // over, and their tasks wait for the proof of their return.
-func (ld *leaderLoop) planDrains(drains []autoscale.ScaleIn) (changes []inventory.RecordChange, dead []string) {
+func (ld *Loop) PlanDrains(drains []autoscale.ScaleIn) (changes []inventory.RecordChange, dead []string) {
 	for _, d := range drains {
-		rec, ok := ld.inventory.Machines[d.Machine]
+		rec, ok := ld.Inventory.Machines[d.Machine]
 		if !ok {
 			continue
 		}
@@ -31,7 +31,7 @@
 		if err != nil {
 			continue
 		}
-		ld.log.Info("machine drains", "host", d.Machine, "why", d.Reason)
+		ld.Log.Info("machine drains", "host", d.Machine, "why", d.Reason)
 		if d.Terminated() {
 			dead = append(dead, d.Machine)
 			continue
@@ -43,18 +43,18 @@
 	return changes, dead
 }
 
-// planTerminations lists drained machines to give back, and records to drop; the lock is
+// PlanTerminations lists drained machines to give back, and records to drop; the lock is
 // held. A drained machine goes back when it is empty.
-func (ld *leaderLoop) planTerminations(l *leaderState, now time.Time) (returns []string, drops []inventory.RecordChange) {
+func (ld *Loop) PlanTerminations(l *leaderState, now time.Time) (returns []string, drops []inventory.RecordChange) {
 	over := map[string][]inventory.RecordChange{} // by group
-	for host, rec := range ld.inventory.Machines {
+	for host, rec := range ld.Inventory.Machines {
 		switch rec.Phase {
 		case inventory.Draining:
-			if ld.cache.Revision() < ld.cache.Version(ld.inventory.KeyOf(host)) {
+			if ld.Cache.Revision() < ld.Cache.Version(ld.Inventory.KeyOf(host)) {
 				continue // claims stored before the drain may not be seen yet
 			}
 			open := 0
-			for _, j := range ld.table.ClaimsByMachine[host] {
+			for _, j := range ld.Table.ClaimsByMachine[host] {
 				if j.Phase == jobs.Open {
 					open++
 				}
@@ -63,12 +63,12 @@
 				returns = append(returns, host)
 			}
 		case inventory.Terminated:
-			if len(ld.table.ClaimsByMachine[host]) > 0 {
+			if len(ld.Table.ClaimsByMachine[host]) > 0 {
 				continue // its owner releases them first
 			}
-			if l.missingLists[host] >= tuning.MissingLists {
-				over[ld.inventory.KeyOf(host)] = append(over[ld.inventory.KeyOf(host)], inventory.RecordChange{Machine: host, Before: &rec})
-			} else if l.listed[host].State == wire.MachineFailed && l.missingLists[host] == 0 {
+			if l.MissingLists[host] >= tuning.MissingLists {
+				over[ld.Inventory.KeyOf(host)] = append(over[ld.Inventory.KeyOf(host)], inventory.RecordChange{Machine: host, Before: &rec})
+			} else if l.listed[host].State == wire.MachineFailed && l.MissingLists[host] == 0 {
 				returns = append(returns, host) // stays listed until deleted
 			}
 		}
@@ -89,33 +89,33 @@
 	return returns, drops
 }
 
-// terminate returns machines to the cloud and stores that they are gone.
+// Terminate returns machines to the cloud and stores that they are gone.
 // Its answer is the proof that everything on them is gone. All calls go before
 // the writes: a wave of hundreds of lost machines once took a minute.
-func (ld *leaderLoop) terminate(ctx context.Context, list []string) {
+func (ld *Loop) Terminate(ctx context.Context, list []string) {
 	var hosts []string
 	for len(list) > 0 {
 		some := list[:min(len(list), tuning.TerminateMax)]
 		list = list[len(some):]
 		if err := ld.cloud.Terminate(some); err != nil {
-			ld.log.Info("machines not returned", "hosts", some, "err", err)
+			ld.Log.Info("machines not returned", "hosts", some, "err", err)
 			break
 		}
-		ld.log.Info("machines returned", "hosts", some)
+		ld.Log.Info("machines returned", "hosts", some)
 		hosts = append(hosts, some...)
 	}
 	ld.Lock()
 	var changes []inventory.RecordChange
 	for _, h := range hosts {
-		rec, ok := ld.inventory.Machines[h]
+		rec, ok := ld.Inventory.Machines[h]
 		if !ok || rec.Phase == inventory.Terminated {
 			continue
 		}
-		if rec.Phase == inventory.Draining && len(ld.table.ClaimsByMachine[h]) == 0 && ld.isLeader() {
+		if rec.Phase == inventory.Draining && len(ld.Table.ClaimsByMachine[h]) == 0 && ld.IsLeader() {
 			// Drained and empty: there is nothing that its end would prove. A
 			// machine that was not drained may yet get a claim that is under way.
-			l := ld.currentLeaderState()
-			l.terminatedAt[h] = ld.now()
+			l := ld.CurrentLeaderState()
+			l.terminatedAt[h] = ld.Now()
 			l.forget(h)
 			changes = append(changes, inventory.RecordChange{Machine: h, Before: &rec})
 			continue
@@ -135,34 +135,34 @@
 
 // scaleOut rents machines. A request's name holds the token, which only one leader
 // ever has, and a counter: no name is used twice.
-func (ld *leaderLoop) scaleOut(ctx context.Context, h autoscale.ScaleOut) {
+func (ld *Loop) scaleOut(ctx context.Context, h autoscale.ScaleOut) {
 	ld.Lock()
-	if !ld.isLeader() || ctx.Err() != nil {
+	if !ld.IsLeader() || ctx.Err() != nil {
 		ld.Unlock()
 		return
 	}
-	l := ld.currentLeaderState()
+	l := ld.CurrentLeaderState()
 	l.requestCounter++
-	name := fmt.Sprintf("%s-%d-%d", ld.self.Label, l.fencingToken, l.requestCounter)
+	name := fmt.Sprintf("%s-%d-%d", ld.Self.Label, l.fencingToken, l.requestCounter)
 	ld.Unlock()
 	count := min(h.Count, tuning.ScaleOutMax)
 	names, err := ld.cloud.ScaleOut(wire.ScaleOutRequest{Name: name, MachineType: h.Kind.MachineType, Zone: h.Kind.Zone, Spot: h.Kind.Spot, Count: count})
 	ld.Lock()
 	defer ld.Unlock()
-	l = ld.currentLeaderState()
-	now := ld.now()
+	l = ld.CurrentLeaderState()
+	now := ld.Now()
 	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(names) < count {
 		l.noCapacityAt[h.Kind] = now
 	}
-	ld.log.Info("machines rented", "request", name, "type", h.Kind.MachineType, "zone", h.Kind.Zone, "spot", h.Kind.Spot,
+	ld.Log.Info("machines rented", "request", name, "type", h.Kind.MachineType, "zone", h.Kind.Zone, "spot", h.Kind.Spot,
 		"role", string(h.Role), "asked", count, "got", len(names), "why", h.Reason, "err", err)
 	for _, host := range names {
-		l.scalingOut[host] = scaleOutRecord{h.Kind, h.Role, now}
+		l.ScalingOut[host] = ScaleOutRecord{h.Kind, h.Role, now}
 	}
 }
 
 // groupWriteBudget is how many groups of machine records the leader may change now for
 // what can wait.
-func (ld *leaderLoop) groupWriteBudget() int {
-	return min(int(ld.limiter.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMax)
+func (ld *Loop) groupWriteBudget() int {
+	return min(int(ld.Limiter.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMax)
 }
--- a/internal/controller/leading.go
+++ b/internal/leader/state.go
@@ -1,6 +1,6 @@
 // This file holds the leader's memory.
 
-package controller
+package leader
 
 import (
 	"time"
@@ -17,20 +17,20 @@
 	nextFencingToken  uint64 // the token of the membership after it
 	requestCounter    int
 	listed            map[string]wire.Machine
-	listedAt          time.Time
-	missingLists      map[string]int // lists in a row that omitted a machine listed before
-	scalingOut        map[string]scaleOutRecord
+	ListedAt          time.Time
+	MissingLists      map[string]int // lists in a row that omitted a machine listed before
+	ScalingOut        map[string]ScaleOutRecord
 	noCapacityAt      map[autoscale.MachineKind]time.Time
 	roleControllers   map[string]*roles.Controller
-	roleDecisions     map[string]roles.Decision
+	RoleDecisions     map[string]roles.Decision
 	seenJobs          map[string]bool
 	idleSince         map[string]time.Time         // since when a machine has no claims
 	surplusSince      map[string]time.Time         // see fleet.PlanInput
 	terminatedAt      map[string]time.Time         // machines given back, which late lists still show
-	lostWhileDraining []string                     // machines that went away while they were drained, with claims on them
+	LostWhileDraining []string                     // machines that went away while they were drained, with claims on them
 	quarantinedSince  map[string]time.Time         // since when a machine reports but takes no tasks
-	lastHeard         map[string]time.Time         // when a machine was last heard by anybody
-	firstListed       map[string]time.Time         // when a machine was first listed
+	LastHeard         map[string]time.Time         // when a machine was last heard by anybody
+	FirstListed       map[string]time.Time         // when a machine was first listed
 	roleActiveAt      map[placement.Role]time.Time // when a role last had an open job
 	meanBatchTasks    float64
 	meanArraySize     float64   // mean number of tasks of arriving arrays
@@ -42,23 +42,23 @@
 	serviceLoad       autoscale.Load
 }
 
-type scaleOutRecord struct {
+type ScaleOutRecord struct {
 	kind        autoscale.MachineKind
-	role        placement.Role
+	Role        placement.Role
 	requestedAt time.Time
 }
 
-// currentLeaderState returns the leader's memory for the present token; the lock is held.
-func (ld *leaderLoop) currentLeaderState() *leaderState {
-	if ld.leaderState.fencingToken == ld.membership.FencingToken {
-		return &ld.leaderState
+// CurrentLeaderState returns the leader's memory for the present token; the lock is held.
+func (ld *Loop) CurrentLeaderState() *leaderState {
+	if ld.LeaderState.fencingToken == ld.Membership.FencingToken {
+		return &ld.LeaderState
 	}
-	old := ld.leaderState
-	ld.leaderState = newLeaderState(ld.membership.FencingToken, ld.membership.LastToken()+1)
-	if old.fencingToken > 0 && old.nextFencingToken == ld.membership.FencingToken && old.scalingOut != nil {
-		ld.leaderState.inherit(&old)
+	old := ld.LeaderState
+	ld.LeaderState = newLeaderState(ld.Membership.FencingToken, ld.Membership.LastToken()+1)
+	if old.fencingToken > 0 && old.nextFencingToken == ld.Membership.FencingToken && old.ScalingOut != nil {
+		ld.LeaderState.inherit(&old)
 	}
-	return &ld.leaderState
+	return &ld.LeaderState
 }
 
 // newLeaderState is the memory of a leadership that begins.
@@ -67,18 +67,18 @@
 		fencingToken:     token,
 		nextFencingToken: nextToken,
 		listed:           map[string]wire.Machine{},
-		missingLists:     map[string]int{},
-		scalingOut:       map[string]scaleOutRecord{},
+		MissingLists:     map[string]int{},
+		ScalingOut:       map[string]ScaleOutRecord{},
 		noCapacityAt:     map[autoscale.MachineKind]time.Time{},
 		roleControllers:  map[string]*roles.Controller{},
-		roleDecisions:    map[string]roles.Decision{},
+		RoleDecisions:    map[string]roles.Decision{},
 		seenJobs:         map[string]bool{},
 		idleSince:        map[string]time.Time{},
 		surplusSince:     map[string]time.Time{},
 		terminatedAt:     map[string]time.Time{},
 		quarantinedSince: map[string]time.Time{},
-		lastHeard:        map[string]time.Time{},
-		firstListed:      map[string]time.Time{},
+		LastHeard:        map[string]time.Time{},
+		FirstListed:      map[string]time.Time{},
 		roleActiveAt:     map[placement.Role]time.Time{},
 	}
 }
@@ -86,9 +86,9 @@
 // inherit takes over what the same leader knew of the cloud and of its load under
 // the membership before; role counters restart empty.
 func (l *leaderState) inherit(old *leaderState) {
-	l.listed, l.listedAt, l.missingLists = old.listed, old.listedAt, old.missingLists
-	l.scalingOut, l.noCapacityAt = old.scalingOut, old.noCapacityAt
-	l.idleSince, l.lastHeard, l.firstListed = old.idleSince, old.lastHeard, old.firstListed
+	l.listed, l.ListedAt, l.MissingLists = old.listed, old.ListedAt, old.MissingLists
+	l.ScalingOut, l.noCapacityAt = old.ScalingOut, old.noCapacityAt
+	l.idleSince, l.LastHeard, l.FirstListed = old.idleSince, old.LastHeard, old.FirstListed
 	l.quarantinedSince, l.terminatedAt = old.quarantinedSince, old.terminatedAt
 	l.surplusSince, l.roleActiveAt = old.surplusSince, old.roleActiveAt
 	l.meanArraySize, l.lastArrayAt = old.meanArraySize, old.lastArrayAt
@@ -99,15 +99,15 @@
 
 // recordHeard notes that a machine was up at a time.
 func (l *leaderState) recordHeard(host string, at time.Time) {
-	if at.After(l.lastHeard[host]) {
-		l.lastHeard[host] = at
+	if at.After(l.LastHeard[host]) {
+		l.LastHeard[host] = at
 	}
 }
 
-// recordSilent notes when a machine that has fallen silent was last heard; the
+// RecordSilent notes when a machine that has fallen silent was last heard; the
 // lock is held.
-func (ld *leaderLoop) recordSilent(machine string, heardAt time.Time) {
-	if ld.leaderState.lastHeard != nil {
-		ld.leaderState.recordHeard(machine, heardAt)
+func (ld *Loop) RecordSilent(machine string, heardAt time.Time) {
+	if ld.LeaderState.LastHeard != nil {
+		ld.LeaderState.recordHeard(machine, heardAt)
 	}
 }
--- a/internal/controller/metrics.go
+++ b/internal/observability/metrics.go
@@ -1,4 +1,4 @@
-package controller
+package observability
 
 import (
 	"bytes"
@@ -10,6 +10,7 @@
 
 	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
+	"wheatspur/internal/response"
 	"wheatspur/internal/tuning"
 )
 
@@ -33,7 +34,7 @@
 )
 
 // stateCollector reads a controller's state when metrics are gathered.
-type stateCollector struct{ observer *observer }
+type stateCollector struct{ observer *Observer }
 
 func (c stateCollector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descToken, descLeader, descState, descJobs, descWaiting, descInfo, descNodes, descTasks, descUnmet, descHosts, descSplit, descEvidence,
@@ -49,28 +50,28 @@
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	if ob.membership != nil {
-		gauge(descToken, float64(ob.membership.FencingToken))
+	if ob.Membership != nil {
+		gauge(descToken, float64(ob.Membership.FencingToken))
 	}
 	ob.collectTeams(gauge)
 	ob.collectRecovery(gauge)
-	leads := ob.isLeader()
+	leads := ob.IsLeader()
 	gauge(descLeader, boolValue(leads))
-	gauge(descState, boolValue(ob.hasStore()))
-	gauge(descJobs, float64(len(ob.table.Open)))
-	gauge(descWaiting, float64(len(ob.table.Waiting)))
+	gauge(descState, boolValue(ob.HasStore()))
+	gauge(descJobs, float64(len(ob.Table.Open)))
+	gauge(descWaiting, float64(len(ob.Table.Waiting)))
 	gauge(descInfo, 1, tuning.Version)
-	if ob.membership != nil {
+	if ob.Membership != nil {
 		forms := map[uint64]int{}
-		for _, m := range ob.membership.Nodes {
-			forms[ob.storedSessions[m.Label].Format]++
+		for _, m := range ob.Membership.Nodes {
+			forms[ob.StoredSessions[m.Label].Format]++
 		}
 		for form, k := range forms {
 			gauge(descNodes, float64(k), strconv.FormatUint(form, 10))
 		}
 	}
 	var tasks [3]int
-	for _, j := range ob.table.Open {
+	for _, j := range ob.Table.Open {
 		for s, k := range j.Counts {
 			tasks[s] += k
 		}
@@ -79,7 +80,7 @@
 		gauge(descTasks, float64(k), jobs.State(s).String())
 	}
 	unmet := 0
-	for _, k := range ob.scheduler.unplaced {
+	for _, k := range ob.scheduler.Unplaced {
 		unmet += k
 	}
 	gauge(descUnmet, float64(unmet))
@@ -88,7 +89,7 @@
 		phase                   inventory.Phase
 	}
 	hosts := map[group]int{}
-	for _, h := range ob.inventory.Machines {
+	for _, h := range ob.Inventory.Machines {
 		kind := "ordinary"
 		if h.Spot {
 			kind = "spot"
@@ -99,7 +100,7 @@
 		gauge(descHosts, float64(k), g.machineType, g.kind, g.role, string(g.phase))
 	}
 	if leads {
-		for machineType, d := range ob.leaderLoop.leaderState.roleDecisions {
+		for machineType, d := range ob.leaderLoop.LeaderState.RoleDecisions {
 			gauge(descSplit, d.BatchLoad, machineType, "batch")
 			gauge(descSplit, d.ServiceLoad, machineType, "service")
 			gauge(descEvidence, boolValue(d.EvidenceOpen), machineType)
@@ -114,17 +115,17 @@
 	return 0
 }
 
-func (ob *observer) serveMetrics(c *fasthttp.RequestCtx) {
-	families, err := ob.metrics.registry.Gather()
+func (ob *Observer) ServeMetrics(c *fasthttp.RequestCtx) {
+	families, err := ob.Metrics.Registry.Gather()
 	if err != nil {
-		respondError(c, 500, "metrics can't be gathered")
-		ob.log.Error("metrics can't be gathered", "err", err)
+		response.Error(c, 500, "metrics can't be gathered")
+		ob.Log.Error("metrics can't be gathered", "err", err)
 		return
 	}
 	var b bytes.Buffer
 	for _, f := range families {
 		if _, err := expfmt.MetricFamilyToText(&b, f); err != nil {
-			ob.log.Error("metrics can't be written", "err", err)
+			ob.Log.Error("metrics can't be written", "err", err)
 			return
 		}
 	}
