--- /dev/null
+++ b/internal/controller/answers_test.go
@@ -0,0 +1,427 @@
+package server
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"wheatspur/internal/config"
+	"wheatspur/internal/golden"
+	"wheatspur/internal/tuning"
+	"wheatspur/wire"
+)
+
+// methods are those that the paths are asked with.
+var methods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
+
+// absent removes a field from a specification.
+type absent struct{}
+
+// changed is a specification that is accepted, of the job wk-1, with some fields
+// replaced: names and values in turn.
+func changed(t *testing.T, fields ...any) []byte {
+	t.Helper()
+	spec := map[string]any{}
+	if err := wire.Unmarshal(wire.MustMarshal(work("wk-1", 1)), &spec); err != nil {
+		t.Fatal(err)
+	}
+	for i := 0; i < len(fields); i += 2 {
+		name := fields[i].(string)
+		if fields[i+1] == (absent{}) {
+			delete(spec, name)
+		} else {
+			spec[name] = fields[i+1]
+		}
+	}
+	return wire.MustMarshal(spec)
+}
+
+// submissionOf is a request to accept the job wk-1, with some fields replaced.
+func submissionOf(t *testing.T, name string, fields ...any) request {
+	t.Helper()
+	return request{name, "POST", "/work", changed(t, fields...)}
+}
+
+// Paths and methods: 404, 405 with Allow.
+func TestAnswersToPathsAndMethods(t *testing.T) {
+	c := newCluster(t, nil)
+	p := c.user(t, "a")
+	var s transcript
+	for _, path := range []struct{ path, served string }{
+		{"/up", "GET"}, {"/status", "GET"}, {"/metrics", "GET"}, {"/work", "POST"}, {"/checkin", "POST"},
+		{"/work/wk-1", "GET"}, {"/work/wk-1/cancel", "POST"}, {"/work/", "GET"}, {"/work/cancel", "POST"},
+		{"/", ""}, {"/nothing", ""}, {"/up/", ""}, {"/Up", ""}, {"/workers", ""}, {"/peer/status", ""}, {"/peer/forward", ""},
+	} {
+		for _, method := range methods {
+			if method != path.served {
+				s.askEach(p, request{"wrong path or method", method, path.path, nil})
+			}
+		}
+	}
+	s.askEach(p,
+		request{"health", "GET", "/up", nil},
+		request{"health with a query", "GET", "/up?verbose=1", nil},
+		request{"two slashes", "GET", "//up", nil},
+		request{"an escaped path", "GET", "/%75p", nil},
+		request{"no job id", "GET", "/work/seven", nil},
+		request{"an empty job id", "GET", "/work/", nil},
+		request{"a job id with a slash", "GET", "/work/wk-1/2", nil},
+		request{"cancel as a job id", "POST", "/work/cancel", nil},
+		request{"cancel without a job id", "POST", "/work//cancel", nil},
+		request{"cancel of no job id", "POST", "/work/seven/cancel", nil},
+		request{"poll of an unknown job", "GET", "/work/wk-77", nil},
+		request{"cancel of an unknown job", "POST", "/work/wk-77/cancel", nil},
+	)
+	golden.Text(t, "paths.golden", s.String(), *update)
+}
+
+// What is no HTTP request, and bodies that are too large.
+func TestAnswersToWhatCannotBeRead(t *testing.T) {
+	c := newCluster(t, nil)
+	p := c.user(t, "a")
+	large := make([]byte, wire.MaxBody+1)
+	var s transcript
+	s.askEach(p,
+		request{"a submission over the limit", "POST", "/work", large},
+		request{"a submission at the limit", "POST", "/work", large[:wire.MaxBody]},
+		request{"a report over the limit", "POST", "/checkin", large},
+		request{"a cancellation over the limit", "POST", "/work/wk-1/cancel", large},
+	)
+	for _, raw := range []struct{ name, text string }{
+		{"no HTTP", "hello\r\n\r\n"},
+		{"a header too large", "GET /up HTTP/1.1\r\nHost: x\r\nX-Long: " + strings.Repeat("x", 8192) + "\r\n\r\n"},
+		{"a length that is no number", "POST /work HTTP/1.1\r\nHost: x\r\nContent-Length: many\r\n\r\n"},
+		{"HTTP/1.0", "GET /up HTTP/1.0\r\nHost: x\r\n\r\n"},
+		{"a connection to be closed", "GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"},
+		{"a body in chunks", "POST /work HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n0\r\n\r\n"},
+	} {
+		s.add(raw.name, "", p.send(raw.text, "").String())
+	}
+	s.add("no room for another connection", "", fullPort(t, 7).send("", "").String())
+	golden.Text(t, "unreadable.golden", s.String(), *update)
+}
+
+// Every malformed submission: 400 with what is wrong.
+func TestAnswersToMalformedSubmissions(t *testing.T) {
+	c := newCluster(t, nil)
+	p := c.user(t, "a")
+	twice := []byte("\xa2\x63ref\x64wk-1\x63ref\x64wk-1")
+	list := []request{
+		{"no body", "POST", "/work", nil},
+		{"not CBOR", "POST", "/work", []byte("{")},
+		{"JSON", "POST", "/work", []byte(`{"ref":"wk-1"}`)},
+		{"a list", "POST", "/work", []int{1}},
+		{"a text", "POST", "/work", "wk-1"},
+		{"null", "POST", "/work", []byte{0xf6}},
+		{"an empty map", "POST", "/work", map[string]any{}},
+		{"a field twice", "POST", "/work", twice},
+		{"bytes after the map", "POST", "/work", append(changed(t), 0)},
+		{"cut short", "POST", "/work", wire.MustMarshal(work("wk-1", 1))[:100]},
+		{"number as a key", "POST", "/work", map[int]int{1: 2}},
+	}
+	required := []string{"ref", "cohort", "crew", "shape", "rank", "shards", "cpus", "cards", "ram_gb", "bundle", "image_gb",
+		"together", "apart", "windfall", "reckon_s", "stake_s", "stash_s"}
+	for _, name := range required {
+		list = append(list, submissionOf(t, name+" missing", name, absent{}), submissionOf(t, name+" null", name, nil))
+	}
+	for _, name := range []string{"ref", "cohort", "crew", "shape", "rank", "bundle", "plot"} {
+		list = append(list, submissionOf(t, name+" is a number", name, 7))
+	}
+	for _, name := range []string{"shards", "cpus", "cards", "ram_gb", "image_gb", "reckon_s", "stake_s", "stash_s", "due_s", "together", "apart", "windfall"} {
+		list = append(list, submissionOf(t, name+" is a text", name, "7"))
+	}
+	list = append(list,
+		submissionOf(t, "shards is a fraction", "shards", 1.5),
+		submissionOf(t, "rigs is a text", "rigs", "g"),
+		submissionOf(t, "rigs holds a number", "rigs", []any{7}),
+		submissionOf(t, "awaits is a text", "awaits", "wk-2"),
+		submissionOf(t, "awaits is a number", "awaits", 7),
+		submissionOf(t, "awaits is a map", "awaits", map[string]any{"wk-2": true}),
+		submissionOf(t, "awaits holds a number", "awaits", []any{7}),
+		submissionOf(t, "awaits holds null", "awaits", []any{"wk-2", nil}),
+	)
+	for _, ref := range []string{"", "x", "wk-", "wk-1x", " wk-1", "WK-1", "wk--1", "wk-1234567890123456789"} {
+		list = append(list, submissionOf(t, fmt.Sprintf("ref %q", ref), "ref", ref))
+	}
+	long := func(n int) string { return strings.Repeat("x", n) }
+	list = append(list,
+		submissionOf(t, "cohort empty", "cohort", ""),
+		submissionOf(t, "cohort too long", "cohort", long(201)),
+		submissionOf(t, "crew empty", "crew", ""),
+		submissionOf(t, "crew too long", "crew", long(101)),
+		submissionOf(t, "shape unknown", "shape", "ring"),
+		submissionOf(t, "shape empty", "shape", ""),
+		submissionOf(t, "rank unknown", "rank", "first"),
+		submissionOf(t, "shards 0", "shards", 0),
+		submissionOf(t, "shards -1", "shards", -1),
+		submissionOf(t, "shards 100001", "shards", wire.MaxTasks+1),
+		submissionOf(t, "bundle empty", "bundle", ""),
+		submissionOf(t, "bundle too long", "bundle", long(201)),
+		submissionOf(t, "too many rigs", "rigs", make([]string, 33)),
+		submissionOf(t, "a rig empty", "rigs", []string{"g", ""}),
+		submissionOf(t, "a rig too long", "rigs", []string{long(101)}),
+		submissionOf(t, "plot empty", "plot", ""),
+		submissionOf(t, "plot too long", "plot", long(101)),
+	)
+	nan, inf := []byte{0xf9, 0x7e, 0x00}, []byte{0xf9, 0x7c, 0x00}
+	for _, name := range []string{"cpus", "cards", "ram_gb", "image_gb", "reckon_s", "stake_s", "stash_s", "due_s"} {
+		list = append(list,
+			submissionOf(t, name+" below 0", name, -0.5),
+			submissionOf(t, name+" too large", name, 1e9+1),
+			submissionOf(t, name+" not a number", name, wire.Raw(nan)),
+			submissionOf(t, name+" infinite", name, wire.Raw(inf)),
+		)
+	}
+	var s transcript
+	s.askAll(p, list...)
+	golden.Text(t, "malformed.golden", s.String(), *update)
+}
+
+// Submissions that are well formed and can never run: 422, and those that look
+// unusual and are accepted.
+func TestAnswersToSubmissionsThatAreChecked(t *testing.T) {
+	c := newCluster(t, func(s *config.Settings) {
+		s.Params.Teams = append(s.Params.Teams, config.Team{Name: "y", CPUsMax: 4})
+	})
+	p := c.user(t, "a")
+	long := func(n int) string { return strings.Repeat("x", n) }
+	types := []string{"g"}
+	for range 31 {
+		types = append(types, long(100))
+	}
+	var s transcript
+	s.askEach(p,
+		submissionOf(t, "a service", "ref", "wk-90", "shape", "standing", "rank", "critical"),
+		submissionOf(t, "an array", "ref", "wk-91"),
+	)
+	s.askAll(p,
+		submissionOf(t, "unknown team", "crew", "nobody"),
+		submissionOf(t, "unknown machine type", "rigs", []string{"q"}),
+		submissionOf(t, "unknown zone", "plot", "q"),
+		submissionOf(t, "too many CPUs for a machine", "cpus", 9),
+		submissionOf(t, "too many GPUs for a machine", "cards", 5),
+		submissionOf(t, "too much memory for a machine", "ram_gb", 65),
+		submissionOf(t, "a gang that one write can't claim", "shape", "gang", "shards", 71),
+		submissionOf(t, "a gang beyond the team's GPUs", "shape", "gang", "shards", 9),
+		submissionOf(t, "a service beyond the team's GPUs", "shape", "standing", "shards", 9),
+		submissionOf(t, "a task beyond the team's CPUs", "crew", "y", "cpus", 5),
+		submissionOf(t, "a service beyond the team's CPUs", "crew", "y", "shape", "standing", "shards", 5),
+		submissionOf(t, "a description too large to store", "rigs", types, "cohort", long(200), "bundle", long(200)),
+		submissionOf(t, "awaits no job", "awaits", []string{"seven"}),
+		submissionOf(t, "awaits a long name", "awaits", []string{long(50)}),
+		submissionOf(t, "awaits itself", "awaits", []string{"wk-1"}),
+		submissionOf(t, "awaits what was never accepted", "awaits", []string{"wk-91", "wk-777"}),
+		submissionOf(t, "awaits a service", "awaits", []string{"wk-90"}),
+	)
+	s.askEach(p,
+		submissionOf(t, "an unknown field", "ref", "wk-2", "colour", "green"),
+		submissionOf(t, "nulls where they may be", "ref", "wk-3", "rigs", nil, "plot", nil, "due_s", nil, "awaits", nil),
+		submissionOf(t, "optional fields absent", "ref", "wk-4", "rigs", absent{}, "plot", absent{}, "due_s", absent{}, "awaits", absent{}),
+		submissionOf(t, "a deadline", "ref", "wk-5", "due_s", 0),
+		submissionOf(t, "an array beyond the team's GPUs", "ref", "wk-6", "shards", 9),
+		submissionOf(t, "the most tasks", "ref", "wk-7", "shards", wire.MaxTasks),
+		submissionOf(t, "texts at their limits", "ref", "wk-8", "cohort", long(200), "bundle", long(200)),
+		submissionOf(t, "the longest job id", "ref", "wk-123456789012345678"),
+		submissionOf(t, "a whole number as a fraction", "ref", "wk-9", "cpus", 1, "ram_gb", 0.5),
+		submissionOf(t, "a gang", "ref", "wk-10", "shape", "gang", "shards", 8),
+		submissionOf(t, "awaits an array", "ref", "wk-11", "awaits", []string{"wk-91", "wk-91"}),
+		submissionOf(t, "awaits nothing", "ref", "wk-12", "awaits", []string{}),
+	)
+	golden.Text(t, "checked.golden", s.String(), *update)
+}
+
+// The life of jobs as their users see it: idempotent submissions, polls and
+// cancellations in every state.
+func TestAnswersAboutJobs(t *testing.T) {
+	c := newCluster(t, nil)
+	p := c.user(t, "a")
+	var s transcript
+	poll := func(name, jobID string) request { return request{name, "GET", "/work/" + jobID, nil} }
+	cancelOf := func(name, jobID string) request { return request{name, "POST", "/work/" + jobID + "/cancel", nil} }
+	s.askEach(p,
+		submissionOf(t, "new", "shards", 2),
+		submissionOf(t, "the same again", "shards", 2),
+		submissionOf(t, "the same id, another job", "shards", 7, "cohort", "other"),
+		request{"the same id, malformed", "POST", "/work", map[string]any{"ref": "wk-1"}},
+		submissionOf(t, "the same id, impossible", "crew", "nobody"),
+		submissionOf(t, "the same id, awaits what was never accepted", "awaits", []string{"wk-777"}),
+		poll("queued", "wk-1"),
+		poll("by an escaped path", "%77k-1"),
+		submissionOf(t, "awaits it", "ref", "wk-2", "awaits", []string{"wk-1"}),
+		poll("waiting", "wk-2"),
+	)
+	c.addHost("h1", "batch")
+	c.prove("h1", 1)
+	c.round()
+	s.askEach(p, poll("running", "wk-1"), submissionOf(t, "the same again while it runs", "shards", 2))
+	c.finishAll("h1", "wk-1/0")
+	s.askEach(p, poll("one task done", "wk-1"))
+	c.finishAll("h1", "wk-1/1")
+	c.round()
+	s.askEach(p,
+		poll("done", "wk-1"),
+		cancelOf("cancel of a done job", "wk-1"),
+		submissionOf(t, "the same again when it is done", "shards", 2),
+		poll("what awaited it", "wk-2"),
+		submissionOf(t, "awaits a done job", "ref", "wk-3", "awaits", []string{"wk-1"}),
+		submissionOf(t, "awaits an open job", "ref", "wk-4", "awaits", []string{"wk-3"}),
+		cancelOf("cancel", "wk-3"),
+		cancelOf("cancel again", "wk-3"),
+		poll("cancelled", "wk-3"),
+		poll("cancelled with another", "wk-4"),
+		cancelOf("cancel of a job that was cancelled with another", "wk-4"),
+		submissionOf(t, "the same again when it is cancelled", "ref", "wk-3"),
+		submissionOf(t, "awaits a cancelled job", "ref", "wk-5", "awaits", []string{"wk-3"}),
+		poll("cancelled from the first", "wk-5"),
+		cancelOf("cancel of a running job", "wk-2"),
+		request{"cancel with a body", "POST", "/work/wk-2/cancel", []byte("{")},
+	)
+	c.st.Lose = 1
+	s.askEach(p, submissionOf(t, "a submission whose write gets no answer", "ref", "wk-6"))
+	c.st.Lose = 1
+	s.askEach(p, cancelOf("a cancellation whose write gets no answer", "wk-6"))
+	golden.Text(t, "jobs.golden", s.String(), *update)
+}
+
+// Answers while the state service refuses: at once, after a moment in which the
+// last read gets old, and after a time that shows that it is lost.
+func TestAnswersWithoutTheStateService(t *testing.T) {
+	var s transcript
+	for _, outage := range []struct {
+		name string
+		age  time.Duration
+	}{{"read a moment ago", 0}, {"read 2.2 s ago", 2200 * time.Millisecond}, {"read a minute ago", time.Minute}} {
+		c := newCluster(t, nil)
+		p := c.user(t, "a")
+		c.submit(c.nodes["a"], work("wk-1", 1))
+		c.submit(c.nodes["a"], work("wk-2", 1))
+		if a := p.ask(request{"", "POST", "/work/wk-2/cancel", nil}); a.code() != 200 {
+			t.Fatal(a)
+		}
+		c.refresh("a")
+		c.st.Down = true
+		c.clk.add(outage.age)
+		for _, r := range []request{
+			{"health", "GET", "/up", nil},
+			{"poll", "GET", "/work/wk-1", nil},
+			{"poll of a cancelled job", "GET", "/work/wk-2", nil},
+			{"poll of an unknown job", "GET", "/work/wk-77", nil},
+			{"poll of no job id", "GET", "/work/seven", nil},
+			{"cancel", "POST", "/work/wk-1/cancel", nil},
+			{"cancel of a cancelled job", "POST", "/work/wk-2/cancel", nil},
+			{"cancel of an unknown job", "POST", "/work/wk-77/cancel", nil},
+			submissionOf(t, "new", "ref", "wk-3"),
+			submissionOf(t, "known", "ref", "wk-1"),
+			submissionOf(t, "known and cancelled", "ref", "wk-2"),
+			submissionOf(t, "malformed", "ref", "wk-4", "shards", 0),
+			{"malformed without a job id", "POST", "/work", []byte("{")},
+			submissionOf(t, "unknown team", "ref", "wk-5", "crew", "nobody"),
+			submissionOf(t, "awaits another", "ref", "wk-6", "awaits", []string{"wk-1"}),
+		} {
+			r.name = outage.name + ": " + r.name
+			s.askEach(p, r)
+		}
+	}
+	golden.Text(t, "outage.golden", s.String(), *update)
+}
+
+// Answers of nodes that can't take what is new: before the first read, before the
+// types of machines are known, beside an older version, while submissions are
+// under way, and while the node stops.
+func TestAnswersOfNodesThatTakeNothingNew(t *testing.T) {
+	var s transcript
+	ask := func(state string, p *port, list ...request) {
+		for _, r := range list {
+			r.name = state + ": " + r.name
+			s.askEach(p, r)
+		}
+	}
+	submissionAndOthers := []request{
+		{"health", "GET", "/up", nil},
+		{"poll", "GET", "/work/wk-1", nil},
+		{"cancel", "POST", "/work/wk-1/cancel", nil},
+		submissionOf(t, "submission", "ref", "wk-2"),
+		{"malformed submission", "POST", "/work", []byte("{")},
+		{"report", "POST", "/checkin", wire.Report{Host: "h1", Session: 1, Sequence: 1}},
+		{"malformed report", "POST", "/checkin", []byte("{")},
+		{"wrong method", "PUT", "/work", nil},
+		{"unknown path", "POST", "/nothing", nil},
+	}
+	ask("nothing read", userPort(t, newUnread(t)), submissionAndOthers...)
+
+	c := newWithoutTypes(t)
+	ask("types not known", c.user(t, "a"), submissionAndOthers...)
+
+	c = newPair(t, nil)
+	c.submit(c.nodes["a"], work("wk-1", 1))
+	c.old("b", true)
+	ask("beside an older version", c.user(t, "a"),
+		submissionOf(t, "submission", "ref", "wk-2"),
+		submissionOf(t, "awaits another", "ref", "wk-3", "awaits", []string{"wk-1"}),
+		submissionOf(t, "awaits what was never accepted", "ref", "wk-4", "awaits", []string{"wk-777"}),
+	)
+
+	c = newCluster(t, nil)
+	c.submit(c.nodes["a"], work("wk-1", 1))
+	c.drain("a")
+	ask("stopping", c.user(t, "a"), submissionAndOthers...)
+	golden.Text(t, "refusing.golden", s.String(), *update)
+}
+
+// Of two submissions at a node that takes one at a time, one is refused at once.
+func TestAnswerToASubmissionBeyondTheQueue(t *testing.T) {
+	c := newCluster(t, func(s *config.Settings) { s.Operator.IntakeQueue = 1 })
+	p := c.user(t, "a")
+	answers := make(chan answer, 2)
+	c.st.Mu.Lock() // the first waits for its write
+	for _, ref := range []string{"wk-1", "wk-2"} {
+		r := submissionOf(t, "", "ref", ref)
+		go func() { answers <- p.ask(r) }()
+	}
+	refused := <-answers
+	c.st.Mu.Unlock()
+	if a := <-answers; a.code() != 201 {
+		t.Errorf("the submission that was taken: %v", a)
+	}
+	var s transcript
+	s.add("one too many", "POST /work", refused.String())
+	golden.Text(t, "queue.golden", s.String(), *update)
+}
+
+// A node without the state service passes requests on to one that has it.
+func TestAnswersThatComeFromASibling(t *testing.T) {
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	c := newPair(t, func(s *config.Settings) {
+		for i := range s.Siblings {
+			s.Siblings[i].Endpoint = ln.Addr().String()
+		}
+	})
+	c.servePeers("b", ln)
+	c.submit(c.nodes["b"], work("wk-1", 1))
+	c.cutOff("a")
+	c.clk.add(tuning.StateStale + time.Second)
+	c.refresh("b")
+	c.tellStatus("b", "a")
+	p := c.user(t, "a")
+	var s transcript
+	s.askEach(p,
+		request{"health", "GET", "/up", nil},
+		submissionOf(t, "new", "ref", "wk-2"),
+		submissionOf(t, "known", "ref", "wk-2"),
+		submissionOf(t, "malformed", "ref", "wk-3", "shards", 0),
+		submissionOf(t, "unknown team", "ref", "wk-3", "crew", "nobody"),
+		request{"poll", "GET", "/work/wk-1", nil},
+		request{"poll of an unknown job", "GET", "/work/wk-77", nil},
+		request{"cancel", "POST", "/work/wk-1/cancel", nil},
+		request{"cancel of an unknown job", "POST", "/work/wk-77/cancel", nil},
+	)
+	c.st.Down = true
+	s.askEach(p, submissionOf(t, "refused by the sibling", "ref", "wk-4"))
+	golden.Text(t, "forwarded.golden", s.String(), *update)
+}
