--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -55,12 +55,12 @@
 		}
 		l, now := ld.CurrentLeaderState(), ld.Now()
 		machines := ld.MachineIndex.RefreshMachines(now)
-		ld.recordArrivals(l, now)
+		ld.RecordArrivals(l, now)
 		free := len(storing) == 0
 		var moves []inventory.RecordChange
 		if free && now.Sub(stepped) >= tuning.RoleStep {
 			stepped = now
-			moves = ld.moveRoles(l, machines, now)
+			moves = ld.MoveRoles(l, machines, now)
 		}
 		listed := !l.ListedAt.IsZero() && now.Sub(l.ListedAt) < 5*tuning.ListEvery
 		var out autoscale.Output
--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -15,9 +15,9 @@
 	"wheatspur/wire"
 )
 
-// recordArrivals feeds the role controllers with service jobs that are new, and the
+// RecordArrivals feeds the role controllers with service jobs that are new, and the
 // headroom with batch jobs; the lock is held.
-func (ld *Loop) recordArrivals(l *leaderState, now time.Time) {
+func (ld *Loop) RecordArrivals(l *leaderState, now time.Time) {
 	for _, t := range ld.MachineTypeList {
 		if l.roleControllers[t.Label] == nil {
 			l.roleControllers[t.Label] = roles.New(ld.Settings.Operator, now)
@@ -146,8 +146,8 @@
 	return s
 }
 
-// moveRoles evaluates every type's split and returns the moves; the lock is held.
-func (ld *Loop) moveRoles(l *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
+// MoveRoles evaluates every type's split and returns the moves; the lock is held.
+func (ld *Loop) MoveRoles(l *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var out []inventory.RecordChange
 	for _, t := range ld.MachineTypeList {
 		c := l.roleControllers[t.Label]
