--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,9 @@
 // Package api serves users: submissions, polls and cancellations, and their
-// forwarding to a sibling that reads the store.
+// forwarding to a sibling that reads the store. It decides what a request is
+// answered, stores new jobs and cancellations, and owns the queue of
+// submissions and its group commit. The routes are package controller's, what
+// a job is and which job is valid package jobs', the form of messages package
+// wire's.
 package api
 
 import (
@@ -10,22 +14,38 @@
 
 	"wheatspur/internal/cluster"
 	"wheatspur/internal/fleet"
-	"wheatspur/internal/response"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
 
+// Paths of the user API.
+const (
+	// SubmissionPath takes new jobs.
+	SubmissionPath = "/work"
+	// JobPathPrefix and a job's id make the path of the job.
+	JobPathPrefix = "/work/"
+	// CancelSuffix after the path of a job makes that of its cancellation.
+	CancelSuffix = "/cancel"
+)
+
 // UserAPI answers users: submissions, polls and cancellations.
 type UserAPI struct {
 	*cluster.State
 	peers *fleet.PeerExchange
 
-	SubmissionSlots chan struct{}    // bounds submissions under way
-	Intake          chan *Submission // submissions that wait for their durable write
-	intakeCounter   atomic.Uint64    // counts intake records
+	// SubmissionSlots bounds the submissions under way: each that was admitted holds
+	// a place until it is answered.
+	SubmissionSlots chan struct{}
+	// Intake holds the submissions that wait for their durable write, for RunIntake.
+	// It can be full while slots are free: a submission stays in it after its user was
+	// told to come back.
+	Intake        chan *Submission
+	intakeCounter atomic.Uint64 // numbers the intake records of this process
 }
 
+// New returns a user API on a controller's state. Its submissions are stored
+// while RunIntake runs.
 func New(state *cluster.State, peers *fleet.PeerExchange) *UserAPI {
 	return &UserAPI{
 		State:           state,
@@ -37,89 +57,93 @@
 
 // RefuseForNow refuses at once what can't be taken now, and says when to come
 // back.
-func (api *UserAPI) RefuseForNow(c *fasthttp.RequestCtx, status int, reason string) {
-	response.Retry(c, status, api.Settings.Operator.RetryAfterSecond, reason)
+func (api *UserAPI) RefuseForNow(request *fasthttp.RequestCtx, status int, reason string) {
+	api.answerTo(jobResponse{}, retryLater(status, reason)).write(request)
+}
+
+// ServeWork serves a user's request here, or forwards it to a sibling that
+// reads the store while this controller does not.
+func (api *UserAPI) ServeWork(request *fasthttp.RequestCtx, path string) {
+	api.answerUser(request, path).write(request)
 }
 
-// ServeWork serves a user's request here, or passes it on to a sibling that
-// reads the state service while this node does not.
-func (api *UserAPI) ServeWork(c *fasthttp.RequestCtx, path string) {
-	if !api.HasStore() && api.forward(c) {
-		return
+func (api *UserAPI) answerUser(request *fasthttp.RequestCtx, path string) answer {
+	if !api.HasStore() {
+		if forwarded, ok := api.forward(request); ok {
+			return forwarded
+		}
 	}
-	api.serveLocally(c, path)
-	if c.Response.StatusCode() == 503 && api.storeSeemsLost() && !api.forward(c) {
-		// A new connection may reach a node that can serve it.
-		c.SetConnectionClose()
+	response, err := api.serve(path, request.PostBody())
+	if err != nil && err.status == fasthttp.StatusServiceUnavailable && api.storeSeemsLost() {
+		if forwarded, ok := api.forward(request); ok {
+			return forwarded
+		}
+		// A new connection may reach a controller that can serve the request.
+		err.closesConnection = true
 	}
+	return api.answerTo(response, err)
 }
 
-func (api *UserAPI) serveLocally(c *fasthttp.RequestCtx, path string) {
-	if path == "/work" {
-		api.submitJob(c)
-		return
+// serve serves a request here. The method was checked with the route.
+func (api *UserAPI) serve(path string, body []byte) (jobResponse, *apiError) {
+	if path == SubmissionPath {
+		return api.submitJob(body)
 	}
-	jobID := strings.TrimPrefix(path, "/work/")
-	if id, ok := strings.CutSuffix(jobID, "/cancel"); ok {
-		api.cancelJob(c, id)
-	} else {
-		api.getJob(c, jobID)
+	jobID := strings.TrimPrefix(path, JobPathPrefix)
+	if id, ok := strings.CutSuffix(jobID, CancelSuffix); ok {
+		return api.cancelJob(id)
 	}
+	return api.getJob(jobID)
 }
 
 // LookupJob returns a job's status if it is known; final tells that it can't
 // change any more and needs no barrier.
-func (api *UserAPI) LookupJob(jobID string) (st wire.JobStatus, known, final bool) {
+func (api *UserAPI) LookupJob(jobID string) (status wire.JobStatus, known, final bool) {
 	api.Lock()
 	defer api.Unlock()
-	j := api.Table.Jobs[jobID]
-	if j == nil {
-		return st, false, false
+	job := api.Table.Jobs[jobID]
+	if job == nil {
+		return status, false, false
 	}
-	return j.Status(), true, j.Phase.Final()
+	return job.Status(), true, job.Phase.Final()
 }
 
-// readJob returns a job's status as of now or later, behind a read barrier.
-func (api *UserAPI) readJob(jobID string) (st wire.JobStatus, known bool, err error) {
-	if st, known, final := api.LookupJob(jobID); final {
-		return st, known, nil
+// readJob is a linearizable read of a job's status: as of now or later, behind a
+// read barrier.
+func (api *UserAPI) readJob(jobID string) (status wire.JobStatus, known bool, err error) {
+	if status, known, final := api.LookupJob(jobID); final {
+		return status, known, nil
 	}
 	if !api.HasStore() {
-		return st, false, store.ErrRejected // answered at once: a read would not come back
+		return status, false, store.ErrRejected // answered at once: a read would not come back
 	}
 	if err := api.Syncer.ReadBarrier(tuning.BarrierWait); err != nil {
-		return st, false, err
+		return status, false, err
 	}
-	api.Lock()
-	settled := api.Cache.Consistent()
-	api.Unlock()
-	if !settled {
-		return st, false, store.ErrRejected
+	if !api.cacheConsistent() {
+		return status, false, store.ErrRejected
 	}
-	st, known, _ = api.LookupJob(jobID)
-	return st, known, nil
+	status, known, _ = api.LookupJob(jobID)
+	return status, known, nil
 }
 
-func (api *UserAPI) getJob(c *fasthttp.RequestCtx, jobID string) {
+func (api *UserAPI) cacheConsistent() bool {
+	api.Lock()
+	defer api.Unlock()
+	return api.Cache.Consistent()
+}
+
+// getJob answers a poll.
+func (api *UserAPI) getJob(jobID string) (jobResponse, *apiError) {
 	if !wire.ValidJobID(jobID) {
-		response.Error(c, 404, "no such job")
-		return
+		return jobResponse{}, noSuchJob()
 	}
-	st, known, err := api.readJob(jobID)
+	status, known, err := api.readJob(jobID)
 	switch {
 	case err != nil:
-		api.RefuseForNow(c, 503, "the state service can't be read")
+		return jobResponse{}, storeUnreadable()
 	case !known:
-		response.Error(c, 404, "no such job")
-	default:
-		response.Write(c, 200, st)
-	}
-}
-
-// deadlineSeconds is a job's deadline for the log, 0 if it has none.
-func deadlineSeconds(w *wire.JobSpec) float64 {
-	if w.DeadlineS == nil {
-		return 0
+		return jobResponse{}, noSuchJob()
 	}
-	return *w.DeadlineS
+	return jobResponse{fasthttp.StatusOK, status}, nil
 }
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -8,58 +8,55 @@
 	"wheatspur/internal/fleet"
 	"wheatspur/internal/logging"
 	"wheatspur/internal/peer"
-	"wheatspur/internal/response"
 	"wheatspur/internal/tuning"
-	"wheatspur/wire"
 )
 
-// forward passes a user's request on to a sibling that has the state service;
-// false if there is none or it does not answer.
-func (api *UserAPI) forward(c *fasthttp.RequestCtx) bool {
-	api.Lock()
-	var to *fleet.Sibling
-	for _, s := range api.peers.Siblings {
-		if api.peers.IsFresh(s) && s.Status.HasStore && (to == nil || s.Settings.Label < to.Settings.Label) {
-			to = s
-		}
-	}
-	api.Unlock()
-	if to == nil {
-		return false
+// storeLostAfter is how long after its last read this controller seems to have
+// lost the store: two watches have gone unanswered.
+const storeLostAfter = 2 * tuning.WatchHold
+
+// forward sends a user's request to a sibling that reads the store; false if there
+// is none or it does not answer.
+func (api *UserAPI) forward(request *fasthttp.RequestCtx) (answer, bool) {
+	target := api.siblingWithStore()
+	if target == nil {
+		return answer{}, false
 	}
-	r, err := to.Client.Forward(peer.ForwardRequest{Method: string(c.Method()), Path: string(c.Path()), Body: c.PostBody()}, tuning.ForwardTimeout)
+	forwarded := peer.ForwardRequest{Method: string(request.Method()), Path: string(request.Path()), Body: request.PostBody()}
+	response, err := target.Client.Forward(forwarded, tuning.ForwardTimeout)
 	if err != nil {
-		api.Log.Debug(logging.EventForwardingFailed, logging.KeyTarget, to.Settings.Label, logging.KeyError, err)
-		return false
+		api.Log.Debug(logging.EventForwardingFailed, logging.KeyTarget, target.Settings.Label, logging.KeyError, err)
+		return answer{}, false
 	}
-	c.Response.Reset()
-	if r.RetryAfter != "" {
-		c.Response.Header.Set("Retry-After", r.RetryAfter)
+	return forwardedAnswer(response), true
+}
+
+// siblingWithStore is the sibling, by its label the first, that lately said that
+// it reads the store; nil if none did.
+func (api *UserAPI) siblingWithStore() *fleet.Sibling {
+	api.Lock()
+	defer api.Unlock()
+	var first *fleet.Sibling
+	for _, sibling := range api.peers.Siblings {
+		if api.peers.IsFresh(sibling) && sibling.Status.HasStore && (first == nil || sibling.Settings.Label < first.Settings.Label) {
+			first = sibling
+		}
 	}
-	c.SetStatusCode(r.Status)
-	c.SetContentType(wire.ContentType)
-	c.SetBody(r.Body)
-	return true
+	return first
 }
 
-// ServeForwarded serves a request that a sibling passed on; it goes no further.
-func (api *UserAPI) ServeForwarded(c *fasthttp.RequestCtx) {
-	r, err := peer.DecodeForwardRequest(c.PostBody())
-	if err != nil || r.Path != "/work" && !strings.HasPrefix(r.Path, "/work/") {
-		response.Error(c, 400, "malformed request")
+// ServeForwarded serves a request that a sibling forwarded; it goes no further.
+func (api *UserAPI) ServeForwarded(request *fasthttp.RequestCtx) {
+	forwarded, err := peer.DecodeForwardRequest(request.PostBody())
+	if err != nil || forwarded.Path != SubmissionPath && !strings.HasPrefix(forwarded.Path, JobPathPrefix) {
+		api.answerTo(jobResponse{}, rejected(fasthttp.StatusBadRequest, "malformed request")).write(request)
 		return
 	}
-	var inner fasthttp.RequestCtx
-	inner.Request.Header.SetMethod(r.Method)
-	inner.Request.SetRequestURI(r.Path)
-	inner.Request.SetBody(r.Body)
-	api.serveLocally(&inner, r.Path)
-	out := peer.ForwardResponse{Status: inner.Response.StatusCode(), Body: inner.Response.Body(),
-		RetryAfter: string(inner.Response.Header.Peek("Retry-After"))}
-	c.SetBody(out.Encode())
+	answered := api.answerTo(api.serve(forwarded.Path, forwarded.Body)).forwardResponse()
+	request.SetBody(answered.Encode())
 }
 
-// storeSeemsLost reports whether this node seems to have lost the state service.
+// storeSeemsLost reports whether this controller seems to have lost the store.
 func (api *UserAPI) storeSeemsLost() bool {
-	return api.Now().Sub(api.Syncer.LastReadAt()) > 2*tuning.WatchHold
+	return api.Now().Sub(api.Syncer.LastReadAt()) > storeLostAfter
 }
--- a/internal/api/groupcommit.go
+++ b/internal/api/groupcommit.go
@@ -6,11 +6,7 @@
 	"fmt"
 	"time"
 
-	"github.com/valyala/fasthttp"
-
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/logging"
-	"wheatspur/internal/response"
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
 	"wheatspur/wire"
@@ -28,41 +24,6 @@
 // be by itself.
 var ErrStoreAlone = errors.New("not stored with the others")
 
-// storeSubmission has a new job stored and answers 201 after the write.
-func (api *UserAPI) storeSubmission(c *fasthttp.RequestCtx, w *wire.JobSpec, phase jobs.Phase) {
-	begun := api.Now()
-	ctx, stop := context.WithTimeout(context.Background(), tuning.DecisionWait)
-	defer stop()
-	s := &Submission{Spec: w, Deadline: time.Now().Add(tuning.DecisionWait), Done: make(chan error, 1),
-		Record: jobs.Record{Phase: phase, AcceptedAtMs: api.Now().UnixMilli(), Tasks: w.Tasks,
-			ChunkSize: jobs.ChunkSize(api.Limits.ValueKB), Spec: w}}
-	select {
-	case api.Intake <- s:
-	default: // those whose users have been told to come back are still in it
-		api.RefuseForNow(c, 429, "too many submissions under way")
-		return
-	}
-	var err error
-	select {
-	case err = <-s.Done:
-	case <-ctx.Done():
-		err = ctx.Err()
-	}
-	if errors.Is(err, ErrStoreAlone) {
-		err = api.storeOne(ctx, s)
-	}
-	switch {
-	case err == nil:
-		api.Log.Debug(logging.EventJobAccepted, logging.KeyJob, w.ID, logging.KeyClass, w.Class, logging.KeyTasks, w.Tasks, logging.KeyImage, w.Image, logging.KeyImageGB, w.ImageGB, logging.KeyEstimateS, w.EstimateS, logging.KeyDeadlineS, deadlineSeconds(w), logging.KeyDependencies, len(w.DependsOn), logging.KeyDuration, api.Now().Sub(begun))
-		response.Write(c, 201, wire.JobStatus{ID: w.ID, State: wire.StateQueued})
-	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrOutcomeUnknown):
-		// A lost answer is settled by reading again.
-		api.replyKnownJob(c, w.ID)
-	default:
-		api.RefuseForNow(c, 503, "the job can't be stored now")
-	}
-}
-
 // RunIntake stores submissions. Those that come while the budget of changes is
 // short go together in one change: hundreds of jobs at once, when a fleet
 // starts or a state service is back, took half a minute one by one.
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -1,137 +1,239 @@
 package api
 
 import (
+	"context"
 	"errors"
 	"slices"
+	"time"
 
 	"github.com/valyala/fasthttp"
 
 	"wheatspur/internal/jobs"
-	"wheatspur/internal/response"
+	"wheatspur/internal/logging"
+	"wheatspur/internal/store"
+	"wheatspur/internal/tuning"
 	"wheatspur/wire"
 )
 
+// submitJob serves a submission. It is an idempotent request: an id that was accepted
+// is answered with its job, whatever else the submission says. Any other is
+// checked, admitted and stored.
+func (api *UserAPI) submitJob(body []byte) (jobResponse, *apiError) {
+	jobID := peekJobID(body)
+	if jobID != "" {
+		// A known job is answered before any check.
+		if _, known, _ := api.LookupJob(jobID); known {
+			return api.knownJob(jobID)
+		}
+	}
+	spec, refusal := api.checkSubmission(body)
+	switch {
+	case refusal != nil && refusal.retryable:
+		return jobResponse{}, refusal
+	case refusal != nil:
+		return api.rejectUnlessAccepted(jobID, refusal)
+	case !api.HasStore():
+		return jobResponse{}, retryLater(fasthttp.StatusServiceUnavailable, "the state service can't be reached")
+	}
+	phase := jobs.Open
+	if len(spec.DependsOn) > 0 {
+		var known bool
+		if phase, known, refusal = api.admitDependencies(&spec); refusal != nil {
+			return jobResponse{}, refusal
+		} else if known {
+			return api.knownJob(spec.ID)
+		}
+	}
+	release, ok := api.acquireSubmissionSlot()
+	if !ok {
+		return jobResponse{}, tooManySubmissions()
+	}
+	defer release()
+	return api.storeSubmission(&spec, phase)
+}
+
 // peekJobID finds the job id of a submission that may be malformed otherwise.
 func peekJobID(body []byte) string {
-	var p struct {
+	var submission struct {
 		ID string `cbor:"ref"`
 	}
-	if wire.Unmarshal(body, &p) != nil || !wire.ValidJobID(p.ID) {
+	if wire.Unmarshal(body, &submission) != nil || !wire.ValidJobID(submission.ID) {
 		return ""
 	}
-	return p.ID
+	return submission.ID
 }
 
-func (api *UserAPI) submitJob(c *fasthttp.RequestCtx) {
-	body := c.PostBody()
-	jobID := peekJobID(body)
-	if jobID != "" {
-		// A known job is answered before any check.
-		if _, known, _ := api.LookupJob(jobID); known {
-			api.replyKnownJob(c, jobID)
-			return
-		}
-	}
-	w, err := wire.DecodeJobSpec(body)
-	status := 400
-	if err == nil && jobs.IntakeBytes(&w) > api.MaxGroupBytes() {
-		status, err = 422, errors.New("the job's description is larger than the state service can hold")
-	}
-	if err == nil {
-		api.Lock()
-		types := api.MachineTypeList
-		api.Unlock()
-		if len(types) == 0 {
-			api.RefuseForNow(c, 503, "machine types are not known yet")
-			return
-		}
-		team, ok := api.Settings.Team(w.Team)
-		status = 422
-		err = jobs.Validate(&w, jobs.TeamLimits{CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}, ok, types,
-			jobs.ChunkSize(api.Limits.ValueKB))
+// knownJob answers with a job that was accepted.
+func (api *UserAPI) knownJob(jobID string) (jobResponse, *apiError) {
+	status, known, err := api.readJob(jobID)
+	if err != nil || !known {
+		return jobResponse{}, storeUnreadable()
 	}
+	return jobResponse{fasthttp.StatusOK, status}, nil
+}
+
+// checkSubmission decodes a submission and checks what it says of itself.
+func (api *UserAPI) checkSubmission(body []byte) (wire.JobSpec, *apiError) {
+	spec, err := wire.DecodeJobSpec(body)
 	if err != nil {
-		if jobID != "" {
-			// Another node may have accepted the id; an accepted job is never
-			// answered by 400 or 422.
-			if _, known, ferr := api.readJob(jobID); ferr != nil {
-				api.RefuseForNow(c, 503, "the state service can't be read")
-				return
-			} else if known {
-				api.replyKnownJob(c, jobID)
-				return
-			}
-		}
-		response.Error(c, status, err.Error())
-		return
+		return spec, rejected(fasthttp.StatusBadRequest, err.Error())
 	}
-	if !api.HasStore() {
-		api.RefuseForNow(c, 503, "the state service can't be reached")
-		return
+	if jobs.IntakeBytes(&spec) > api.MaxGroupBytes() {
+		return spec, rejected(fasthttp.StatusUnprocessableEntity, "the job's description is larger than the state service can hold")
 	}
-	phase := jobs.Open
-	if len(w.DependsOn) > 0 {
-		var answered bool
-		if phase, answered = api.admitDependencies(c, &w); answered {
-			return
-		}
+	machineTypes := api.knownMachineTypes()
+	if len(machineTypes) == 0 {
+		return spec, retryLater(fasthttp.StatusServiceUnavailable, "machine types are not known yet")
 	}
-	select {
-	case api.SubmissionSlots <- struct{}{}:
-		defer func() { <-api.SubmissionSlots }()
-	default:
-		api.RefuseForNow(c, 429, "too many submissions under way")
-		return
+	team, ok := api.Settings.Team(spec.Team)
+	limits := jobs.TeamLimits{CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}
+	if err := jobs.Validate(&spec, limits, ok, machineTypes, jobs.ChunkSize(api.Limits.ValueKB)); err != nil {
+		return spec, rejected(fasthttp.StatusUnprocessableEntity, err.Error())
 	}
-	api.storeSubmission(c, &w, phase)
+	return spec, nil
+}
+
+func (api *UserAPI) knownMachineTypes() []wire.MachineType {
+	api.Lock()
+	defer api.Unlock()
+	return api.MachineTypeList
 }
 
-// admitDependencies decides whether a submission may depend on the jobs that it names, and
-// the phase in which it is stored. What it can't take is answered here.
-func (api *UserAPI) admitDependencies(c *fasthttp.RequestCtx, w *wire.JobSpec) (phase jobs.Phase, answered bool) {
-	slices.Sort(w.DependsOn)
-	w.DependsOn = slices.Compact(w.DependsOn)
-	// Whether they were accepted is known behind a read that was sent now;
-	// it also tells whether another node has taken this one.
-	if _, known, err := api.readJob(w.ID); err != nil {
-		api.RefuseForNow(c, 503, "the state service can't be read")
-		return "", true
-	} else if known {
-		api.replyKnownJob(c, w.ID)
-		return "", true
+// rejectUnlessAccepted rejects a submission that is wrong, unless another controller
+// has accepted its id: an accepted job is never answered by 400 or 422.
+func (api *UserAPI) rejectUnlessAccepted(jobID string, rejection *apiError) (jobResponse, *apiError) {
+	if jobID == "" {
+		return jobResponse{}, rejection
 	}
+	_, known, err := api.readJob(jobID)
+	switch {
+	case err != nil:
+		return jobResponse{}, storeUnreadable()
+	case known:
+		return api.knownJob(jobID)
+	}
+	return jobResponse{}, rejection
+}
+
+// admitDependencies decides whether a submission may depend on the jobs that it names,
+// and the phase in which it is stored. known tells that the submission itself has
+// been accepted already. It leaves the dependencies sorted, each once.
+func (api *UserAPI) admitDependencies(spec *wire.JobSpec) (phase jobs.Phase, known bool, refusal *apiError) {
+	slices.Sort(spec.DependsOn)
+	spec.DependsOn = slices.Compact(spec.DependsOn)
+	// Whether the dependencies were accepted is known behind a read that was sent
+	// now; it also tells whether another controller has accepted this job.
+	_, known, err := api.readJob(spec.ID)
+	if err != nil {
+		return "", false, storeUnreadable()
+	}
+	if known {
+		return "", true, nil
+	}
+	supported, allDone, err := api.checkDependencies(spec)
+	switch {
+	case err != nil:
+		return "", false, rejected(fasthttp.StatusUnprocessableEntity, err.Error())
+	case !supported:
+		// Guards against a controller of an older version that takes the job for one
+		// that may start.
+		return "", false, retryLater(fasthttp.StatusServiceUnavailable, "not every node takes jobs that await others yet")
+	case allDone:
+		return jobs.Open, false, nil
+	}
+	return jobs.Waiting, false, nil
+}
+
+// checkDependencies reports whether every member supports dependencies, and whether
+// all those of a submission are done; err says which may not be depended on.
+func (api *UserAPI) checkDependencies(spec *wire.JobSpec) (supported, allDone bool, err error) {
 	api.Lock()
-	all := api.DependenciesSupported()
-	done := true
-	err := jobs.ValidateDependencies(w, func(jobID string) (known, service bool) {
-		j := api.Table.Jobs[jobID]
-		if j == nil {
+	defer api.Unlock()
+	allDone = true
+	err = jobs.ValidateDependencies(spec, func(jobID string) (known, service bool) {
+		job := api.Table.Jobs[jobID]
+		if job == nil {
 			return false, false
 		}
-		done = done && j.Phase == jobs.Done
-		return true, j.Service()
+		allDone = allDone && job.Phase == jobs.Done
+		return true, job.Service()
 	})
-	api.Unlock()
-	switch {
-	case err != nil:
-		response.Error(c, 422, err.Error())
-	case !all:
-		// Guards against a node of an older version that holds the job for one
-		// that may start.
-		api.RefuseForNow(c, 503, "not every node takes jobs that await others yet")
-	case done:
-		return jobs.Open, false
+	return api.DependenciesSupported(), allDone, err
+}
+
+// acquireSubmissionSlot takes a slot without waiting; ok is false if all are taken.
+func (api *UserAPI) acquireSubmissionSlot() (release func(), ok bool) {
+	select {
+	case api.SubmissionSlots <- struct{}{}:
+		return func() { <-api.SubmissionSlots }, true
 	default:
-		return jobs.Waiting, false
+		return nil, false
 	}
-	return "", true
 }
 
-func (api *UserAPI) replyKnownJob(c *fasthttp.RequestCtx, jobID string) {
-	st, known, err := api.readJob(jobID)
-	if err != nil || !known {
-		api.RefuseForNow(c, 503, "the state service can't be read")
-		return
+// storeSubmission has a new job stored, and answers once it is durable.
+func (api *UserAPI) storeSubmission(spec *wire.JobSpec, phase jobs.Phase) (jobResponse, *apiError) {
+	begun := api.Now()
+	// Not the request's context: that one ends with the server alone, and a submission
+	// that is under way at a clean stop is let end (Drain).
+	ctx, stop := context.WithTimeout(context.Background(), tuning.DecisionWait)
+	defer stop()
+	submission := api.newSubmission(spec, phase)
+	select {
+	case api.Intake <- submission:
+	default: // those whose users have been told to come back are still in it
+		return jobResponse{}, tooManySubmissions()
+	}
+	err := api.awaitStored(ctx, submission)
+	switch {
+	case err == nil:
+		api.Log.Debug(logging.EventJobAccepted, logging.KeyJob, spec.ID, logging.KeyClass, spec.Class, logging.KeyTasks, spec.Tasks,
+			logging.KeyImage, spec.Image, logging.KeyImageGB, spec.ImageGB, logging.KeyEstimateS, spec.EstimateS,
+			logging.KeyDeadlineS, deadlineSeconds(spec), logging.KeyDependencies, len(spec.DependsOn), logging.KeyDuration, api.Now().Sub(begun))
+		return jobResponse{fasthttp.StatusCreated, wire.JobStatus{ID: spec.ID, State: wire.StateQueued}}, nil
+	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrOutcomeUnknown):
+		// Another controller has accepted the id, or the outcome of the write is
+		// unknown: a read tells.
+		return api.knownJob(spec.ID)
+	}
+	return jobResponse{}, retryLater(fasthttp.StatusServiceUnavailable, "the job can't be stored now")
+}
+
+// newSubmission is a submission with the record that is stored of it.
+func (api *UserAPI) newSubmission(spec *wire.JobSpec, phase jobs.Phase) *Submission {
+	return &Submission{
+		Spec: spec,
+		Record: jobs.Record{
+			Phase:        phase,
+			AcceptedAtMs: api.Now().UnixMilli(),
+			Tasks:        spec.Tasks,
+			ChunkSize:    jobs.ChunkSize(api.Limits.ValueKB),
+			Spec:         spec,
+		},
+		Deadline: time.Now().Add(tuning.DecisionWait), // of contexts, which run by this clock
+		Done:     make(chan error, 1),
+	}
+}
+
+// awaitStored waits for the outcome of a submission that is in the queue, and stores it
+// by itself if it could not be stored with others.
+func (api *UserAPI) awaitStored(ctx context.Context, submission *Submission) error {
+	var err error
+	select {
+	case err = <-submission.Done:
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	if errors.Is(err, ErrStoreAlone) {
+		return api.storeOne(ctx, submission)
+	}
+	return err
+}
+
+// deadlineSeconds is a job's deadline for the log, 0 if it has none.
+func deadlineSeconds(spec *wire.JobSpec) float64 {
+	if spec.DeadlineS == nil {
+		return 0
 	}
-	response.Write(c, 200, st)
+	return *spec.DeadlineS
 }
