--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -5,103 +5,129 @@
 
 	"github.com/valyala/fasthttp"
 
+	"wheatspur/internal/api"
 	"wheatspur/internal/peer"
 	"wheatspur/internal/response"
 )
 
-func (n *Controller) serveUser(c *fasthttp.RequestCtx) {
-	n.Metrics.CountAnswer(n.routeUser(c), c.Response.StatusCode())
+// requestKind is a kind of request, as the metric of answers counts it.
+type requestKind string
+
+// Kinds of requests.
+const (
+	kindOperator     requestKind = "operator"
+	kindHeartbeat    requestKind = "report"
+	kindSubmission   requestKind = "submission"
+	kindCancellation requestKind = "cancellation"
+	kindPoll         requestKind = "poll"
+	kindStopping     requestKind = "stopping" // refused because of a clean stop
+	kindOther        requestKind = "other"    // no route takes it
+)
+
+// handler serves the requests of a route.
+type handler func(*Controller, *fasthttp.RequestCtx)
+
+// route says which requests go to a handler.
+type route struct {
+	method string
+	path   string
+	// prefix and suffix, where there is no path, are what a path has to begin and end
+	// with. They may overlap.
+	prefix, suffix string
+	kind           requestKind
+	changesState   bool // such requests are refused during a clean stop
+	handle         handler
 }
 
-// routeUser serves a request and returns its kind, for the metrics.
-func (n *Controller) routeUser(c *fasthttp.RequestCtx) string {
-	path, method := string(c.Path()), string(c.Method())
-	want := ""
-	switch {
-	case path == "/up", path == "/status", path == "/metrics":
-		want = "GET"
-	case path == "/work", path == "/checkin":
-		want = "POST"
-	case strings.HasPrefix(path, "/work/"):
-		want = "GET"
-		if strings.HasSuffix(path, "/cancel") {
-			want = "POST"
-		}
-	}
-	if want == "" {
-		response.Error(c, 404, "no such path")
-		return "other"
-	}
-	if method != want {
-		c.Response.Header.Set("Allow", want)
-		response.Error(c, 405, "method not allowed")
-		return "other"
+func (r *route) matches(path string) bool {
+	if r.path != "" {
+		return path == r.path
 	}
-	if n.Draining() && method == "POST" && path != "/checkin" {
-		n.api.RefuseForNow(c, 503, "this node is stopping")
-		return "stopping"
-	}
-	switch path {
-	case "/up":
-		if n.healthy() {
-			response.Write(c, 200, nil)
-		} else {
-			n.api.RefuseForNow(c, 503, "not ready")
-		}
-	case "/status":
-		n.observer.ServeStatus(c)
-	case "/metrics":
-		n.observer.ServeMetrics(c)
-	case "/checkin":
-		n.Workers.HandleHeartbeat(c)
-		return "report"
-	case "/work":
-		n.api.ServeWork(c, path)
-		return "submission"
-	default:
-		n.api.ServeWork(c, path)
-		if want == "POST" {
-			return "cancellation"
+	return strings.HasPrefix(path, r.prefix) && strings.HasSuffix(path, r.suffix)
+}
+
+// userRoutes are those of the port for users, workers and operators; the first that
+// matches a path counts.
+var userRoutes = []route{
+	{method: fasthttp.MethodGet, path: "/up", kind: kindOperator, handle: (*Controller).serveUp},
+	{method: fasthttp.MethodGet, path: "/status", kind: kindOperator, handle: (*Controller).serveStatus},
+	{method: fasthttp.MethodGet, path: "/metrics", kind: kindOperator, handle: (*Controller).serveMetrics},
+	{method: fasthttp.MethodPost, path: "/checkin", kind: kindHeartbeat, handle: (*Controller).serveHeartbeat},
+	{method: fasthttp.MethodPost, path: api.SubmissionPath, kind: kindSubmission, changesState: true, handle: (*Controller).serveWork},
+	{method: fasthttp.MethodPost, prefix: api.JobPathPrefix, suffix: api.CancelSuffix, kind: kindCancellation, changesState: true, handle: (*Controller).serveWork},
+	{method: fasthttp.MethodGet, prefix: api.JobPathPrefix, kind: kindPoll, handle: (*Controller).serveWork},
+}
+
+// peerRoutes are those of the port for the other controllers.
+var peerRoutes = []route{
+	{method: fasthttp.MethodPost, path: peer.StatusPath, handle: (*Controller).servePeerStatus},
+	{method: fasthttp.MethodPost, path: peer.ForwardPath, handle: (*Controller).serveForwarded},
+}
+
+// routeFor is the first route that matches a path; nil if none does.
+func routeFor(routes []route, path string) *route {
+	for i := range routes {
+		if routes[i].matches(path) {
+			return &routes[i]
 		}
-		return "poll"
 	}
-	return "operator"
+	return nil
 }
 
-func (n *Controller) servePeer(c *fasthttp.RequestCtx) {
-	if c.IsPost() && string(c.Path()) == peer.ForwardPath {
-		n.api.ServeForwarded(c)
-		return
+// serveUser serves the port for users, workers and operators, and counts the answers.
+func (c *Controller) serveUser(request *fasthttp.RequestCtx) {
+	kind := c.routeUser(request)
+	c.Metrics.CountAnswer(string(kind), request.Response.StatusCode())
+}
+
+// routeUser serves a request and returns its kind.
+func (c *Controller) routeUser(request *fasthttp.RequestCtx) requestKind {
+	matched := routeFor(userRoutes, string(request.Path()))
+	switch {
+	case matched == nil:
+		response.Error(request, fasthttp.StatusNotFound, "no such path")
+		return kindOther
+	case string(request.Method()) != matched.method:
+		request.Response.Header.Set(fasthttp.HeaderAllow, matched.method)
+		response.Error(request, fasthttp.StatusMethodNotAllowed, "method not allowed")
+		return kindOther
+	case matched.changesState && c.Draining():
+		c.api.RefuseForNow(request, fasthttp.StatusServiceUnavailable, "this node is stopping")
+		return kindStopping
 	}
-	if string(c.Path()) != peer.StatusPath || !c.IsPost() {
-		response.Error(c, 404, "no such path")
+	matched.handle(c, request)
+	return matched.kind
+}
+
+// servePeer serves the port for the other controllers.
+func (c *Controller) servePeer(request *fasthttp.RequestCtx) {
+	matched := routeFor(peerRoutes, string(request.Path()))
+	if matched == nil || string(request.Method()) != matched.method {
+		response.Error(request, fasthttp.StatusNotFound, "no such path")
 		return
 	}
-	n.Peers.ServeStatus(c)
+	matched.handle(c, request)
 }
 
-// healthy decides GET /up: a node without the state service passes users on
-// while a sibling has it; if none has, there is nobody better. A node that
-// hears no sibling either can't tell, and holds that it alone is cut off.
-// Guards against a cut-off node, which refuses every request and closes its
-// connections, drawing all users as the one with the fewest.
-func (n *Controller) healthy() bool {
-	if n.Draining() {
-		return false
-	}
-	n.Lock()
-	defer n.Unlock()
-	if n.HasStore() {
-		return n.Cache.Consistent()
-	}
-	alone := len(n.Peers.Siblings) > 0
-	for _, s := range n.Peers.Siblings {
-		if n.Peers.IsFresh(s) {
-			if s.Status.HasStore {
-				return false
-			}
-			alone = false
-		}
+// serveUp answers whether load balancers should send users here.
+func (c *Controller) serveUp(request *fasthttp.RequestCtx) {
+	if !c.healthy() {
+		c.api.RefuseForNow(request, fasthttp.StatusServiceUnavailable, "not ready")
+		return
 	}
-	return !alone && n.Cache.Consistent()
+	response.Write(request, fasthttp.StatusOK, nil)
+}
+
+func (c *Controller) serveStatus(request *fasthttp.RequestCtx)  { c.observer.ServeStatus(request) }
+func (c *Controller) serveMetrics(request *fasthttp.RequestCtx) { c.observer.ServeMetrics(request) }
+
+func (c *Controller) serveHeartbeat(request *fasthttp.RequestCtx) {
+	c.Workers.HandleHeartbeat(request)
+}
+
+func (c *Controller) serveWork(request *fasthttp.RequestCtx) {
+	c.api.ServeWork(request, string(request.Path()))
 }
+
+func (c *Controller) servePeerStatus(request *fasthttp.RequestCtx) { c.Peers.ServeStatus(request) }
+func (c *Controller) serveForwarded(request *fasthttp.RequestCtx)  { c.api.ServeForwarded(request) }
