--- a/internal/controller/listen_test.go
+++ b/internal/controller/connections_test.go
@@ -70,3 +70,24 @@
 		_ = c.Close()
 	}
 }
+
+// With its siblings down a node holds the workers of all; between their
+// reports they must not keep users and health checks out.
+func TestManyOpenConnectionsCloseThoseOfWorkersNotUsers(t *testing.T) {
+	env := newTestEnv(t, "a")
+	controller := env.controllers["a"]
+	controller.Settings.Params.Limits.MaxConnections = 1000
+	env.addMachine("h1", "batch")
+	for _, c := range []struct {
+		open  int
+		close bool
+	}{{100, false}, {700, true}} {
+		controller.Workers.OpenConnections = func() int { return c.open }
+		if _, _, ctx := sendRequest(controller, "POST", "/checkin", env.heartbeat("h1", 1, controller.fencingToken())); ctx.Response.ConnectionClose() != c.close {
+			t.Errorf("%d open connections: a worker's is closed %v", c.open, ctx.Response.ConnectionClose())
+		}
+		if code, _, ctx := sendRequest(controller, "GET", "/up", nil); code != 200 || ctx.Response.ConnectionClose() {
+			t.Errorf("%d open connections: health check %d", c.open, code)
+		}
+	}
+}
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -14,10 +14,12 @@
 	"wheatspur/internal/config"
 	"wheatspur/internal/fake"
 	"wheatspur/internal/fleet"
+	"wheatspur/internal/inventory"
 	"wheatspur/internal/jobs"
 	"wheatspur/internal/leader"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/peer"
+	"wheatspur/internal/placement"
 	"wheatspur/internal/store"
 	"wheatspur/wire"
 )
@@ -56,73 +58,6 @@
 	cancelBound   = 60 * time.Second
 )
 
-// storeLink is one node's way to the state service.
-type storeLink struct {
-	*fake.Store
-	mu                 sync.Mutex
-	rejecting          bool     // it alone is refused, or all are in an outage
-	rejectAfterDelayed bool     // it is refused after the last of these
-	delayNext          int      // so many transactions get no answer and wait in held
-	delayed            []func() // carries them out
-	afterWatch         func()   // runs between a watch's answer and its arrival
-}
-
-func (link *storeLink) isRejecting() bool {
-	link.mu.Lock()
-	defer link.mu.Unlock()
-	return link.rejecting
-}
-
-func (link *storeLink) List(ctx context.Context, prefix, after string) (wire.ListResponse, error) {
-	if link.isRejecting() {
-		return wire.ListResponse{}, store.ErrRejected
-	}
-	return link.Store.List(ctx, prefix, after)
-}
-
-func (link *storeLink) CompareAndSwap(ctx context.Context, c store.Class, guards []wire.Compare, then []wire.Operation) (uint64, error) {
-	link.mu.Lock()
-	if link.rejecting {
-		link.mu.Unlock()
-		return 0, store.ErrRejected
-	}
-	if link.delayNext > 0 {
-		link.delayNext--
-		link.rejecting = link.rejectAfterDelayed && link.delayNext == 0
-		link.delayed = append(link.delayed, func() { _, _ = link.Store.CompareAndSwap(ctx, c, guards, then) })
-		link.mu.Unlock()
-		return 0, store.ErrOutcomeUnknown
-	}
-	link.mu.Unlock()
-	return link.Store.CompareAndSwap(ctx, c, guards, then)
-}
-
-func (link *storeLink) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.WatchResponse, error) {
-	if link.isRejecting() {
-		return wire.WatchResponse{}, store.ErrRejected
-	}
-	ev, err := link.Store.Watch(ctx, prefix, after, hold)
-	link.mu.Lock()
-	slow := link.afterWatch
-	link.afterWatch = nil
-	link.mu.Unlock()
-	if slow != nil {
-		slow()
-	}
-	return ev, err
-}
-
-// applyDelayed carries out the transactions that were held.
-func (link *storeLink) applyDelayed() {
-	link.mu.Lock()
-	held := link.delayed
-	link.delayed = nil
-	link.mu.Unlock()
-	for _, f := range held {
-		f()
-	}
-}
-
 // testEnv is a set of nodes with one state service.
 type testEnv struct {
 	t            testing.TB
@@ -393,3 +328,120 @@
 	}
 	return o.Commands
 }
+
+// acknowledgeToken lets a machine show the present token twice over, as a live one does.
+func (env *testEnv) acknowledgeToken(machineName string, session uint64, tasks ...wire.TaskStatus) *Controller {
+	env.t.Helper()
+	controller, _ := env.ownerOf(machineName)
+	if code, _ := controller.receiveHeartbeat(env.heartbeat(machineName, session, controller.fencingToken(), tasks...)); code != 200 {
+		env.t.Fatalf("report of %s: %d", machineName, code)
+	}
+	return controller
+}
+
+// heartbeatAll lets all machines report, so that none falls silent.
+func (env *testEnv) heartbeatAll() {
+	env.refreshAll()
+	for _, h := range env.cloud.Listed {
+		owner, _ := env.ownerOf(h.Name)
+		owner.receiveHeartbeat(env.heartbeat(h.Name, 1, owner.fencingToken()))
+	}
+	env.exchangePeerStatus()
+}
+
+// exchangePeerStatus lets all nodes exchange their statuses.
+func (env *testEnv) exchangePeerStatus() {
+	for _, controller := range env.controllers {
+		for _, peerController := range env.controllers {
+			if peerController != controller && !env.isolated[controller.Self.Label] && !env.isolated[peerController.Self.Label] {
+				env.sendPeerStatus(controller, peerController)
+			}
+		}
+	}
+}
+
+// raiseFencingToken restarts the session of a node that does not lead, which raises the
+// token, so that limits are shared out anew.
+func (env *testEnv) raiseFencingToken() {
+	env.t.Helper()
+	for _, controller := range env.controllers {
+		if controller != env.leader() {
+			env.store.Expire(controller.Self.Incarnation)
+			env.refreshAll()
+			controller.election.EndSession(controller.Self.Incarnation)
+			controller.Self.Incarnation, _ = env.store.GrantLease(context.Background(), time.Second)
+			controller.Session = controller.Session.Next("got lease")
+			break
+		}
+	}
+	for range 4 {
+		env.stepMembership()
+	}
+	env.runPasses()
+}
+
+// setOldVersion takes a node for one of a version that tells no forms.
+func (env *testEnv) setOldVersion(label string, old bool) {
+	env.t.Helper()
+	controller := env.controllers[label]
+	s := any(controller.Self)
+	if !old {
+		s = membership.Session{Node: controller.Self, Format: membership.CurrentFormat, ProgramVersion: "x"}
+	}
+	key := membership.SessionKey(label)
+	if _, err := env.store.CompareAndSwap(context.Background(), store.ClassLease, nil, []wire.Operation{{Put: key, Value: wire.MustMarshal(s), LeaseID: controller.Self.Incarnation}}); err != nil {
+		env.t.Fatal(err)
+	}
+	env.refreshAll()
+}
+
+// drainMachine stores that a machine takes no more tasks.
+func (env *testEnv) drainMachine(machineName, why string) {
+	env.t.Helper()
+	controller := env.leader()
+	was := controller.Inventory.Machines[machineName]
+	is := was
+	is.Phase, is.Reason = inventory.Draining, why
+	controller.leaderLoop.StoreMachines(context.Background(), []inventory.RecordChange{{Machine: machineName, Before: &was, After: &is}})
+	env.refreshAll()
+}
+
+// setTeamLimit sets the limit of the team x.
+func (n *Controller) setTeamLimit(gpus float64) {
+	n.Settings.Params.Teams[0].GPUsMax = gpus
+	n.Quota.Configure(cluster.QuotaTeams(n.Settings.Params.Teams), cluster.QuotaOptions(n.Settings))
+}
+
+func dependentJob(spec wire.JobSpec, dependsOn ...string) wire.JobSpec {
+	spec.DependsOn = dependsOn
+	return spec
+}
+
+// finishTasks lets the tasks of a job that are claimed on a machine exit with
+// "done", and stores their ends.
+func (env *testEnv) finishTasks(machineName string, tasks ...string) {
+	env.t.Helper()
+	var list []wire.TaskStatus
+	for _, s := range tasks {
+		list = append(list, wire.TaskStatus{Task: s, Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone})
+	}
+	env.acknowledgeToken(machineName, 1, list...)
+	env.clock.add(2 * time.Second)
+	env.runPasses()
+}
+
+func (env *testEnv) checkStates(what string, want map[string]string) {
+	env.t.Helper()
+	env.refreshAll()
+	for label, controller := range env.controllers {
+		for jobID, phase := range want {
+			if code, status, _ := sendRequest(controller, "GET", "/work/"+jobID, nil); code != 200 || status.State != phase {
+				env.t.Errorf("%s: %s says %d %s of %s, want %s", what, label, code, status.State, jobID, phase)
+			}
+		}
+	}
+}
+
+func toRole(s string) placement.Role { return placement.Role(s) }
+
+func ptr[T any](v T) *T { return &v }
--- /dev/null
+++ b/internal/controller/formats_test.go
@@ -0,0 +1,216 @@
+package controller
+
+import (
+	"context"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"wheatspur/internal/config"
+	"wheatspur/internal/inventory"
+	"wheatspur/internal/jobs"
+	"wheatspur/internal/membership"
+	"wheatspur/internal/peer"
+	"wheatspur/wire"
+)
+
+// readProductionRecords reads what the version in production writes; the file was made
+// by that version.
+func readProductionRecords(t testing.TB) map[string][]byte {
+	t.Helper()
+	b, err := os.ReadFile("testdata/production.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text map[string]string
+	if err := json.Unmarshal(b, &text); err != nil {
+		t.Fatal(err)
+	}
+	out := map[string][]byte{}
+	for k, v := range text {
+		if out[k], err = hex.DecodeString(v); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return out
+}
+
+func TestRecordsOfTheProductionVersionAreReadAndRewritten(t *testing.T) {
+	data := readProductionRecords(t)
+	st, err := peer.DecodeStatus(data["peer status"])
+	if err != nil || st.Label != "b" || len(st.Machines) != 1 || st.Machines[0].Name != "host-000001" {
+		t.Fatalf("status of a sibling: %+v %v", st, err)
+	}
+	delete(data, "peer status")
+	env := newTestEnv(t, "a")
+	controller := env.controllers["a"]
+	env.store.ValueLimit, env.store.OpsLimit = 2048, 4
+	for key, v := range data {
+		if key == membership.Key || key == membership.LeaderKey || key == jobs.TeamKey("x") || strings.HasPrefix(key, membership.SessionPrefix) {
+			if err := controller.applyRecord(key, v, 0); err != nil {
+				t.Errorf("%s: %v", key, err)
+			}
+			continue
+		}
+		// Written under its larger limit.
+		env.store.Put(key, v)
+	}
+	env = env.restartAll("a")
+	controller = env.controllers["a"]
+	controller.Limits.ValueKB, controller.Limits.TxnOps = 2, 4
+	for jobID, phase := range map[string]jobs.Phase{"wk-1": jobs.Open, "wk-2": jobs.Cancelled, "wk-3": jobs.Done, "wk-4": jobs.Open, "wk-5": jobs.Open} {
+		if j := controller.Table.Jobs[jobID]; j == nil || j.Phase != phase {
+			t.Fatalf("%s: %+v", jobID, j)
+		}
+	}
+	if controller.Table.Jobs["wk-1"].Counts != [3]int{30, 70, 0} || len(controller.Inventory.Machines) != 33 {
+		t.Fatalf("%v, %d machines", controller.Table.Jobs["wk-1"].Counts, len(controller.Inventory.Machines))
+	}
+	// Pipelines may name what production took in, also in shared records and done.
+	env.submit(controller, dependentJob(arrayJob("wk-10", 1), "wk-3", "wk-5"))
+	env.submit(controller, dependentJob(arrayJob("wk-11", 1), "wk-1"))
+	// Its jobs can be cancelled, its machines changed, within the lower limits.
+	for _, jobID := range []string{"wk-1", "wk-5"} {
+		if code, _, _ := sendRequest(controller, "POST", "/work/"+jobID+"/cancel", nil); code != 200 {
+			t.Fatalf("cancellation of %s: %d", jobID, code)
+		}
+	}
+	env.checkStates("cancelled", map[string]string{"wk-1": wire.StateCancelled, "wk-10": wire.StateCancelled, "wk-11": wire.StateCancelled})
+	var changes []inventory.RecordChange
+	for _, machineName := range []string{"host-000000", "host-000017", "host-000031", "host-000099"} {
+		was := controller.Inventory.Machines[machineName]
+		is := was
+		is.Phase, is.Reason = inventory.Draining, "a long reason for which there may be no room in the record"
+		changes = append(changes, inventory.RecordChange{Machine: machineName, Before: &was, After: &is})
+	}
+	controller.leaderLoop.StoreMachines(context.Background(), changes)
+	env.refreshAll()
+	for _, c := range changes {
+		if controller.Inventory.Machines[c.Machine].Phase != inventory.Draining {
+			t.Errorf("%s is %s", c.Machine, controller.Inventory.Machines[c.Machine].Phase)
+		}
+	}
+	if len(controller.Inventory.Machines) != 33 || len(controller.Inventory.OversizeGroups(controller.MaxGroupBytes(), 9)) != 0 {
+		t.Fatalf("%d machines, too large: %v", len(controller.Inventory.Machines), controller.Inventory.OversizeGroups(controller.MaxGroupBytes(), 9))
+	}
+	if env.store.Refused != 0 {
+		t.Fatalf("%d transactions beyond the limits", env.store.Refused)
+	}
+}
+
+// The shapes in which production reads the records.
+type (
+	oldJobSpec struct {
+		Ref    string `cbor:"ref"`
+		Crew   string `cbor:"crew"`
+		Shards int    `cbor:"shards"`
+	}
+	oldJobRecord struct {
+		Phase  string      `cbor:"p"`
+		At     int64       `cbor:"at"`
+		Tasks  int         `cbor:"n"`
+		Chunk  int         `cbor:"cs"`
+		Serial uint64      `cbor:"s,omitempty"`
+		Work   *oldJobSpec `cbor:"w,omitempty"`
+	}
+	oldNode struct {
+		Label       string `cbor:"l"`
+		Incarnation uint64 `cbor:"i"`
+	}
+)
+
+func TestThePreviousVersionReadsRecordsOfThisOne(t *testing.T) {
+	spec := dependentJob(arrayJob("wk-2", 3), "wk-1")
+	var r oldJobRecord
+	if err := wire.Unmarshal(wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, AcceptedAtMs: 5, Tasks: 3, ChunkSize: 64, Spec: &spec, EndedAtMs: 9, CancelledWith: "wk-1"}), &r); err != nil {
+		t.Fatal(err)
+	}
+	// Neither open nor final: production answers "queued" and never places it.
+	if r.Phase == "open" || r.Phase == "done" || r.Phase == "cancelled" || r.Tasks != 3 || r.Chunk != 64 || r.Work.Ref != "wk-2" {
+		t.Fatalf("%+v", r)
+	}
+	var s oldNode
+	if err := wire.Unmarshal(wire.MustMarshal(membership.Session{Node: membership.Node{Label: "a", Incarnation: 7}, Format: 1, ProgramVersion: "x"}), &s); err != nil || s != (oldNode{"a", 7}) {
+		t.Fatalf("%+v %v", s, err)
+	}
+}
+
+// A group that is cut stays one picture at every revision, stopped anywhere, and
+// an old leader that writes it large again costs another cut.
+func TestOversizeMachineGroupsAreSplitAcrossRestarts(t *testing.T) {
+	data := readProductionRecords(t)
+	env := newTestEnv(t, "a")
+	for i := range 3 {
+		var g inventory.Group
+		if err := wire.Unmarshal(data["w/fleet/000000"], &g); err != nil {
+			t.Fatal(err)
+		}
+		named := inventory.Group{Machines: map[string]inventory.Record{}}
+		for machineName, r := range g.Machines {
+			named.Machines[strings.Replace(machineName, "host-0", fmt.Sprintf("host-%d", i+1), 1)] = r
+		}
+		env.store.Put(inventory.GroupKey(i), wire.MustMarshal(named))
+	}
+	env.store.ValueLimit, env.store.OpsLimit = 2048, 4
+	machines := 96
+	for step := range 8 {
+		env = env.restartAll("a") // the process that cut the last one is gone
+		controller := env.controllers["a"]
+		controller.Limits.ValueKB, controller.Limits.TxnOps = 2, 4
+		if len(controller.Inventory.Machines) != machines {
+			t.Fatalf("step %d: %d machines", step, len(controller.Inventory.Machines))
+		}
+		controller.leaderLoop.StoreMachines(context.Background(), nil, controller.Inventory.OversizeGroups(controller.MaxGroupBytes(), 1)...)
+		if step == 1 {
+			// An old leader fills up a group that was cut.
+			big := inventory.Group{Machines: map[string]inventory.Record{}}
+			for machineName, r := range controller.Inventory.Machines {
+				if controller.Inventory.KeyOf(machineName) == inventory.GroupKey(0) {
+					big.Machines[machineName] = r
+				}
+			}
+			for ; len(big.Machines) < 32; machines++ {
+				big.Machines[fmt.Sprintf("host-9%05d", machines)] = inventory.Record{MachineType: "a-large-type", Zone: "a-far-away-zone", Role: "batch", Phase: inventory.Active, Reason: "joins"}
+			}
+			env.store.Put(inventory.GroupKey(0), wire.MustMarshal(big))
+		}
+	}
+	controller := env.controllers["a"]
+	if left := controller.Inventory.OversizeGroups(controller.MaxGroupBytes(), 9); len(left) != 0 || env.store.Refused != 0 {
+		t.Fatalf("too large: %v, refused %d", left, env.store.Refused)
+	}
+	seen := map[string]string{}
+	for key, e := range env.store.Keys {
+		var g inventory.Group
+		if !strings.HasPrefix(key, inventory.GroupPrefix) {
+			continue
+		}
+		if err := wire.Unmarshal(e.Value, &g); err != nil {
+			t.Fatal(err)
+		}
+		for machineName := range g.Machines {
+			if seen[machineName] != "" {
+				t.Errorf("%s stands in %s and %s", machineName, seen[machineName], key)
+			}
+			seen[machineName] = key
+		}
+	}
+	if len(seen) != machines {
+		t.Fatalf("%d machines of %d", len(seen), machines)
+	}
+}
+
+func TestAnnouncedStoreLimitsLowerThePresentOnes(t *testing.T) {
+	s := settings("a", []string{"a", "b", "c"})
+	s.Params.State.Next = &config.Limits{WriteRPS: 18, ValueKB: 2, TxnOps: 5}
+	if l := s.StateLimits(); l.RPS != 1000 || l.WriteRPS != 18 || l.ValueKB != 2 || l.TxnOps != 5 {
+		t.Fatalf("%+v", l)
+	}
+	s.Params.State.Next = &config.Limits{ValueKB: 16}
+	if l := s.StateLimits(); l.ValueKB != 4 || l.TxnOps != 12 {
+		t.Fatalf("%+v", l)
+	}
+}
--- a/internal/controller/intake_test.go
+++ b/internal/controller/intake_test.go
@@ -176,3 +176,18 @@
 		}
 	}
 }
+
+func TestAFullIntakeQueueRefusesAtOnce(t *testing.T) {
+	env := newTestEnv(t, "a")
+	controller := env.controllers["a"]
+	for range cap(controller.api.SubmissionSlots) {
+		controller.api.SubmissionSlots <- struct{}{}
+	}
+	code, _, c := sendRequest(controller, "POST", "/work", arrayJob("wk-1", 1))
+	if code != 429 || len(c.Response.Header.Peek("Retry-After")) == 0 {
+		t.Fatalf("%d from a full intake", code)
+	}
+	if code, _, _ := sendRequest(controller, "GET", "/work/wk-1", nil); code != 404 {
+		t.Fatalf("a poll beside a full intake: %d", code)
+	}
+}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -38,12 +38,6 @@
 	return env
 }
 
-// setTeamLimit sets the limit of the team x.
-func (n *Controller) setTeamLimit(gpus float64) {
-	n.Settings.Params.Teams[0].GPUsMax = gpus
-	n.Quota.Configure(cluster.QuotaTeams(n.Settings.Params.Teams), cluster.QuotaOptions(n.Settings))
-}
-
 // enableTransfers switches transfers of shares on at all nodes.
 func (env *testEnv) enableTransfers() {
 	for _, controller := range env.controllers {
@@ -88,37 +82,6 @@
 	}
 }
 
-// exchangePeerStatus lets all nodes exchange their statuses.
-func (env *testEnv) exchangePeerStatus() {
-	for _, controller := range env.controllers {
-		for _, peerController := range env.controllers {
-			if peerController != controller && !env.isolated[controller.Self.Label] && !env.isolated[peerController.Self.Label] {
-				env.sendPeerStatus(controller, peerController)
-			}
-		}
-	}
-}
-
-// raiseFencingToken restarts the session of a node that does not lead, which raises the
-// token, so that limits are shared out anew.
-func (env *testEnv) raiseFencingToken() {
-	env.t.Helper()
-	for _, controller := range env.controllers {
-		if controller != env.leader() {
-			env.store.Expire(controller.Self.Incarnation)
-			env.refreshAll()
-			controller.election.EndSession(controller.Self.Incarnation)
-			controller.Self.Incarnation, _ = env.store.GrantLease(context.Background(), time.Second)
-			controller.Session = controller.Session.Next("got lease")
-			break
-		}
-	}
-	for range 4 {
-		env.stepMembership()
-	}
-	env.runPasses()
-}
-
 // checkTeamLimit checks the shares and claims of the team as they stand in the store.
 func (env *testEnv) checkTeamLimit(limit float64) (claimed float64) {
 	env.t.Helper()
@@ -178,16 +141,6 @@
 	}
 }
 
-// heartbeatAll lets all machines report, so that none falls silent.
-func (env *testEnv) heartbeatAll() {
-	env.refreshAll()
-	for _, h := range env.cloud.Listed {
-		owner, _ := env.ownerOf(h.Name)
-		owner.receiveHeartbeat(env.heartbeat(h.Name, 1, owner.fencingToken()))
-	}
-	env.exchangePeerStatus()
-}
-
 // A claim whose answer was lost may yet be applied: its room in the limit
 // must not be claimed by another job meanwhile.
 func TestAClaimOfUnknownOutcomeCountsAgainstTheQuota(t *testing.T) {
--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -76,3 +76,23 @@
 		t.Errorf("session %s: the end of a former lease ended it", controller.Session)
 	}
 }
+
+// A former process's late write of the session key must not stand.
+func TestASessionIsStoredAgainAfterALateWriteOfAFormerProcess(t *testing.T) {
+	env := newTestEnv(t, "a")
+	controller := env.controllers["a"]
+	old := membership.Node{Label: "a", Incarnation: 777}
+	env.store.Leases[777] = true
+	_, err := env.store.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: membership.SessionKey("a"), Value: wire.MustMarshal(old), LeaseID: 777}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range 4 {
+		env.stepMembership()
+	}
+	controller.Lock()
+	defer controller.Unlock()
+	if controller.Sessions["a"] != controller.Self || !controller.IsMember() {
+		t.Fatalf("session %+v, self %+v", controller.Sessions["a"], controller.Self)
+	}
+}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"wheatspur/internal/fake"
+	"wheatspur/internal/jobs"
 	"wheatspur/internal/membership"
 	"wheatspur/internal/store"
 	"wheatspur/wire"
@@ -345,3 +346,86 @@
 	}
 	return b.String()
 }
+
+// runUntilBeforeHeartbeats goes on until the next reports are still some time away.
+func (sim *simulation) runUntilBeforeHeartbeats(d time.Duration) {
+	for sim.machines[0].nextHeartbeat.Sub(sim.clock.now()) < d {
+		sim.step()
+	}
+}
+
+// runPassesNow lets every node decide and act twice, in no time.
+func (sim *simulation) runPassesNow() {
+	for range 2 {
+		sim.exchangePeerStatus()
+		for _, controller := range sim.controllers {
+			sim.runPass(controller)
+			for len(controller.Workers.CallSlots) > 0 {
+				time.Sleep(100 * time.Microsecond)
+			}
+		}
+		sim.refreshAll()
+	}
+}
+
+// fillMachines lets a job fill all machines, and waits until it runs.
+func (sim *simulation) fillMachines(jobID string) {
+	sim.t.Helper()
+	sim.submit(sim.leader(), arrayJob(jobID, 4*len(sim.machines)))
+	for range 20 {
+		if sim.step(); sim.runningTasksOf(jobID) == 4*len(sim.machines) {
+			return
+		}
+	}
+	sim.t.Fatalf("%d of %d tasks run\n%s", sim.runningTasksOf(jobID), 4*len(sim.machines), sim)
+}
+
+// resendHeartbeats lets the last report of every machine arrive at every node once more.
+func (sim *simulation) resendHeartbeats() {
+	for _, machine := range sim.machines {
+		for _, controller := range sim.controllers {
+			heartbeat := machine.lastHeartbeat
+			controller.receiveHeartbeat(&heartbeat)
+		}
+	}
+}
+
+// tasks checks how often each task of a job has begun, and how many run.
+func (sim *simulation) checkTasks(what, jobID string, tasks, starts int) {
+	sim.t.Helper()
+	if k := sim.runningTasksOf(jobID); k != tasks {
+		sim.t.Errorf("%s: %d tasks of %s run, want %d\n%s", what, k, jobID, tasks, sim)
+	}
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for task, k := range sim.startCount {
+		if r, _, _ := jobs.ParseTaskName(task); r == jobID && starts > 0 && k != starts {
+			sim.t.Errorf("%s: %s has begun %d times, want %d", what, task, k, starts)
+		}
+	}
+}
+
+// checkStateEverywhere asks every node about a job and wants the same phase of all.
+func (sim *simulation) checkStateEverywhere(what, jobID, phase string) {
+	sim.t.Helper()
+	for _, controller := range sim.otherControllers(nil) {
+		if code, status, _ := sendRequest(controller, "GET", "/work/"+jobID, nil); code != 200 || status.State != phase {
+			sim.t.Errorf("%s: %s says %d %q, want %q", what, controller.Self.Label, code, status.State, phase)
+		}
+	}
+}
+
+// crash ends the leader's process.
+func (sim *simulation) crash(controller *Controller) {
+	sim.expireSession(controller)
+	delete(sim.controllers, controller.Self.Label)
+}
+
+// forEachMachine does something to every machine.
+func (sim *simulation) forEachMachine(f func(machine *simMachine)) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, machine := range sim.machines {
+		f(machine)
+	}
+}
--- /dev/null
+++ b/internal/controller/store_fixture_test.go
@@ -0,0 +1,85 @@
+package controller
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"wheatspur/internal/fake"
+	"wheatspur/internal/store"
+	"wheatspur/wire"
+)
+
+// storeLink is one node's way to the state service.
+type storeLink struct {
+	*fake.Store
+	mu                 sync.Mutex
+	rejecting          bool     // it alone is refused, or all are in an outage
+	rejectAfterDelayed bool     // it is refused after the last of these
+	delayNext          int      // so many transactions get no answer and wait in held
+	delayed            []func() // carries them out
+	afterWatch         func()   // runs between a watch's answer and its arrival
+}
+
+func (link *storeLink) isRejecting() bool {
+	link.mu.Lock()
+	defer link.mu.Unlock()
+	return link.rejecting
+}
+
+// setRejecting refuses a node, or serves it again.
+func (link *storeLink) setRejecting(refuse bool) {
+	link.mu.Lock()
+	defer link.mu.Unlock()
+	link.rejecting = refuse
+}
+
+func (link *storeLink) List(ctx context.Context, prefix, after string) (wire.ListResponse, error) {
+	if link.isRejecting() {
+		return wire.ListResponse{}, store.ErrRejected
+	}
+	return link.Store.List(ctx, prefix, after)
+}
+
+func (link *storeLink) CompareAndSwap(ctx context.Context, c store.Class, guards []wire.Compare, then []wire.Operation) (uint64, error) {
+	link.mu.Lock()
+	if link.rejecting {
+		link.mu.Unlock()
+		return 0, store.ErrRejected
+	}
+	if link.delayNext > 0 {
+		link.delayNext--
+		link.rejecting = link.rejectAfterDelayed && link.delayNext == 0
+		link.delayed = append(link.delayed, func() { _, _ = link.Store.CompareAndSwap(ctx, c, guards, then) })
+		link.mu.Unlock()
+		return 0, store.ErrOutcomeUnknown
+	}
+	link.mu.Unlock()
+	return link.Store.CompareAndSwap(ctx, c, guards, then)
+}
+
+func (link *storeLink) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.WatchResponse, error) {
+	if link.isRejecting() {
+		return wire.WatchResponse{}, store.ErrRejected
+	}
+	ev, err := link.Store.Watch(ctx, prefix, after, hold)
+	link.mu.Lock()
+	slow := link.afterWatch
+	link.afterWatch = nil
+	link.mu.Unlock()
+	if slow != nil {
+		slow()
+	}
+	return ev, err
+}
+
+// applyDelayed carries out the transactions that were held.
+func (link *storeLink) applyDelayed() {
+	link.mu.Lock()
+	held := link.delayed
+	link.delayed = nil
+	link.mu.Unlock()
+	for _, f := range held {
+		f()
+	}
+}
--- /dev/null
+++ b/internal/controller/store_outage_test.go
@@ -0,0 +1,343 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"wheatspur/internal/jobs"
+	"wheatspur/internal/membership"
+	"wheatspur/internal/tuning"
+	"wheatspur/wire"
+)
+
+// The gap: the leader alone loses the state service, another node confirms a
+// cancellation, then everybody has lost it for longer than a cancellation may
+// take, while the workers go on reporting. The tasks are gone in time all the
+// same, and each lease ends when its node's last read says, not long before.
+func TestCancelledTasksStopInTimeThroughARollingStoreOutage(t *testing.T) {
+	const outage = cancelBound + 20*time.Second
+	type gap struct {
+		x                        *simulation
+		leader, confirming, rest *Controller
+	}
+	variants := []struct {
+		name string
+		// What happens beside it, seconds after the first loss.
+		at map[int]func(g gap)
+		// Whether leases may end later or earlier than the rule below says.
+		loose bool
+	}{
+		{name: "nothing else"},
+		{name: "the store is back for a moment at the leader", at: map[int]func(gap){
+			8: func(g gap) { g.x.links[g.leader.Self.Label].setRejecting(false) },
+			9: func(g gap) { g.x.links[g.leader.Self.Label].setRejecting(true) }}},
+		{name: "the store is back for a moment at the third node", at: map[int]func(gap){
+			20: func(g gap) { g.x.links[g.rest.Self.Label].setRejecting(false) },
+			21: func(g gap) { g.x.links[g.rest.Self.Label].setRejecting(true) }}},
+		{name: "a worker changes nodes", loose: true, at: map[int]func(gap){
+			4:  func(g gap) { g.x.machineOf(g.leader).unreachable[g.leader.Self.Label] = true },
+			14: func(g gap) { g.x.machineOf(g.leader).unreachable[g.leader.Self.Label] = false }}},
+		{name: "reports waited in the network and reach every node", at: map[int]func(gap){
+			6:  func(g gap) { g.x.resendHeartbeats() },
+			24: func(g gap) { g.x.resendHeartbeats() },
+			40: func(g gap) { g.x.resendHeartbeats() }}},
+		{name: "machines hang and resume within their lease", loose: true, at: map[int]func(gap){
+			3: func(g gap) {
+				for _, machine := range g.x.machines {
+					machine.hung = true
+				}
+			},
+			27: func(g gap) {
+				for _, machine := range g.x.machines {
+					machine.hung = false
+				}
+			}}},
+		{name: "the leader's last read took 6 s and showed nothing of it", loose: true, at: map[int]func(gap){}},
+	}
+	// Who loses the state service first, second and third; the confirming node
+	// confirms right before it does.
+	for _, order := range [][3]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
+		for _, v := range variants {
+			t.Run(fmt.Sprintf("%v %s", order, v.name), func(t *testing.T) {
+				sim := newSimulation(t, 1, 1000)
+				sim.fillMachines("wk-1")
+				leader := sim.leader()
+				g := gap{x: sim, leader: leader, confirming: sim.otherControllers(leader)[0], rest: sim.otherControllers(leader)[1]}
+				nodes := []*Controller{g.leader, g.confirming, g.rest}
+				if v.name[:10] == "the leader" {
+					sim.links[leader.Self.Label].afterWatch = func() {
+						if !sim.cancelAt(g.confirming, "wk-1") {
+							t.Error("not confirmed")
+						}
+						sim.links[leader.Self.Label].setRejecting(true)
+						sim.clock.add(6 * time.Second)
+					}
+					sim.run(time.Second)
+				}
+				for s := range int(outage / time.Second) {
+					if s < 3 {
+						controller := nodes[order[s]]
+						if controller == g.confirming && !sim.cancelAt(controller, "wk-1") {
+							t.Fatal("the cancellation is not confirmed")
+						}
+						sim.links[controller.Self.Label].setRejecting(true)
+					}
+					if f := v.at[s]; f != nil {
+						f(g)
+					}
+					sim.step()
+				}
+				// Nothing is left, whoever its node was, and every lease has ended
+				// when the last read of its node allowed.
+				if k := sim.runningTasksOf("wk-1"); k != 0 {
+					t.Fatalf("%d tasks run after the outage\n%s", k, sim)
+				}
+				for _, machine := range sim.machines {
+					owner, _ := sim.ownerOf(machine.Host)
+					owner.Lock()
+					knows := owner.Table.Jobs["wk-1"].Phase == jobs.Cancelled
+					owner.Unlock()
+					if knows {
+						continue // it kills them, and the others attest that there is nothing else
+					}
+					if len(machine.endedIncarnations) == 0 {
+						t.Errorf("the lease of %s has not ended", machine.Host)
+						continue
+					}
+					// Not later than if all had attested up to the confirmation, not
+					// long before what its own node's last read allows.
+					bound := owner.Settings.RenewalBound() + leaseDuration
+					if over := machine.endedIncarnations[0].at.Sub(sim.cancelledAt["wk-1"]); over > bound+2*time.Second {
+						t.Errorf("the lease of %s ended %v after the confirmation, its bound is %v", machine.Host, over, bound)
+					}
+					if over := machine.endedIncarnations[0].at.Sub(owner.Syncer.LastReadAt()); !v.loose && over < bound-5*time.Second {
+						t.Errorf("the lease of %s ended %v after its node's last read, its bound is %v", machine.Host, over, bound)
+					}
+				}
+				// It is back: the job stays cancelled, its claims go, and others run.
+				for _, controller := range nodes {
+					sim.links[controller.Self.Label].setRejecting(false)
+				}
+				sim.run(10 * time.Second)
+				for _, controller := range nodes {
+					if code, status, _ := sendRequest(controller, "GET", "/work/wk-1", nil); code != 200 || status.State != wire.StateCancelled {
+						t.Errorf("%s says %d %+v", controller.Self.Label, code, status)
+					}
+				}
+				sim.fillMachines("wk-2")
+			})
+		}
+	}
+}
+
+// The state service is out for all for minutes. While every node attests that it
+// knows of no other cancellation, what runs goes on; where one doesn't, the
+// leases end as ever, and what was confirmed is gone in time.
+func TestLeasesOutlastAStoreOutageOnlyWhileAllControllersAttest(t *testing.T) {
+	const outage = 3 * time.Minute
+	for _, c := range []struct {
+		name   string
+		before func(sim *simulation)     // before the outage
+		at     map[int]func(*simulation) // seconds into it
+		starts int                       // of each task, in the end; 0: the job is cancelled
+	}{
+		{"all attest", nil, nil, 1},
+		{"with a cancellation that all have read", func(sim *simulation) {
+			sim.submit(sim.leader(), arrayJob("wk-9", 1))
+			sim.cancelAt(sim.leader(), "wk-9")
+			sim.run(4 * time.Second)
+		}, nil, 1},
+		{"one is silent", nil, map[int]func(*simulation){0: func(sim *simulation) { sim.isolated["b"] = true }}, 2},
+		{"one falls silent later", nil, map[int]func(*simulation){60: func(sim *simulation) { sim.isolated["c"] = true }}, 2},
+		{"one was never heard", func(sim *simulation) {
+			sim.crash(sim.controllers["b"])
+			sim.restartController("b")
+			sim.isolated["b"] = true
+			sim.run(8 * time.Second)
+		}, nil, 2},
+		{"one is of an older version", nil, map[int]func(*simulation){0: func(sim *simulation) {
+			for _, controller := range sim.otherControllers(sim.controllers["b"]) {
+				controller.Peers.Siblings["b"].Attestation = membership.Attestation{} // it says nothing of cancellations
+			}
+			sim.isolated["b"] = true
+		}}, 2},
+		{"one is back for an instant and confirms a cancellation", nil, map[int]func(*simulation){40: func(sim *simulation) {
+			controller := sim.controllers["b"]
+			sim.links["b"].setRejecting(false)
+			if err := controller.Syncer.Refresh(context.Background()); err != nil || !sim.cancelAt(controller, "wk-1") {
+				sim.t.Error("not confirmed")
+			}
+			sim.links["b"].setRejecting(true)
+		}}, 0},
+		{"one is back for an instant, confirms a cancellation and ends", nil, map[int]func(*simulation){40: func(sim *simulation) {
+			controller := sim.controllers["b"]
+			sim.links["b"].setRejecting(false)
+			if err := controller.Syncer.Refresh(context.Background()); err != nil || !sim.cancelAt(controller, "wk-1") {
+				sim.t.Error("not confirmed")
+			}
+			delete(sim.controllers, "b")
+		}}, 0},
+		{"one is back for an instant, confirms a cancellation, ends and returns", nil, map[int]func(*simulation){
+			40: func(sim *simulation) {
+				controller := sim.controllers["b"]
+				sim.links["b"].setRejecting(false)
+				if err := controller.Syncer.Refresh(context.Background()); err != nil || !sim.cancelAt(controller, "wk-1") {
+					sim.t.Error("not confirmed")
+				}
+				sim.restartController("b") // it reads the store, has a session, and then loses it like all others
+				sim.links["b"].setRejecting(true)
+			}}, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			sim := newSimulation(t, 1, 1000)
+			sim.fillMachines("wk-1")
+			sim.run(4 * time.Second)
+			if c.before != nil {
+				c.before(sim)
+			}
+			for _, link := range sim.links {
+				link.setRejecting(true)
+			}
+			for s := range int(outage / time.Second) {
+				if f := c.at[s]; f != nil {
+					f(sim)
+				}
+				sim.step()
+			}
+			if c.starts == 1 {
+				sim.checkTasks("in the outage", "wk-1", 12, 1)
+				if _, _, page := sendRequest(sim.leader(), "GET", "/status", nil); !strings.Contains(string(page.Response.Body()), "cancellations known until 0.0 s ago") {
+					t.Errorf("operators are not told:\n%s", page.Response.Body())
+				}
+			} else if k := sim.runningTasksOf("wk-1"); c.starts == 0 && k != 0 {
+				t.Errorf("%d tasks of a cancelled job run\n%s", k, sim)
+			}
+			for _, link := range sim.links {
+				link.setRejecting(false)
+			}
+			clear(sim.isolated)
+			sim.run(30 * time.Second)
+			sim.checkTasks("after it", "wk-1", 12*min(c.starts, 1), c.starts)
+		})
+	}
+}
+
+// After an outage every job's polls are answered, whichever they are: no
+// queue fails the same ones again and again.
+func TestPollsOfAllJobsAreAnsweredAfterAStoreOutage(t *testing.T) {
+	env := newTestEnv(t, "a")
+	controller := env.controllers["a"]
+	const known = 600
+	for i := range known {
+		v := wire.MustMarshal(jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 70, Spec: ptr(arrayJob(fmt.Sprintf("wk-%d", i), 1))})
+		if _, err := env.store.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: jobs.JobKey(fmt.Sprintf("wk-%d", i)), Value: v}}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	env.store.Down = true
+	env.clock.add(time.Minute)
+	if code, _, _ := sendRequest(controller, "GET", "/work/wk-1", nil); code != 503 {
+		t.Fatalf("a poll in an outage: %d", code)
+	}
+	env.store.Down = false
+	env.refreshAll()
+	left := map[string]bool{}
+	for i := range known {
+		left[fmt.Sprintf("wk-%d", i)] = true
+	}
+	for round := 0; len(left) > 0; round++ {
+		if round == 4 {
+			t.Fatalf("%d jobs get no answer in four rounds of polls", len(left))
+		}
+		var wg sync.WaitGroup
+		var mu sync.Mutex
+		// Those that are answered leave the map meanwhile.
+		for _, jobID := range slices.Collect(maps.Keys(left)) {
+			wg.Go(func() {
+				if code, _, _ := sendRequest(controller, "GET", "/work/"+jobID, nil); code == 200 {
+					mu.Lock()
+					defer mu.Unlock()
+					delete(left, jobID)
+				}
+			})
+		}
+		wg.Wait()
+	}
+}
+
+// A controller that loses the state service and its siblings, not its workers.
+func TestAPartitionedControllerKeepsTasksRunningAndStartsNone(t *testing.T) {
+	env := newTestEnv(t, "a", "b")
+	env.addMachine("h1", "batch")
+	controller := env.acknowledgeToken("h1", 1)
+	env.submit(controller, arrayJob("wk-1", 1))
+	env.submit(controller, arrayJob("wk-2", 1))
+	env.runPasses()
+	env.runPasses()
+	running := wire.TaskStatus{Task: "wk-1/0", Attempt: 1, State: wire.TaskRunning}
+	env.acknowledgeToken("h1", 1, running)
+	env.store.Down = true
+	env.clock.add(tuning.StoreStaleAfter + time.Second)
+	code, body := controller.receiveHeartbeat(env.heartbeat("h1", 1, controller.fencingToken(), running))
+	if o := commandsOf(t, code, body); len(o) != 0 {
+		t.Fatalf("without the state service it orders %v", o)
+	}
+	reads := env.store.Reads
+	for _, path := range []string{"/work/wk-1", "/work/wk-77"} {
+		if code, _, c := sendRequest(controller, "GET", path, nil); code != 503 || len(c.Response.Header.Peek("Retry-After")) == 0 {
+			t.Fatalf("GET %s: %d", path, code)
+		}
+	}
+	if code, _, _ := sendRequest(controller, "POST", "/work", arrayJob("wk-9", 1)); code != 503 {
+		t.Fatalf("a submission: %d", code)
+	}
+	if env.store.Reads != reads {
+		t.Fatal("users wait for a read that can't come back")
+	}
+	if code, _ := controller.receiveHeartbeat(env.heartbeat("h1", 1, controller.fencingToken()+1, running)); code == 200 {
+		t.Fatal("a report with a higher token was answered with 200")
+	}
+	// Its time is up: it sends its workers on. The other node has them by then
+	// and releases nothing without proof.
+	env.clock.add(cancelBound - leaseDuration)
+	if code, _ := controller.receiveHeartbeat(env.heartbeat("h1", 1, controller.fencingToken(), running)); code != 421 {
+		t.Fatalf("its workers get %d when its time is up", code)
+	}
+	env.store.Down = false
+	env.store.Expire(controller.Self.Incarnation)
+	env.refreshAll()
+	controller.election.EndSession(controller.Self.Incarnation)
+	for range 4 {
+		env.stepMembership()
+	}
+	env.runPasses()
+	heir := env.leader()
+	if heir.claimsOn("h1") != 2 {
+		t.Fatal("claims were released without proof")
+	}
+	for range 3 {
+		// On return it registers again, once, and asks for nothing more.
+		controller.Lock()
+		controller.Session, controller.Self.Incarnation = controller.Session.Next(membership.LeaseGranted), 0
+		controller.Unlock()
+		controller.Self.Incarnation, _ = env.store.GrantLease(context.Background(), time.Second)
+		break
+	}
+	for range 4 {
+		env.stepMembership()
+	}
+	revision := env.store.Revision
+	for range 5 {
+		env.stepMembership()
+		env.runPasses()
+	}
+	if env.store.Revision-revision > 4 {
+		t.Fatalf("%d changes after its return", env.store.Revision-revision)
+	}
+}
--- /dev/null
+++ b/internal/controller/user_api_test.go
@@ -0,0 +1,161 @@
+package controller
+
+import (
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"wheatspur/internal/peer"
+	"wheatspur/internal/placement"
+	"wheatspur/internal/tuning"
+	"wheatspur/wire"
+)
+
+func TestStatusCodesOfUserRequests(t *testing.T) {
+	env := newTestEnv(t, "a")
+	controller := env.controllers["a"]
+	good := arrayJob("wk-1", 2)
+	bad := good
+	bad.Team = "nobody"
+	huge := good
+	huge.ID, huge.CPUs = "wk-2", 99
+	long := good
+	long.ID = "wk-5"
+	for range 32 {
+		long.MachineTypes = append(long.MachineTypes, "g"+strings.Repeat("x", 99))
+	}
+	long.Class, long.Image = strings.Repeat("c", 200), strings.Repeat("b", 200)
+	negative := good
+	negative.ID, negative.GPUs = "wk-3", -1
+	for _, c := range []struct {
+		name, method, path string
+		body               any
+		want               int
+	}{
+		{"new job", "POST", "/work", good, 201},
+		{"known job", "POST", "/work", good, 200},
+		{"known job, malformed now", "POST", "/work", map[string]any{"ref": "wk-1"}, 200},
+		{"known job, impossible now", "POST", "/work", bad, 200},
+		{"not CBOR", "POST", "/work", []byte("{"), 400},
+		{"not a map", "POST", "/work", []int{1}, 400},
+		{"a field missing", "POST", "/work", map[string]any{"ref": "wk-9"}, 400},
+		{"out of range", "POST", "/work", negative, 400},
+		{"too large to store", "POST", "/work", long, 422},
+		{"fits no machine", "POST", "/work", huge, 422},
+		{"more than the team's limit", "POST", "/work", serviceJob("wk-4", 9), 422},
+		{"poll", "GET", "/work/wk-1", nil, 200},
+		{"unknown job", "GET", "/work/wk-77", nil, 404},
+		{"no job id", "GET", "/work/x", nil, 404},
+		{"cancel unknown", "POST", "/work/wk-77/cancel", nil, 404},
+		{"unknown path", "GET", "/nothing", nil, 404},
+		{"wrong method", "GET", "/work", nil, 405},
+		{"health", "GET", "/up", nil, 200},
+	} {
+		if code, _, _ := sendRequest(controller, c.method, c.path, c.body); code != c.want {
+			t.Errorf("%s: %d, want %d", c.name, code, c.want)
+		}
+	}
+}
+
+func TestSubmissionsAreRefusedBeforeMachineTypesAreKnown(t *testing.T) {
+	env := newTestEnv(t, "a")
+	controller := env.controllers["a"]
+	controller.MachineTypeList = nil
+	code, _, c := sendRequest(controller, "POST", "/work", arrayJob("wk-1", 1))
+	if code != 503 || len(c.Response.Header.Peek("Retry-After")) == 0 {
+		t.Fatalf("%d without machine types", code)
+	}
+}
+
+func TestOnlyFinalStatesAreAnsweredDuringAStoreOutage(t *testing.T) {
+	env := newTestEnv(t, "a")
+	controller := env.controllers["a"]
+	env.submit(controller, arrayJob("wk-1", 1))
+	env.submit(controller, arrayJob("wk-2", 1))
+	if code, _, _ := sendRequest(controller, "POST", "/work/wk-2/cancel", nil); code != 200 {
+		t.Fatal(code)
+	}
+	env.store.Down = true
+	env.clock.add(time.Minute)
+	for path, want := range map[string]int{"/work/wk-1": 503, "/work/wk-2": 200, "/work/wk-99": 503, "/up": 200} {
+		if code, _, _ := sendRequest(controller, "GET", path, nil); code != want {
+			t.Errorf("GET %s: %d, want %d", path, code, want)
+		}
+	}
+	if code, _, c := sendRequest(controller, "POST", "/work", arrayJob("wk-3", 1)); code != 503 || len(c.Response.Header.Peek("Retry-After")) == 0 {
+		t.Errorf("a submission during an outage: %d", code)
+	}
+}
+
+func TestHealthDependsOnPeersThatReachTheStore(t *testing.T) {
+	env := newTestEnv(t, "a", "b")
+	a, b := env.controllers["a"], env.controllers["b"]
+	env.store.Down = true
+	env.clock.add(tuning.StoreStaleAfter + time.Second)
+	env.sendPeerStatus(b, a)
+	if !a.healthy() {
+		t.Fatal("unhealthy though no node has the state service")
+	}
+	// It hears no sibling either: users would all come to it, the one with the
+	// fewest connections, and be refused.
+	env.clock.add(tuning.PeerFresh + time.Second)
+	if a.healthy() {
+		t.Fatal("healthy though cut off from the state service and the siblings")
+	}
+	env.store.Down = false
+	if err := b.Syncer.ReadBarrier(time.Second); err != nil {
+		t.Fatal(err)
+	}
+	env.sendPeerStatus(b, a)
+	if a.healthy() || !b.healthy() {
+		t.Fatalf("cut off: healthy %v, its sibling: %v", a.healthy(), b.healthy())
+	}
+}
+
+// Users of a node that alone has lost the state service must not notice.
+func TestRequestsAreForwardedToAPeerThatReachesTheStore(t *testing.T) {
+	env := newTestEnv(t, "a", "b")
+	a, b := env.controllers["a"], env.controllers["b"]
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	srv := b.httpServer(b.servePeer, 8)
+	go func() { _ = srv.Serve(ln) }()
+	t.Cleanup(func() { _ = ln.Close() })
+	a.Peers.Siblings["b"].Client = peer.NewClient(ln.Addr().String())
+	env.clock.add(tuning.StoreStaleAfter + time.Second)
+	if err := b.Syncer.ReadBarrier(time.Second); err != nil {
+		t.Fatal(err)
+	}
+	env.sendPeerStatus(b, a)
+	a.Store = nil // any use of the state service by this node would panic
+	if code, _, _ := sendRequest(a, "POST", "/work", arrayJob("wk-1", 1)); code != 201 {
+		t.Fatalf("submission: %d", code)
+	}
+	if code, status, _ := sendRequest(a, "POST", "/work/wk-1/cancel", nil); code != 200 || status.State != wire.StateCancelled {
+		t.Fatalf("cancellation: %d %+v", code, status)
+	}
+	if code, _, _ := sendRequest(a, "GET", "/work/wk-2", nil); code != 404 {
+		t.Fatalf("poll of an unknown job: %d", code)
+	}
+}
+
+func TestStatusAndMetricsShowLeaderAndPendingJobs(t *testing.T) {
+	env := newTestEnv(t, "a")
+	controller := env.controllers["a"]
+	env.submit(controller, serviceJob("wk-1", 1))
+	env.runPasses()
+	_, _, c := sendRequest(controller, "GET", "/status", nil)
+	if body := string(c.Response.Body()); !strings.Contains(body, "leader a") || !strings.Contains(body, "waiting wk-1 tasks 1 because "+placement.ReasonNoRoom) {
+		t.Fatalf("status:\n%s", body)
+	}
+	_, _, c = sendRequest(controller, "GET", "/metrics", nil)
+	body := string(c.Response.Body())
+	for _, want := range []string{"wheatspur_leader 1", "wheatspur_tasks_without_place 1", `wheatspur_answers_total{request="submission",status="201"} 1`} {
+		if !strings.Contains(body, want) {
+			t.Errorf("metrics lack %s:\n%s", want, body)
+		}
+	}
+}
--- a/internal/controller/write_budget_test.go
+++ b/internal/controller/write_budget_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"wheatspur/internal/store"
 	"wheatspur/internal/tuning"
@@ -64,3 +65,58 @@
 		t.Errorf("writes: %v, want half of each", wrote)
 	}
 }
+
+// One-task jobs come four a second, a quarter of them is cancelled: none is left
+// behind, none waits for long, and each costs a handful of changes.
+func TestAStreamOfSingleTaskJobsCostsFewWrites(t *testing.T) {
+	sim := newSimulation(t, 3, 1000)
+	for _, machine := range sim.machines {
+		machine.ImageTime = time.Second
+	}
+	sim.startGrace = 5 * time.Second // images under way
+	begun := len(sim.store.Events)
+	const seconds = 40
+	jobs := 0
+	cancelled := map[int]bool{}
+	for s := range seconds + 20 {
+		for k := range 4 {
+			if s >= seconds {
+				break
+			}
+			jobID := fmt.Sprintf("wk-%d", jobs)
+			sim.taskDuration[jobID] = 5 * time.Second
+			sim.submit(sim.otherControllers(nil)[(s+k)%3], arrayJob(jobID, 1))
+			jobs++
+		}
+		if back := jobs - 1 - 4*((5*s)%7); s < seconds && back >= 0 { // at once, or when it runs, or is over
+			jobID := fmt.Sprintf("wk-%d", back)
+			_, status, _ := sendRequest(sim.otherControllers(nil)[s%3], "POST", "/work/"+jobID+"/cancel", nil)
+			if status.State == wire.StateCancelled {
+				cancelled[back] = true
+				sim.cancelledAt[jobID] = sim.clock.now()
+			}
+		}
+		sim.step()
+	}
+	controller := sim.leader()
+	for i := range jobs {
+		want := wire.StateDone
+		if cancelled[i] {
+			want = wire.StateCancelled
+		}
+		if status, known, _ := controller.api.LookupJob(fmt.Sprintf("wk-%d", i)); !known || status.State != want {
+			t.Errorf("wk-%d: %+v, want %s", i, status, want)
+		}
+	}
+	if len(controller.Table.ClaimsByMachine) != 0 {
+		t.Errorf("claims are left on %d machines", len(controller.Table.ClaimsByMachine))
+	}
+	if len(cancelled) < seconds/2 {
+		t.Errorf("%d cancelled: nothing is tested", len(cancelled))
+	}
+	if changes := len(sim.store.Events) - begun; changes > 5*jobs {
+		t.Errorf("%d changes for %d jobs", changes, jobs)
+	} else {
+		t.Logf("%d changes for %d jobs, %d cancelled", changes, jobs, len(cancelled))
+	}
+}
