--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -9,10 +9,10 @@
 	"wheatspur/wire"
 )
 
-// A direct start is held, in the network or by a machine that hangs, until its
-// job's cancellation was confirmed and the machine has reported since. It must
-// not run then, and its claim must not count for ever: the team is at its limit
-// and others wait for that room.
+// A direct start is delayed, in the network or by a machine that hangs, until its
+// job's cancellation was confirmed and the machine has sent a heartbeat since. Guards
+// against a start that runs then, and against its claim counting for ever: the team is
+// at its limit and other jobs wait for that quota.
 func TestADelayedDirectStartIsVoidAfterCancellationAndFreesQuota(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -55,7 +55,7 @@
 			if c.hang {
 				sim.run(10 * time.Second)
 			}
-			// The machines report again, the held calls are still under way.
+			// The machines heartbeat again, the held calls are still under way.
 			var held []func()
 			for _, machine := range sim.machines {
 				for _, call := range machine.delayedCalls {
@@ -80,9 +80,10 @@
 	}
 }
 
-// Every team is at its limit while a job is cancelled whose machines are cut
-// off, hang or don't hear, and the leader changes: others get the room within
-// 90 s of the end of the trouble, and the limit holds all the while.
+// Every team is at its limit while a job is cancelled whose machines are partitioned,
+// hang or lose responses, and the leader crashes. Guards against quota that leaks:
+// other jobs get it within 90 s of the end of the faults, and the limit holds all the
+// while.
 func TestQuotaOfACancelledJobIsFreedDespiteFaults(t *testing.T) {
 	for _, trouble := range []struct {
 		name    string
@@ -125,9 +126,8 @@
 	}
 }
 
-// A cancellation, a question or a repeat meets the end of a job's last task:
-// before the end is stored it counts, after it doesn't, and every node says the
-// same from then on.
+// A cancellation races with the end of a job's last task: before the end is stored it
+// wins, after it the end does, and every controller answers the same from then on.
 func TestACancellationRacesWithTheEndOfTheLastTask(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -193,7 +193,7 @@
 	}
 }
 
-// Cancel wins over a claim that was computed before it was seen.
+// A claim that was computed before its job's cancellation was read must fail.
 func TestAStaleClaimFailsAfterACancellation(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
--- a/internal/controller/connections_test.go
+++ b/internal/controller/connections_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// With real connections: as many workers as there is room for hold theirs; a
-// user beyond them is answered at once, and gets in as soon as one leaves.
+// Over real connections: workers hold as many as there is room for; a user beyond them
+// is refused at once with a time to come back, and gets in as soon as one closes.
+// Guards against users that wait in the accept queue.
 func TestConnectionsBeyondTheLimitAreRefusedAtOnceUntilOneCloses(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -71,8 +72,8 @@
 	}
 }
 
-// With its siblings down a node holds the workers of all; between their
-// reports they must not keep users and health checks out.
+// With its peers down a controller holds the connections of all workers. Guards
+// against workers that, between their heartbeats, keep users and health checks out.
 func TestManyOpenConnectionsCloseThoseOfWorkersNotUsers(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -10,6 +10,8 @@
 	"wheatspur/wire"
 )
 
+// A job is claimed only once all it depends on is stored as done; the time at which it
+// became ready survives a restart.
 func TestAJobStartsOnceAllItsDependenciesAreStoredDone(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
@@ -37,7 +39,7 @@
 	if body := string(c.Response.Body()); !strings.Contains(body, "awaits wk-2\n") {
 		t.Fatalf("status says %q", body)
 	}
-	// A node that starts now knows as much, and the time of release is kept.
+	// A controller that starts now knows as much, and the time of release is kept.
 	end := env.clock.now()
 	env.finishTasks("h1", "wk-2/0")
 	fresh := env.startController("c", []string{"a", "b", "c"})
@@ -53,6 +55,8 @@
 	env.checkStates("over", map[string]string{"wk-3": wire.StateDone})
 }
 
+// A cancellation cancels all dependents by one write, and every controller answers so
+// at once, also for a dependent that is submitted in a race with it.
 func TestCancellationReachesDependentsAtEveryControllerAtOnce(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	a, b := env.controllers["a"], env.controllers["b"]
@@ -68,7 +72,7 @@
 	if env.store.Revision != writes+1 {
 		t.Fatalf("%d changes", env.store.Revision-writes)
 	}
-	// A submission that races with it, at a node that has not read it yet.
+	// A submission that races with it, at a controller that has not read it yet.
 	if code, _, _ := sendRequest(b, "POST", "/work", dependentJob(arrayJob("wk-6", 1), "wk-3")); code != 201 {
 		t.Fatalf("a submission after the cancellation: %d", code)
 	}
@@ -94,8 +98,8 @@
 	env.checkStates("a dependant", map[string]string{"wk-4": wire.StateQueued, "wk-5": wire.StateCancelled})
 }
 
-// The end of a job and its cancellation meet in the store: one of them wins,
-// and what depends on the job follows the one that did.
+// The end of a job and its cancellation race in the store: one of them wins, and
+// dependents follow the one that did.
 func TestACancellationAfterTheEndLetsDependentsRun(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
@@ -111,11 +115,13 @@
 	env.checkStates("after it", map[string]string{"wk-2": wire.StateRunning})
 }
 
+// Dependencies on what can't end, was never accepted or is malformed are refused;
+// without a current read a controller answers 503, never 422.
 func TestSubmissionsWithDependenciesAreValidated(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	a, b := env.controllers["a"], env.controllers["b"]
 	env.submit(a, serviceJob("wk-9", 1))
-	// Accepted a moment ago at the other node, which this one has not read.
+	// Accepted a moment ago at the other controller, which this one has not read.
 	if code, _, _ := sendRequest(b, "POST", "/work", arrayJob("wk-1", 1)); code != 201 {
 		t.Fatal(code)
 	}
@@ -164,6 +170,9 @@
 	}
 }
 
+// While a member runs a version that doesn't know dependencies, jobs with dependencies
+// are neither accepted nor claimed: that member would stop their tasks. A member that
+// is down keeps nobody waiting.
 func TestDependenciesWaitForControllersOfOlderVersions(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
@@ -213,8 +222,8 @@
 	}
 }
 
-// Hundreds of pipelines cost no change but those of their jobs: none to
-// release a step, one to cancel all that needs a job.
+// Hundreds of dependency graphs cost no write but those of their jobs: none to release
+// a dependent, one to cancel a job with all its dependents.
 func TestDependencyGraphsCostNoWritesOfTheirOwn(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -10,6 +10,8 @@
 	"wheatspur/wire"
 )
 
+// After a controller's crash another owns its machines under a higher fencing token;
+// the former owner, which has not noticed, is fenced out by workers that have seen it.
 func TestFailoverMovesMachinesAndRaisesTheFencingToken(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
@@ -32,9 +34,10 @@
 	}
 }
 
-// A process that is back within a fraction of a second, in the middle of an
-// election: its old session is still held, its write of the lead key and of
-// the membership have unknown outcomes, its old calls still arrive.
+// A process comes back within a fraction of a second during an election: the session
+// of the former process is still held, its writes of the leader key and of the
+// membership have unknown outcomes, its late calls still arrive. None of these may
+// count for the new process.
 func TestAControllerRestartsDuringAnElection(t *testing.T) {
 	labels := []string{"a", "b", "c"}
 	env := newTestEnv(t, labels...)
@@ -86,8 +89,9 @@
 	}
 }
 
-// Nodes are renewed one after the other while work runs; the leader's process
-// dies amid the election that its own renewal causes, and comes back old.
+// Controllers are upgraded one after the other while tasks run; the leader's process
+// crashes during the election that its own upgrade causes, and comes back with the
+// older version. No task may lose its claim or restart.
 func TestARollingUpgradeWithACrashDuringAnElection(t *testing.T) {
 	labels := []string{"a", "b", "c"}
 	env := newTestEnv(t, labels...)
@@ -145,8 +149,9 @@
 	env.submit(env.controllers["c"], dependentJob(arrayJob("wk-3", 1), "wk-2"))
 }
 
-// After a node's crash its siblings hear nothing of its machines for a while;
-// the leader once took them for silent and returned them all.
+// After a controller's crash its peers hear nothing of its machines for a while.
+// Guards against a leader that takes them for silent and terminates them all, as it
+// once did.
 func TestMachinesOfACrashedControllerAreNotSilent(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	leader := env.leader()
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -17,8 +17,8 @@
 	"wheatspur/wire"
 )
 
-// readProductionRecords reads what the version in production writes; the file was made
-// by that version.
+// readProductionRecords reads the stored records and messages in testdata, which the
+// production version wrote.
 func readProductionRecords(t testing.TB) map[string][]byte {
 	t.Helper()
 	b, err := os.ReadFile("testdata/production.json")
@@ -38,6 +38,8 @@
 	return out
 }
 
+// What the production version has stored and sends to peers is read, and rewritten
+// within lower store limits.
 func TestRecordsOfTheProductionVersionAreReadAndRewritten(t *testing.T) {
 	data := readProductionRecords(t)
 	st, err := peer.DecodeStatus(data["peer status"])
@@ -69,7 +71,7 @@
 	if controller.Table.Jobs["wk-1"].Counts != [3]int{30, 70, 0} || len(controller.Inventory.Machines) != 33 {
 		t.Fatalf("%v, %d machines", controller.Table.Jobs["wk-1"].Counts, len(controller.Inventory.Machines))
 	}
-	// Pipelines may name what production took in, also in shared records and done.
+	// Pipelines may name what the production version took in, also in shared records and done.
 	env.submit(controller, dependentJob(arrayJob("wk-10", 1), "wk-3", "wk-5"))
 	env.submit(controller, dependentJob(arrayJob("wk-11", 1), "wk-1"))
 	// Its jobs can be cancelled, its machines changed, within the lower limits.
@@ -101,7 +103,7 @@
 	}
 }
 
-// The shapes in which production reads the records.
+// The formats in which the production version reads the records.
 type (
 	oldJobSpec struct {
 		Ref    string `cbor:"ref"`
@@ -122,13 +124,15 @@
 	}
 )
 
+// The formats of the production version decode what is written now, and never take a
+// waiting job for one to be placed or for one that is over.
 func TestThePreviousVersionReadsRecordsOfThisOne(t *testing.T) {
 	spec := dependentJob(arrayJob("wk-2", 3), "wk-1")
 	var r oldJobRecord
 	if err := wire.Unmarshal(wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, AcceptedAtMs: 5, Tasks: 3, ChunkSize: 64, Spec: &spec, EndedAtMs: 9, CancelledWith: "wk-1"}), &r); err != nil {
 		t.Fatal(err)
 	}
-	// Neither open nor final: production answers "queued" and never places it.
+	// Neither open nor final: the production version answers "queued" and never places it.
 	if r.Phase == "open" || r.Phase == "done" || r.Phase == "cancelled" || r.Tasks != 3 || r.Chunk != 64 || r.Work.Ref != "wk-2" {
 		t.Fatalf("%+v", r)
 	}
@@ -138,8 +142,9 @@
 	}
 }
 
-// A group that is cut stays one picture at every revision, stopped anywhere, and
-// an old leader that writes it large again costs another cut.
+// A machine group above the value limit is split while the process restarts between
+// any two writes: at every revision each machine stands in one group, and a leader of
+// an older version that writes a large group again costs one more split.
 func TestOversizeMachineGroupsAreSplitAcrossRestarts(t *testing.T) {
 	data := readProductionRecords(t)
 	env := newTestEnv(t, "a")
@@ -203,6 +208,8 @@
 	}
 }
 
+// Store limits that are announced for later apply as soon as they are lower; higher
+// ones wait.
 func TestAnnouncedStoreLimitsLowerThePresentOnes(t *testing.T) {
 	s := settings("a", []string{"a", "b", "c"})
 	s.Params.State.Next = &config.Limits{WriteRPS: 18, ValueKB: 2, TxnOps: 5}
--- a/internal/controller/graceful_stop_test.go
+++ b/internal/controller/graceful_stop_test.go
@@ -11,9 +11,9 @@
 	"wheatspur/internal/tuning"
 )
 
-// A clean stop refuses what is new and says when to come back, lets what is under
-// way end, and ends the session: the other node takes the machines without
-// waiting for it to run out.
+// A graceful stop refuses new requests with a time to retry, lets writes in flight
+// end, and ends the session: the other controller takes the machines over without
+// waiting for its expiry.
 func TestAGracefulStopHandsOver(t *testing.T) {
 	env := newQuotaPair(t, 8, 8)
 	leaving, staying := env.leader(), env.controllers["a"]
@@ -56,8 +56,8 @@
 	}
 }
 
-// A node that has lost the state service stops all the same, and says that its
-// session runs out by itself.
+// A controller that can't reach the store stops within its deadline; its session
+// expires by itself.
 func TestAGracefulStopDuringAStoreOutageEndsInTime(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -71,7 +71,7 @@
 	}
 }
 
-// Progress names the loop that stands still.
+// Progress names the loop that has stalled, and for how long.
 func TestAStalledLoopIsNamed(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
--- a/internal/controller/heartbeat_responses_test.go
+++ b/internal/controller/heartbeat_responses_test.go
@@ -17,19 +17,19 @@
 	sequence    uint64
 }
 
-// next is the worker's next heartbeat.
+// next returns the worker's next heartbeat.
 func (sender *heartbeatSender) next(name string, tasks ...wire.TaskStatus) request {
 	sender.sequence++
 	return sender.repeat(name, tasks...)
 }
 
-// repeat is a heartbeat with the number of the last one.
+// repeat returns a heartbeat with the sequence number of the last one.
 func (sender *heartbeatSender) repeat(name string, tasks ...wire.TaskStatus) request {
 	return request{name, "POST", "/checkin", wire.Heartbeat{Machine: sender.machine, Address: "10.9.9.9:1", MachineType: "g", Zone: "z",
 		Incarnation: sender.incarnation, Sequence: sender.sequence, FencingToken: sender.token, Tasks: tasks}}
 }
 
-// taskStatus is a task in a heartbeat.
+// taskStatus returns a task as it stands in a heartbeat.
 func taskStatus(name string, attempt uint64, state, cause string) wire.TaskStatus {
 	return wire.TaskStatus{Task: name, Attempt: attempt, State: state, ExitCause: cause}
 }
@@ -59,8 +59,8 @@
 	golden.Text(t, "heartbeats-malformed.golden", record.String(), *update)
 }
 
-// Heartbeats of a machine from its first to the end of its session, with the
-// commands that they are answered with.
+// Heartbeats of a machine from its first to its next incarnation, with the commands in
+// their responses.
 func TestResponsesToHeartbeats(t *testing.T) {
 	env := newHTTPPair(t, nil)
 	client := env.userClient(t, "a")
@@ -129,11 +129,11 @@
 	golden.Text(t, "heartbeats.golden", record.String(), *update)
 }
 
-// Heartbeats at nodes that may not, or should not, renew a lease.
+// Heartbeats at controllers that may not, or should not, renew a lease.
 func TestResponsesToHeartbeatsThatRenewNoLease(t *testing.T) {
 	var record transcript
 
-	// A node without the state service answers for a while, and then sends its
+	// A controller without the store answers for a while, and then sends its
 	// workers on.
 	env := newHTTPPair(t, nil)
 	client := env.userClient(t, "a")
@@ -146,7 +146,7 @@
 	env.clock.add(cancelBound - leaseDuration)
 	record.sendEach(client, sender.next("when a renewed lease could outlast a cancellation"))
 
-	// A sibling knows a newer membership, which gives the machine to it.
+	// A peer knows a newer membership, which gives the machine to it.
 	env = newHTTPPair(t, nil)
 	client = env.userClient(t, "a")
 	sender = &heartbeatSender{machine: env.machineOwnedBy("a", 0), incarnation: 1, token: env.fencingTokenOf("a")}
--- a/internal/controller/http_fixture_test.go
+++ b/internal/controller/http_fixture_test.go
@@ -32,17 +32,17 @@
 	"wheatspur/wire"
 )
 
-// This file drives nodes by requests to their two ports, for the tests of
-// answers, pages and metrics. What those tests need of a node's inside stands
+// This file drives controllers by requests to their two ports, for the tests of
+// answers, pages and metrics. What those tests need of a controller's inside stands
 // here and nowhere else in them.
 
 var update = stdflag.Bool("update", false, "rewrite the golden texts")
 
-// httpEnv is a world whose nodes are asked over HTTP.
+// httpEnv is an environment whose controllers are asked over HTTP.
 type httpEnv struct{ *testEnv }
 
-// newHTTPEnv returns a cluster of the node a, which leads. change alters the
-// settings; nil: nothing.
+// newHTTPEnv returns an environment of the controller a, which leads. change alters
+// the settings; nil: nothing.
 func newHTTPEnv(t *testing.T, change func(*config.Settings)) *httpEnv {
 	t.Helper()
 	env := &httpEnv{newTestEnv(t, "a")}
@@ -54,14 +54,14 @@
 	return env
 }
 
-// restartController replaces the process of the node a.
+// restartController replaces the process of the controller a.
 func (env *httpEnv) restartController() {
 	env.t.Helper()
 	env.restartAll("a")
 }
 
-// newHTTPEnvWithoutTypes returns a cluster of the node a, which nobody has told the types
-// of machines.
+// newHTTPEnvWithoutTypes returns an environment of the controller a, which knows no
+// machine types.
 func newHTTPEnvWithoutTypes(t *testing.T) *httpEnv {
 	t.Helper()
 	env := newHTTPEnv(t, nil)
@@ -70,7 +70,7 @@
 	return env
 }
 
-// newHTTPPair returns a cluster of the nodes a, which leads, and b.
+// newHTTPPair returns an environment of the controllers a, which leads, and b.
 func newHTTPPair(t *testing.T, change func(*config.Settings)) *httpEnv {
 	t.Helper()
 	env := &httpEnv{newTestEnv(t, "a")}
@@ -89,10 +89,10 @@
 	return env
 }
 
-// labels are the names of the nodes, in order.
+// labels are the names of the controllers, in order.
 func (env *httpEnv) labels() []string { return slices.Sorted(maps.Keys(env.controllers)) }
 
-// stepMembershipInOrder gives every node, in order, a step of its membership.
+// stepMembershipInOrder gives every controller, in order, a step of its membership.
 func (env *httpEnv) stepMembershipInOrder() {
 	env.t.Helper()
 	for _, label := range env.labels() {
@@ -102,12 +102,12 @@
 	env.refreshAll()
 }
 
-// stepMembershipOf gives one node a step of its membership.
+// stepMembershipOf gives one controller a step of its membership.
 func (env *httpEnv) stepMembershipOf(label string) {
 	_ = env.controllers[label].election.MembershipStep(context.Background())
 }
 
-// runPassesInOrder lets every node, in order, make its decisions and store them.
+// runPassesInOrder lets every controller, in order, make its decisions and store them.
 func (env *httpEnv) runPassesInOrder() {
 	env.t.Helper()
 	for _, label := range env.labels() {
@@ -124,15 +124,15 @@
 	env.runPassesInOrder()
 }
 
-// runPassOf lets one node make its decisions and store them.
+// runPassOf lets one controller make its decisions and store them.
 func (env *httpEnv) runPassOf(label string) {
 	controller := env.controllers[label]
 	env.runPass(controller)
 	controller.awaitDirectCalls()
 }
 
-// rewriteMembership stores the membership once more, unseen: writes that are
-// guarded by the one before fail.
+// rewriteMembership stores the membership once more, unseen: writes that compare its
+// version fail.
 func (env *httpEnv) rewriteMembership() {
 	env.store.Put(membership.Key, env.store.Keys[membership.Key].Value)
 }
@@ -146,7 +146,7 @@
 	env.refreshAll()
 }
 
-// refreshController lets one node read what is stored.
+// refreshController lets one controller read what is stored.
 func (env *httpEnv) refreshController(label string) {
 	env.t.Helper()
 	if err := env.controllers[label].Syncer.Refresh(context.Background()); err != nil {
@@ -154,12 +154,12 @@
 	}
 }
 
-// sendStatus sends the status of one node to another.
+// sendStatus sends the status of one controller to another.
 func (env *httpEnv) sendStatus(from, to string) {
 	env.sendPeerStatus(env.controllers[from], env.controllers[to])
 }
 
-// rejectStoreCalls refuses a node alone the state service.
+// rejectStoreCalls lets the store reject all calls of one controller.
 func (env *httpEnv) rejectStoreCalls(label string) {
 	link := env.links[label]
 	link.mu.Lock()
@@ -167,16 +167,15 @@
 	link.rejecting = true
 }
 
-// expireSession ends the session of a node in the state service; its process does
-// not notice.
+// expireSession expires the session of a controller; its process does not notice.
 func (env *httpEnv) expireSession(label string) {
 	env.store.Expire(env.controllers[label].Self.Incarnation)
 }
 
-// fencingTokenOf is the fencing token that a node knows.
+// fencingTokenOf is the fencing token that a controller knows.
 func (env *httpEnv) fencingTokenOf(label string) uint64 { return env.controllers[label].fencingToken() }
 
-// machineOwnedBy is the n-th machine name that a node owns.
+// machineOwnedBy is the n-th machine name that a controller owns.
 func (env *httpEnv) machineOwnedBy(label string, nth int) string {
 	for i := 0; ; i++ {
 		machineName := fmt.Sprintf("host-%03d", i)
@@ -218,7 +217,7 @@
 	controller.leaderLoop.MoveRoles(l, machines, now)
 }
 
-// drainController stops a node cleanly.
+// drainController stops a controller gracefully.
 func (env *httpEnv) drainController(label string) {
 	env.t.Helper()
 	if err := env.controllers[label].Drain(context.Background()); err != nil {
@@ -226,7 +225,7 @@
 	}
 }
 
-// newUnreadController returns a node that has read nothing from the state service yet.
+// newUnreadController returns a controller that has read nothing from the store yet.
 func newUnreadController(t *testing.T) *Controller {
 	clk := &fakeClock{t: time.Unix(100000, 0)}
 	limiter := store.NewLimiter(1000, 1000, 64, clk.now)
@@ -234,28 +233,30 @@
 	return newController(dependencies{Environment: environment, cloud: fake.NewCloud(machineTypes, true), workerClient: unreachableWorkers{}})
 }
 
-// exceedMaxConnections makes a node take connections of users and workers for many.
+// exceedMaxConnections makes a controller count more open connections than it allows.
 func exceedMaxConnections(controller *Controller) {
 	controller.Workers.OpenConnections = func() int { return controller.MaxConnections() + 1 }
 }
 
-// portClient is a port of a node.
+// portClient sends requests to a port of a controller.
 type portClient struct {
 	t  *testing.T
 	ln interface{ Dial() (net.Conn, error) }
 }
 
-// userClient opens a node's port for users and workers.
+// userClient serves a controller's port for users and workers, and returns a client of
+// it.
 func (env *httpEnv) userClient(t *testing.T, label string) *portClient {
 	return serveUserPort(t, env.controllers[label])
 }
 
-// serveUserPort opens a node's port for users and workers.
+// serveUserPort serves a controller's port for users and workers, and returns a client
+// of it.
 func serveUserPort(t *testing.T, controller *Controller) *portClient {
 	return servePort(t, controller.httpServer(controller.serveUser, 64))
 }
 
-// peerClient opens a node's port for the other nodes.
+// peerClient serves a controller's port for peers, and returns a client of it.
 func (env *httpEnv) peerClient(t *testing.T, label string) *portClient {
 	controller := env.controllers[label]
 	return servePort(t, controller.httpServer(controller.servePeer, 64))
@@ -269,15 +270,15 @@
 	return &portClient{t, ln}
 }
 
-// servePeers serves a node's port for the other nodes on loopback.
+// servePeers serves a controller's port for peers on loopback.
 func (env *httpEnv) servePeers(label string, ln net.Listener) {
 	controller := env.controllers[label]
 	s := controller.httpServer(controller.servePeer, 64)
 	go func() { _ = s.Serve(ln) }()
 }
 
-// serveFullPort is a port that has no room for a connection more; who is refused
-// should come back after so many seconds.
+// serveFullPort serves a port that has no room for another connection and asks those
+// it refuses to retry after so many seconds.
 func serveFullPort(t *testing.T, after int) *portClient {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -295,7 +296,7 @@
 
 func (d dialer) Dial() (net.Conn, error) { return net.Dial("tcp4", string(d)) }
 
-// forwarded is a user's request as another node passes it on.
+// forwarded returns a user's request as a peer forwards it.
 func forwarded(method, path string, body any) []byte {
 	r := peer.ForwardRequest{Method: method, Path: path, Body: encoded(body)}
 	return r.Encode()
@@ -450,11 +451,11 @@
 	}
 }
 
-// concurrentRequests is how many requests askAll sends at once: fewer than a port serves.
+// concurrentRequests is how many requests sendAll sends at once: fewer than a port
+// serves.
 const concurrentRequests = 32
 
-// sendAll sends requests, some at once: they share what is read from the state
-// service.
+// sendAll sends requests, some at once: they share reads of the store.
 func (s *transcript) sendAll(client *portClient, list ...request) {
 	client.t.Helper()
 	for some := range slices.Chunk(list, concurrentRequests) {
--- a/internal/controller/index_test.go
+++ b/internal/controller/index_test.go
@@ -12,7 +12,8 @@
 	"wheatspur/wire"
 )
 
-// describeFleet is what a pass sees of the machines, in a form that can be compared.
+// describeFleet returns what a pass sees of the machines, in a form that can be
+// compared.
 func describeFleet(f *placement.Fleet) []string {
 	var out []string
 	for _, m := range f.Machines {
@@ -30,8 +31,8 @@
 	return out
 }
 
-// checkMachineIndex compares the kept picture of the fleet, and the kept sums of claims,
-// with ones that are made anew.
+// checkMachineIndex compares the index of the fleet that is kept up to date, and the
+// sums of claims in it, with ones that are built anew.
 func checkMachineIndex(t testing.TB, controller *Controller) {
 	t.Helper()
 	controller.Lock()
@@ -61,9 +62,9 @@
 	}
 }
 
-// One end of a task on a fleet with thousands of claims enters one machine anew,
-// not all that the chunk's tasks are on. Guards against a pass that walks all
-// tasks of the fleet: it took half of a small machine's processor.
+// The end of one task on a fleet with thousands of claims reindexes one machine, not
+// all that the chunk's tasks run on. Guards against a pass that walks all tasks of the
+// fleet: it took half of a small machine's processor.
 func TestAChangeOfOneTaskReindexesOneMachine(t *testing.T) {
 	env := newFleetEnv(t, "a")
 	env.liftTeamLimit()
@@ -99,8 +100,8 @@
 	checkMachineIndex(t, controller)
 }
 
-// What a pass planned for others' machines does not outlive it: tasks that it
-// would stop there are tasks like others in the next one.
+// What a pass plans on machines of other owners is rolled back: tasks that it would
+// preempt there are tasks like others in the next pass.
 func TestAPassRollsBackTheMachineIndex(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.liftTeamLimit()
@@ -148,8 +149,8 @@
 	}
 }
 
-// What changes on a machine is told to siblings with the next status, not only
-// when all machines are compared with what siblings know.
+// A change on a machine reaches peers with the next status, not only when all machines
+// are compared with what peers know.
 func TestAMachineChangeIsPublishedBeforeTheNextFullComparison(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -12,7 +12,9 @@
 	"wheatspur/wire"
 )
 
-// A machine whose reports arrive, but which no answer and no command reaches.
+// A machine's heartbeats arrive, but no response and no direct call reaches it. It
+// gets no new tasks; its services move only when its lease has surely expired, and it
+// is used again once it answers.
 func TestAnUnresponsiveMachineTakesNoNewTasksAndItsServicesMove(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -39,7 +41,7 @@
 		t.Fatal("a new task was placed on it")
 	}
 	// Its services stay until there is proof, even beside a free machine: its
-	// reports go on and it runs them.
+	// heartbeats go on and it runs them.
 	env.addMachine("h2", "service")
 	env.acknowledgeToken("h2", 1)
 	env.runPasses()
@@ -65,7 +67,7 @@
 	}
 }
 
-// It is replaced if it stays that way.
+// A machine that stays unresponsive over several incarnations is replaced.
 func TestAMachineThatStaysUnresponsiveIsScaledIn(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -88,8 +90,9 @@
 	}
 }
 
-// Machines fall silent: room for their services is rented at once, not when the
-// proof has come. If hardly any is heard, it is the node that hears nothing.
+// Machines fall silent: scale-out for their services starts at once, not only when
+// their leases have expired. If hardly any machine is heard, it is the controller that
+// hears nothing, and nothing is scaled out.
 func TestScaleOutForServicesStartsWhileTheirMachinesAreSilent(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -125,8 +128,9 @@
 	}
 }
 
-// A list that shows a machine created later is newer than all before it: what
-// it omits is gone. A list that does not may be older than a new machine.
+// A cloud list that shows a machine created later is newer than all before it: what it
+// omits is gone. A list that does not may be older than a new machine, which must not
+// count as missing.
 func TestAMissingMachineCountsOnlyInALaterCloudList(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -146,6 +150,9 @@
 	}
 }
 
+// A drain races with a claim: the claim must fail, and the machine is terminated only
+// after all claims that the drain may have missed were read. A cloud list that is late
+// must not let it join again.
 func TestADrainingMachineTakesNoClaimAndIsTerminatedEmpty(t *testing.T) {
 	env, controller := newEnvWithMachine(t, "batch")
 	ctx := context.Background()
@@ -179,7 +186,8 @@
 	}
 }
 
-// A returned machine is the proof that releases its claims.
+// Absence from the cloud list alone releases no task: it may run on. The termination
+// of the machine does.
 func TestTasksOfAMissingMachineAreReleasedAfterItsTermination(t *testing.T) {
 	env, controller := newEnvWithMachine(t, "batch")
 	ctx := context.Background()
@@ -215,9 +223,9 @@
 	}
 }
 
-// A machine that was taken while it was being drained showed its owner's next
-// token to nobody, so its lease proved nothing, and nobody gave it back: its
-// tasks stayed claimed for ever.
+// A machine that was lost while draining never acknowledges its owner's next fencing
+// token, so that the expiry of its lease can't be shown. Guards against its tasks
+// staying claimed for ever: it is terminated, which releases them.
 func TestALostDrainingMachineIsTerminatedToReleaseItsTasks(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
@@ -263,8 +271,9 @@
 	}
 }
 
-// Machine records wait for the budget, up to seconds: one that was idle may
-// have work when its turn comes, and another leader may have changed it.
+// Writes of machine records wait for the budget, up to seconds: a machine that was
+// idle may have tasks by then, and another controller may lead. The decision must hold
+// when the write goes out.
 func TestMachineRecordsAreStoredOnlyIfTheirDecisionStillHolds(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
--- a/internal/controller/operator_pages_test.go
+++ b/internal/controller/operator_pages_test.go
@@ -10,14 +10,15 @@
 	"wheatspur/wire"
 )
 
-// httpWorker is a scripted worker of one node of a pair.
+// httpWorker is a scripted worker that sends its heartbeats to one controller over
+// HTTP.
 type httpWorker struct {
 	fake.Worker
 	controller string
 }
 
-// newWorker is a worker on the n-th machine of a node. Tasks of the job wk-10 end
-// after a second, others never.
+// newWorker returns a worker on the n-th machine of a controller. Tasks of the job
+// wk-10 end after a second, others never.
 func (env *httpEnv) newWorker(node string, nth int) *httpWorker {
 	return &httpWorker{controller: node, Worker: fake.Worker{Host: env.machineOwnedBy(node, nth), Address: "10.9.9.9:1", Type: "g", Zone: "z",
 		Session: 1, Tasks: map[string]*fake.Task{}, Begins: func(_ *fake.Worker, task *fake.Task) time.Duration {
@@ -28,7 +29,8 @@
 		}}}
 }
 
-// sendHeartbeat sends the worker's heartbeat and carries out what it is told.
+// sendHeartbeat sends the worker's heartbeat and carries out the commands in its
+// response.
 func (w *httpWorker) sendHeartbeat(env *httpEnv, client *portClient) {
 	client.t.Helper()
 	now := env.clock.now()
@@ -43,9 +45,10 @@
 	}
 }
 
-// newBusyPair is a pair of nodes with machines of both roles, teams with limits and
-// guarantees, and jobs in every phase: done, running, without room, beyond the
-// team's limit, waiting for others, cancelled and cancelled with others.
+// newBusyPair returns a pair of controllers with machines of both roles, teams with
+// limits and guarantees, and jobs in every phase: done, running, without room, beyond
+// the team's limit, waiting for dependencies, cancelled, and cancelled with a
+// dependency.
 func newBusyPair(t *testing.T) *httpEnv {
 	t.Helper()
 	env := newHTTPPair(t, func(s *config.Settings) {
@@ -104,8 +107,8 @@
 	return env
 }
 
-// The page of operators, of the leader and of another node: whole, of every job
-// and of every team.
+// The status page, of the leader and of another controller: whole, of every job and of
+// every team.
 func TestStatusPages(t *testing.T) {
 	env := newBusyPair(t)
 	var record transcript
@@ -130,8 +133,8 @@
 	golden.Text(t, "status.golden", record.String(), *update)
 }
 
-// The page of a node before its first read, beside an older version, with more
-// rows than it shows, without the state service, and while it stops.
+// The status page before the first read, beside an older version, with more rows than
+// it shows, during a store outage, and during a graceful stop.
 func TestStatusPagesInUnusualStates(t *testing.T) {
 	var record transcript
 	page := func(name string, client *portClient) { record.sendEach(client, request{name, "GET", "/status", nil}) }
@@ -177,8 +180,8 @@
 	golden.Text(t, "metrics.golden", record.String(), *update)
 }
 
-// Metrics of a node before its first read, of one whose writes fail and of one
-// that stops; and metrics that can't be gathered.
+// Metrics before the first read, after failed writes and during a graceful stop; and
+// metrics that can't be gathered.
 func TestMetricsPagesInUnusualStates(t *testing.T) {
 	var record transcript
 	page := func(name string, client *portClient) { record.sendEach(client, request{name, "GET", "/metrics", nil}) }
--- a/internal/controller/peer_responses_test.go
+++ b/internal/controller/peer_responses_test.go
@@ -8,7 +8,7 @@
 	"wheatspur/wire"
 )
 
-// The port for the other nodes: paths, methods and malformed messages.
+// The port for peers: paths, methods and malformed messages.
 func TestResponsesOfThePeerPort(t *testing.T) {
 	env := newHTTPPair(t, nil)
 	client := env.peerClient(t, "a")
@@ -40,7 +40,7 @@
 	golden.Text(t, "peer.golden", record.String(), *update)
 }
 
-// Users' requests that a sibling passes on.
+// Users' requests that a peer forwards.
 func TestResponsesToForwardedRequests(t *testing.T) {
 	env := newHTTPPair(t, nil)
 	client := env.peerClient(t, "a")
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -17,8 +17,8 @@
 	"wheatspur/wire"
 )
 
-// newQuotaPair is a world of two nodes with machines of each, all reporting, and
-// a team limit.
+// newQuotaPair returns an environment of two controllers with machines that send
+// heartbeats, and a team limit.
 func newQuotaPair(t *testing.T, limit float64, machines int) *testEnv {
 	t.Helper()
 	env := newTestEnv(t, "a", "b")
@@ -38,7 +38,7 @@
 	return env
 }
 
-// enableTransfers switches transfers of shares on at all nodes.
+// enableTransfers switches quota transfers on at all controllers.
 func (env *testEnv) enableTransfers() {
 	for _, controller := range env.controllers {
 		controller.Lock()
@@ -48,8 +48,8 @@
 	}
 }
 
-// A job that fits the limit, and no node's share of it, is claimed by the leader
-// with what the others give: in transfers alone, without a freeze.
+// A job that fits the limit, but no controller's share of it, is claimed by the leader
+// with what its peers transfer; with transfers the shares are never frozen for it.
 func TestQuotaTransfersCoverAShortfall(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		env := newQuotaPair(t, 12, 8)
@@ -82,7 +82,7 @@
 	}
 }
 
-// checkTeamLimit checks the shares and claims of the team as they stand in the store.
+// checkTeamLimit checks the shares and claims of the team as they are stored.
 func (env *testEnv) checkTeamLimit(limit float64) (claimed float64) {
 	env.t.Helper()
 	controller := env.leader()
@@ -106,6 +106,8 @@
 	return claimed
 }
 
+// Controllers race for a team's quota: after every write the shares and the claims are
+// within the limit, and in the end all of it is used.
 func TestQuotaSharesNeverExceedTheLimitAndAllOfItIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		limit       float64
@@ -141,8 +143,8 @@
 	}
 }
 
-// A claim whose answer was lost may yet be applied: its room in the limit
-// must not be claimed by another job meanwhile.
+// A claim whose answer was lost may yet be applied: its quota must not be claimed by
+// another job meanwhile.
 func TestAClaimOfUnknownOutcomeCountsAgainstTheQuota(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -192,9 +194,8 @@
 	}
 }
 
-// A node computes a claim, and before it is stored the leader shares the team's
-// limit out otherwise: the claim fails, and the limit holds, whatever
-// has changed.
+// A controller computes a claim, and before it is stored the leader rewrites the
+// team's shares: the claim must fail, whatever has changed.
 func TestAClaimUnderAnOutdatedQuotaShareFails(t *testing.T) {
 	for name, next := range map[string]quota.Record{
 		"frozen":    {Frozen: true},
@@ -233,8 +234,8 @@
 	}
 }
 
-// newGuaranteeSimulation is a world of three nodes whose machines are full of a team's
-// endless borrowed work.
+// newGuaranteeSimulation returns a simulation whose machines are full of a team's
+// endless borrowing jobs.
 func newGuaranteeSimulation(t *testing.T, reservations bool) *simulation {
 	t.Helper()
 	sim := newSimulation(t, 2, 0)
@@ -253,8 +254,8 @@
 	return sim
 }
 
-// timeUntilServed is how long the team with a guarantee waits for all of it, while
-// every process is replaced by a new one at the given times.
+// timeUntilServed returns how long the team with a guarantee waits for all of it,
+// while every process is replaced at the given times.
 func timeUntilServed(sim *simulation, restarts ...time.Duration) time.Duration {
 	spec := arrayJob("wk-2", 8)
 	spec.Team = "y"
@@ -275,10 +276,10 @@
 	return 10 * time.Minute
 }
 
-// Work within a guarantee gets its room from what others borrow, within a bound:
-// two boots' time, and what stops and starts take. With reservations the bound
-// also holds when all nodes are replaced meanwhile, the leader too; without
-// them the wait begins anew.
+// Jobs within a guarantee get their resources back from borrowers within a bound: the
+// time of two machine starts, and what preemption and starts take. With reservations
+// the bound also holds when all controllers are replaced meanwhile, the leader too;
+// without them the wait begins anew.
 func TestAGuaranteeIsServedWithinItsBound(t *testing.T) {
 	const bound = tuning.GuaranteePreemptAfter + 20*time.Second
 	restarts := []time.Duration{40 * time.Second, 90 * time.Second}
@@ -308,8 +309,8 @@
 	}
 }
 
-// Operators see a team's shares, what is borrowed and what waits, on the page and
-// in the metrics; a damaged record is named.
+// Operators see a team's shares, what is borrowed and what waits, on the status page
+// and in the metrics; a record that can't be decoded is named.
 func TestStatusAndMetricsShowTeamQuotas(t *testing.T) {
 	sim := newGuaranteeSimulation(t, true)
 	sim.quotaLimit = 30
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -13,8 +13,8 @@
 	"wheatspur/wire"
 )
 
-// randomFaults lets troubles meet as chance has it: the same for the same seed, as far
-// as the program does the same.
+// randomFaults is a simulation in which faults combine at random: the same for the
+// same seed, as far as the program does the same.
 type randomFaults struct {
 	*simulation
 	random          *rand.Rand
@@ -34,7 +34,7 @@
 	return time.Duration(least+faults.random.IntN(most-least+1)) * time.Second
 }
 
-// inject begins one, if it is not there, and notes how and when it ends.
+// inject begins a fault, unless it is there, and notes how and when it ends.
 func (faults *randomFaults) inject(name string, d time.Duration, begin, end func()) {
 	if _, on := faults.endsAt[name]; on {
 		return
@@ -43,7 +43,7 @@
 	faults.endsAt[name], faults.endings[name] = faults.clock.now().Add(d), end
 }
 
-// endFaults ends the troubles whose time is up, or all.
+// endFaults ends the faults whose time is up, or all.
 func (faults *randomFaults) endFaults(all bool) {
 	for _, name := range slices.Sorted(maps.Keys(faults.endsAt)) {
 		if all || !faults.clock.now().Before(faults.endsAt[name]) {
@@ -58,7 +58,8 @@
 	faults.links[label].setRejecting(on)
 }
 
-// injectFaults begins the troubles of one second.
+// injectFaults begins the faults of one second. The order of the draws decides what a
+// seed means.
 func (faults *randomFaults) injectFaults() {
 	labels := slices.Sorted(maps.Keys(faults.controllers))
 	label := labels[faults.random.IntN(len(labels))]
@@ -146,7 +147,7 @@
 	}
 }
 
-// checkResponse holds an answer about a job against what users were told before.
+// checkResponse checks a response about a job against what users were told before.
 func (faults *randomFaults) checkResponse(what, jobID, label string, code int, status wire.JobStatus) {
 	faults.t.Helper()
 	if code == 404 || code == 400 || code == 422 {
@@ -172,7 +173,7 @@
 	}
 }
 
-// runUsers do what users do in one second.
+// runUsers sends the requests of one second.
 func (faults *randomFaults) runUsers() {
 	labels := slices.Sorted(maps.Keys(faults.controllers))
 	faults.random.Shuffle(len(labels), func(a, b int) { labels[a], labels[b] = labels[b], labels[a] })
@@ -213,14 +214,14 @@
 	}
 }
 
-// Troubles meet at random, for minutes: the rules hold at any moment, and once
-// all is over every accepted job that was not cancelled is done, nothing of the
-// others is left, and the team's whole limit is free.
+// Faults combine at random for minutes: the invariants hold every second, and once all
+// faults have ended every accepted job that was not cancelled is done, no claim is
+// left, and the team's whole limit is free.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	const minutes, seeds = 5, 16
 	var over atomic.Int64 // jobs whose end users were told
 	t.Cleanup(func() {
-		// How many a single seed has accepted depends on what the nodes refuse.
+		// How many a single seed has accepted depends on what the controllers refuse.
 		if over.Load() < 12*seeds {
 			t.Errorf("%d jobs are over: nothing is tested", over.Load())
 		}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -22,8 +22,8 @@
 // fleetSize is that of the largest deployment known, rounded up.
 const fleetSize = 3300
 
-// newFleetEnv is one world with a whole fleet that reports: every second machine
-// of the service role, the rest batch.
+// newFleetEnv returns an environment with a whole fleet that sends heartbeats: every
+// second machine of the service role, the rest batch.
 func newFleetEnv(t testing.TB, labels ...string) *testEnv {
 	t.Helper()
 	env := newTestEnv(t, labels...)
@@ -31,7 +31,7 @@
 	return env
 }
 
-// addFleet lets the leader list the fleet, and every machine report.
+// addFleet adds machines to the cloud list, and sends a heartbeat of each.
 func (env *testEnv) addFleet(machines int) {
 	l := env.leader()
 	for i := range machines {
@@ -54,7 +54,7 @@
 	env.exchangePeerStatus()
 }
 
-// submitJobs submits services and arrays and places them.
+// submitJobs submits services of 8 tasks and arrays of 60.
 func (env *testEnv) submitJobs(services, arrays int) {
 	leader := env.leader()
 	for i := range services {
@@ -65,15 +65,15 @@
 	}
 }
 
-// liftTeamLimit lifts the team's limit of the small worlds.
+// liftTeamLimit lifts the low limit that tests of few machines have.
 func (env *testEnv) liftTeamLimit() {
 	for _, controller := range env.controllers {
 		controller.setTeamLimit(1e6)
 	}
 }
 
-// A whole fleet joins, takes hundreds of jobs and ends them: what counts is
-// the number of changes, not the time.
+// A whole fleet joins, gets hundreds of jobs and ends them. What is bounded is the
+// number of writes, not the time.
 func TestAFleetOf3300MachinesCostsFewWrites(t *testing.T) {
 	env := newTestEnv(t, "a", "b", "c")
 	env.liftTeamLimit()
@@ -130,7 +130,7 @@
 			t.Fatalf("%s is %s", jobID, leader.Table.Jobs[jobID].Record.Phase)
 		}
 	}
-	// Nothing has changed: siblings are told nothing of the machines.
+	// Nothing has changed: peers are told nothing of the machines.
 	env.exchangePeerStatus()
 	for _, controller := range env.controllers {
 		for _, peerController := range env.controllers {
@@ -152,9 +152,9 @@
 	}
 }
 
-// All controllers but one are gone: the one that is left writes few memberships,
-// keeps the proofs of its own machines, takes the others as they report, and
-// loses and repeats nothing.
+// All controllers but one crash: the survivor writes few memberships, keeps the
+// acknowledged tokens of its own machines, takes the others over as they send
+// heartbeats, and loses and repeats nothing.
 func TestOneControllerTakesOverAFleetOf3300Machines(t *testing.T) {
 	env := newFleetEnv(t, "a", "b", "c")
 	env.liftTeamLimit()
@@ -229,8 +229,8 @@
 	}
 }
 
-// Grouped records whose answer is lost, that conflict, or of which a leader
-// stored only a part before it stopped, are put right by the next list.
+// Machine groups whose write gets no answer, conflicts, or was done in part before the
+// leader stopped, are put right by the next cloud list.
 func TestMachineGroupWritesSurviveLostAnswersConflictsAndPartialWrites(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -295,10 +295,10 @@
 	return out
 }
 
-// Forty teams, each with more waiting than its limit, on 4,000 machines of five
-// nodes whose writes are decided before any is stored: no limit is exceeded
-// after any write, each is used to the last unit, and an admission costs little
-// more than its own change.
+// Forty teams, each with more pending than its limit, on 4,000 machines of five
+// controllers that all decide before any write is stored: no limit is exceeded after
+// any round, each is used to the last unit, and an admission costs little more than
+// its own write.
 func TestQuotaHoldsWhileManyTeamsRaceOn4000Machines(t *testing.T) {
 	const machines, teams, limit, jobsEach, tasks = 4000, 40, 48, 3, 24
 	for _, transfers := range []bool{false, true} {
@@ -347,7 +347,7 @@
 	}
 }
 
-// runConcurrentPasses lets every node decide before any of the writes is stored.
+// runConcurrentPasses lets every controller decide before any of the writes is stored.
 func (env *testEnv) runConcurrentPasses() {
 	type decided struct {
 		n *Controller
@@ -367,7 +367,8 @@
 	env.refreshAll()
 }
 
-// The largest job must stay within the value limit and cost a pass little.
+// The largest job array stays within the value limit of the store and within the time
+// of a pass.
 func TestAJobArrayOfTheLargestSizeStaysWithinLimits(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -12,7 +12,7 @@
 	"wheatspur/wire"
 )
 
-// hangingStore is a state service whose transactions hang while leases are renewed.
+// hangingStore is a store whose writes hang while leases are renewed.
 type hangingStore struct {
 	*storeLink
 	writes  atomic.Int64
@@ -34,8 +34,8 @@
 	return store.storeLink.RenewLease(ctx, id)
 }
 
-// A write of the membership that gets no answer does not hold up the renewal of
-// the session: it did, and slow nodes lost their sessions again and again.
+// A write of the membership that gets no answer must not hold up the renewal of the
+// session: it did, and slow controllers lost their sessions again and again.
 func TestAHangingMembershipWriteDoesNotDelayLeaseRenewal(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	controller := env.controllers["b"]
@@ -60,8 +60,8 @@
 	loops.Wait()
 }
 
-// The answer to a step that was taken under a former lease says nothing of the
-// present one.
+// A step that was taken under a former lease and fails for its expiry says nothing of
+// the present one.
 func TestTheEndOfAFormerLeaseDoesNotEndTheSession(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
--- a/internal/controller/store_outage_test.go
+++ b/internal/controller/store_outage_test.go
@@ -180,9 +180,9 @@
 	o.sim.fillMachines("wk-2")
 }
 
-// The state service is out for all for minutes. While every node attests that it
-// knows of no other cancellation, what runs goes on; where one doesn't, the
-// leases end as ever, and what was confirmed is gone in time.
+// The store is out for all controllers for minutes. While every controller attests
+// that it knows of no other cancellation, running tasks go on; where one doesn't, the
+// leases expire as ever, and tasks whose cancellation was confirmed are gone in time.
 func TestLeasesOutlastAStoreOutageOnlyWhileAllControllersAttest(t *testing.T) {
 	const outage = 3 * time.Minute
 	for _, c := range []struct {
@@ -272,8 +272,8 @@
 	}
 }
 
-// After an outage every job's polls are answered, whichever they are: no
-// queue fails the same ones again and again.
+// After an outage the polls of all jobs are answered within a few rounds. Guards
+// against a queue that fails the same ones again and again.
 func TestPollsOfAllJobsAreAnsweredAfterAStoreOutage(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -315,7 +315,9 @@
 	}
 }
 
-// A controller that loses the state service and its siblings, not its workers.
+// A controller loses the store and its peers, not its workers: it renews leases for a
+// while, starts nothing, answers users 503 at once, and sends its workers on before a
+// renewed lease could outlast a cancellation.
 func TestAPartitionedControllerKeepsTasksRunningAndStartsNone(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
@@ -347,7 +349,7 @@
 	if code, _ := controller.receiveHeartbeat(env.heartbeat("h1", 1, controller.fencingToken()+1, running)); code == 200 {
 		t.Fatal("a report with a higher token was answered with 200")
 	}
-	// Its time is up: it sends its workers on. The other node has them by then
+	// Its time is up: it sends its workers on. The other controller has them by then
 	// and releases nothing without proof.
 	env.clock.add(cancelBound - leaseDuration)
 	if code, _ := controller.receiveHeartbeat(env.heartbeat("h1", 1, controller.fencingToken(), running)); code != 421 {
--- a/internal/controller/user_responses_test.go
+++ b/internal/controller/user_responses_test.go
@@ -16,11 +16,11 @@
 // methods are those that the paths are asked with.
 var methods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 
-// absent removes a field from a specification.
+// absent removes a field from a job's specification.
 type absent struct{}
 
-// changed is a specification that is accepted, of the job wk-1, with some fields
-// replaced: names and values in turn.
+// changed returns the specification of the job wk-1, which would be accepted, with
+// some fields replaced: names and values in turn.
 func changed(t *testing.T, fields ...any) []byte {
 	t.Helper()
 	spec := map[string]any{}
@@ -38,13 +38,13 @@
 	return wire.MustMarshal(spec)
 }
 
-// submissionOf is a request to accept the job wk-1, with some fields replaced.
+// submissionOf returns a submission of the job wk-1 with some fields replaced.
 func submissionOf(t *testing.T, name string, fields ...any) request {
 	t.Helper()
 	return request{name, "POST", "/work", changed(t, fields...)}
 }
 
-// Paths and methods: 404, 405 with Allow.
+// Unknown paths and methods: 404, 405 with Allow.
 func TestResponsesToUnknownPathsAndMethods(t *testing.T) {
 	env := newHTTPEnv(t, nil)
 	client := env.userClient(t, "a")
@@ -285,8 +285,8 @@
 	golden.Text(t, "jobs.golden", record.String(), *update)
 }
 
-// Answers while the state service refuses: at once, after a moment in which the
-// last read gets old, and after a time that shows that it is lost.
+// Responses while the store rejects calls: at once, after a moment in which the last
+// read gets old, and after a time that shows that it is lost.
 func TestResponsesDuringAStoreOutage(t *testing.T) {
 	var record transcript
 	for _, outage := range []struct {
@@ -327,9 +327,8 @@
 	golden.Text(t, "outage.golden", record.String(), *update)
 }
 
-// Answers of nodes that can't take what is new: before the first read, before the
-// types of machines are known, beside an older version, while submissions are
-// under way, and while the node stops.
+// Responses of controllers that accept nothing new: before the first read, before the
+// machine types are known, beside an older version, and during a graceful stop.
 func TestResponsesOfControllersThatAcceptNothingNew(t *testing.T) {
 	var record transcript
 	ask := func(state string, client *portClient, list ...request) {
@@ -370,7 +369,8 @@
 	golden.Text(t, "refusing.golden", record.String(), *update)
 }
 
-// Of two submissions at a node that takes one at a time, one is refused at once.
+// Of two submissions at a controller whose intake queue holds one, one is refused at
+// once.
 func TestResponseToASubmissionBeyondTheIntakeQueue(t *testing.T) {
 	env := newHTTPEnv(t, func(s *config.Settings) { s.Operator.IntakeQueue = 1 })
 	client := env.userClient(t, "a")
@@ -390,7 +390,7 @@
 	golden.Text(t, "queue.golden", record.String(), *update)
 }
 
-// A node without the state service passes requests on to one that has it.
+// A controller without the store forwards requests to a peer that has it.
 func TestResponsesThatComeFromAPeer(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/controller/worker_leases_test.go
+++ b/internal/controller/worker_leases_test.go
@@ -12,8 +12,9 @@
 	"wheatspur/wire"
 )
 
-// Copies of reports come late: by seconds, by more than a lease, after a new
-// session, after a reap, after a change of owner, and to a node just started.
+// Heartbeats are delivered again: seconds later, after a lease, in a new incarnation,
+// after a reap, after a failover, and to a controller just started. Guards against
+// copies that renew a lease, acknowledge a token or change a task.
 func TestReplayedHeartbeatsChangeNothing(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
@@ -31,7 +32,7 @@
 	if controller.claimsOn("h1") != 1 || len(controller.Workers.ByMachine["h1"].Tasks) != 1 {
 		t.Fatal("a copy without the task took it out of sight")
 	}
-	// A failed attempt is released, reaped and claimed again; then the report
+	// A failed attempt is released, reaped and claimed again; then the heartbeat
 	// that listed it comes once more.
 	exited := env.heartbeat("h1", 1, controller.fencingToken(), done)
 	controller.receiveHeartbeat(exited)
@@ -70,7 +71,7 @@
 	if open {
 		t.Fatal("copies make a dead machine look alive")
 	}
-	// The owner's process is replaced: the new one, or the other node, knows
+	// The owner's process is replaced: the new one, or the other controller, knows
 	// nothing of the machine and gets a copy first.
 	env.store.Expire(controller.Self.Incarnation)
 	env.refreshAll()
@@ -89,8 +90,8 @@
 	}
 }
 
-// Reports that no honest, up-to-date worker sends are answered by the
-// protocol and change nothing; carried out requests that come again too.
+// Heartbeats that no honest, up-to-date worker sends are answered by the protocol and
+// change nothing; so are repeated requests that were carried out before.
 func TestInvalidHeartbeatsAndRepeatedRequestsChangeNothing(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -136,9 +137,9 @@
 	}
 }
 
-// A zone is cut off, and a node restarts: what the machines behind the cut ran
-// is released when their leases end, though no report shows the new token, if
-// nobody else has owned them meanwhile; and no other.
+// A zone is partitioned, and a controller restarts: tasks on machines behind the
+// partition are released when their leases expire, though no heartbeat acknowledges
+// the new fencing token, if nobody else has owned them meanwhile; and no other tasks.
 func TestAcknowledgedTokensOutliveAMembershipThatKeepsTheOwner(t *testing.T) {
 	env := newTestEnv(t, "a", "b", "c")
 	for _, controller := range env.controllers {
@@ -195,8 +196,8 @@
 	}
 }
 
-// A node that has missed a membership can't tell who owned its machines under
-// it: their proof is void.
+// A controller that has missed a membership can't tell who owned its machines under
+// it: their acknowledged tokens show nothing any more.
 func TestAMissedMembershipVoidsAcknowledgedTokens(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -224,8 +225,9 @@
 	}
 }
 
-// A node that can't read cancellations keeps leases alive for a while, starts
-// nothing, and then stops answering so that the leases end in time.
+// A controller that can't read cancellations renews leases for a while, starts
+// nothing, and then stops answering so that the leases expire before the cancellation
+// bound.
 func TestAPartitionedControllerStopsRenewingLeasesBeforeTheCancellationBound(t *testing.T) {
 	env, controller := newEnvWithMachine(t, "batch")
 	env.submit(controller, arrayJob("wk-1", 1))
@@ -245,6 +247,8 @@
 	}
 }
 
+// A heartbeat at another controller is redirected to the shard owner; the owner
+// refuses a worker that has seen a higher fencing token.
 func TestOnlyTheShardOwnerAnswersAHeartbeat(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
@@ -261,6 +265,8 @@
 	}
 }
 
+// A worker is told to start a task only once its claim is stored, to reap it only once
+// its release is, and users hear of its end only then.
 func TestCommandsFollowStoredClaimsAndReleases(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
--- a/internal/controller/write_budget_test.go
+++ b/internal/controller/write_budget_test.go
@@ -10,9 +10,9 @@
 	"wheatspur/wire"
 )
 
-// With one change due at a time, ends that lead to new starts and claims take
-// turns. Guards against passes that come often and give every change to the ends
-// of hundreds of tasks, while work waits beside room.
+// With a budget of one write a pass, releases that lead to new starts and claims take
+// turns. Guards against passes that spend every write on the ends of hundreds of tasks
+// while pending jobs would fit.
 func TestReleasesAndClaimsTakeTurnsUnderAScarceWriteBudget(t *testing.T) {
 	const jobsEach = 6
 	env := newTestEnv(t, "a")
@@ -66,8 +66,8 @@
 	}
 }
 
-// One-task jobs come four a second, a quarter of them is cancelled: none is left
-// behind, none waits for long, and each costs a handful of changes.
+// Jobs of one task come four a second, a quarter of them is cancelled: none is left
+// behind, none waits for long, and each costs a handful of writes.
 func TestAStreamOfSingleTaskJobsCostsFewWrites(t *testing.T) {
 	sim := newSimulation(t, 3, 1000)
 	for _, machine := range sim.machines {
