--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -127,7 +127,7 @@
 		propertiesPath: propertiesPath,
 		logLevel:       &logLevel,
 	}
-	return daemon.Run(p, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.HostManager{Log: log}})
+	return daemon.Run(p, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.SystemdManager{Log: log}})
 }
 
 // limitRuntime keeps the Go runtime within the share of a machine that a
--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -72,7 +72,7 @@
 		closesConnection: err.closesConnection,
 	}
 	if err.retryable {
-		a.retryAfter = strconv.Itoa(api.Settings.Operator.RetryAfterSecond)
+		a.retryAfter = strconv.Itoa(api.Settings.Operator.RetryAfterSeconds)
 	}
 	return a
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -61,9 +61,9 @@
 	api.answerTo(jobResponse{}, retryLater(status, reason)).write(request)
 }
 
-// ServeWork serves a user's request here, or forwards it to a sibling that
+// ServeJobs serves a user's request here, or forwards it to a sibling that
 // reads the store while this controller does not.
-func (api *UserAPI) ServeWork(request *fasthttp.RequestCtx, path string) {
+func (api *UserAPI) ServeJobs(request *fasthttp.RequestCtx, path string) {
 	api.answerUser(request, path).write(request)
 }
 
--- a/internal/autoscale/scalein.go
+++ b/internal/autoscale/scalein.go
@@ -41,7 +41,7 @@
 // uselessReason is the reason for terminating a machine whatever the demand is,
 // "" if there is none.
 func (p *planner) uselessReason(m Machine) string {
-	slowBoot := max(time.Duration(tuning.SlowBootFactor*float64(p.bootTime(m))), tuning.SlowBootMin)
+	slowBoot := max(time.Duration(tuning.SlowBootFactor*float64(p.bootTime(m))), tuning.MinSlowBoot)
 	switch {
 	case m.Booting && m.Age > slowBoot:
 		return ReasonSlowBoot
@@ -190,7 +190,7 @@
 		since = in.Now
 		in.SurplusSince[m.Name] = since
 	}
-	limit := in.Operator.IdleOrdinary
+	limit := in.Operator.IdleOnDemand
 	if m.Kind.Spot {
 		limit = in.Operator.IdleSpot
 	}
--- a/internal/autoscale/scaleout.go
+++ b/internal/autoscale/scaleout.go
@@ -167,10 +167,10 @@
 	if !isEligible(job, kind, role) {
 		return false
 	}
-	if since, known := p.input.NoCapacitySince[kind]; known && p.input.Now.Sub(since) < tuning.NoCapacityPause {
+	if since, known := p.input.LastNoCapacity[kind]; known && p.input.Now.Sub(since) < tuning.NoCapacityPause {
 		return false
 	}
-	spotFirst := role == placement.Batch && job.Record.Spec.Spot && waiting < tuning.OnDemandBatchAfter
+	spotFirst := role == placement.Batch && job.Record.Spec.Spot && waiting < tuning.BatchOnDemandAfter
 	return kind.Spot || !spotFirst
 }
 
--- a/internal/autoscale/types.go
+++ b/internal/autoscale/types.go
@@ -81,8 +81,8 @@
 	// OnDemand is the batch work that may not use spot machines; no Spec: none
 	// is open, waits for others, or was lately.
 	OnDemand Load
-	// NoCapacitySince says when the cloud last had no machine of a kind.
-	NoCapacitySince map[MachineKind]time.Time
+	// LastNoCapacity says when the cloud last had no machine of a kind.
+	LastNoCapacity map[MachineKind]time.Time
 	// SurplusSince says since when the plan could do without a machine, by name;
 	// Plan keeps it up to date.
 	SurplusSince map[string]time.Time
@@ -108,8 +108,8 @@
 	Reason  string
 }
 
-// Terminated reports whether the machine holds nothing any more, or never came up.
-func (s ScaleIn) Terminated() bool {
+// HoldsNothing reports whether the machine holds nothing any more, or never came up.
+func (s ScaleIn) HoldsNothing() bool {
 	return s.Reason == ReasonNotListed || s.Reason == ReasonSilent || s.Reason == ReasonSlowBoot
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -65,7 +65,7 @@
 func NewClient(addr string, callsPerSecond float64, now func() time.Time) *Client {
 	return &Client{
 		addr:           addr,
-		http:           httpclient.Host(addr, tuning.CloudConns),
+		http:           httpclient.NewHostClient(addr, tuning.CloudConns),
 		callsPerSecond: callsPerSecond,
 		now:            now,
 		budget:         callsPerSecond,
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -26,7 +26,7 @@
 func (cs *State) ShardOwner(machine string) string {
 	owner, ok := cs.shardOwners[machine]
 	if !ok {
-		owner = cs.Membership.Owner(machine)
+		owner = cs.Membership.ShardOwner(machine)
 		if cs.Inventory.KeyOf(machine) != "" {
 			cs.shardOwners[machine] = owner // stored machines only: whatever workers name would grow it without bound
 		}
--- a/internal/cluster/progress.go
+++ b/internal/cluster/progress.go
@@ -14,10 +14,10 @@
 
 // Loops of a controller whose progress is watched.
 const (
-	PassLoop    loop = iota // the scheduler's passes
-	SessionLoop             // renewals of the session's lease
-	MemberLoop              // steps of the election and the membership
-	Loops                   // the number of loops
+	PassLoop       loop = iota // the scheduler's passes
+	SessionLoop                // renewals of the session's lease
+	MembershipLoop             // steps of the election and the membership
+	Loops                      // the number of loops
 )
 
 // String returns the name of the loop in errors.
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -86,7 +86,7 @@
 func NewEnvironment(settings *config.Settings, log *slog.Logger, now func() time.Time, kv store.KeyValueStore, limiter *store.Limiter) Environment {
 	return Environment{
 		Settings: settings,
-		Limits:   settings.StateLimits(),
+		Limits:   settings.StoreLimits(),
 		Log:      log,
 		Now:      now,
 		Store:    kv,
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -121,7 +121,7 @@
 	bounds := s.paramBounds()
 	bounds = append(bounds, s.Params.State.bounds("params.state.")...)
 	if next != nil {
-		limits := s.StateLimits()
+		limits := s.StoreLimits()
 		bounds = append(bounds, limits.bounds("params.state.next.")...)
 	}
 	for _, b := range bounds {
@@ -153,7 +153,7 @@
 // one. Under a smaller limit that comes later, chunk records of running jobs must
 // still be writable.
 func (s *Settings) checkValueSize() error {
-	present, least := s.Params.State.ValueKB, s.StateLimits().ValueKB
+	present, least := s.Params.State.ValueKB, s.StoreLimits().ValueKB
 	field := "params.state.value_kb"
 	if least < present {
 		field = "params.state.next.value_kb"
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -8,9 +8,9 @@
 	TxnOps   int     `toml:"txn_ops"`   // operations of a transaction
 }
 
-// StateLimits are the limits to keep to: the smaller of the present ones and those
+// StoreLimits are the limits to keep to: the smaller of the present ones and those
 // that come at a moment which nobody announces.
-func (s *Settings) StateLimits() Limits {
+func (s *Settings) StoreLimits() Limits {
 	present, next := s.Params.State.Limits, s.Params.State.Next
 	if next == nil {
 		return present
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -29,11 +29,11 @@
 	ServiceHeadroom float64
 	BatchHeadroom   float64
 	IdleSpot        time.Duration
-	IdleOrdinary    time.Duration
+	IdleOnDemand    time.Duration
 
-	IntakeQueue      int
-	PollQueue        int
-	RetryAfterSecond int
+	IntakeQueue       int
+	PollQueue         int
+	RetryAfterSeconds int
 
 	QuotaTransfers    bool
 	QuotaReservations bool
@@ -45,23 +45,23 @@
 // DefaultOperator returns the defaults of package tuning. What has none is off.
 func DefaultOperator() Operator {
 	return Operator{
-		RoleExpand:       tuning.RoleExpand,
-		RoleShrink:       tuning.RoleShrink,
-		RoleMargin:       tuning.RoleMargin,
-		RoleConfirm:      tuning.RoleConfirmations,
-		RoleCooldown:     tuning.RoleCooldown,
-		RoleEvidenceMin:  tuning.RoleEvidenceMin,
-		RoleEvidenceMax:  tuning.RoleEvidenceMax,
-		RoleDemandRise:   tuning.RoleDemandRise,
-		RoleUsable:       tuning.RoleUsable,
-		RoleStartTarget:  tuning.RoleStartTarget,
-		ServiceHeadroom:  tuning.ServiceHeadroom,
-		BatchHeadroom:    tuning.BatchHeadroom,
-		IdleSpot:         tuning.IdleSpot,
-		IdleOrdinary:     tuning.IdleOnDemand,
-		IntakeQueue:      tuning.IntakeQueue,
-		PollQueue:        tuning.PollQueue,
-		RetryAfterSecond: tuning.RetryAfter,
+		RoleExpand:        tuning.RoleExpand,
+		RoleShrink:        tuning.RoleShrink,
+		RoleMargin:        tuning.RoleMargin,
+		RoleConfirm:       tuning.RoleConfirmations,
+		RoleCooldown:      tuning.RoleCooldown,
+		RoleEvidenceMin:   tuning.MinRoleEvidence,
+		RoleEvidenceMax:   tuning.MaxRoleEvidence,
+		RoleDemandRise:    tuning.RoleDemandRise,
+		RoleUsable:        tuning.RoleUsable,
+		RoleStartTarget:   tuning.RoleStartTarget,
+		ServiceHeadroom:   tuning.ServiceHeadroom,
+		BatchHeadroom:     tuning.BatchHeadroom,
+		IdleSpot:          tuning.IdleSpot,
+		IdleOnDemand:      tuning.IdleOnDemand,
+		IntakeQueue:       tuning.IntakeQueue,
+		PollQueue:         tuning.PollQueue,
+		RetryAfterSeconds: tuning.RetryAfter,
 	}
 }
 
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -132,7 +132,7 @@
 		func(o *Operator) *time.Duration { return &o.IdleSpot },
 		"before an idle spot machine goes back"),
 	"fleet.idle.ordinary": durationProperty(time.Second, time.Hour,
-		func(o *Operator) *time.Duration { return &o.IdleOrdinary },
+		func(o *Operator) *time.Duration { return &o.IdleOnDemand },
 		"before an idle ordinary machine goes back"),
 	"intake.queue": integerProperty(1, 10000,
 		func(o *Operator) *int { return &o.IntakeQueue },
@@ -141,7 +141,7 @@
 		func(o *Operator) *int { return &o.PollQueue },
 		"polls waiting for a read barrier"),
 	"retry.after": integerProperty(1, 30,
-		func(o *Operator) *int { return &o.RetryAfterSecond },
+		func(o *Operator) *int { return &o.RetryAfterSeconds },
 		"seconds that refused users are told to wait"),
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -45,7 +45,7 @@
 func New(settings *config.Settings, log *slog.Logger) *Controller {
 	now := time.Now
 	share := tuning.BudgetShare / float64(max(1, len(settings.Siblings)+1))
-	limits := settings.StateLimits()
+	limits := settings.StoreLimits()
 	limiter := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.BudgetQueue, now)
 	return newController(dependencies{
 		Environment:  cluster.NewEnvironment(settings, log, now, store.NewClient(settings.Endpoints.State, limiter), limiter),
@@ -120,7 +120,7 @@
 
 // startServers serves both ports in the group.
 func (c *Controller) startServers(group *errgroup.Group, userListener, peerListener net.Listener) {
-	bounded := &boundedListener{Listener: userListener, max: int64(c.MaxConnections()), retryAfterS: c.Settings.Operator.RetryAfterSecond}
+	bounded := &boundedListener{Listener: userListener, max: int64(c.MaxConnections()), retryAfterS: c.Settings.Operator.RetryAfterSeconds}
 	c.Workers.OpenConnections = func() int { return int(bounded.open.Load()) }
 	users := c.httpServer(c.serveUser, c.MaxConnections())
 	peers := c.httpServer(c.servePeer, peerConnectionsEach*(len(c.Peers.Siblings)+1))
@@ -137,9 +137,9 @@
 		c.election.RunSession,
 		c.election.RunMembership,
 		c.election.RunProbes,
-		c.scheduler.RunScheduler,
+		c.scheduler.Run,
 		c.leaderLoop.RunCloudSync,
-		c.leaderLoop.RunLeader,
+		c.leaderLoop.RunPlanning,
 	}
 	for range tuning.IntakeLanes {
 		loops = append(loops, c.api.RunIntake)
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -126,7 +126,7 @@
 }
 
 func (c *Controller) serveWork(request *fasthttp.RequestCtx) {
-	c.api.ServeWork(request, string(request.Path()))
+	c.api.ServeJobs(request, string(request.Path()))
 }
 
 func (c *Controller) servePeerStatus(request *fasthttp.RequestCtx) { c.Peers.ServeStatus(request) }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -77,8 +77,8 @@
 
 // Manager is the service manager.
 type Manager interface {
-	// Tell sends a state in the manager's notify protocol.
-	Tell(state string)
+	// Notify sends a state in the manager's notify protocol.
+	Notify(state string)
 	// Watchdog returns the interval in which the manager expects a keep-alive,
 	// else takes the service for hung; 0 without a watchdog.
 	Watchdog() time.Duration
@@ -182,7 +182,7 @@
 
 // notify sends the manager a state with a status text.
 func (d *daemon) notify(state, status string) {
-	d.Manager.Tell(state + "\n" + statusPrefix + status)
+	d.Manager.Notify(state + "\n" + statusPrefix + status)
 }
 
 // feedWatchdog sends a keep-alive if the service makes progress. Guards against a
@@ -191,15 +191,15 @@
 func (d *daemon) feedWatchdog() {
 	if err := d.service.Progress(); err != nil {
 		d.Log.Error(logging.EventNoProgress, logging.KeyError, err)
-		d.Manager.Tell(statusPrefix + "no progress: " + err.Error())
+		d.Manager.Notify(statusPrefix + "no progress: " + err.Error())
 		return
 	}
-	d.Manager.Tell(sd.SdNotifyWatchdog)
+	d.Manager.Notify(sd.SdNotifyWatchdog)
 }
 
 // reload applies changed settings, and notifies the manager before and after.
 func (d *daemon) reload() {
-	d.Manager.Tell(sd.SdNotifyReloading)
+	d.Manager.Notify(sd.SdNotifyReloading)
 	status := "serving"
 	if err := d.service.Reload(); err != nil {
 		d.Log.Error(logging.EventReloadFailed, logging.KeyError, err)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -38,7 +38,7 @@
 // once when what is stored about it changes, else every so often. It takes the lock.
 func (el *Election) RunMembership(ctx context.Context) error {
 	for ctx.Err() == nil {
-		el.RecordProgress(cluster.MemberLoop)
+		el.RecordProgress(cluster.MembershipLoop)
 		if leaseID, ready := el.readyForStep(); ready {
 			el.tryMembershipStep(ctx, leaseID)
 		}
--- a/internal/election/reachability.go
+++ b/internal/election/reachability.go
@@ -17,10 +17,10 @@
 	case !el.IsMember():
 		// It owns no machines that could reach it.
 	case summary.Unreachable:
-		summary.Answered = el.probeAnswered(now)
+		summary.ProbeAnswered = el.probeAnswered(now)
 	default:
 		summary.Heard, summary.Silent = el.countHeard(now)
-		summary.SiblingsReachable = el.Peers.SiblingHearsWorkers()
+		summary.SiblingHearsWorkers = el.Peers.SiblingHearsWorkers()
 	}
 	return summary
 }
@@ -29,7 +29,7 @@
 // answered a probe, or there is none to ask. Not for a while, so that a network that
 // comes and goes does not move machines to and fro. The lock is held.
 func (el *Election) probeAnswered(now time.Time) bool {
-	if now.Sub(el.unreachableSince) <= tuning.UnreachableMin {
+	if now.Sub(el.unreachableSince) <= tuning.MinUnreachable {
 		return false
 	}
 	return len(el.probes) == 0 || el.probeAnsweredAt.After(el.unreachableSince)
--- a/internal/fake/command_log.go
+++ b/internal/fake/command_log.go
@@ -8,8 +8,8 @@
 	"wheatspur/wire"
 )
 
-// OrderLog records the commands that workers receive.
-type OrderLog struct {
+// CommandLog records the commands that workers receive.
+type CommandLog struct {
 	mu           sync.Mutex     // guards all below
 	starts       map[string]int // start commands, by attempt (attemptKey)
 	startTimes   []time.Time    // of each start command, in their order
@@ -17,11 +17,11 @@
 	kills        []string       // attempts that ran when they were told to stop
 }
 
-// NewOrderLog returns an empty log.
-func NewOrderLog() *OrderLog { return &OrderLog{starts: map[string]int{}} }
+// NewCommandLog returns an empty log.
+func NewCommandLog() *CommandLog { return &CommandLog{starts: map[string]int{}} }
 
-// Note records commands that a worker is about to carry out.
-func (l *OrderLog) Note(now time.Time, w *Worker, commands []wire.Command) {
+// Record records commands that a worker is about to carry out.
+func (l *CommandLog) Record(now time.Time, w *Worker, commands []wire.Command) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, command := range commands {
@@ -39,19 +39,19 @@
 	}
 }
 
-// Orders is what a log of commands holds.
-type Orders struct {
+// CommandCounts is what a log of commands holds.
+type CommandCounts struct {
 	Starts   int      // attempts that were started
 	Repeated []string // attempts for which more than one start command was received
 	Kills    []string // attempts that ran when they were told to stop
 	Tasks    []string // of the start commands, in their order
 }
 
-// Seen returns what the log holds.
-func (l *OrderLog) Seen() Orders {
+// Snapshot returns what the log holds.
+func (l *CommandLog) Snapshot() CommandCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := Orders{Starts: len(l.starts), Kills: slices.Clone(l.kills), Tasks: slices.Clone(l.startedTasks)}
+	out := CommandCounts{Starts: len(l.starts), Kills: slices.Clone(l.kills), Tasks: slices.Clone(l.startedTasks)}
 	for key, count := range l.starts {
 		if count > 1 {
 			out.Repeated = append(out.Repeated, key)
@@ -60,8 +60,8 @@
 	return out
 }
 
-// Most is the most start commands that were received in any window of a length.
-func (l *OrderLog) Most(window time.Duration) (most int) {
+// MaxStartsWithin is the most start commands that were received in any window of a length.
+func (l *CommandLog) MaxStartsWithin(window time.Duration) (most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := 0
--- a/internal/fleet/directcalls.go
+++ b/internal/fleet/directcalls.go
@@ -84,12 +84,12 @@
 		return nil
 	}
 	due, postponed := w.Commands(wm.Table.ClaimsByMachine[w.Machine], worker.CommandOptions{
-		Channel:     worker.DirectCall,
-		AllowStarts: wm.mayStartOn(w.Machine) && !silent,
-		Now:         now,
-		ResendAfter: wm.Settings.HeartbeatInterval(),
-		RepeatAfter: wm.startRepeatPause(),
-		AdmitStart:  wm.recovery.admitStart,
+		Channel:            worker.DirectCall,
+		AllowStarts:        wm.mayStartOn(w.Machine) && !silent,
+		Now:                now,
+		ResendAfterCall:    wm.Settings.HeartbeatInterval(),
+		RestartAfterAnswer: wm.startRepeatPause(),
+		AdmitStart:         wm.recovery.admitStart,
 	})
 	w.NoPendingCommands = !postponed
 	var commands []wire.Command
@@ -98,7 +98,7 @@
 			continue
 		}
 		w.NoPendingCommands = false
-		if now.Sub(w.SentCommands[worker.KeyOf(command)]) > wm.Settings.HeartbeatInterval() {
+		if now.Sub(w.SentCommands[worker.CommandKeyOf(command)]) > wm.Settings.HeartbeatInterval() {
 			commands = append(commands, command)
 		}
 	}
@@ -175,7 +175,7 @@
 		}
 	}
 	for _, command := range commands {
-		w.SentCommands[worker.KeyOf(command)] = now
+		w.SentCommands[worker.CommandKeyOf(command)] = now
 	}
 }
 
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -75,7 +75,7 @@
 		return fasthttp.StatusMisdirectedRequest, wire.Redirect{}
 	}
 	if owner := wm.ShardOwner(heartbeat.Machine); owner != wm.Self.Label {
-		return fasthttp.StatusMisdirectedRequest, wire.Redirect{Node: owner}
+		return fasthttp.StatusMisdirectedRequest, wire.Redirect{Controller: owner}
 	}
 	return 0, nil
 }
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -95,7 +95,7 @@
 // sweepDue reports whether it is time to look at all machines again, and if so sets
 // last to now. A clock that was set back makes it due.
 func sweepDue(last *time.Time, now time.Time) bool {
-	if now.Sub(*last) < tuning.SweepEvery && !now.Before(*last) {
+	if now.Sub(*last) < tuning.FullScanEvery && !now.Before(*last) {
 		return false
 	}
 	*last = now
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -99,7 +99,7 @@
 	px.Lock()
 	defer px.Unlock()
 	status := px.ownSummary()
-	status.Known = s.MachinesVersion
+	status.KnownMachines = s.MachinesVersion
 	return status
 }
 
@@ -112,7 +112,7 @@
 		return
 	}
 	px.ApplyPeerStatus(status, time.Time{})
-	own := px.lockAndReadOwnStatus(status.Known)
+	own := px.lockAndReadOwnStatus(status.KnownMachines)
 	c.SetBody(own.Encode())
 }
 
@@ -163,7 +163,7 @@
 		px.machineIndex.MarkChanged(machine.Name)
 		s.Machines[machine.Name] = machine
 		if machine.Silent {
-			px.OnSilent(machine.Name, now.Add(-machine.SinceHeard))
+			px.OnSilent(machine.Name, now.Add(-machine.SilentFor))
 		}
 	}
 	s.MachinesVersion, s.machinesConfirmedAt = version, now
--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -74,7 +74,7 @@
 		} else if sameStatus(&published.status, &status) {
 			continue
 		}
-		status.SinceHeard = now.Sub(w.LastHeard)
+		status.SilentFor = now.Sub(w.LastHeard)
 		status.Images = slices.Clone(status.Images)
 		px.publishedVersion++
 		published.status, published.version = status, px.publishedVersion
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -42,7 +42,7 @@
 		return
 	}
 	if !rt.IsMember() {
-		rt.applyEvent(recovery.Lost, now)
+		rt.applyEvent(recovery.MembershipLost, now)
 		return
 	}
 	rt.applyEvent(recovery.Loaded, now)
@@ -50,7 +50,7 @@
 	progress.RecordCounts(machines, len(rt.Table.Open), backlog, now)
 	rt.pacer.SetBacklog(progress.PendingStarts)
 	if progress.Machines.Accounted() {
-		rt.applyEvent(recovery.Accounted, now)
+		rt.applyEvent(recovery.AllAccounted, now)
 	}
 	if rt.caughtUp(now) {
 		rt.applyEvent(recovery.CaughtUp, now)
--- a/internal/fleet/workerclient.go
+++ b/internal/fleet/workerclient.go
@@ -35,16 +35,16 @@
 	workerProbePath   = "/show"
 )
 
-// httpWorkerClient calls workers over HTTP.
-type httpWorkerClient struct{ client *fasthttp.Client }
+// HTTPWorkerClient calls workers over HTTP.
+type HTTPWorkerClient struct{ client *fasthttp.Client }
 
 // NewHTTPWorkerClient returns a client that calls workers over HTTP.
-func NewHTTPWorkerClient() *httpWorkerClient {
-	return &httpWorkerClient{client: httpclient.Many(tuning.WorkerConns)}
+func NewHTTPWorkerClient() *HTTPWorkerClient {
+	return &HTTPWorkerClient{client: httpclient.NewClient(tuning.WorkerConns)}
 }
 
 // SendCommands sends a direct command request.
-func (wc *httpWorkerClient) SendCommands(address string, request wire.CommandRequest) (int, *wire.Heartbeat, error) {
+func (wc *HTTPWorkerClient) SendCommands(address string, request wire.CommandRequest) (int, *wire.Heartbeat, error) {
 	status, body, err := httpclient.Do(wc.client, fasthttp.MethodPost, address, workerCommandPath, wire.MustMarshal(request), tuning.WorkerCallTimeout)
 	if err != nil {
 		return 0, nil, err
@@ -60,7 +60,7 @@
 }
 
 // Probe asks whether the worker answers at all.
-func (wc *httpWorkerClient) Probe(address string) error {
+func (wc *HTTPWorkerClient) Probe(address string) error {
 	status, _, err := httpclient.Do(wc.client, fasthttp.MethodGet, address, workerProbePath, nil, tuning.WorkerCallTimeout)
 	if err != nil {
 		return err
--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -126,8 +126,8 @@
 		if wm.ShardOwner(machine) != wm.Self.Label {
 			// What another owner does meanwhile makes this view worthless.
 			delete(wm.ByMachine, machine)
-		} else if !consecutive || last.Owner(machine) != wm.Self.Label {
-			w.RaiseToken()
+		} else if !consecutive || last.ShardOwner(machine) != wm.Self.Label {
+			w.RequireAcknowledgement()
 		}
 	}
 }
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -33,8 +33,8 @@
 // idempotent methods.
 const maxAttempts = 1
 
-// Host returns a client of one address with at most so many connections.
-func Host(addr string, conns int) *fasthttp.HostClient {
+// NewHostClient returns a client of one address with at most so many connections.
+func NewHostClient(addr string, conns int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      addr,
 		Dial:                      dial,
@@ -47,8 +47,8 @@
 	}
 }
 
-// Many returns a client of many addresses with at most so many connections to each.
-func Many(conns int) *fasthttp.Client {
+// NewClient returns a client of many addresses with at most so many connections to each.
+func NewClient(conns int) *fasthttp.Client {
 	return &fasthttp.Client{
 		Dial:                      dial,
 		MaxConnsPerHost:           conns,
--- a/internal/inventory/record.go
+++ b/internal/inventory/record.go
@@ -31,17 +31,17 @@
 	Terminated Phase = "returned" // surely gone: every claim on it has ended
 )
 
-// Event changes a machine's phase.
-type Event string
+// PhaseEvent changes a machine's phase.
+type PhaseEvent string
 
 // Events of a machine.
 const (
-	EventDrain      Event = "drain"
-	EventTerminated Event = "gone" // the cloud answered the termination, or lists the machine as failed
+	EventDrain      PhaseEvent = "drain"
+	EventTerminated PhaseEvent = "gone" // the cloud answered the termination, or lists the machine as failed
 )
 
 // Next is the one function that changes a machine's phase.
-func (p Phase) Next(event Event) (Phase, error) {
+func (p Phase) Next(event PhaseEvent) (Phase, error) {
 	switch {
 	case p == Active && event == EventDrain:
 		return Draining, nil
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -182,5 +182,5 @@
 // milliseconds: early enough for the job to run as long as its user estimates.
 func (j *Job) latestStartMs() int64 {
 	estimateMs := int64(j.Record.Spec.EstimateS * millisPerSecond)
-	return j.DeadlineMs - estimateMs - tuning.StepGap.Milliseconds()
+	return j.DeadlineMs - estimateMs - tuning.DependencyStartDelay.Milliseconds()
 }
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// State is the stored state of a task. Its transitions, all made by Task.Next:
+// TaskState is the stored state of a task. Its transitions, all made by Task.Next:
 //
 //	from     event     to         when
 //	Pending  Claim     Claimed    a controller chose a machine; before any start command
@@ -18,19 +18,19 @@
 // of the team until it is released, so all events but Claim need proof that the
 // attempt has ended: else two attempts of a task could run at once. Completed
 // is final.
-type State uint8
+type TaskState uint8
 
 // States of a task. The values are stored.
 const (
-	Pending   State = 0 // runs nowhere
-	Claimed   State = 1 // may run on its machine, and counts against every limit
-	Completed State = 2 // its result is kept
+	Pending   TaskState = 0 // runs nowhere
+	Claimed   TaskState = 1 // may run on its machine, and counts against every limit
+	Completed TaskState = 2 // its result is kept
 
 	numStates = 3
 )
 
 // String returns the state's name.
-func (s State) String() string {
+func (s TaskState) String() string {
 	return [numStates]string{"pending", "claimed", "completed"}[s]
 }
 
@@ -59,7 +59,7 @@
 // last attempt, while it is claimed.
 type Task struct {
 	_           struct{} `cbor:",toarray"`
-	State       State
+	State       TaskState
 	Attempt     uint64
 	Machine     string
 	Incarnation uint64
--- a/internal/leader/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -4,9 +4,10 @@
 package leader
 
 import (
+	"cmp"
 	"context"
 	"fmt"
-	"sort"
+	"slices"
 	"time"
 
 	"wheatspur/internal/cloud"
@@ -64,7 +65,7 @@
 func (ld *Loop) listInterval() time.Duration {
 	ld.Lock()
 	defer ld.Unlock()
-	pages := len(ld.LeaderState.listed)/cloud.ListPageSize + 1
+	pages := len(ld.Term.listed)/cloud.ListPageSize + 1
 	return tuning.ListEvery * time.Duration(max(1, pages/listPagesPerInterval))
 }
 
@@ -74,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	sort.Slice(types, func(a, b int) bool { return types[a].Label < types[b].Label })
+	slices.SortFunc(types, func(a, b wire.MachineType) int { return cmp.Compare(a.Label, b.Label) })
 	compares, changed := ld.compareMachineTypes(types)
 	if !changed {
 		return nil
@@ -117,7 +118,7 @@
 	if !ld.IsLeader() {
 		return nil
 	}
-	rc := listReconciliation{loop: ld, state: ld.CurrentLeaderState(), now: ld.Now(), listed: map[string]bool{}}
+	rc := listReconciliation{loop: ld, state: ld.CurrentTerm(), now: ld.Now(), listed: map[string]bool{}}
 	rc.state.ListedAt = rc.now
 	rc.pruneTerminated()
 	for _, machine := range list {
@@ -134,7 +135,7 @@
 // the lock is held.
 type listReconciliation struct {
 	loop    *Loop
-	state   *leaderState
+	state   *State
 	now     time.Time
 	listed  map[string]bool // machines on the list, but for those that were terminated
 	changes []inventory.RecordChange
--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -4,7 +4,6 @@
 
 import (
 	"slices"
-	"sort"
 	"strings"
 	"time"
 
@@ -62,8 +61,8 @@
 	for jobID := range ld.scheduler.Unplaced {
 		jobIDs = append(jobIDs, jobID)
 	}
-	sort.Slice(jobIDs, func(i, k int) bool {
-		return ld.scheduler.UnplacedSince[jobIDs[i]].Before(ld.scheduler.UnplacedSince[jobIDs[k]])
+	slices.SortFunc(jobIDs, func(a, b string) int {
+		return ld.scheduler.UnplacedSince[a].Compare(ld.scheduler.UnplacedSince[b])
 	})
 	return jobIDs
 }
@@ -81,7 +80,7 @@
 		age, ok := sinceHeard[machine.Name]
 		if ok && age < ld.SilenceTimeout() {
 			heard[machine.Owner]++
-		} else if at, wasUp := ld.LeaderState.LastHeard[machine.Name]; wasUp && now.Sub(at) > ld.SilenceTimeout() {
+		} else if at, wasUp := ld.Term.LastHeard[machine.Name]; wasUp && now.Sub(at) > ld.SilenceTimeout() {
 			silent[machine.Owner]++
 			if machine.Role == placement.Service {
 				atRisk = append(atRisk, machine)
--- a/internal/leader/headroom.go
+++ b/internal/leader/headroom.go
@@ -52,7 +52,7 @@
 }
 
 // averageBatch moves the mean of the batch tasks held towards their present number.
-func (ls *leaderState) averageBatch(tasks float64, now time.Time) {
+func (ls *State) averageBatch(tasks float64, now time.Time) {
 	if ls.meanUpdatedAt.IsZero() {
 		ls.meanBatchTasks = tasks
 	} else {
@@ -84,7 +84,7 @@
 // updateOnDemandLoad notes the batch work that may not use spot machines. Room for
 // one and a half of its arrays is kept on on-demand machines while any of it is open
 // or waits for other jobs, and for a minute after. The caller holds the lock.
-func (ld *Loop) updateOnDemandLoad(state *leaderState, now time.Time) autoscale.Load {
+func (ld *Loop) updateOnDemandLoad(state *State, now time.Time) autoscale.Load {
 	var typical *jobs.Job // the one that needs the most processors
 	arrays, tasks := 0, 0.0
 	for _, table := range []map[string]*jobs.Job{ld.Table.Open, ld.Table.Waiting} {
@@ -128,7 +128,7 @@
 // what all classes hold in tasks of its kind. Guards against headroom for hundreds
 // of tasks of a class that happens to be looked at last: small tasks that may not use
 // spot machines had a hundred on-demand machines scaled out ahead for them.
-func (ls *leaderState) chooseTypicalBatch(loads map[string]*batchClassLoad) float64 {
+func (ls *State) chooseTypicalBatch(loads map[string]*batchClassLoad) float64 {
 	var largest *batchClassLoad
 	total, class := 0.0, ""
 	for name, load := range loads {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -37,8 +37,8 @@
 	scheduler *scheduler.Scheduler
 
 	cloud          cloud.Provider
-	LeaderState    leaderState // see CurrentLeaderState; guarded by the state's lock
-	machineWriteMu sync.Mutex  // held while machine records are stored; taken before the state's lock
+	Term           State      // see CurrentLeaderState; guarded by the state's lock
+	machineWriteMu sync.Mutex // held while machine records are stored; taken before the state's lock
 }
 
 // New returns the loops of a controller that does not lead yet.
@@ -67,11 +67,11 @@
 	splitGroups []string                 // keys of groups of machine records that are too large
 }
 
-// RunLeader plans capacity and moves roles while leading. What a plan terminates
+// RunPlanning plans capacity and moves roles while leading. What a plan terminates
 // and stores goes beside the next plans, which meanwhile only scale out. Guards
 // against a wave of lost machines whose records took the budget of writes for half
 // a minute, while nothing was scaled out in their place.
-func (ld *Loop) RunLeader(ctx context.Context) error {
+func (ld *Loop) RunPlanning(ctx context.Context) error {
 	run := planRun{storing: make(chan struct{}, 1)}
 	defer run.background.Wait()
 	for ctx.Err() == nil {
@@ -98,7 +98,7 @@
 	if !ld.IsLeader() || !ld.HasStore() || len(ld.MachineTypeList) == 0 || ld.Recovery.MachinesUnknown() {
 		return plan{}, false
 	}
-	state, now := ld.CurrentLeaderState(), ld.Now()
+	state, now := ld.CurrentTerm(), ld.Now()
 	machines := ld.MachineIndex.RefreshMachines(now)
 	ld.RecordArrivals(state, now)
 	mayStore := len(run.storing) == 0
@@ -121,7 +121,7 @@
 
 // planStored decides what of a plan takes writes to the store, but for role moves.
 // The caller holds the lock.
-func (ld *Loop) planStored(state *leaderState, scaleIn []autoscale.ScaleIn, now time.Time) *storedPlan {
+func (ld *Loop) planStored(state *State, scaleIn []autoscale.ScaleIn, now time.Time) *storedPlan {
 	drains, dead := ld.PlanDrains(scaleIn)
 	drained, drops := ld.PlanTerminations(state, now)
 	stored := &storedPlan{
--- a/internal/leader/planinput.go
+++ b/internal/leader/planinput.go
@@ -24,7 +24,7 @@
 )
 
 // PlanInput builds the capacity plan's input. The caller holds the lock.
-func (ld *Loop) PlanInput(state *leaderState, machines *placement.Fleet, now time.Time) autoscale.Input {
+func (ld *Loop) PlanInput(state *State, machines *placement.Fleet, now time.Time) autoscale.Input {
 	b := ld.newPlanBuilder(state, machines, now)
 	state.LostWhileDraining = nil
 	for _, machine := range machines.Machines {
@@ -45,7 +45,7 @@
 // is held, and all of its methods expect that.
 type planBuilder struct {
 	leader          *Loop
-	leaderState     *leaderState
+	leaderState     *State
 	now             time.Time
 	lease           time.Duration              // after which a worker's lease has expired for certain
 	sinceHeard      map[string]time.Duration   // how long ago each machine was heard by its owner
@@ -56,7 +56,7 @@
 }
 
 // newPlanBuilder begins the input of a plan.
-func (ld *Loop) newPlanBuilder(state *leaderState, machines *placement.Fleet, now time.Time) *planBuilder {
+func (ld *Loop) newPlanBuilder(state *State, machines *placement.Fleet, now time.Time) *planBuilder {
 	return &planBuilder{
 		leader:      ld,
 		leaderState: state,
@@ -66,11 +66,11 @@
 		movable:     movableServiceMachines(machines),
 		batch:       map[string]*batchClassLoad{},
 		input: autoscale.Input{
-			Now:             now,
-			Operator:        ld.Settings.Operator,
-			Types:           ld.MachineTypeList,
-			NoCapacitySince: state.noCapacityAt,
-			SurplusSince:    state.surplusSince,
+			Now:            now,
+			Operator:       ld.Settings.Operator,
+			Types:          ld.MachineTypeList,
+			LastNoCapacity: state.noCapacityAt,
+			SurplusSince:   state.surplusSince,
 		},
 	}
 }
--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -16,7 +16,7 @@
 
 // RecordArrivals enters new service jobs in the role controllers' demand, and new
 // batch jobs in that of the headroom. The caller holds the lock.
-func (ld *Loop) RecordArrivals(state *leaderState, now time.Time) {
+func (ld *Loop) RecordArrivals(state *State, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if state.roleControllers[machineType.Label] == nil {
 			state.roleControllers[machineType.Label] = roles.New(ld.Settings.Operator, now)
@@ -42,7 +42,7 @@
 
 // recordBatchArrival enters a new job array in the mean size of those of the typical
 // class.
-func (ls *leaderState) recordBatchArrival(job *jobs.Job, now time.Time) {
+func (ls *State) recordBatchArrival(job *jobs.Job, now time.Time) {
 	if ls.batchLoad.Spec == nil || ls.batchLoad.Spec.Class == job.Record.Spec.Class {
 		size := min(float64(job.Record.Tasks), tuning.TasksPerJob)
 		if ls.meanArraySize == 0 {
@@ -55,7 +55,7 @@
 
 // recordServiceArrival enters a new service job with the role controller of every
 // type that it may use. The caller holds the lock.
-func (ld *Loop) recordServiceArrival(state *leaderState, job *jobs.Job, now time.Time) {
+func (ld *Loop) recordServiceArrival(state *State, job *jobs.Job, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if jobs.AllowsMachineType(job.Record.Spec, machineType.Label) {
 			load := job.Need.Share(emptyMachine(machineType)) * float64(job.Record.Tasks)
@@ -66,7 +66,7 @@
 
 // MoveRoles evaluates every type's split and returns the moves that follow. The
 // caller holds the lock.
-func (ld *Loop) MoveRoles(state *leaderState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
+func (ld *Loop) MoveRoles(state *State, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var moves []inventory.RecordChange
 	for _, machineType := range ld.MachineTypeList {
 		controller := state.roleControllers[machineType.Label]
@@ -74,7 +74,7 @@
 			continue
 		}
 		service, batch := ld.movable(machineType.Label, machines)
-		victim := roles.Victim(service)
+		victim := roles.ServiceMachineToMove(service)
 		fits := func() bool { return victim != nil && tasksFitElsewhere(machines, victim, false) }
 		decision := controller.Evaluate(now, ld.describeSplit(machineType, machines), fits)
 		state.RoleDecisions[machineType.Label] = decision
@@ -83,7 +83,7 @@
 		case roles.ToBatch:
 			moves = ld.addMove(moves, victim, placement.Batch, decision)
 		case roles.ToService:
-			moves = ld.addMove(moves, roles.Emptiest(batch), placement.Service, decision)
+			moves = ld.addMove(moves, roles.BatchMachineToMove(batch), placement.Service, decision)
 		}
 	}
 	return moves
@@ -156,7 +156,7 @@
 // out for; else what the role floors lack, then what waits, then services. added are
 // the record changes of the same list, which are not stored yet. The caller holds
 // the lock.
-func (ld *Loop) initialRole(state *leaderState, machine wire.Machine, added []inventory.RecordChange) placement.Role {
+func (ld *Loop) initialRole(state *State, machine wire.Machine, added []inventory.RecordChange) placement.Role {
 	if machine.Spot {
 		return placement.Batch
 	}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		ld.Log.Info(logging.EventMachineDraining, logging.KeyMachine, choice.Machine, logging.KeyReason, choice.Reason)
-		if choice.Terminated() {
+		if choice.HoldsNothing() {
 			dead = append(dead, choice.Machine)
 			continue
 		}
@@ -50,7 +50,7 @@
 // PlanTerminations lists the machines to terminate, which are those that are drained
 // and empty, and returns the changes that drop records of machines that are gone.
 // The caller holds the lock.
-func (ld *Loop) PlanTerminations(state *leaderState, _ time.Time) (terminate []string, drops []inventory.RecordChange) {
+func (ld *Loop) PlanTerminations(state *State, _ time.Time) (terminate []string, drops []inventory.RecordChange) {
 	gone := map[string][]inventory.RecordChange{} // by group
 	for machine, record := range ld.Inventory.Machines {
 		switch record.Phase {
@@ -92,7 +92,7 @@
 // most first: nothing waits for the end of a record. Guards against a wave of lost
 // machines taking the budget of writes twice, once for the proofs that they are gone
 // and once for this.
-func (ld *Loop) chooseDrops(state *leaderState, gone map[string][]inventory.RecordChange) []inventory.RecordChange {
+func (ld *Loop) chooseDrops(state *State, gone map[string][]inventory.RecordChange) []inventory.RecordChange {
 	var drops []inventory.RecordChange
 	keys := slices.SortedFunc(maps.Keys(gone), func(a, b string) int {
 		return cmp.Or(cmp.Compare(len(gone[b]), len(gone[a])), cmp.Compare(a, b))
@@ -145,7 +145,7 @@
 		if record.Phase == inventory.Draining && len(ld.Table.ClaimsByMachine[machine]) == 0 && ld.IsLeader() {
 			// Drained and empty: there is nothing that its end would prove. A
 			// machine that was not drained may yet get a claim that is in flight.
-			state := ld.CurrentLeaderState()
+			state := ld.CurrentTerm()
 			state.terminatedAt[machine] = ld.Now()
 			state.forget(machine)
 			changes = append(changes, inventory.RecordChange{Machine: machine, Before: &record})
@@ -176,7 +176,7 @@
 	})
 	ld.Lock()
 	defer ld.Unlock()
-	state := ld.CurrentLeaderState()
+	state := ld.CurrentTerm()
 	now := ld.Now()
 	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(machines) < count {
 		state.noCapacityAt[request.Kind] = now
@@ -184,7 +184,7 @@
 	ld.Log.Info(logging.EventScaleOut, logging.KeyRequest, name, logging.KeyMachineType, request.Kind.MachineType, logging.KeyZone, request.Kind.Zone, logging.KeySpot, request.Kind.Spot,
 		logging.KeyRole, string(request.Role), logging.KeyRequested, count, logging.KeyGranted, len(machines), logging.KeyReason, request.Reason, logging.KeyError, err)
 	for _, machine := range machines {
-		state.ScalingOut[machine] = ScaleOutRecord{request.Kind, request.Role, now}
+		state.ScalingOut[machine] = PendingMachine{request.Kind, request.Role, now}
 	}
 }
 
@@ -197,7 +197,7 @@
 	if !ld.IsLeader() || ctx.Err() != nil {
 		return "", false
 	}
-	state := ld.CurrentLeaderState()
+	state := ld.CurrentTerm()
 	state.requestCounter++
 	return fmt.Sprintf("%s-%d-%d", ld.Self.Label, state.fencingToken, state.requestCounter), true
 }
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -11,11 +11,11 @@
 	"wheatspur/wire"
 )
 
-// leaderState is what the leader remembers of the cloud and of the load. None of it
+// State is what the leader remembers of the cloud and of the load. None of it
 // is stored: it starts empty with each term, and a leader that stays keeps most of
 // it when the membership changes (inherit). Maps are by machine name unless they
 // say otherwise.
-type leaderState struct {
+type State struct {
 	fencingToken     uint64 // of the membership that it belongs to
 	nextFencingToken uint64 // the first token of the membership after that
 	requestCounter   int    // scale-out requests under this token
@@ -24,11 +24,11 @@
 	ListedAt     time.Time                           // when the cloud's list was last read
 	FirstListed  map[string]time.Time                // when a machine was first listed, or found stored
 	MissingLists map[string]int                      // lists in a row that omitted a machine listed before
-	ScalingOut   map[string]ScaleOutRecord           // machines that were scaled out and are not listed yet
+	ScalingOut   map[string]PendingMachine           // machines that were scaled out and are not listed yet
 	noCapacityAt map[autoscale.MachineKind]time.Time // when the cloud last had none of a kind
 	terminatedAt map[string]time.Time                // machines terminated while drained and empty, which late lists still show
 
-	roleControllers map[string]*roles.Controller // by machine type
+	roleControllers map[string]*roles.Balancer   // by machine type
 	RoleDecisions   map[string]roles.Decision    // the last ones, by machine type
 	seenJobs        map[string]bool              // open jobs whose arrival is entered, by job
 	roleActiveAt    map[placement.Role]time.Time // when a role last had an open job
@@ -48,39 +48,39 @@
 	onDemandSeenAt time.Time      // when there last was any
 }
 
-// ScaleOutRecord is a machine that was scaled out and has no record yet.
-type ScaleOutRecord struct {
+// PendingMachine is a machine that was scaled out and has no record yet.
+type PendingMachine struct {
 	kind        autoscale.MachineKind
 	Role        placement.Role // the role that it is to have
 	requestedAt time.Time
 }
 
-// CurrentLeaderState returns what the leader remembers under the present fencing
+// CurrentTerm returns what the leader remembers under the present fencing
 // token, and begins anew if that has changed. The caller holds the lock.
-func (ld *Loop) CurrentLeaderState() *leaderState {
-	if ld.LeaderState.fencingToken == ld.Membership.FencingToken {
-		return &ld.LeaderState
+func (ld *Loop) CurrentTerm() *State {
+	if ld.Term.fencingToken == ld.Membership.FencingToken {
+		return &ld.Term
 	}
-	old := ld.LeaderState
-	ld.LeaderState = newLeaderState(ld.Membership.FencingToken, ld.Membership.LastToken()+1)
+	old := ld.Term
+	ld.Term = newLeaderState(ld.Membership.FencingToken, ld.Membership.LastToken()+1)
 	if old.fencingToken > 0 && old.nextFencingToken == ld.Membership.FencingToken && old.ScalingOut != nil {
-		ld.LeaderState.inherit(&old)
+		ld.Term.inherit(&old)
 	}
-	return &ld.LeaderState
+	return &ld.Term
 }
 
 // newLeaderState is what a leader remembers at the start of a term.
-func newLeaderState(token, nextToken uint64) leaderState {
-	return leaderState{
+func newLeaderState(token, nextToken uint64) State {
+	return State{
 		fencingToken:     token,
 		nextFencingToken: nextToken,
 		listed:           map[string]wire.Machine{},
 		FirstListed:      map[string]time.Time{},
 		MissingLists:     map[string]int{},
-		ScalingOut:       map[string]ScaleOutRecord{},
+		ScalingOut:       map[string]PendingMachine{},
 		noCapacityAt:     map[autoscale.MachineKind]time.Time{},
 		terminatedAt:     map[string]time.Time{},
-		roleControllers:  map[string]*roles.Controller{},
+		roleControllers:  map[string]*roles.Balancer{},
 		RoleDecisions:    map[string]roles.Decision{},
 		seenJobs:         map[string]bool{},
 		roleActiveAt:     map[placement.Role]time.Time{},
@@ -93,7 +93,7 @@
 
 // inherit takes over what the same leader knew of the cloud and of its load under
 // the membership before. Role controllers restart empty.
-func (ls *leaderState) inherit(old *leaderState) {
+func (ls *State) inherit(old *State) {
 	ls.listed, ls.ListedAt, ls.MissingLists = old.listed, old.ListedAt, old.MissingLists
 	ls.ScalingOut, ls.noCapacityAt = old.ScalingOut, old.noCapacityAt
 	ls.idleSince, ls.LastHeard, ls.FirstListed = old.idleSince, old.LastHeard, old.FirstListed
@@ -106,7 +106,7 @@
 }
 
 // recordHeard notes that a machine was up at a time.
-func (ls *leaderState) recordHeard(machine string, at time.Time) {
+func (ls *State) recordHeard(machine string, at time.Time) {
 	if at.After(ls.LastHeard[machine]) {
 		ls.LastHeard[machine] = at
 	}
@@ -115,14 +115,14 @@
 // RecordSilent notes when a machine that has fallen silent was last heard. The
 // caller holds the lock.
 func (ld *Loop) RecordSilent(machine string, heardAt time.Time) {
-	if ld.LeaderState.LastHeard != nil { // nil: this controller has not led yet
-		ld.LeaderState.recordHeard(machine, heardAt)
+	if ld.Term.LastHeard != nil { // nil: this controller has not led yet
+		ld.Term.recordHeard(machine, heardAt)
 	}
 }
 
 // forget drops what is remembered of a machine that is gone. terminatedAt stays:
 // late lists may still show the machine.
-func (ls *leaderState) forget(machine string) {
+func (ls *State) forget(machine string) {
 	delete(ls.listed, machine)
 	delete(ls.MissingLists, machine)
 	delete(ls.LastHeard, machine)
--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -45,7 +45,7 @@
 		next.FencingToken = view.Membership.LastToken() + 1
 	}
 	if view.TokenRangesSupported {
-		next.TokenRange = tuning.TokenSpan
+		next.TokenRange = tuning.TokenRange
 	}
 	return Action{WriteMembership: next}
 }
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -6,11 +6,11 @@
 
 // Reachability is what a controller knows of whether its workers reach it.
 type Reachability struct {
-	Unreachable       bool // it has told that they don't
-	Heard             int  // machines of its own that were heard lately
-	Silent            int  // machines of its own with tasks that were not
-	SiblingsReachable bool // a sibling hears a machine of its own
-	Answered          bool // while unreachable: a worker answers a probe, or there is none to ask
+	Unreachable         bool // it has told that they don't
+	Heard               int  // machines of its own that were heard lately
+	Silent              int  // machines of its own with tasks that were not
+	SiblingHearsWorkers bool // a sibling hears a machine of its own
+	ProbeAnswered       bool // while unreachable: a worker answers a probe, or there is none to ask
 }
 
 // NextUnreachable decides whether the controller counts as unreachable from now on. A
@@ -19,7 +19,7 @@
 // until a worker answers it.
 func (r Reachability) NextUnreachable() bool {
 	if r.Unreachable {
-		return !r.Answered
+		return !r.ProbeAnswered
 	}
-	return r.Heard == 0 && r.Silent >= silentMachinesMin && r.SiblingsReachable
+	return r.Heard == 0 && r.Silent >= silentMachinesMin && r.SiblingHearsWorkers
 }
--- a/internal/membership/shardowner.go
+++ b/internal/membership/shardowner.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Owner is the shard owner of a machine: of the members that hear workers, the one with
+// ShardOwner is the shard owner of a machine: of the members that hear workers, the one with
 // the highest rendezvous weight for it. So a machine moves only if its owner goes or
 // becomes unreachable, or to a member that comes.
-func (r *Record) Owner(machine string) string {
+func (r *Record) ShardOwner(machine string) string {
 	owner, highest := "", uint64(0)
 	for _, node := range r.Nodes {
 		if slices.Contains(r.Unreachable, node.Label) {
--- a/internal/observability/metrics.go
+++ b/internal/observability/metrics.go
@@ -76,7 +76,7 @@
 		}
 	}
 	for state, count := range tasks {
-		gauge(descTasks, float64(count), jobs.State(state).String())
+		gauge(descTasks, float64(count), jobs.TaskState(state).String())
 	}
 	unplaced := 0
 	for _, count := range ob.scheduler.Unplaced {
@@ -109,7 +109,7 @@
 	if !ob.IsLeader() {
 		return
 	}
-	for machineType, decision := range ob.leaderLoop.LeaderState.RoleDecisions {
+	for machineType, decision := range ob.leaderLoop.Term.RoleDecisions {
 		gauge(descRoleLoad, decision.BatchLoad, machineType, "batch")
 		gauge(descRoleLoad, decision.ServiceLoad, machineType, "service")
 		gauge(descRoleEvidence, boolValue(decision.EvidenceOpen), machineType)
--- a/internal/observability/status.go
+++ b/internal/observability/status.go
@@ -112,7 +112,7 @@
 		return
 	}
 	for _, machineType := range ob.MachineTypeList {
-		decision, ok := ob.leaderLoop.LeaderState.RoleDecisions[machineType.Label]
+		decision, ok := ob.leaderLoop.Term.RoleDecisions[machineType.Label]
 		if !ok {
 			continue
 		}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -27,7 +27,7 @@
 
 // NewClient returns a client of the sibling at address.
 func NewClient(address string) *Client {
-	return &Client{address: address, client: httpclient.Host(address, tuning.PeerConns)}
+	return &Client{address: address, client: httpclient.NewHostClient(address, tuning.PeerConns)}
 }
 
 // Exchange posts an encoded status and returns the sibling's.
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -12,7 +12,7 @@
 type MachineStatus struct {
 	Name              string
 	Incarnation       uint64        // of its worker
-	SinceHeard        time.Duration // since its last message, if silent
+	SilentFor         time.Duration // since its last message, if silent
 	Silent            bool          // not heard for longer than its heartbeats allow
 	TokenAcknowledged bool          // has acknowledged the current fencing token in its incarnation
 	TerminationNotice time.Duration // until the cloud terminates it; negative: no notice
@@ -30,7 +30,7 @@
 	QueuedChanges   uint32          // writes that wait for its part of the store's rate limit
 	MachinesVersion uint64          // number of the sender's view of its machines
 	AllMachines     bool            // Machines are all of them, not those that changed
-	Known           MachinesVersion // the view that the sender has of the receiver's machines
+	KnownMachines   MachinesVersion // the view that the sender has of the receiver's machines
 	Machines        []MachineStatus
 	// LastCancellation is the version of the last cancellation that the sender
 	// knows, if ReportsCancellations is set: earlier versions don't report it.
@@ -65,9 +65,9 @@
 	fb.StatusAddWant(b, s.QueuedChanges)
 	fb.StatusAddView(b, s.MachinesVersion)
 	fb.StatusAddWhole(b, s.AllMachines)
-	fb.StatusAddSeen(b, s.Known.Number)
-	fb.StatusAddSeenBaton(b, s.Known.FencingToken)
-	fb.StatusAddSeenIncarnation(b, s.Known.Incarnation)
+	fb.StatusAddSeen(b, s.KnownMachines.Number)
+	fb.StatusAddSeenBaton(b, s.KnownMachines.FencingToken)
+	fb.StatusAddSeenIncarnation(b, s.KnownMachines.Incarnation)
 	fb.StatusAddHosts(b, machines)
 	fb.StatusAddCounts(b, s.ReportsCancellations)
 	fb.StatusAddCancelled(b, s.LastCancellation)
@@ -86,7 +86,7 @@
 	fb.HostViewStart(b)
 	fb.HostViewAddName(b, name)
 	fb.HostViewAddStint(b, m.Incarnation)
-	fb.HostViewAddAgeMs(b, durationToMillis(m.SinceHeard))
+	fb.HostViewAddAgeMs(b, durationToMillis(m.SilentFor))
 	fb.HostViewAddSilent(b, m.Silent)
 	fb.HostViewAddProven(b, m.TokenAcknowledged)
 	fb.HostViewAddWarningMs(b, durationToMillis(m.TerminationNotice))
@@ -111,7 +111,7 @@
 		QueuedChanges:        f.Want(),
 		MachinesVersion:      f.View(),
 		AllMachines:          f.Whole(),
-		Known:                MachinesVersion{Number: f.Seen(), FencingToken: f.SeenBaton(), Incarnation: f.SeenIncarnation()},
+		KnownMachines:        MachinesVersion{Number: f.Seen(), FencingToken: f.SeenBaton(), Incarnation: f.SeenIncarnation()},
 		ReportsCancellations: f.Counts(),
 		LastCancellation:     f.Cancelled(),
 		Recovering:           f.Recovering(),
@@ -136,7 +136,7 @@
 	m := MachineStatus{
 		Name:              string(f.Name()),
 		Incarnation:       f.Stint(),
-		SinceHeard:        millisToDuration(f.AgeMs()),
+		SilentFor:         millisToDuration(f.AgeMs()),
 		Silent:            f.Silent(),
 		TokenAcknowledged: f.Proven(),
 		TerminationNotice: millisToDuration(f.WarningMs()),
--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -27,8 +27,8 @@
 // until one of the keys that the write compares has changed, and counts until
 // everything up to that change has been read.
 type UncertainAdmission struct {
-	Guards map[string]uint64 // the versions that the write compares, by key
-	Amount Amount
+	Compares map[string]uint64 // the versions that the write compares, by key
+	Amount   Amount
 
 	closedAtRevision uint64 // revision by which a compared key has changed; 0: none seen to have
 }
@@ -81,7 +81,7 @@
 // addUncertain counts an amount until its write, whose outcome is not known, can't
 // be applied any more.
 func (l *Ledger) addUncertain(amount Amount, compared map[string]uint64) {
-	l.uncertain = append(l.uncertain, UncertainAdmission{Guards: compared, Amount: amount})
+	l.uncertain = append(l.uncertain, UncertainAdmission{Compares: compared, Amount: amount})
 }
 
 // Pending is what this controller has admitted and does not see among the stored
@@ -114,7 +114,7 @@
 
 // compareFails reports whether a compared key has another version by now.
 func (u UncertainAdmission) compareFails(c Cache) bool {
-	for key, version := range u.Guards {
+	for key, version := range u.Compares {
 		if c.Version(key) != version {
 			return true
 		}
--- a/internal/recovery/progress.go
+++ b/internal/recovery/progress.go
@@ -25,10 +25,10 @@
 
 // Events of a controller's recovery.
 const (
-	Loaded    Event = "loaded"    // the stored state is read, and the controller is a member
-	Accounted Event = "accounted" // every machine is reconciled or missing
-	CaughtUp  Event = "caught up" // no commands are left over
-	Lost      Event = "lost"      // the controller is a member no longer
+	Loaded         Event = "loaded"    // the stored state is read, and the controller is a member
+	AllAccounted   Event = "accounted" // every machine is reconciled or missing
+	CaughtUp       Event = "caught up" // no commands are left over
+	MembershipLost Event = "lost"      // the controller is a member no longer
 )
 
 // Next is the one function that changes a controller's phase.
@@ -36,11 +36,11 @@
 	switch {
 	case p == Loading && e == Loaded:
 		return Reconciling
-	case p == Reconciling && e == Accounted:
+	case p == Reconciling && e == AllAccounted:
 		return CatchingUp
 	case p == CatchingUp && e == CaughtUp:
 		return Recovered
-	case (p == Reconciling || p == CatchingUp) && e == Lost:
+	case (p == Reconciling || p == CatchingUp) && e == MembershipLost:
 		return Loading
 	}
 	return p
@@ -51,10 +51,10 @@
 
 // States of a machine.
 const (
-	Unknown    MachineState = "unknown"    // no heartbeat since the controller became a member
-	Reported   MachineState = "reported"   // heartbeats come; our fencing token is not acknowledged yet
-	Reconciled MachineState = "reconciled" // our fencing token is acknowledged: what the machine runs is known
-	Missing    MachineState = "missing"    // not reconciled though it had the time
+	Unknown           MachineState = "unknown"    // no heartbeat since the controller became a member
+	HeartbeatReceived MachineState = "reported"   // heartbeats come; our fencing token is not acknowledged yet
+	Reconciled        MachineState = "reconciled" // our fencing token is acknowledged: what the machine runs is known
+	Missing           MachineState = "missing"    // not reconciled though it had the time
 )
 
 // StateOf is a machine's state. reported says whether heartbeats have come since
@@ -68,7 +68,7 @@
 	case waited > timeout:
 		return Missing
 	case reported:
-		return Reported
+		return HeartbeatReceived
 	}
 	return Unknown
 }
@@ -77,7 +77,7 @@
 type Count map[MachineState]int
 
 // Accounted reports whether every machine is reconciled or missing.
-func (c Count) Accounted() bool { return c[Unknown] == 0 && c[Reported] == 0 }
+func (c Count) Accounted() bool { return c[Unknown] == 0 && c[HeartbeatReceived] == 0 }
 
 // Progress is the state of a controller's recovery.
 type Progress struct {
--- a/internal/roles/choose.go
+++ b/internal/roles/choose.go
@@ -2,15 +2,15 @@
 
 import "wheatspur/internal/placement"
 
-// Victim chooses the service machine to move to the batch role: the one with the
+// ServiceMachineToMove chooses the service machine to move to the batch role: the one with the
 // fewest service tasks (ours); names break ties. It is nil without machines.
-func Victim(machines []*placement.Machine) *placement.Machine {
+func ServiceMachineToMove(machines []*placement.Machine) *placement.Machine {
 	return fewestTasks(machines, func(task placement.ClaimedTask) bool { return task.Job.Service() })
 }
 
-// Emptiest chooses the batch machine to move to the service role: the one with the
+// BatchMachineToMove chooses the batch machine to move to the service role: the one with the
 // fewest tasks; names break ties. It is nil without machines.
-func Emptiest(machines []*placement.Machine) *placement.Machine {
+func BatchMachineToMove(machines []*placement.Machine) *placement.Machine {
 	return fewestTasks(machines, func(placement.ClaimedTask) bool { return true })
 }
 
--- a/internal/roles/controller.go
+++ b/internal/roles/controller.go
@@ -7,9 +7,9 @@
 	"wheatspur/internal/tuning"
 )
 
-// Controller is the role controller of one machine type. Its counters live in the
+// Balancer is the role controller of one machine type. Its counters live in the
 // leader's memory and restart empty after a failover.
-type Controller struct {
+type Balancer struct {
 	settings          config.Operator
 	state             State
 	proposal          Proposal // the last one that is not confirmed yet
@@ -21,18 +21,18 @@
 }
 
 // New returns a controller whose evidence window starts now.
-func New(settings config.Operator, now time.Time) *Controller {
-	return &Controller{settings: settings, state: Steady, evidenceSince: now, startedAt: now}
+func New(settings config.Operator, now time.Time) *Balancer {
+	return &Balancer{settings: settings, state: Steady, evidenceSince: now, startedAt: now}
 }
 
 // Arrive notes a service arrival that asks for load machines.
-func (c *Controller) Arrive(now time.Time, load float64) { c.arrivals.add(now, load) }
+func (c *Balancer) Arrive(now time.Time, load float64) { c.arrivals.add(now, load) }
 
 // Evaluate prices the adjacent splits and says whether to move one machine
 // now. fits reports whether the tasks of the machine that would leave the
 // service role have room on the others; it is asked only if nothing else is in
 // the way.
-func (c *Controller) Evaluate(now time.Time, s Split, fits func() bool) Decision {
+func (c *Balancer) Evaluate(now time.Time, s Split, fits func() bool) Decision {
 	current := s.loads(c.settings, s.Batch, s.Service)
 	short, shortArrivals := c.arrivalRate(now, tuning.RoleShortWindow)
 	long, _ := c.arrivalRate(now, tuning.RoleLongWindow)
@@ -58,7 +58,7 @@
 }
 
 // confirm counts how often the same proposal comes in a row.
-func (c *Controller) confirm(p Proposal) {
+func (c *Balancer) confirm(p Proposal) {
 	if c.state == Confirming && c.proposal == p {
 		c.confirmations++
 	} else {
@@ -69,7 +69,7 @@
 
 // gate is what blocks the decision's proposal. rising says whether service demand
 // rises.
-func (c *Controller) gate(now time.Time, d Decision, rising bool, fits func() bool) Gate {
+func (c *Balancer) gate(now time.Time, d Decision, rising bool, fits func() bool) Gate {
 	toBatch := d.Proposal.Direction == ToBatch
 	switch {
 	case c.confirmations < c.settings.RoleConfirm:
@@ -87,7 +87,7 @@
 }
 
 // move carries the proposal into the decision, unless operators want advice only.
-func (c *Controller) move(now time.Time, d Decision) Decision {
+func (c *Balancer) move(now time.Time, d Decision) Decision {
 	if c.settings.RoleAdvisory {
 		d.Gate = Advisory
 		return d
@@ -103,14 +103,14 @@
 }
 
 // forgetProposal ends the confirmations, by an event.
-func (c *Controller) forgetProposal(e Event) {
+func (c *Balancer) forgetProposal(e Event) {
 	c.state = c.state.Next(e)
 	c.proposal, c.confirmations = Proposal{}, 0
 }
 
 // arrivalRate is the arriving service load per second over a window, and the
 // number of arrivals in it. The window is no longer than the controller's life.
-func (c *Controller) arrivalRate(now time.Time, window time.Duration) (rate float64, count int) {
+func (c *Balancer) arrivalRate(now time.Time, window time.Duration) (rate float64, count int) {
 	window = min(window, max(now.Sub(c.startedAt), time.Second))
 	load, count := c.arrivals.during(now, window)
 	return load / window.Seconds(), count
@@ -118,7 +118,7 @@
 
 // evidenceClosed reports whether the evidence window has closed: enough service
 // arrivals are known, or it has lasted long enough without them.
-func (c *Controller) evidenceClosed(now time.Time) bool {
+func (c *Balancer) evidenceClosed(now time.Time) bool {
 	age := now.Sub(c.evidenceSince)
 	if age >= c.settings.RoleEvidenceMax {
 		return true
--- a/internal/roles/propose.go
+++ b/internal/roles/propose.go
@@ -7,7 +7,7 @@
 
 // propose finds the eligible adjacent split, or the gate that stops it: the one of
 // the move to batch if both directions have one.
-func (c *Controller) propose(s Split) (Proposal, Gate) {
+func (c *Balancer) propose(s Split) (Proposal, Gate) {
 	if p := proposeFloor(s); p.Direction != None {
 		return p, Open
 	}
@@ -41,7 +41,7 @@
 
 // proposeToService moves a batch machine if the worst load falls by the margin, and
 // what is left of the batch role is lightly loaded.
-func (c *Controller) proposeToService(s Split, current loads) (Proposal, Gate) {
+func (c *Balancer) proposeToService(s Split, current loads) (Proposal, Gate) {
 	if s.Batch == 0 || s.Batch+s.Spot <= tuning.RoleFloor {
 		if current.service > current.batch {
 			return Proposal{}, AtFloor
@@ -60,7 +60,7 @@
 
 // proposeToBatch moves a service machine if the worst load falls by the margin, and
 // what is left of the service role is lightly loaded or batch work waits too long.
-func (c *Controller) proposeToBatch(s Split, current loads) (Proposal, Gate) {
+func (c *Balancer) proposeToBatch(s Split, current loads) (Proposal, Gate) {
 	if s.Service <= tuning.RoleFloor {
 		if current.batch > current.service {
 			return Proposal{}, AtFloor
--- a/internal/scheduler/chunks.go
+++ b/internal/scheduler/chunks.go
@@ -86,7 +86,7 @@
 }
 
 // countTasks is how many tasks are in a state.
-func countTasks(tasks []jobs.Task, state jobs.State) int {
+func countTasks(tasks []jobs.Task, state jobs.TaskState) int {
 	count := 0
 	for _, task := range tasks {
 		if task.State == state {
--- a/internal/scheduler/placementinput.go
+++ b/internal/scheduler/placementinput.go
@@ -14,9 +14,9 @@
 // tuning.RetryCap is reached long before, and the shift can't overflow.
 const maxRetryDoublings = 10
 
-// PlaceInput builds the input of a pass's placement on the given machines. The
+// PlacementInput builds the input of a pass's placement on the given machines. The
 // caller holds the lock.
-func (sc *Scheduler) PlaceInput(machines *placement.Fleet, now time.Time) placement.Input {
+func (sc *Scheduler) PlacementInput(machines *placement.Fleet, now time.Time) placement.Input {
 	input := placement.Input{
 		Self:         sc.Self.Label,
 		Leader:       sc.Membership.Leader.Label,
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -50,13 +50,13 @@
 	}
 }
 
-// RunScheduler runs a pass whenever something has changed, until ctx ends.
+// Run runs a pass whenever something has changed, until ctx ends.
 //
 // The commits of a pass's writes run beside the next passes, which leave alone
 // what WritesInFlight names. They are not waited for here: a clean stop waits for
 // WritesInFlight to empty before it ends ctx, and a forced one must not wait. Each
 // ends by itself within the bounds that Commit states.
-func (sc *Scheduler) RunScheduler(ctx context.Context) error {
+func (sc *Scheduler) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -100,7 +100,7 @@
 	writes := sc.planRebalances(now, &budget)
 	due := sc.dueReleases(workers, now)
 	machines := sc.MachineIndex.RefreshMachines(now)
-	input := sc.PlaceInput(machines, now)
+	input := sc.PlacementInput(machines, now)
 	output := placement.Schedule(input)
 	sc.recordUnplaced(output, now)
 	if !sc.Recovery.MachinesUnknown() {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -32,7 +32,7 @@
 // NewClient returns a client of the store at addr; every call acquires its budget
 // from the limiter first.
 func NewClient(addr string, limiter *Limiter) *Client {
-	return &Client{addr: addr, limiter: limiter, http: httpclient.Host(addr, tuning.StoreConns)}
+	return &Client{addr: addr, limiter: limiter, http: httpclient.NewHostClient(addr, tuning.StoreConns)}
 }
 
 // call sends one request and returns the status of its answer. in is the request's
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -45,7 +45,7 @@
 	Seed        uint64             // of the faults on links
 	Lease       time.Duration      // of the workers
 	Log         io.Writer          // of the controllers; nil: nowhere
-	Orders      *fake.OrderLog     // records the commands to workers; nil: nothing does
+	Commands    *fake.CommandLog   // records the commands to workers; nil: nothing does
 	// Begins and Ended watch the tasks (see fake.Worker).
 	Begins func(w *fake.Worker, t *fake.Task) time.Duration
 	Ended  func(w *fake.Worker, t *fake.Task)
@@ -116,17 +116,17 @@
 		return err
 	}
 	w := &fake.Worker{
-		Host:    fmt.Sprintf("host-%06d", i),
-		Address: l.Addr().String(),
-		Type:    c.options.Types[0].Label,
-		Zone:    zone,
-		Spot:    true,
-		Begins:  c.options.Begins,
-		Ended:   c.options.Ended,
-		Orders:  c.options.Orders,
+		Machine:     fmt.Sprintf("host-%06d", i),
+		Address:     l.Addr().String(),
+		Type:        c.options.Types[0].Label,
+		Zone:        zone,
+		Spot:        true,
+		OnTaskStart: c.options.Begins,
+		OnTaskEnd:   c.options.Ended,
+		Commands:    c.options.Commands,
 	}
-	c.Cloud.Listed = append(c.Cloud.Listed, wire.Machine{
-		Name:        w.Host,
+	c.Cloud.Machines = append(c.Cloud.Machines, wire.Machine{
+		Name:        w.Machine,
 		Address:     w.Address,
 		MachineType: w.Type,
 		Zone:        w.Zone,
@@ -143,9 +143,9 @@
 }
 
 // heartbeatEndpoints are where the controllers take heartbeats.
-func (c *Cluster) heartbeatEndpoints() (endpoints []fake.Node) {
+func (c *Cluster) heartbeatEndpoints() (endpoints []fake.ControllerEndpoint) {
 	for _, p := range c.controllers {
-		endpoints = append(endpoints, fake.Node{Label: p.settings.Label, Address: p.settings.Bind})
+		endpoints = append(endpoints, fake.ControllerEndpoint{Label: p.settings.Label, Address: p.settings.Bind})
 	}
 	return endpoints
 }
@@ -161,8 +161,8 @@
 // its exit code.
 func (c *Cluster) Terminate(i int) (int, error) { return c.controllers[i].terminate() }
 
-// State is a controller's link to the store.
-func (c *Cluster) State(i int) *fake.Link { return c.controllers[i].store }
+// StoreLink is a controller's link to the store.
+func (c *Cluster) StoreLink(i int) *fake.Link { return c.controllers[i].store }
 
 // Address is where a controller takes users' requests.
 func (c *Cluster) Address(i int) string { return c.controllers[i].settings.Bind }
@@ -170,9 +170,9 @@
 // Label is a controller's label.
 func (c *Cluster) Label(i int) string { return c.controllers[i].settings.Label }
 
-// Ask sends a user's request to a controller; the status is 0 if there is no
+// Request sends a user's request to a controller; the status is 0 if there is no
 // answer.
-func (c *Cluster) Ask(i int, method, path string, body any) (int, []byte) {
+func (c *Cluster) Request(i int, method, path string, body any) (int, []byte) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
--- a/internal/testcluster/main.go
+++ b/internal/testcluster/main.go
@@ -19,9 +19,9 @@
 	propertiesVariable = "WHEATSPUR_TEST_PROPERTIES"
 )
 
-// Main runs a controller if this process was started as one, and does not return
+// RunControllerIfRequested runs a controller if this process was started as one, and does not return
 // then. Tests call it from TestMain.
-func Main() {
+func RunControllerIfRequested() {
 	configPath := os.Getenv(configVariable)
 	if configPath == "" {
 		return
@@ -49,7 +49,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With(logging.KeyController, settings.Label)
 	service := process{controller.New(settings, log)}
-	return daemon.Run(service, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.HostManager{Log: log}})
+	return daemon.Run(service, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.SystemdManager{Log: log}})
 }
 
 // process adds a reload to a controller, so that it is a daemon.Service.
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -119,8 +119,8 @@
 	// know nothing of it take the next token after a membership's first: they must
 	// not come upon a raised one and take it for their own.
 	FencingStep = 1 << 10
-	// TokenSpan is how many tokens a membership has: room for fifteen steps.
-	TokenSpan = 16 * FencingStep
+	// TokenRange is how many tokens a membership has: room for fifteen steps.
+	TokenRange = 16 * FencingStep
 	// WorkerCallTimeout bounds a direct command.
 	WorkerCallTimeout = 2 * time.Second
 	// TokenAnnouncePause separates direct calls to one worker that does not answer.
@@ -141,10 +141,10 @@
 	// SilentHeartbeats is how many heartbeat intervals without any message make a
 	// machine unschedulable.
 	SilentHeartbeats = 2.2
-	// UnreachableMin is the least time for which a controller that has told that it
+	// MinUnreachable is the least time for which a controller that has told that it
 	// hears no worker owns no machines, so that a shaky network does not move them
 	// to and fro.
-	UnreachableMin = 10 * time.Second
+	MinUnreachable = 10 * time.Second
 	// ReachabilityProbes is the number of workers that such a controller probes.
 	ReachabilityProbes = 4
 	// MachineFailuresMax is the number of failed tasks of different jobs, without
@@ -168,10 +168,10 @@
 const (
 	// TickEvery is the pause between passes when nothing happens.
 	TickEvery = 500 * time.Millisecond
-	// SweepEvery is how often a pass looks at every machine, for what follows from
+	// FullScanEvery is how often a pass looks at every machine, for what follows from
 	// time alone: the expiry of a lease, a machine that falls silent. Other passes
 	// look at those that something has changed for.
-	SweepEvery = 500 * time.Millisecond
+	FullScanEvery = 500 * time.Millisecond
 	// PassPause is the least time between two passes; it batches events.
 	PassPause = 80 * time.Millisecond
 	// RecoveryQuietHeartbeats is how many heartbeat intervals without a start that
@@ -218,10 +218,10 @@
 	// PreemptPause is how long a controller waits, after it preempted tasks for a job,
 	// before it preempts more for it: a stop, its heartbeat and the next claim.
 	PreemptPause = 8 * time.Second
-	// StepGap is what passes between the end of a job and the first start of one that
+	// DependencyStartDelay is what passes between the end of a job and the first start of one that
 	// depends on it: the end is stored, seen, and the next job placed, claimed and
 	// started.
-	StepGap = 3 * time.Second
+	DependencyStartDelay = 3 * time.Second
 	// TasksPerMachine bounds the tasks of a machine, and the commands of an answer to
 	// it: a heartbeat with twice as many, exited ones among them, holds 64 KiB, the
 	// most that a message may.
@@ -246,11 +246,11 @@
 	RoleConfirmations = 3
 	// RoleCooldown is the least time between batch-to-service moves.
 	RoleCooldown = 10 * time.Second
-	// RoleEvidenceMin closes the evidence window with RoleEvidenceArrivals
+	// MinRoleEvidence closes the evidence window with RoleEvidenceArrivals
 	// (ours; the document's is 60 s).
-	RoleEvidenceMin = 20 * time.Second
-	// RoleEvidenceMax closes it without them (ours; the document's is 120 s).
-	RoleEvidenceMax = 40 * time.Second
+	MinRoleEvidence = 20 * time.Second
+	// MaxRoleEvidence closes it without them (ours; the document's is 120 s).
+	MaxRoleEvidence = 40 * time.Second
 	// RoleEvidenceArrivals is the number of arrivals that closes the window early.
 	RoleEvidenceArrivals = 10
 	// RoleDemandRise is the tolerated rise of short over long demand.
@@ -290,8 +290,8 @@
 	// SlowBootFactor times a type's boot time is when a machine without a heartbeat is
 	// terminated: the usual range ends at 1.5.
 	SlowBootFactor = 2.5
-	// SlowBootMin is the least such time.
-	SlowBootMin = 20 * time.Second
+	// MinSlowBoot is the least such time.
+	MinSlowBoot = 20 * time.Second
 	// LateBootFactor times a type's boot time is when a machine no longer
 	// counts as coming: the end of the usual range.
 	LateBootFactor = 1.5
@@ -299,9 +299,9 @@
 	// terminated; a terminated machine costs at least 60 s, and a new one a boot.
 	IdleSpot     = 25 * time.Second
 	IdleOnDemand = 30 * time.Second
-	// OnDemandBatchAfter is how long a task that may use spot machines waits before
+	// BatchOnDemandAfter is how long a task that may use spot machines waits before
 	// an on-demand one, several times as expensive, is scaled out for it.
-	OnDemandBatchAfter = 15 * time.Second
+	BatchOnDemandAfter = 15 * time.Second
 	// ListLagFactor times the list's lag is how long after its first listing a
 	// machine's absence from a list starts to count; the lag at times doubles.
 	ListLagFactor = 3
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -15,8 +15,8 @@
 // heartbeat shows its effect.
 type CommandKey struct{ verb, task string }
 
-// KeyOf returns the key of a command.
-func KeyOf(command wire.Command) CommandKey {
+// CommandKeyOf returns the key of a command.
+func CommandKeyOf(command wire.Command) CommandKey {
 	return CommandKey{command.Verb, commandTask(command.Task, command.Attempt)}
 }
 
@@ -42,12 +42,12 @@
 	// AwaitCall keeps a start out of an answer while a direct call that holds it
 	// has just been sent.
 	AwaitCall bool
-	// ResendAfter is how long a start that was sent by a direct call is not sent
+	// ResendAfterCall is how long a start that was sent by a direct call is not sent
 	// so again.
-	ResendAfter time.Duration
-	// RepeatAfter is how long a start that was sent in an answer to a heartbeat is
+	ResendAfterCall time.Duration
+	// RestartAfterAnswer is how long a start that was sent in an answer to a heartbeat is
 	// not sent again by a direct call: until the next heartbeat shows its effect.
-	RepeatAfter time.Duration
+	RestartAfterAnswer time.Duration
 	// AdmitStart takes a start that is due from the rate of starts; false if it has to
 	// wait. nil: there is no bound.
 	AdmitStart func(job *jobs.Job) bool
@@ -124,11 +124,11 @@
 		return options.AwaitCall && w.CallInFlight && w.isStartPending(attempt) && options.Now.Sub(w.LastCall) < tuning.StartCallGrace
 	}
 	start := CommandKey{wire.VerbStart, commandTask(attempt.ID.String(), attempt.Number)}
-	if sent, ok := w.SentCommands[start]; ok && options.Now.Sub(sent) <= options.ResendAfter {
+	if sent, ok := w.SentCommands[start]; ok && options.Now.Sub(sent) <= options.ResendAfterCall {
 		return true
 	}
 	_, answered := w.answeredStarts[attempt]
-	return answered && options.Now.Sub(w.LastAnswered) < options.RepeatAfter
+	return answered && options.Now.Sub(w.LastAnswered) < options.RestartAfterAnswer
 }
 
 // taskIDs lists the tasks that are claimed for the machine or listed by it, in
--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -142,7 +142,7 @@
 	unconfirmed := make(map[CommandKey]time.Time, len(commands))
 	overdue := false
 	for _, command := range commands {
-		key := KeyOf(command)
+		key := CommandKeyOf(command)
 		firstSent, repeated := w.unconfirmedCommands[key]
 		if !repeated {
 			firstSent = now
--- a/internal/worker/token.go
+++ b/internal/worker/token.go
@@ -51,9 +51,9 @@
 	return s
 }
 
-// RaiseToken notes that our membership has changed, and that another controller
+// RequireAcknowledgement notes that our membership has changed, and that another controller
 // may have owned the machine meanwhile.
-func (w *Worker) RaiseToken() {
+func (w *Worker) RequireAcknowledgement() {
 	w.State = w.State.Next(EventTokenRaised)
 	w.MarkChanged()
 }
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -78,5 +78,5 @@
 // Redirect answers a heartbeat that another controller should handle; it names
 // that controller, if it is known.
 type Redirect struct {
-	Node string `cbor:"foreman,omitempty"`
+	Controller string `cbor:"foreman,omitempty"`
 }
