--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -15,7 +15,7 @@
 func (a Amount) Sub(b Amount) Amount { return Amount{a.CPUs - b.CPUs, a.GPUs - b.GPUs} }
 
 // Times returns the amount multiplied by a factor.
-func (a Amount) Times(f float64) Amount { return Amount{a.CPUs * f, a.GPUs * f} }
+func (a Amount) Times(factor float64) Amount { return Amount{a.CPUs * factor, a.GPUs * factor} }
 
 // Max returns the larger of both in each resource.
 func (a Amount) Max(b Amount) Amount { return Amount{max(a.CPUs, b.CPUs), max(a.GPUs, b.GPUs)} }
@@ -40,8 +40,8 @@
 	return !math.IsInf(a.CPUs, 0) && !math.IsNaN(a.CPUs) && !math.IsInf(a.GPUs, 0) && !math.IsNaN(a.GPUs)
 }
 
-// onlyLimited keeps the resources that a limit names.
-func (a Amount) onlyLimited(limit Amount) Amount {
+// maskUnlimited keeps the resources that a limit names.
+func (a Amount) maskUnlimited(limit Amount) Amount {
 	if limit.CPUs <= 0 {
 		a.CPUs = 0
 	}
@@ -53,30 +53,32 @@
 
 // fits reports whether the amount is no more than the room, in the resources
 // that the limit names.
-func (a Amount) fits(room, limit Amount) bool {
-	a, room = a.onlyLimited(limit), room.onlyLimited(limit)
-	return a.CPUs <= room.CPUs+epsilon && a.GPUs <= room.GPUs+epsilon
+func (a Amount) fits(available, limit Amount) bool {
+	a, available = a.maskUnlimited(limit), available.maskUnlimited(limit)
+	return a.CPUs <= available.CPUs+epsilon && a.GPUs <= available.GPUs+epsilon
 }
 
 // coverage is how much of the amount some room covers, from 0 to 1, in the
 // resource that it covers least.
-func (a Amount) coverage(room, limit Amount) float64 {
-	least := 1.0
+func (a Amount) coverage(available, limit Amount) float64 {
+	lowest := 1.0
 	if limit.CPUs > 0 && a.CPUs > epsilon {
-		least = min(least, room.CPUs/a.CPUs)
+		lowest = min(lowest, available.CPUs/a.CPUs)
 	}
 	if limit.GPUs > 0 && a.GPUs > epsilon {
-		least = min(least, room.GPUs/a.GPUs)
+		lowest = min(lowest, available.GPUs/a.GPUs)
 	}
-	return max(0, least)
+	return max(0, lowest)
 }
 
-// differsTwofold reports whether an amount is twice another or half of it, in
+// differsByFactorOfTwo reports whether an amount is twice another or half of it, in
 // any resource.
-func (a Amount) differsTwofold(b Amount) bool {
-	twofold := func(x, y float64) bool { return max(x, y) > epsilon && max(x, y) >= 2*min(x, y) }
-	return twofold(a.CPUs, b.CPUs) || twofold(a.GPUs, b.GPUs)
+func (a Amount) differsByFactorOfTwo(b Amount) bool {
+	atLeastDouble := func(x, y float64) bool { return max(x, y) > epsilon && max(x, y) >= 2*min(x, y) }
+	return atLeastDouble(a.CPUs, b.CPUs) || atLeastDouble(a.GPUs, b.GPUs)
 }
 
 // scaled is an amount multiplied by a factor for each resource.
-func (a Amount) scaled(by Amount) Amount { return Amount{a.CPUs * by.CPUs, a.GPUs * by.GPUs} }
+func (a Amount) scaled(factor Amount) Amount {
+	return Amount{a.CPUs * factor.CPUs, a.GPUs * factor.GPUs}
+}
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -190,7 +190,7 @@
 			a := n.manager.Ledger(h.team).Allowance(n.view(h.team), Amount{}, Amount{1, 1})
 			left = left.Add(a.Left[n.label])
 		}
-		if free := limit.Sub(left).onlyLimited(limit); !free.IsZero() {
+		if free := limit.Sub(left).maskUnlimited(limit); !free.IsZero() {
 			t.Fatalf("%+v of %+v can't be used once nothing is in flight", free, limit)
 		}
 	})
--- a/internal/quota/rebalance.go
+++ b/internal/quota/rebalance.go
@@ -52,8 +52,8 @@
 		return true
 	case OverLimit:
 		// Until something is released, the shares would stay what they are.
-		claimed := v.Claimed.Of(l.team.Name).onlyLimited(l.team.Limit)
-		return !l.record.total().onlyLimited(l.team.Limit).Sub(claimed).IsZero()
+		claimed := v.Claimed.Of(l.team.Name).maskUnlimited(l.team.Limit)
+		return !l.record.total().maskUnlimited(l.team.Limit).Sub(claimed).IsZero()
 	case Shared:
 		return !l.shortageSince.IsZero() && now.Sub(l.shortageSince) >= l.rebalanceDelay()
 	}
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -69,11 +69,11 @@
 		if !share.finite() {
 			return fmt.Errorf("%w: share of %s is no number", ErrDamaged, controller)
 		}
-		if share = share.onlyLimited(t.Limit); share.CPUs < -epsilon || share.GPUs < -epsilon {
+		if share = share.maskUnlimited(t.Limit); share.CPUs < -epsilon || share.GPUs < -epsilon {
 			return fmt.Errorf("%w: share of %s is %+v", ErrDamaged, controller, share)
 		}
 	}
-	if total := r.total().onlyLimited(t.Limit); !total.Within(t.Limit) {
+	if total := r.total().maskUnlimited(t.Limit); !total.Within(t.Limit) {
 		return fmt.Errorf("%w: %+v of %+v", ErrOverLimit, total, t.Limit)
 	}
 	return nil
--- a/internal/quota/reservation.go
+++ b/internal/quota/reservation.go
@@ -120,7 +120,7 @@
 	}
 	sinceMs := w.lackingSince.UnixMilli()
 	if stored, ok := byTeam[l.team.Name]; ok {
-		if !lack.differsTwofold(stored.Amount()) {
+		if !lack.differsByFactorOfTwo(stored.Amount()) {
 			return false // smaller changes are not worth a write
 		}
 		sinceMs = stored.Since
--- a/internal/quota/scale.go
+++ b/internal/quota/scale.go
@@ -21,12 +21,12 @@
 	if !m.anyMayReclaim(now) {
 		return scale
 	}
-	promised, fleet := m.TotalGuarantees(), capacity()
-	if promised.CPUs > fleet.CPUs {
-		scale.CPUs = fleet.CPUs / promised.CPUs
+	guaranteed, fleet := m.TotalGuarantees(), capacity()
+	if guaranteed.CPUs > fleet.CPUs {
+		scale.CPUs = fleet.CPUs / guaranteed.CPUs
 	}
-	if promised.GPUs > fleet.GPUs {
-		scale.GPUs = fleet.GPUs / promised.GPUs
+	if guaranteed.GPUs > fleet.GPUs {
+		scale.GPUs = fleet.GPUs / guaranteed.GPUs
 	}
 	return scale
 }
--- a/internal/quota/summary.go
+++ b/internal/quota/summary.go
@@ -40,8 +40,8 @@
 		s.Reserved = &r
 	}
 	for _, controller := range slices.Sorted(maps.Keys(l.record.Shares)) {
-		share := l.record.Shares[controller].Amount().onlyLimited(l.team.Limit)
-		claimed := v.claimedBy(controller, team).onlyLimited(l.team.Limit)
+		share := l.record.Shares[controller].Amount().maskUnlimited(l.team.Limit)
+		claimed := v.claimedBy(controller, team).maskUnlimited(l.team.Limit)
 		s.Shares = append(s.Shares, NodeShare{Node: controller, Share: share, Claimed: claimed})
 	}
 	return s
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -20,7 +20,7 @@
 	if l.chooseGiver(v, taker, lack) != v.Self {
 		return nil
 	}
-	given := l.remaining(v, v.Self).Min(unused).Min(lack).Max(Amount{}).onlyLimited(l.team.Limit)
+	given := l.remaining(v, v.Self).Min(unused).Min(lack).Max(Amount{}).maskUnlimited(l.team.Limit)
 	if given.IsZero() {
 		return nil
 	}
