--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -30,14 +30,14 @@
 	Compares map[string]uint64 // the versions that the write compares, by key
 	Amount   Amount
 
-	closedAtRevision uint64 // revision by which a compared key has changed; 0: none seen to have
+	conflictRevision uint64 // revision by which a compared key has changed; 0: none seen to have
 }
 
 // Admit takes room for claims of an amount. others is the part of it on other
 // controllers' machines, by shard owner: the owners get that part of this
 // controller's share. The admission must be ended by ResolveAdmission with the
 // outcome of its write. It is nil if the team has no limit.
-func (l *Ledger) Admit(v View, amount Amount, others map[string]Amount) (*Admission, error) {
+func (l *Ledger) Admit(v View, amount Amount, onOthers map[string]Amount) (*Admission, error) {
 	if !l.team.Limited() {
 		return nil, nil
 	}
@@ -51,10 +51,10 @@
 		return nil, fmt.Errorf("%w: %+v of %+v", ErrShareUsed, amount, remaining)
 	}
 	admission := &Admission{Team: l.team.Name, Amount: amount}
-	if len(others) > 0 {
+	if len(onOthers) > 0 {
 		next := l.record
-		for owner, part := range others {
-			next = next.transferred(v.Self, owner, part)
+		for owner, part := range onOthers {
+			next = next.withTransfer(v.Self, owner, part)
 		}
 		if err := l.beginWrite(v, HandOver, next); err != nil {
 			return nil, err
@@ -101,10 +101,10 @@
 func (l *Ledger) Forget(c Cache) {
 	kept := l.uncertain[:0]
 	for _, u := range l.uncertain {
-		if u.closedAtRevision == 0 && u.compareFails(c) {
-			u.closedAtRevision = c.NewestRevision()
+		if u.conflictRevision == 0 && u.compareFails(c) {
+			u.conflictRevision = c.NewestRevision()
 		}
-		if u.closedAtRevision == 0 || c.Revision() < u.closedAtRevision {
+		if u.conflictRevision == 0 || c.Revision() < u.conflictRevision {
 			kept = append(kept, u)
 		}
 	}
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -39,9 +39,9 @@
 	return sum
 }
 
-// transferred is the record with an amount moved from one controller's share to
+// withTransfer is the record with an amount moved from one controller's share to
 // another's.
-func (r Record) transferred(from, to string, amount Amount) Record {
+func (r Record) withTransfer(from, to string, amount Amount) Record {
 	next := r
 	next.Shares = maps.Clone(r.Shares)
 	if next.Shares == nil {
--- a/internal/quota/reservation.go
+++ b/internal/quota/reservation.go
@@ -46,16 +46,16 @@
 	if raw == nil {
 		return nil
 	}
-	var read Reservations
-	if err := wire.Unmarshal(raw, &read); err != nil {
+	var decoded Reservations
+	if err := wire.Unmarshal(raw, &decoded); err != nil {
 		return fmt.Errorf("reservations: %w", err)
 	}
-	for team, r := range read.Teams {
+	for team, r := range decoded.Teams {
 		if !r.Amount().finite() || r.CPUs < 0 || r.GPUs < 0 {
 			return fmt.Errorf("reservations: %w: %s waits for %+v", ErrDamaged, team, r.Amount())
 		}
 	}
-	m.reservations = read
+	m.reservations = decoded
 	return nil
 }
 
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -24,7 +24,7 @@
 	if given.IsZero() {
 		return nil
 	}
-	next := l.record.transferred(v.Self, taker, given)
+	next := l.record.withTransfer(v.Self, taker, given)
 	if err := l.beginWrite(v, Transfer, next); err != nil {
 		return nil // a later call decides anew
 	}
