--- a/internal/quota/reservation.go
+++ b/internal/quota/reservation.go
@@ -34,7 +34,7 @@
 
 // waitTimes is what the leader remembers of a team between two decisions.
 type waitTimes struct {
-	lackingSince   time.Time // since when work within the guarantee lacks room; zero: it does not
+	shortfallSince time.Time // since when work within the guarantee lacks room; zero: it does not
 	satisfiedSince time.Time // since when none does, while a reservation is stored
 }
 
@@ -109,25 +109,25 @@
 
 // updateReservation makes, changes or drops the team's reservation; false if it
 // stays as it is.
-func (l *Ledger) updateReservation(now time.Time, lack Amount, byTeam map[string]Reservation) bool {
-	if lack.IsZero() {
+func (l *Ledger) updateReservation(now time.Time, shortfall Amount, byTeam map[string]Reservation) bool {
+	if shortfall.IsZero() {
 		return l.dropReservation(now, byTeam)
 	}
 	w := &l.waitTimes
 	w.satisfiedSince = time.Time{}
-	if w.lackingSince.IsZero() {
-		w.lackingSince = now
+	if w.shortfallSince.IsZero() {
+		w.shortfallSince = now
 	}
-	sinceMs := w.lackingSince.UnixMilli()
+	sinceMs := w.shortfallSince.UnixMilli()
 	if stored, ok := byTeam[l.team.Name]; ok {
-		if !lack.differsByFactorOfTwo(stored.Amount()) {
+		if !shortfall.differsByFactorOfTwo(stored.Amount()) {
 			return false // smaller changes are not worth a write
 		}
 		sinceMs = stored.Since
-	} else if now.Sub(w.lackingSince) < tuning.ReserveAfter {
+	} else if now.Sub(w.shortfallSince) < tuning.ReserveAfter {
 		return false // most waits are over in a moment
 	}
-	byTeam[l.team.Name] = Reservation{CPUs: lack.CPUs, GPUs: lack.GPUs, Since: sinceMs}
+	byTeam[l.team.Name] = Reservation{CPUs: shortfall.CPUs, GPUs: shortfall.GPUs, Since: sinceMs}
 	return true
 }
 
@@ -135,7 +135,7 @@
 // for a time; false if it stays as it is.
 func (l *Ledger) dropReservation(now time.Time, byTeam map[string]Reservation) bool {
 	w := &l.waitTimes
-	w.lackingSince = time.Time{}
+	w.shortfallSince = time.Time{}
 	_, stored := byTeam[l.team.Name]
 	if stored && w.satisfiedSince.IsZero() {
 		w.satisfiedSince = now
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -13,37 +13,37 @@
 //
 // unused is what the controller's own work leaves of its share. Of all
 // controllers the one that can cover the most gives, so that givers seldom race.
-func (l *Ledger) Transfer(now time.Time, v View, taker string, lack, unused Amount) *Write {
-	if l.writeInFlight || taker == v.Self || l.Phase(v.FencingToken) != Shared || now.Sub(l.transferredAt) < tuning.TransferPause {
+func (l *Ledger) Transfer(now time.Time, v View, recipient string, shortfall, unused Amount) *Write {
+	if l.writeInFlight || recipient == v.Self || l.Phase(v.FencingToken) != Shared || now.Sub(l.transferredAt) < tuning.TransferPause {
 		return nil
 	}
-	if l.chooseGiver(v, taker, lack) != v.Self {
+	if l.chooseDonor(v, recipient, shortfall) != v.Self {
 		return nil
 	}
-	given := l.remaining(v, v.Self).Min(unused).Min(lack).Max(Amount{}).maskUnlimited(l.team.Limit)
-	if given.IsZero() {
+	amount := l.remaining(v, v.Self).Min(unused).Min(shortfall).Max(Amount{}).maskUnlimited(l.team.Limit)
+	if amount.IsZero() {
 		return nil
 	}
-	next := l.record.withTransfer(v.Self, taker, given)
+	next := l.record.withTransfer(v.Self, recipient, amount)
 	if err := l.beginWrite(v, Transfer, next); err != nil {
 		return nil // a later call decides anew
 	}
 	l.transferredAt = now
-	return &Write{Team: l.team.Name, Event: Transfer, Record: next, Given: given}
+	return &Write{Team: l.team.Name, Event: Transfer, Record: next, Given: amount}
 }
 
-// chooseGiver is the controller whose unclaimed share covers the most of what
+// chooseDonor is the controller whose unclaimed share covers the most of what
 // another lacks, the first by label among equals; none if that is nothing.
-func (l *Ledger) chooseGiver(v View, taker string, lack Amount) string {
-	giver, most := "", 0.0
+func (l *Ledger) chooseDonor(v View, recipient string, shortfall Amount) string {
+	donor, highest := "", 0.0
 	for _, controller := range v.Nodes {
-		if controller == taker {
+		if controller == recipient {
 			continue
 		}
-		covered := lack.coverage(l.unclaimed(v, controller), l.team.Limit)
-		if covered > most || covered == most && covered > 0 && controller < giver {
-			giver, most = controller, covered
+		covered := shortfall.coverage(l.unclaimed(v, controller), l.team.Limit)
+		if covered > highest || covered == highest && covered > 0 && controller < donor {
+			donor, highest = controller, covered
 		}
 	}
-	return giver
+	return donor
 }
