--- a/internal/quota/admission_test.go
+++ b/internal/quota/admission_test.go
@@ -7,10 +7,10 @@
 // the first compares. The first claim still counts. Guards against two claims
 // in a share of one.
 func TestUncertainAdmissionCountsUntilItsClaimIsRead(t *testing.T) {
-	m := newShared(t, 4, "a", "b", "c") // a leads and has two, the others one
+	m := newSharedModel(t, 4, "a", "b", "c") // a leads and has two, the others one
 	lost := m.mustAdmit(t, "a", 0)
 	handOver := m.mustAdmit(t, "a", 1) // b's machine
-	m.loseAnswer(lost, false)
+	m.loseResponse(lost, false)
 	m.applyWrite(lost)
 	m.deliver(handOver)
 	m.tryAdmit("a", 0)
@@ -28,23 +28,23 @@
 // and the next one. Whichever write comes first, one unit is claimed.
 func TestLastUnitIsAdmittedOnceAcrossFailover(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		formerFirst bool
+		name              string
+		formerLeaderFirst bool
 	}{
 		{"the former leader's write comes first", true},
 		{"the next leader's write comes first", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := newShared(t, 1, "a", "b")
+			m := newSharedModel(t, 1, "a", "b")
 			former := m.mustAdmit(t, "a", 0)
-			m.join([]string{"a", "b"}, "b")
+			m.setMembership([]string{"a", "b"}, "b")
 			leader := m.controllers["b"]
 			leader.readTo(m.log, len(m.log))
 			m.deliver(m.rebalance(leader, onePendingUnit, false))
-			latter := m.mustAdmit(t, "b", 1)
-			writes := []*write{latter, former}
-			if c.formerFirst {
-				writes = []*write{former, latter}
+			next := m.mustAdmit(t, "b", 1)
+			writes := []*write{next, former}
+			if c.formerLeaderFirst {
+				writes = []*write{former, next}
 			}
 			for _, w := range writes {
 				m.deliver(w)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -89,14 +89,14 @@
 func newModel(limit Amount, nodes ...string) *model {
 	m := &model{team: "x", now: time.Unix(1000, 0), unused: Amount{CPUs: 1e9, GPUs: 1e9}, versions: map[string]uint64{}, claims: map[string]claim{}, controllers: map[string]*modelController{}}
 	for _, label := range nodes {
-		m.start(label, limit)
+		m.startController(label, limit)
 	}
-	m.join(nodes, nodes[0])
+	m.setMembership(nodes, nodes[0])
 	return m
 }
 
-// start begins a process of a controller, which has read nothing.
-func (m *model) start(label string, limit Amount) {
+// startController begins a process of a controller, which has read nothing.
+func (m *model) startController(label string, limit Amount) {
 	n := &modelController{label: label, manager: &Manager{}, versions: map[string]uint64{}, claims: map[string]claim{}}
 	n.configure(m.team, limit)
 	m.controllers[label] = n
@@ -112,21 +112,21 @@
 // former one may still arrive.
 func (m *model) restart(label string) {
 	old := m.controllers[label]
-	kept := m.inFlight[:0]
+	remaining := m.inFlight[:0]
 	for _, w := range m.inFlight {
 		if w.controller == old {
 			m.abandoned = append(m.abandoned, w)
 		} else {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 		}
 	}
-	m.inFlight = kept
-	m.start(label, old.limit)
-	m.join(m.membership.members, m.membership.leader)
+	m.inFlight = remaining
+	m.startController(label, old.limit)
+	m.setMembership(m.membership.members, m.membership.leader)
 }
 
-// join stores a membership with the next fencing token.
-func (m *model) join(nodes []string, leader string) {
+// setMembership stores a membership with the next fencing token.
+func (m *model) setMembership(nodes []string, leader string) {
 	m.membership = membership{m.membership.token + 1, leader, slices.Clone(nodes)}
 	m.storeChanges([]change{{key: membershipKey, members: m.membership}})
 }
@@ -165,15 +165,15 @@
 
 // claimedByController is what the stored claims on each controller's machines take.
 func claimedByController(team string, claims map[string]claim, members membership) ClaimedByNode {
-	out := ClaimedByNode{}
+	claimed := ClaimedByNode{}
 	for _, c := range claims {
 		owner := members.owner(c.machine)
-		if out[owner] == nil {
-			out[owner] = map[string]Amount{}
+		if claimed[owner] == nil {
+			claimed[owner] = map[string]Amount{}
 		}
-		out[owner][team] = out[owner][team].Add(c.amount)
+		claimed[owner][team] = claimed[owner][team].Add(c.amount)
 	}
-	return out
+	return claimed
 }
 
 // checkInvariants looks at what is stored after a write: claims stay within the
@@ -247,14 +247,14 @@
 	if !n.isMember() {
 		return nil
 	}
-	var others map[string]Amount
+	var onOthers map[string]Amount
 	if owner := n.membership.owner(machine); owner != n.label {
 		if n.membership.leader != n.label {
 			return nil
 		}
-		others = map[string]Amount{owner: amount}
+		onOthers = map[string]Amount{owner: amount}
 	}
-	admission, err := ledger.Admit(n.view(m.team), amount, others)
+	admission, err := ledger.Admit(n.view(m.team), amount, onOthers)
 	if err != nil {
 		return nil
 	}
@@ -272,18 +272,18 @@
 
 // rebalance lets a controller that takes itself for the leader share out; nil if
 // there is nothing to do.
-func (m *model) rebalance(n *modelController, pending iter.Seq[Amount], short bool) *write {
+func (m *model) rebalance(n *modelController, pending iter.Seq[Amount], shortage bool) *write {
 	if !n.isMember() || n.membership.leader != n.label {
 		return nil
 	}
 	ledger := n.manager.Ledger(m.team)
-	ledger.RecordShortage(short, m.now, n.membership.token)
+	ledger.RecordShortage(shortage, m.now, n.membership.token)
 	m.now = m.now.Add(4 * time.Second)
-	return m.sendRecord(n, ledger.Rebalance(m.now, n.view(m.team), pending, true))
+	return m.sendRecordWrite(n, ledger.Rebalance(m.now, n.view(m.team), pending, true))
 }
 
 // transfer lets a controller give part of its share; nil if it does not.
-func (m *model) transfer(n *modelController, taker string, lack Amount) *write {
+func (m *model) transfer(n *modelController, recipient string, shortfall Amount) *write {
 	if !n.isMember() {
 		return nil
 	}
@@ -291,11 +291,11 @@
 	v := n.view(m.team)
 	ledger := n.manager.Ledger(m.team)
 	ledger.Forget(n)
-	return m.sendRecord(n, ledger.Transfer(m.now, v, taker, lack, m.unused))
+	return m.sendRecordWrite(n, ledger.Transfer(m.now, v, recipient, shortfall, m.unused))
 }
 
-// sendRecord sends a write of the record on its way.
-func (m *model) sendRecord(n *modelController, decided *Write) *write {
+// sendRecordWrite sends a write of the record on its way.
+func (m *model) sendRecordWrite(n *modelController, decided *Write) *write {
 	if decided == nil {
 		return nil
 	}
@@ -309,29 +309,29 @@
 func (m *model) deliver(w *write) {
 	m.removeInFlight(w)
 	if m.applyWrite(w) {
-		m.answer(w, Stored)
+		m.respond(w, Stored)
 	} else {
-		m.answer(w, Failed)
+		m.respond(w, Failed)
 	}
 }
 
-// loseAnswer lets a write go without an answer: applied now, or perhaps later.
-func (m *model) loseAnswer(w *write, applied bool) {
+// loseResponse lets a write go without an answer: applied now, or perhaps later.
+func (m *model) loseResponse(w *write, applied bool) {
 	m.removeInFlight(w)
 	if applied {
 		m.applyWrite(w)
 	} else {
 		m.abandoned = append(m.abandoned, w)
 	}
-	m.answer(w, Unknown)
+	m.respond(w, Unknown)
 }
 
 func (m *model) removeInFlight(w *write) {
 	m.inFlight = slices.DeleteFunc(m.inFlight, func(o *write) bool { return o == w })
 }
 
-// answer tells a controller what became of its write.
-func (m *model) answer(w *write, outcome Outcome) {
+// respond tells a controller what became of its write.
+func (m *model) respond(w *write, outcome Outcome) {
 	n := w.controller
 	if outcome == Stored {
 		for _, c := range w.changes {
@@ -398,9 +398,9 @@
 // onePendingUnit is a waiting job that takes one unit.
 func onePendingUnit(yield func(Amount) bool) { yield(Amount{GPUs: 1}) }
 
-// newShared is a model whose limit has been shared out to all controllers, which
+// newSharedModel is a model whose limit has been shared out to all controllers, which
 // have read it.
-func newShared(t *testing.T, gpus float64, labels ...string) *model {
+func newSharedModel(t *testing.T, gpus float64, labels ...string) *model {
 	t.Helper()
 	m := newModel(Amount{GPUs: gpus}, labels...)
 	m.converge()
@@ -430,8 +430,8 @@
 }
 
 // The checker must see a violation: here the key-value store ignores compares.
-func TestCheckerSeesAPlantedViolation(t *testing.T) {
-	m := newShared(t, 4, "a", "b")
+func TestInvariantCheckerDetectsViolations(t *testing.T) {
+	m := newSharedModel(t, 4, "a", "b")
 	m.ignoreCompares = true
 	stale := m.mustAdmit(t, "b", 1)
 	m.restart("b")
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -52,24 +52,24 @@
 
 func (h *history) drawRebalance(t *rapid.T) {
 	needs := rapid.SliceOfN(rapid.IntRange(1, 12), 0, 2).Draw(t, "pending")
-	waiting := func(yield func(Amount) bool) {
+	pending := func(yield func(Amount) bool) {
 		for _, gpus := range needs {
 			if !yield(Amount{GPUs: float64(gpus)}) {
 				return
 			}
 		}
 	}
-	h.rebalance(h.drawController(t), waiting, len(needs) > 0)
+	h.rebalance(h.drawController(t), pending, len(needs) > 0)
 }
 
 func (h *history) drawTransfer(t *rapid.T) {
-	lack := Amount{CPUs: float64(rapid.IntRange(0, 9).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(1, 6).Draw(t, "gpus"))}
-	h.transfer(h.drawController(t), rapid.SampledFrom(controllerLabels).Draw(t, "taker"), lack)
+	shortfall := Amount{CPUs: float64(rapid.IntRange(0, 9).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(1, 6).Draw(t, "gpus"))}
+	h.transfer(h.drawController(t), rapid.SampledFrom(controllerLabels).Draw(t, "taker"), shortfall)
 }
 
 func (h *history) drawMembership(t *rapid.T) {
 	members := controllerLabels[:rapid.IntRange(1, len(controllerLabels)).Draw(t, "members")]
-	h.join(members, rapid.SampledFrom(members).Draw(t, "leader"))
+	h.setMembership(members, rapid.SampledFrom(members).Draw(t, "leader"))
 }
 
 // drawLimit changes the team's limit at one controller, as a restart with other
@@ -111,8 +111,8 @@
 	}
 }
 
-// seldom is for actions that most histories have few of.
-func seldom(t *rapid.T) {
+// rarely is for actions that most histories have few of.
+func rarely(t *rapid.T) {
 	if rapid.IntRange(0, 5).Draw(t, "seldom") != 0 {
 		t.Skip("not this time")
 	}
@@ -126,7 +126,7 @@
 		"transfer":     h.drawTransfer,
 		"transfer 2":   h.drawTransfer,
 		"deliver":      func(t *rapid.T) { h.deliver(h.drawInFlight(t)) },
-		"lose":         func(t *rapid.T) { h.loseAnswer(h.drawInFlight(t), rapid.Bool().Draw(t, "applied")) },
+		"lose":         func(t *rapid.T) { h.loseResponse(h.drawInFlight(t), rapid.Bool().Draw(t, "applied")) },
 		"late": func(t *rapid.T) {
 			if len(h.abandoned) == 0 {
 				t.Skip("nothing is late")
@@ -145,10 +145,10 @@
 			n.readTo(h.log, rapid.IntRange(n.readCount, len(h.log)).Draw(t, "up to"))
 		},
 		"calm":    h.quiesce,
-		"restart": func(t *rapid.T) { seldom(t); h.restart(h.drawController(t).label) },
-		"members": func(t *rapid.T) { seldom(t); h.drawMembership(t) },
-		"damage":  func(t *rapid.T) { seldom(t); h.drawDamage(t) },
-		"limit":   func(t *rapid.T) { seldom(t); h.drawLimit(t) },
+		"restart": func(t *rapid.T) { rarely(t); h.restart(h.drawController(t).label) },
+		"members": func(t *rapid.T) { rarely(t); h.drawMembership(t) },
+		"damage":  func(t *rapid.T) { rarely(t); h.drawDamage(t) },
+		"limit":   func(t *rapid.T) { rarely(t); h.drawLimit(t) },
 		"": func(t *rapid.T) {
 			if h.violation != nil {
 				t.Fatal(h.violation)
@@ -156,8 +156,8 @@
 		},
 	}
 	// rapid chooses among the names: what is to happen often has several.
-	for _, copyOf := range []string{"admit 1", "admit 2", "admit 3", "admit 4", "admit 5"} {
-		actions[copyOf] = h.drawAdmission
+	for _, name := range []string{"admit 1", "admit 2", "admit 3", "admit 4", "admit 5"} {
+		actions[name] = h.drawAdmission
 	}
 	return actions
 }
@@ -173,7 +173,7 @@
 		}
 		h := &history{newModel(limit, controllerLabels...), limit}
 		t.Repeat(h.actions())
-		h.join(controllerLabels, "a")
+		h.setMembership(controllerLabels, "a")
 		for _, n := range h.controllers {
 			n.configure(h.team, limit)
 		}
--- a/internal/quota/rebalance_test.go
+++ b/internal/quota/rebalance_test.go
@@ -9,14 +9,14 @@
 // stored just before is not read yet. It does not share out before it is. Guards
 // against giving the room of that claim away.
 func TestRebalanceWaitsUntilAllClaimsAreRead(t *testing.T) {
-	m := newShared(t, 3, "a", "b") // a has two, b one
-	claim := m.mustAdmit(t, "b", 1)
+	m := newSharedModel(t, 3, "a", "b") // a has two, b one
+	admission := m.mustAdmit(t, "b", 1)
 	leader := m.controllers["a"]
 	freeze := m.rebalance(leader, onePendingUnit, true)
 	if freeze == nil || freeze.recordWrite.Event != Freeze {
 		t.Fatalf("no freeze: %+v", freeze)
 	}
-	m.deliver(claim)
+	m.deliver(admission)
 	m.deliver(freeze)
 	if w := m.rebalance(leader, onePendingUnit, true); w != nil {
 		t.Fatalf("%s before the claim before it is read", w.recordWrite.Event)
@@ -30,7 +30,7 @@
 
 // Without budget for writes only a new membership is served.
 func TestWithoutWriteBudgetOnlyANewMembershipIsRebalanced(t *testing.T) {
-	m := newShared(t, 3, "a", "b")
+	m := newSharedModel(t, 3, "a", "b")
 	n := m.controllers["a"]
 	ledger := n.manager.Ledger(m.team)
 	ledger.RecordShortage(true, m.now, n.membership.token)
@@ -38,7 +38,7 @@
 	if w := ledger.Rebalance(later, n.view(m.team), onePendingUnit, false); w != nil {
 		t.Fatalf("%s without budget for it", w.Event)
 	}
-	m.join([]string{"a", "b"}, "a")
+	m.setMembership([]string{"a", "b"}, "a")
 	n.readTo(m.log, len(m.log))
 	if w := ledger.Rebalance(later, n.view(m.team), onePendingUnit, false); w == nil || w.Event != ShareOut {
 		t.Fatalf("a new membership: %+v", w)
@@ -48,7 +48,7 @@
 // A limit below what runs: no controller admits until enough has ended, the shares
 // shrink with what ends, and nothing is written while nothing ends.
 func TestLimitLoweredBelowUseAdmitsOnlyAfterReleases(t *testing.T) {
-	m := newShared(t, 6, "a", "b")
+	m := newSharedModel(t, 6, "a", "b")
 	for range 6 {
 		for machine, label := range []string{"a", "b"} {
 			m.tryAdmit(label, machine)
--- a/internal/quota/record_test.go
+++ b/internal/quota/record_test.go
@@ -23,7 +23,7 @@
 		{"infinite", wire.MustMarshal(Record{FencingToken: token, Shares: map[string]Share{"a": {GPUs: math.Inf(1)}}})},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := newShared(t, 4, "a", "b")
+			m := newSharedModel(t, 4, "a", "b")
 			m.deliver(m.mustAdmit(t, "b", 1))
 			m.storeRaw(c.raw)
 			for _, n := range m.controllers {
--- a/internal/quota/reservation_test.go
+++ b/internal/quota/reservation_test.go
@@ -34,13 +34,13 @@
 // changes or a new leader goes on, and is dropped some time after its end.
 func TestReservationKeepsTheStartOfItsWaitAcrossFailover(t *testing.T) {
 	m, begin := newReservingManager(), time.UnixMilli(1_000_000)
-	short := map[string]Amount{"x": {GPUs: 3}, "z": {GPUs: 5}}
-	if m.Reserve(begin, short) != nil {
+	shortfalls := map[string]Amount{"x": {GPUs: 3}, "z": {GPUs: 5}}
+	if m.Reserve(begin, shortfalls) != nil {
 		t.Fatal("a wait that has just begun is stored")
 	}
 	now := begin.Add(tuning.ReserveAfter)
-	decided := m.Reserve(now, short)
-	if m.Reserve(now.Add(time.Minute), short) != nil {
+	decided := m.Reserve(now, shortfalls)
+	if m.Reserve(now.Add(time.Minute), shortfalls) != nil {
 		t.Fatal("decided again while the write is under way")
 	}
 	storeReservations(t, m, decided)
@@ -56,12 +56,12 @@
 	if err := next.ApplyReservations(wire.MustMarshal(*decided)); err != nil {
 		t.Fatal(err)
 	}
-	short["x"] = Amount{GPUs: 4}
-	if next.Reserve(now, short) != nil {
+	shortfalls["x"] = Amount{GPUs: 4}
+	if next.Reserve(now, shortfalls) != nil {
 		t.Fatal("a small change of the amount is stored")
 	}
-	short["x"] = Amount{GPUs: 6}
-	storeReservations(t, next, next.Reserve(now.Add(tuning.ReservePause), short))
+	shortfalls["x"] = Amount{GPUs: 6}
+	storeReservations(t, next, next.Reserve(now.Add(tuning.ReservePause), shortfalls))
 	if r, _ := next.Reserved("x"); r.Since != begin.UnixMilli() || r.GPUs != 6 {
 		t.Fatalf("a new leader stored %+v", r)
 	}
@@ -76,7 +76,7 @@
 			t.Fatal("dropped at once")
 		}
 	}
-	if next.Reserve(now.Add(tuning.ReserveHold*3/4), short) != nil {
+	if next.Reserve(now.Add(tuning.ReserveHold*3/4), shortfalls) != nil {
 		t.Fatal("the same need again is stored")
 	}
 	now = now.Add(time.Minute)
@@ -124,7 +124,7 @@
 }
 
 // Reservations that can't be read, or can't be, count as none and end nothing.
-func TestDamagedReservationsCountAsNone(t *testing.T) {
+func TestDamagedReservationsAreIgnored(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		raw  wire.Raw
--- a/internal/quota/transfer_test.go
+++ b/internal/quota/transfer_test.go
@@ -5,8 +5,8 @@
 // A transfer gets no answer; the giver admits on, which leaves the record as it
 // is; then the transfer is applied late. Guards against claims beyond the
 // giver's share: what it has offered counts while its outcome is not known.
-func TestUncertainTransferCountsAgainstItsGiver(t *testing.T) {
-	m := newShared(t, 4, "a", "b", "c")
+func TestUncertainTransferCountsAgainstDonor(t *testing.T) {
+	m := newSharedModel(t, 4, "a", "b", "c")
 	transfer := m.transfer(m.controllers["b"], "a", Amount{GPUs: 1})
 	if transfer == nil || transfer.recordWrite.Given.GPUs != 1 {
 		t.Fatalf("b gives nothing: %+v", transfer)
@@ -14,7 +14,7 @@
 	if m.admit(m.controllers["b"], 1, Amount{GPUs: 1}) != nil {
 		t.Fatal("b admits while its transfer is under way")
 	}
-	m.loseAnswer(transfer, false)
+	m.loseResponse(transfer, false)
 	m.tryAdmit("b", 1)
 	m.converge() // the transfer arrives
 	if m.violation != nil {
@@ -31,8 +31,8 @@
 func TestTransferIsAtomicAcrossRestarts(t *testing.T) {
 	restart := func(label string) func(*model) { return func(m *model) { m.restart(label) } }
 	changeMembership := func(m *model) {
-		m.join([]string{"a", "c"}, "c")
-		m.join([]string{"a", "b", "c"}, "b")
+		m.setMembership([]string{"a", "c"}, "c")
+		m.setMembership([]string{"a", "b", "c"}, "b")
 	}
 	for _, c := range []struct {
 		name    string
@@ -47,7 +47,7 @@
 		{"the membership changes after the write arrives", true, changeMembership},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := newShared(t, 4, "a", "b", "c")
+			m := newSharedModel(t, 4, "a", "b", "c")
 			m.transfer(m.controllers["b"], "a", Amount{GPUs: 1})
 			if c.arrived {
 				m.deliver(m.inFlight[0])
@@ -72,8 +72,8 @@
 
 // Only the controller that can cover the most gives, and no more than it has left
 // over.
-func TestTransferGiverAndAmount(t *testing.T) {
-	m := newShared(t, 8, "a", "b", "c") // a has four, the others two
+func TestTransferDonorAndAmount(t *testing.T) {
+	m := newSharedModel(t, 8, "a", "b", "c") // a has four, the others two
 	m.deliver(m.mustAdmit(t, "c", 2))
 	m.readAll()
 	if w := m.transfer(m.controllers["c"], "a", Amount{GPUs: 2}); w != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-func TestTransferGivesNoMoreThanIsLacking(t *testing.T) {
-	m := newShared(t, 8, "a", "b", "c") // a has four, the others two
+func TestTransferIsCappedByShortfall(t *testing.T) {
+	m := newSharedModel(t, 8, "a", "b", "c") // a has four, the others two
 	if w := m.transfer(m.controllers["b"], "a", Amount{GPUs: 0.5}); w == nil || w.recordWrite.Given.GPUs != 0.5 {
 		t.Errorf("b, asked for 0.5, gives %+v", w)
 	}
