--- a/internal/quota/team.go
+++ b/internal/quota/team.go
@@ -1,7 +1,7 @@
 package quota
 
-// Team is what operators set for a team: in each resource a limit and a
-// guarantee; 0 stands for none.
+// Team holds the settings of a team: a limit and a guarantee for each resource,
+// where 0 means that there is none.
 type Team struct {
 	Name      string
 	Limit     Amount
