--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -2,33 +2,33 @@
 
 import "math"
 
-// epsilon absorbs the rounding of sums of decimal amounts.
+// epsilon is the tolerance for rounding errors in sums of decimal amounts.
 const epsilon = 1e-6
 
-// Amount is an amount of the resources that teams have limits in.
+// Amount is an amount of each resource that teams can have limits on.
 type Amount struct{ CPUs, GPUs float64 }
 
-// Add returns the sum.
+// Add returns the sum of both amounts.
 func (a Amount) Add(b Amount) Amount { return Amount{a.CPUs + b.CPUs, a.GPUs + b.GPUs} }
 
-// Sub returns the difference.
+// Sub returns the difference of both amounts.
 func (a Amount) Sub(b Amount) Amount { return Amount{a.CPUs - b.CPUs, a.GPUs - b.GPUs} }
 
 // Times returns the amount multiplied by a factor.
 func (a Amount) Times(factor float64) Amount { return Amount{a.CPUs * factor, a.GPUs * factor} }
 
-// Max returns the larger of both in each resource.
+// Max returns the larger of both values for each resource.
 func (a Amount) Max(b Amount) Amount { return Amount{max(a.CPUs, b.CPUs), max(a.GPUs, b.GPUs)} }
 
-// Min returns the smaller of both in each resource.
+// Min returns the smaller of both values for each resource.
 func (a Amount) Min(b Amount) Amount { return Amount{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs)} }
 
-// IsZero reports whether there is nothing of any resource, leaving aside
-// rounding.
+// IsZero reports whether the amount of every resource is zero, up to rounding
+// errors.
 func (a Amount) IsZero() bool { return math.Abs(a.CPUs) <= epsilon && math.Abs(a.GPUs) <= epsilon }
 
-// Within reports whether the amount stays inside a limit, in which 0 stands for
-// no limit.
+// Within reports whether the amount does not exceed a limit, where 0 means no
+// limit.
 func (a Amount) Within(limit Amount) bool {
 	return withinLimit(a.CPUs, limit.CPUs) && withinLimit(a.GPUs, limit.GPUs)
 }
@@ -40,7 +40,7 @@
 	return !math.IsInf(a.CPUs, 0) && !math.IsNaN(a.CPUs) && !math.IsInf(a.GPUs, 0) && !math.IsNaN(a.GPUs)
 }
 
-// maskUnlimited keeps the resources that a limit names.
+// maskUnlimited returns the amount with 0 for the resources that have no limit.
 func (a Amount) maskUnlimited(limit Amount) Amount {
 	if limit.CPUs <= 0 {
 		a.CPUs = 0
@@ -51,15 +51,15 @@
 	return a
 }
 
-// fits reports whether the amount is no more than the room, in the resources
-// that the limit names.
+// fits reports whether the amount does not exceed what is available, for the
+// resources that have a limit.
 func (a Amount) fits(available, limit Amount) bool {
 	a, available = a.maskUnlimited(limit), available.maskUnlimited(limit)
 	return a.CPUs <= available.CPUs+epsilon && a.GPUs <= available.GPUs+epsilon
 }
 
-// coverage is how much of the amount some room covers, from 0 to 1, in the
-// resource that it covers least.
+// coverage returns the fraction of the amount that is available, from 0 to 1, for
+// the resource with the lowest fraction. Resources without a limit do not count.
 func (a Amount) coverage(available, limit Amount) float64 {
 	lowest := 1.0
 	if limit.CPUs > 0 && a.CPUs > epsilon {
@@ -71,14 +71,14 @@
 	return max(0, lowest)
 }
 
-// differsByFactorOfTwo reports whether an amount is twice another or half of it, in
-// any resource.
+// differsByFactorOfTwo reports whether, for any resource, one of the amounts is at
+// least twice the other.
 func (a Amount) differsByFactorOfTwo(b Amount) bool {
 	atLeastDouble := func(x, y float64) bool { return max(x, y) > epsilon && max(x, y) >= 2*min(x, y) }
 	return atLeastDouble(a.CPUs, b.CPUs) || atLeastDouble(a.GPUs, b.GPUs)
 }
 
-// scaled is an amount multiplied by a factor for each resource.
+// scaled returns the amount multiplied by a factor for each resource.
 func (a Amount) scaled(factor Amount) Amount {
 	return Amount{a.CPUs * factor.CPUs, a.GPUs * factor.GPUs}
 }
