--- a/internal/quota/phase.go
+++ b/internal/quota/phase.go
@@ -5,46 +5,48 @@
 	"fmt"
 )
 
-// Phase is the state of a team's shares, as it follows from the stored record.
+// Phase is the state of a team's shares. It is derived from the stored record.
 type Phase string
 
-// Phases of a team's shares.
+// The phases of a team's shares.
 const (
 	// Unlimited: the team has no limit and needs no shares.
 	Unlimited Phase = "unlimited"
 	// Unshared: the record belongs to another membership, or there is none.
-	// No controller admits until the leader has shared the limit out.
+	// No controller admits work until the leader has divided the limit.
 	Unshared Phase = "unshared"
-	// Shared: each member admits within its share.
+	// Shared: each member admits work within its share.
 	Shared Phase = "shared"
-	// Frozen: no controller admits; the leader shares the limit out anew once it has
-	// read all claims that were stored before.
+	// Frozen: no controller admits work. The leader divides the limit again once it
+	// has read all claims that were stored before the freeze.
 	Frozen Phase = "frozen"
-	// OverLimit: the shares sum to more than the limit, which was lowered.
-	// No controller admits until enough is released and the limit is shared out
-	// anew.
+	// OverLimit: the shares sum to more than the limit, because it was lowered.
+	// No controller admits work until enough claims are released and the limit is
+	// divided again.
 	OverLimit Phase = "over limit"
-	// Damaged: the record can't be read or holds impossible shares. No controller
-	// admits; the leader freezes it and shares out from the claims.
+	// Damaged: the record can't be decoded or holds invalid shares. No controller
+	// admits work. The leader freezes the shares and computes new ones from the
+	// claims.
 	Damaged Phase = "damaged"
 )
 
-// Event is a write of the record.
+// Event is a kind of write of the record.
 type Event string
 
-// Events of a team's shares.
+// The events of a team's shares.
 const (
-	ShareOut Event = "share out" // the leader writes new shares
-	Freeze   Event = "freeze"    // the leader stops admissions to share out anew
-	HandOver Event = "hand over" // the leader admits on others' machines and gives the shard owners the share for it
-	Transfer Event = "transfer"  // a controller gives what it does not need to another
+	ShareOut Event = "share out" // the leader divides the limit and writes new shares
+	Freeze   Event = "freeze"    // the leader stops admissions before it divides the limit again
+	HandOver Event = "hand over" // the leader admits work on machines of other shard owners and moves share to them for it
+	Transfer Event = "transfer"  // a controller gives share that it does not need to another controller
 )
 
-// ErrPhase says that an event does not belong to the phase.
-var ErrPhase = errors.New("not in this phase")
+// ErrPhase means that an operation is not allowed in the current phase.
+var ErrPhase = errors.New("not allowed in the current phase of the shares")
 
-// Next is the one function that says which writes of the record may follow, and
-// which phase they lead to while the limit holds. Another write is ErrPhase.
+// Next returns the phase that an event leads to as long as the shares stay within
+// the limit, or ErrPhase if the event is not allowed in phase p. It is the single
+// definition of the allowed transitions.
 func (p Phase) Next(e Event) (Phase, error) {
 	switch {
 	case e == ShareOut && (p == Unshared || p == Frozen):
@@ -54,5 +56,5 @@
 	case (e == HandOver || e == Transfer) && p == Shared:
 		return Shared, nil
 	}
-	return p, fmt.Errorf("%w: %s of shares that are %s", ErrPhase, e, p)
+	return p, fmt.Errorf("%w: event %q in phase %q", ErrPhase, e, p)
 }
