--- a/internal/quota/scale.go
+++ b/internal/quota/scale.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// TotalGuarantees is the sum of all teams' guarantees.
+// TotalGuarantees returns the sum of all teams' guarantees.
 func (m *Manager) TotalGuarantees() Amount {
 	var sum Amount
 	for _, l := range m.ledgers {
@@ -11,11 +11,11 @@
 	return sum
 }
 
-// Scale is how much of its guarantee each team has in each resource while the
-// fleet, scaled out as far as it goes, can't hold all guarantees together: equal
-// parts of each. Until a team has waited so long that others' work would be
-// preempted for it, all guarantees count in full, since the fleet may still grow.
-// capacity is asked for only after that.
+// Scale returns the fraction of its guarantee that every team gets for each
+// resource. It is below 1 if the fleet, scaled out to its maximum, can't satisfy
+// all guarantees together. As long as no team has waited long enough for other
+// teams' work to be preempted, it is 1, since the fleet may still grow; capacity
+// is called only after that.
 func (m *Manager) Scale(capacity func() Amount, now time.Time) Amount {
 	scale := Amount{CPUs: 1, GPUs: 1}
 	if !m.anyMayReclaim(now) {
@@ -31,7 +31,7 @@
 	return scale
 }
 
-// anyMayReclaim reports whether some team may reclaim its guarantee.
+// anyMayReclaim reports whether any team may reclaim its guarantee.
 func (m *Manager) anyMayReclaim(now time.Time) bool {
 	for team := range m.reservations.Teams {
 		if m.MayReclaim(team, now) {
