--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -1,16 +1,16 @@
 package quota
 
-// Allowance is what a pass of placement may still give to a team.
+// Allowance is the quota that a placement pass may still grant to a team.
 type Allowance struct {
 	Used      Amount // by the team's claims on all machines
 	Limit     Amount // 0: none
 	Guarantee Amount // 0: none
-	// Left is what each controller may still admit, by label; nil: the team has
-	// no limit.
+	// Left is the quota that each controller may still admit, by the controller's
+	// label; nil: the team has no limit.
 	Left map[string]Amount
 }
 
-// Take enters an admission at a controller.
+// Take deducts an admission by a controller.
 func (a *Allowance) Take(controller string, amount Amount) {
 	a.Used = a.Used.Add(amount)
 	if a.Left != nil {
@@ -18,7 +18,8 @@
 	}
 }
 
-// AtNode is how many of so many like tasks a controller may still admit.
+// AtNode returns how many of the given number of identical tasks a controller may
+// still admit.
 func (a *Allowance) AtNode(controller string, need Amount, tasks int) int {
 	if a.Left == nil {
 		return tasks
@@ -31,8 +32,8 @@
 	return count
 }
 
-// Total is how many of so many like tasks the limit allows beside what is in
-// use.
+// Total returns how many of the given number of identical tasks fit the limit in
+// addition to what is in use.
 func (a *Allowance) Total(need Amount, tasks int) int {
 	used, count := a.Used.Add(need), 0
 	for count < tasks && used.Within(a.Limit) {
@@ -42,8 +43,8 @@
 	return count
 }
 
-// WithinGuarantee reports whether so much use stays inside the guarantee. A
-// team without a guarantee has nothing inside of it.
+// WithinGuarantee reports whether an amount in use does not exceed the guarantee.
+// It is false for a team without a guarantee.
 func (a *Allowance) WithinGuarantee(used Amount) bool {
 	if a.Guarantee.CPUs <= 0 && a.Guarantee.GPUs <= 0 {
 		return false
