--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Ledger is what a controller knows of one team's limit: the stored shares, and
-// its own admissions that are not seen among the stored claims yet.
+// Ledger is a controller's state of one team's quota: the stored shares, and the
+// controller's own admissions that it has not yet seen among the stored claims.
 type Ledger struct {
 	team      Team
 	options   Options
 	record    Record
 	version   uint64 // of the stored record
-	decodeErr error  // why the stored record can't be read
-	checkErr  error  // what Record.Check finds in it
+	decodeErr error  // why the stored record can't be decoded
+	checkErr  error  // the result of Record.Check for it
 
-	inFlight      Amount               // admitted, the write is under way
-	uncertain     []UncertainAdmission // admitted, the outcome of the write is not known
-	writeInFlight bool                 // a write of the record by this controller is under way
+	inFlight      Amount               // admitted; the write is in flight
+	uncertain     []UncertainAdmission // admitted; the outcome of the write is unknown
+	writeInFlight bool                 // a write of the record by this controller is in flight
 
-	shortageSince time.Time // since when work waits though the limit is not used up
-	frozenAt      time.Time // when this controller last froze the shares
-	transferredAt time.Time // when this controller last transferred part of its share
+	shortageSince time.Time // since when work waits although the limit is not used up; zero: it does not
+	frozenAt      time.Time // when this controller last decided to freeze the shares
+	transferredAt time.Time // when this controller last decided to transfer part of its share
 
-	waitTimes waitTimes // of the leader
+	waitTimes waitTimes // used by the leader only
 }
 
 // Team returns the team's settings.
 func (l *Ledger) Team() Team { return l.team }
 
-// Record returns the stored record as it was last read.
+// Record returns the stored record as last read.
 func (l *Ledger) Record() Record { return l.record }
 
-// Damage says why the stored record can't be used; nil if it can.
+// Damage returns why the stored record can't be used, or nil if it can.
 func (l *Ledger) Damage() error {
 	if l.decodeErr != nil {
 		return l.decodeErr
@@ -43,8 +43,7 @@
 	return nil
 }
 
-// Phase is the phase that the shares are in under a membership, which its
-// fencing token names.
+// Phase returns the phase of the shares under the membership with a fencing token.
 func (l *Ledger) Phase(token uint64) Phase {
 	switch {
 	case !l.team.Limited():
@@ -63,11 +62,12 @@
 	return Shared
 }
 
-// Writing reports whether this controller has a write of the record under way.
+// Writing reports whether a write of the record by this controller is in flight.
 func (l *Ledger) Writing() bool { return l.writeInFlight }
 
-// Allowance is what a pass of placement may still give to the team. used is what
-// its claims take, scale how much of its guarantee it has (Manager.Scale).
+// Allowance returns the quota that a placement pass may still grant to the team.
+// used is what the team's claims take; scale is the fraction of its guarantee that
+// it gets (see Manager.Scale).
 func (l *Ledger) Allowance(v View, used, scale Amount) *Allowance {
 	a := &Allowance{Used: used, Limit: l.team.Limit, Guarantee: l.team.Guarantee.scaled(scale)}
 	if !l.team.Limited() {
@@ -83,17 +83,17 @@
 	return a
 }
 
-// remaining is what a controller may still admit within its share.
+// remaining returns what a controller may still admit within its share.
 func (l *Ledger) remaining(v View, controller string) Amount {
 	remaining := l.unclaimed(v, controller)
 	if controller != v.Self {
-		return remaining // what others have under way is not known here
+		return remaining // the in-flight admissions of other controllers are not known here
 	}
 	inFlight, uncertain := l.Pending()
 	return remaining.Sub(inFlight).Sub(uncertain)
 }
 
-// unclaimed is what the stored claims leave of a controller's share.
+// unclaimed returns the part of a controller's share that no stored claim takes.
 func (l *Ledger) unclaimed(v View, controller string) Amount {
 	return l.record.Shares[controller].Amount().Sub(v.claimedBy(controller, l.team.Name))
 }
