--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -7,34 +7,34 @@
 	"wheatspur/wire"
 )
 
-// Options switch what is not in every version.
+// Options enables optional features.
 type Options struct {
-	// Transfers lets controllers give what they do not need to one that is short.
+	// Transfers lets controllers give share that they do not need to one that needs more.
 	Transfers bool
-	// Reservations lets the leader store how long teams have waited for room
+	// Reservations lets the leader store since when teams have waited for capacity
 	// within their guarantees.
 	Reservations bool
 }
 
-// Manager holds the ledgers of all teams of the settings, in their order.
+// Manager holds the ledgers of all configured teams, in the order of the settings.
 type Manager struct {
 	options Options
 	ledgers []*Ledger
 	byTeam  map[string]*Ledger
 
 	reservations             Reservations // as stored
-	reservationWriteInFlight bool         // a write of the reservations by this controller is under way
-	reservationDecidedAt     time.Time    // of the last decision to write them
+	reservationWriteInFlight bool         // a write of the reservations by this controller is in flight
+	reservationDecidedAt     time.Time    // when this controller last decided to write them
 }
 
-// NewManager returns a manager of the teams, with nothing stored.
+// NewManager returns a manager of the teams, without any stored records.
 func NewManager(teams []Team, o Options) *Manager {
 	m := &Manager{}
 	m.Configure(teams, o)
 	return m
 }
 
-// Configure changes the settings. What is known of the teams that stay is kept.
+// Configure replaces the settings. Teams that remain keep their state.
 func (m *Manager) Configure(teams []Team, o Options) {
 	known := m.byTeam
 	m.options = o
@@ -51,18 +51,18 @@
 	}
 }
 
-// Ledgers lists the ledgers in the order of the settings.
+// Ledgers returns the ledgers in the order of the settings.
 func (m *Manager) Ledgers() []*Ledger { return m.ledgers }
 
-// Ledger is the ledger of a team; nil if the team is not in the settings.
+// Ledger returns the ledger of a team, or nil if the team is not configured.
 func (m *Manager) Ledger(team string) *Ledger { return m.byTeam[team] }
 
-// Apply enters a team's stored record and its version; nil says that there is
-// none any more. Records of teams that are not in the settings are left aside.
+// Apply updates a team's stored record and its version; a nil raw means that the
+// record does not exist. Records of teams that are not configured are ignored.
 //
-// A record that can't be read stops the team's admissions. Guards against
-// admitting from the record before it, with a compare on the version of the one
-// that could not be read.
+// A record that can't be decoded stops the team's admissions. Otherwise the
+// controller would admit work from the previous record while its writes compare
+// the version of the one that it could not decode, and would succeed.
 func (m *Manager) Apply(team string, raw wire.Raw, version uint64) error {
 	l := m.byTeam[team]
 	if l == nil {
