--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -5,50 +5,52 @@
 	"fmt"
 )
 
-// Reasons why an admission is refused.
+// Errors that refuse an admission.
 var (
-	// ErrBusy says that a write of the record is under way.
-	ErrBusy = errors.New("shares are being written")
-	// ErrShareUsed says that the controller's share does not cover the admission.
-	ErrShareUsed = errors.New("share is used up")
+	// ErrBusy means that a write of the record by this controller is in flight.
+	ErrBusy = errors.New("a write of the team's shares is in flight")
+	// ErrShareUsed means that the rest of the controller's share does not cover the
+	// admission.
+	ErrShareUsed = errors.New("insufficient share")
 )
 
-// Admission is room of a team's limit that a write of claims takes.
+// Admission is the part of a team's limit that a write of claims takes.
 type Admission struct {
 	Team   string
 	Amount Amount
-	// Next is the record that the same write must store, if the claims are on
-	// other controllers' machines; else nil. With or without it, the write
-	// compares the record's version.
+	// Next is the record that the same write must store if some of the claims are on
+	// other controllers' machines, else nil. In both cases the write compares the
+	// record's version.
 	Next *Record
 }
 
-// UncertainAdmission is an admission whose write got no answer. It may be applied
-// until one of the keys that the write compares has changed, and counts until
-// everything up to that change has been read.
+// UncertainAdmission is an admission whose write got no response. The write can
+// still be applied until one of the keys that it compares has changed. The
+// admission counts until all changes up to that one have been read.
 type UncertainAdmission struct {
 	Compares map[string]uint64 // the versions that the write compares, by key
 	Amount   Amount
 
-	conflictRevision uint64 // revision by which a compared key has changed; 0: none seen to have
+	conflictRevision uint64 // revision by which a compared key had changed; 0: no change seen
 }
 
-// Admit takes room for claims of an amount. others is the part of it on other
-// controllers' machines, by shard owner: the owners get that part of this
-// controller's share. The admission must be ended by ResolveAdmission with the
-// outcome of its write. It is nil if the team has no limit.
+// Admit reserves part of this controller's share for claims of an amount. onOthers
+// is the part of the amount that is on other controllers' machines, by shard owner;
+// that part of the share moves to the owners. The caller must pass the admission
+// and the outcome of its write to ResolveAdmission. The admission is nil if the
+// team has no limit.
 func (l *Ledger) Admit(v View, amount Amount, onOthers map[string]Amount) (*Admission, error) {
 	if !l.team.Limited() {
 		return nil, nil
 	}
 	if phase := l.Phase(v.FencingToken); phase != Shared {
-		return nil, fmt.Errorf("%w: admission from shares that are %s", ErrPhase, phase)
+		return nil, fmt.Errorf("%w: admission in phase %q", ErrPhase, phase)
 	}
 	if l.writeInFlight {
 		return nil, ErrBusy
 	}
 	if remaining := l.remaining(v, v.Self); !amount.fits(remaining, l.team.Limit) {
-		return nil, fmt.Errorf("%w: %+v of %+v", ErrShareUsed, amount, remaining)
+		return nil, fmt.Errorf("%w: requested %+v, remaining %+v", ErrShareUsed, amount, remaining)
 	}
 	admission := &Admission{Team: l.team.Name, Amount: amount}
 	if len(onOthers) > 0 {
@@ -65,27 +67,28 @@
 	return admission, nil
 }
 
-// ResolveAdmission ends an admission. compared is the versions that its write
-// compares, by key.
+// ResolveAdmission ends an admission after the outcome of its write. compared holds
+// the versions that the write compares, by key.
 func (l *Ledger) ResolveAdmission(a *Admission, outcome Outcome, compared map[string]uint64) {
 	l.inFlight = l.inFlight.Sub(a.Amount)
 	if a.Next != nil {
 		l.writeInFlight = false
 	}
 	if outcome == Unknown {
-		// Guards against a late application beside claims that took its place.
+		// The write may still be applied. Counting it prevents this share from being
+		// used twice.
 		l.addUncertain(a.Amount, compared)
 	}
 }
 
-// addUncertain counts an amount until its write, whose outcome is not known, can't
-// be applied any more.
+// addUncertain counts an amount against the share until its write, whose outcome is
+// unknown, can no longer be applied.
 func (l *Ledger) addUncertain(amount Amount, compared map[string]uint64) {
 	l.uncertain = append(l.uncertain, UncertainAdmission{Compares: compared, Amount: amount})
 }
 
-// Pending is what this controller has admitted and does not see among the stored
-// claims yet: with writes under way, and with writes whose outcome is not known.
+// Pending returns what this controller has admitted and not yet seen among the
+// stored claims: by writes in flight and by writes whose outcome is unknown.
 func (l *Ledger) Pending() (inFlight, uncertain Amount) {
 	for _, u := range l.uncertain {
 		uncertain = uncertain.Add(u.Amount)
@@ -93,11 +96,12 @@
 	return l.inFlight, uncertain
 }
 
-// Forget drops the uncertain admissions that can't be applied any more, since a
-// key that their write compares has changed; if they were applied before that,
-// their claims have been read. Guards against an admission that counts nowhere:
-// this controller's own write of the record changed the compared key, while the
-// claim, applied before it without an answer, was not read yet.
+// Forget drops the uncertain admissions whose writes can no longer be applied,
+// because a key that they compare has changed. It keeps them until the cache has
+// read up to that change, so that claims applied before it have been read. Without
+// that, an admission would count nowhere when this controller's own write of the
+// record changes the compared key while the claim, which was applied earlier
+// without a response, has not been read yet.
 func (l *Ledger) Forget(c Cache) {
 	kept := l.uncertain[:0]
 	for _, u := range l.uncertain {
@@ -112,7 +116,7 @@
 	l.uncertain = kept
 }
 
-// compareFails reports whether a compared key has another version by now.
+// compareFails reports whether the version of a compared key has changed.
 func (u UncertainAdmission) compareFails(c Cache) bool {
 	for key, version := range u.Compares {
 		if c.Version(key) != version {
