--- a/internal/quota/rebalance.go
+++ b/internal/quota/rebalance.go
@@ -7,12 +7,14 @@
 	"wheatspur/internal/tuning"
 )
 
-// Rebalance lets the leader share the limit out: at once under a new
-// membership; and in two steps when work waits while the limit is not used up,
-// or when the record can't be admitted from. The first step freezes the shares;
-// what every controller has claimed is then known, and the second shares out the
-// rest. pending is what each waiting job of the team takes. Without budget for
-// writes only a new membership is served, since all admissions wait for that.
+// Rebalance decides whether the leader divides the limit into new shares and
+// returns the write for it, or nil. Under a new membership it divides the limit at
+// once. When work waits although the limit is not used up, or when the record does
+// not allow admissions, it takes two steps: the first freezes the shares, so that
+// the claims of all controllers become known, and the second divides what the
+// claims leave of the limit. pending yields what each waiting job of the team takes.
+// Without write budget (budget is false) it serves only a new membership, since all
+// admissions wait for that.
 func (l *Ledger) Rebalance(now time.Time, v View, pending iter.Seq[Amount], budget bool) *Write {
 	phase := l.Phase(v.FencingToken)
 	if l.writeInFlight || phase == Unlimited || !budget && phase != Unshared {
@@ -22,7 +24,7 @@
 	event := Freeze
 	switch {
 	case phase == Unshared, phase == Frozen && v.Revision >= l.version:
-		// No controller admits before this is stored, and every claim before is known.
+		// No controller admits work until this is stored, and all earlier claims are known.
 		event = ShareOut
 		next.Shares = l.divideLimit(v, pending)
 	case l.needsRebalance(now, v, phase):
@@ -31,7 +33,7 @@
 		return nil
 	}
 	if err := l.beginWrite(v, event, next); err != nil {
-		return nil // a later call decides anew
+		return nil // a later call decides again
 	}
 	if event == Freeze {
 		l.frozenAt = now
@@ -41,8 +43,8 @@
 	return &Write{Team: l.team.Name, Event: event, Record: next}
 }
 
-// needsRebalance reports whether the shares have to be shared out anew. Pauses
-// guard against spending the budget for writes on rebalancing alone.
+// needsRebalance reports whether the shares have to be divided again. The pause
+// between rebalances keeps them from using up the write budget.
 func (l *Ledger) needsRebalance(now time.Time, v View, phase Phase) bool {
 	if now.Sub(l.frozenAt) <= tuning.RebalancePause {
 		return false
@@ -51,7 +53,7 @@
 	case Damaged:
 		return true
 	case OverLimit:
-		// Until something is released, the shares would stay what they are.
+		// Until some claims are released, the shares would not change.
 		claimed := v.Claimed.Of(l.team.Name).maskUnlimited(l.team.Limit)
 		return !l.record.total().maskUnlimited(l.team.Limit).Sub(claimed).IsZero()
 	case Shared:
@@ -60,8 +62,8 @@
 	return false
 }
 
-// rebalanceDelay is how long a shortage lasts before the limit is shared out anew:
-// transfers come first, where there are any.
+// rebalanceDelay returns how long a shortage must last before the limit is divided
+// again. If transfers are enabled, they get time to end it first.
 func (l *Ledger) rebalanceDelay() time.Duration {
 	if l.options.Transfers {
 		return tuning.TransferPatience
@@ -69,10 +71,11 @@
 	return 0
 }
 
-// divideLimit shares the limit out: what each controller has claimed, and the rest
-// in equal parts, two of them to the leader, which admits jobs that are too large
-// for one shard. Where a part would not cover the largest waiting job, the leader
-// gets all the rest and admits for all.
+// divideLimit divides the limit into shares. Each controller gets what its claims
+// take plus an equal portion of the rest. The leader gets two portions, since it
+// admits the jobs that are too large for one shard. If a portion does not cover the
+// largest waiting job, the leader gets all of the rest and admits work for all
+// controllers.
 func (l *Ledger) divideLimit(v View, pending iter.Seq[Amount]) map[string]Share {
 	rest := l.team.Limit.Sub(v.Claimed.Of(l.team.Name)).Max(Amount{})
 	part := rest.Times(1 / float64(len(v.Nodes)+1))
@@ -93,9 +96,9 @@
 	return shares
 }
 
-// RecordShortage notes whether work waits for other shares though the limit is not
-// used up. Shares that are about to be shared out count as none: guards against
-// rebalancing again what has just been rebalanced.
+// RecordShortage records whether work waits for other controllers' shares although
+// the limit is not used up. A shortage is ignored while the shares are about to be
+// divided, so that a rebalance does not trigger another one.
 func (l *Ledger) RecordShortage(short bool, now time.Time, token uint64) {
 	switch {
 	case !short || l.Phase(token) != Shared:
