--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// Record is the stored form of a team's shares. It belongs to the membership
-// whose fencing token it names. Two things hold at any time: the shares sum to no
-// more than the limit, and the claims on a controller's machines sum to no more
-// than its share. So the team's claims never exceed its limit.
+// Record is the stored form of a team's shares. It belongs to the membership with
+// its fencing token. Two invariants keep the team's claims within its limit: the sum
+// of the shares never exceeds the limit, and the sum of the claims on a controller's
+// machines never exceeds the controller's share.
 type Record struct {
 	FencingToken uint64           `cbor:"b"`
-	Frozen       bool             `cbor:"f,omitempty"` // about to be shared out anew: no controller admits
-	Shares       map[string]Share `cbor:"g,omitempty"` // by label of the controller
+	Frozen       bool             `cbor:"f,omitempty"` // no controller admits work until the limit is divided again
+	Shares       map[string]Share `cbor:"g,omitempty"` // by the controller's label
 }
 
 // Share is the stored form of a controller's part of a team's limit.
@@ -24,13 +24,13 @@
 	GPUs float64
 }
 
-// ShareOf turns an amount into a share.
+// ShareOf converts an amount to a share.
 func ShareOf(a Amount) Share { return Share{CPUs: a.CPUs, GPUs: a.GPUs} }
 
-// Amount returns the share as an amount.
+// Amount converts the share to an amount.
 func (s Share) Amount() Amount { return Amount{s.CPUs, s.GPUs} }
 
-// total is the sum of the shares.
+// total returns the sum of the shares.
 func (r Record) total() Amount {
 	var sum Amount
 	for _, s := range r.Shares {
@@ -39,8 +39,8 @@
 	return sum
 }
 
-// withTransfer is the record with an amount moved from one controller's share to
-// another's.
+// withTransfer returns a copy of the record with an amount moved from one
+// controller's share to another's.
 func (r Record) withTransfer(from, to string, amount Amount) Record {
 	next := r
 	next.Shares = maps.Clone(r.Shares)
@@ -52,17 +52,18 @@
 	return next
 }
 
-// Faults of a record. No controller admits from a record that has one.
+// Errors of Record.Check. No controller admits work from a record that has one.
 var (
-	// ErrDamaged says that a record can't be read, or holds an impossible share.
+	// ErrDamaged means that a record can't be decoded or holds an invalid share.
 	ErrDamaged = errors.New("damaged record of shares")
-	// ErrOverLimit says that the shares sum to more than the team's limit. That is
-	// so after operators have lowered the limit.
+	// ErrOverLimit means that the shares sum to more than the team's limit, which
+	// happens after operators have lowered the limit.
 	ErrOverLimit = errors.New("shares exceed the limit")
 )
 
-// Check is the one statement of what holds of a record by itself. Resources
-// without a limit are left out.
+// Check checks the record on its own against the team's limit. It is the single
+// definition of a valid record. Resources without a limit are ignored, except that
+// a share that is not finite is always an error.
 func (r Record) Check(t Team) error {
 	for _, controller := range slices.Sorted(maps.Keys(r.Shares)) {
 		share := r.Shares[controller].Amount()
