--- a/internal/quota/reservation.go
+++ b/internal/quota/reservation.go
@@ -9,19 +9,19 @@
 	"wheatspur/wire"
 )
 
-// ReservationsKey is the key of the record of all reservations.
+// ReservationsKey is the key of the record that holds all reservations.
 const ReservationsKey = "w/reserved"
 
-// Reservations is the stored form of the room that teams wait for within their
-// guarantees. It is written by the leader alone and read by every controller, so
-// that neither a restart of a controller nor a failover begins the wait anew. It
-// belongs to no membership.
+// Reservations is the stored form of the capacity that teams wait for within their
+// guarantees. Only the leader writes it, and every controller reads it, so that
+// neither a restart of a controller nor a failover resets the waiting time. It does
+// not belong to a membership.
 type Reservations struct {
-	Teams map[string]Reservation `cbor:"t,omitempty"` // by name
+	Teams map[string]Reservation `cbor:"t,omitempty"` // by team name
 }
 
-// Reservation is the stored form of one team's: the room that it waits for, and
-// since when, in Unix milliseconds.
+// Reservation is the stored form of one team's reservation: the capacity that it
+// waits for and the start of the wait, in Unix milliseconds.
 type Reservation struct {
 	_     struct{} `cbor:",toarray"`
 	CPUs  float64
@@ -29,18 +29,18 @@
 	Since int64
 }
 
-// Amount is the room that is waited for.
+// Amount returns the capacity that the team waits for.
 func (r Reservation) Amount() Amount { return Amount{r.CPUs, r.GPUs} }
 
-// waitTimes is what the leader remembers of a team between two decisions.
+// waitTimes holds the leader's state of a team between two calls of Reserve.
 type waitTimes struct {
-	shortfallSince time.Time // since when work within the guarantee lacks room; zero: it does not
-	satisfiedSince time.Time // since when none does, while a reservation is stored
+	shortfallSince time.Time // since when work within the guarantee lacks capacity; zero: it does not
+	satisfiedSince time.Time // since when no work lacks capacity while a reservation is stored
 }
 
-// ApplyReservations enters the stored record; nil says that there is none. One
-// that can't be read counts as none: guarantees are then reclaimed as by a
-// controller that has just begun.
+// ApplyReservations updates the stored record; a nil raw means that there is none.
+// A record that can't be decoded or is invalid counts as none; guarantees are then
+// reclaimed as if this controller had just started.
 func (m *Manager) ApplyReservations(raw wire.Raw) error {
 	m.reservations = Reservations{}
 	if raw == nil {
@@ -48,35 +48,35 @@
 	}
 	var decoded Reservations
 	if err := wire.Unmarshal(raw, &decoded); err != nil {
-		return fmt.Errorf("reservations: %w", err)
+		return fmt.Errorf("decoding reservations: %w", err)
 	}
 	for team, r := range decoded.Teams {
 		if !r.Amount().finite() || r.CPUs < 0 || r.GPUs < 0 {
-			return fmt.Errorf("reservations: %w: %s waits for %+v", ErrDamaged, team, r.Amount())
+			return fmt.Errorf("invalid reservation: %w: team %s reserves %+v", ErrDamaged, team, r.Amount())
 		}
 	}
 	m.reservations = decoded
 	return nil
 }
 
-// Reserved is a team's stored reservation.
+// Reserved returns a team's stored reservation.
 func (m *Manager) Reserved(team string) (Reservation, bool) {
 	r, ok := m.reservations.Teams[team]
 	return r, ok
 }
 
-// MayReclaim reports whether a team has waited so long for room within its
-// guarantee that others' borrowed work is preempted for it: by then the cloud has
-// had the time to bring room.
+// MayReclaim reports whether a team has waited long enough for capacity within its
+// guarantee for other teams' borrowed work to be preempted for it. By then the
+// cloud has had time to provide machines.
 func (m *Manager) MayReclaim(team string, now time.Time) bool {
 	r, ok := m.Reserved(team)
 	return ok && now.Sub(time.UnixMilli(r.Since)) > tuning.GuaranteePreemptAfter
 }
 
-// Reserve lets the leader decide what is stored next: short is the room that each
-// team's work lacks within its guarantee. It is nil while the stored record
-// will do. After a result that is not nil, nothing is decided until
-// ReservationsWritten.
+// Reserve lets the leader decide which reservations to store next. short is the
+// capacity that each team's work lacks within its guarantee. The result is nil if
+// the stored record needs no change. After a result that is not nil, Reserve returns
+// nil until ReservationsWritten is called.
 func (m *Manager) Reserve(now time.Time, short map[string]Amount) *Reservations {
 	if !m.options.Reservations || m.reservationWriteInFlight || now.Sub(m.reservationDecidedAt) < tuning.ReservePause {
 		return nil
@@ -93,7 +93,7 @@
 	}
 	for team := range next.Teams {
 		if l := m.byTeam[team]; l == nil || !l.team.Guaranteed() {
-			delete(next.Teams, team) // the operators have taken the guarantee away
+			delete(next.Teams, team) // the operators have removed the guarantee
 			changed = true
 		}
 	}
@@ -104,11 +104,11 @@
 	return &next
 }
 
-// ReservationsWritten ends a write of the reservations.
+// ReservationsWritten ends a write of the reservations, whatever its outcome.
 func (m *Manager) ReservationsWritten() { m.reservationWriteInFlight = false }
 
-// updateReservation makes, changes or drops the team's reservation; false if it
-// stays as it is.
+// updateReservation adds, changes or drops the team's reservation in byTeam and
+// reports whether anything changed.
 func (l *Ledger) updateReservation(now time.Time, shortfall Amount, byTeam map[string]Reservation) bool {
 	if shortfall.IsZero() {
 		return l.dropReservation(now, byTeam)
@@ -121,18 +121,18 @@
 	sinceMs := w.shortfallSince.UnixMilli()
 	if stored, ok := byTeam[l.team.Name]; ok {
 		if !shortfall.differsByFactorOfTwo(stored.Amount()) {
-			return false // smaller changes are not worth a write
+			return false // smaller changes do not justify a write
 		}
 		sinceMs = stored.Since
 	} else if now.Sub(w.shortfallSince) < tuning.ReserveAfter {
-		return false // most waits are over in a moment
+		return false // most waits end before this and need no reservation
 	}
 	byTeam[l.team.Name] = Reservation{CPUs: shortfall.CPUs, GPUs: shortfall.GPUs, Since: sinceMs}
 	return true
 }
 
-// dropReservation drops the team's reservation once no work of it has lacked room
-// for a time; false if it stays as it is.
+// dropReservation drops the team's reservation from byTeam once its work has not
+// lacked capacity for tuning.ReserveHold. It reports whether anything changed.
 func (l *Ledger) dropReservation(now time.Time, byTeam map[string]Reservation) bool {
 	w := &l.waitTimes
 	w.shortfallSince = time.Time{}
