--- a/internal/quota/summary.go
+++ b/internal/quota/summary.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Summary is what operators are shown of a team.
+// Summary is the state of a team that operators are shown.
 type Summary struct {
 	Team     Team
 	Phase    Phase
 	Damage   error // why the record of shares can't be used; nil: it can
 	Used     Amount
 	Borrowed Amount // used beyond the guarantee
-	InFlight Amount // admitted by this controller, the write is under way
-	InDoubt  Amount // admitted by this controller, the outcome of the write is not known
+	InFlight Amount // admitted by this controller; the write is in flight
+	InDoubt  Amount // admitted by this controller; the outcome of the write is unknown
 	Reserved *Reservation
-	Shares   []NodeShare // by label
+	Shares   []NodeShare // sorted by the controller's label
 }
 
-// NodeShare is one controller's part of a team's limit, in the resources that
-// are limited.
+// NodeShare is one controller's share of a team's limit, for the resources that
+// have a limit.
 type NodeShare struct {
 	Node    string // label of the controller
 	Share   Amount
 	Claimed Amount // by the claims on the controller's machines
 }
 
-// Summary describes a team; nil if it is not in the settings. used is what its
-// claims take.
+// Summary returns the summary of a team, or nil if the team is not configured. used
+// is what the team's claims take.
 func (m *Manager) Summary(v View, team string, used Amount) *Summary {
 	l := m.byTeam[team]
 	if l == nil {
