--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -6,13 +6,15 @@
 	"wheatspur/internal/tuning"
 )
 
-// Transfer lets this controller give part of its share to one that lacks some: in
-// one write, which takes from its own share alone. That is safe by itself, since
-// a controller is the only one that admits under its share without writing the
-// record, and admits nothing while the write is under way.
+// Transfer decides whether this controller gives part of its share to a controller
+// that needs more and returns the write for it, or nil. A transfer is a single write
+// that takes only from the share of the controller that makes it. That is safe
+// because only this controller admits work under its share without writing the
+// record, and it admits nothing while the write is in flight.
 //
-// unused is what the controller's own work leaves of its share. Of all
-// controllers the one that can cover the most gives, so that givers seldom race.
+// unused is the part of the share that the controller's own work does not need. Only
+// the controller that can cover the largest part of the shortfall makes a transfer, so
+// that transfers seldom conflict.
 func (l *Ledger) Transfer(now time.Time, v View, recipient string, shortfall, unused Amount) *Write {
 	if l.writeInFlight || recipient == v.Self || l.Phase(v.FencingToken) != Shared || now.Sub(l.transferredAt) < tuning.TransferPause {
 		return nil
@@ -26,14 +28,14 @@
 	}
 	next := l.record.withTransfer(v.Self, recipient, amount)
 	if err := l.beginWrite(v, Transfer, next); err != nil {
-		return nil // a later call decides anew
+		return nil // a later call decides again
 	}
 	l.transferredAt = now
 	return &Write{Team: l.team.Name, Event: Transfer, Record: next, Given: amount}
 }
 
-// chooseDonor is the controller whose unclaimed share covers the most of what
-// another lacks, the first by label among equals; none if that is nothing.
+// chooseDonor returns the controller whose unclaimed share covers the largest
+// part of the shortfall, the first by label among equals, or "" if none covers any.
 func (l *Ledger) chooseDonor(v View, recipient string, shortfall Amount) string {
 	donor, highest := "", 0.0
 	for _, controller := range v.Nodes {
