--- a/internal/quota/write.go
+++ b/internal/quota/write.go
@@ -2,27 +2,27 @@
 
 import "errors"
 
-// Write is a record that is to be stored by a compare-and-swap on the version of
-// the one that it was decided on, and on the membership. It must be ended by
-// Ledger.ResolveWrite.
+// Write is a record to be stored by a compare-and-swap on the version of the record
+// that it was decided on, and on the membership. The caller must pass it and its
+// outcome to Ledger.ResolveWrite.
 type Write struct {
 	Team   string
 	Event  Event
 	Record Record
-	Given  Amount // of this controller's share, by a transfer
+	Given  Amount // the part of this controller's share that a transfer moves
 }
 
-// Outcome is what became of a write.
+// Outcome is the outcome of a write.
 type Outcome int
 
-// Outcomes of a write.
+// The outcomes of a write.
 const (
-	Stored  Outcome = iota // it was applied
-	Failed                 // it was not and never will be
-	Unknown                // no answer: it may have been, or may yet be, applied
+	Stored  Outcome = iota // the write was applied
+	Failed                 // the write was not applied and never will be
+	Unknown                // no response: the write may have been applied or may still be
 )
 
-// beginWrite starts a write of the record; it is the one place where that happens.
+// beginWrite starts a write of the record. Every write of the record starts here.
 func (l *Ledger) beginWrite(v View, e Event, next Record) error {
 	if l.writeInFlight {
 		return ErrBusy
@@ -37,10 +37,10 @@
 	return nil
 }
 
-// ResolveWrite ends a write of the record. compared is the versions that it
-// compares, by key. What a transfer gives away counts while its outcome is not
-// known: guards against admitting from it, which does not change the record,
-// before the transfer is applied late.
+// ResolveWrite ends a write of the record. compared holds the versions that the
+// write compares, by key. The amount of a transfer counts against the share while
+// the outcome is unknown. Otherwise this controller could admit work within that
+// amount, which does not change the record, before the transfer is applied late.
 func (l *Ledger) ResolveWrite(w *Write, outcome Outcome, compared map[string]uint64) {
 	l.writeInFlight = false
 	if outcome == Unknown && !w.Given.IsZero() {
