--- a/internal/quota/admission_test.go
+++ b/internal/quota/admission_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// The leader's claim on a machine of its own gets no answer and is applied after
-// all; before its watch shows that, its own next write changes the record, which
-// the first compares. The first claim still counts. Guards against two claims
-// in a share of one.
+// A write of the leader gets no response and is applied anyway. Before the leader has
+// read its claim, its next write changes the record, which the first write compares,
+// so the first write looks like one that can no longer be applied. Its claim must
+// still count, or the leader admits two claims within a share of one.
 func TestUncertainAdmissionCountsUntilItsClaimIsRead(t *testing.T) {
-	m := newSharedModel(t, 4, "a", "b", "c") // a leads and has two, the others one
+	m := newSharedModel(t, 4, "a", "b", "c") // the leader a has a share of two, b and c of one
 	lost := m.mustAdmit(t, "a", 0)
-	handOver := m.mustAdmit(t, "a", 1) // b's machine
+	handOver := m.mustAdmit(t, "a", 1) // on a machine of b
 	m.loseResponse(lost, false)
 	m.applyWrite(lost)
 	m.deliver(handOver)
@@ -17,22 +17,22 @@
 	if m.violation != nil {
 		t.Fatal(m.violation)
 	}
-	// Once it is read, nothing is uncertain any more.
+	// Once the claim is read, no admission is uncertain.
 	m.converge()
 	if _, uncertain := m.controllers["a"].manager.Ledger("x").Pending(); !uncertain.IsZero() {
-		t.Fatalf("%+v stays uncertain", uncertain)
+		t.Fatalf("%+v is still uncertain", uncertain)
 	}
 }
 
-// Two controllers admit the last free unit in the same instant: the former leader
-// and the next one. Whichever write comes first, one unit is claimed.
+// The former and the next leader admit the last free unit at the same time. Exactly
+// one claim is stored, whichever write is applied first.
 func TestLastUnitIsAdmittedOnceAcrossFailover(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		formerLeaderFirst bool
 	}{
-		{"the former leader's write comes first", true},
-		{"the next leader's write comes first", false},
+		{"the former leader's write is applied first", true},
+		{"the next leader's write is applied first", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newSharedModel(t, 1, "a", "b")
@@ -50,7 +50,7 @@
 				m.deliver(w)
 			}
 			if len(m.claims) != 1 || m.violation != nil {
-				t.Fatalf("%d claims, %v", len(m.claims), m.violation)
+				t.Fatalf("%d claims, want 1; violation: %v", len(m.claims), m.violation)
 			}
 		})
 	}
