--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -9,8 +9,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden bytes")
 
-// What a controller has stored must stay readable to every later version, and to the
-// version that works beside it.
+// Stored records must stay readable by every later version, and by the version that
+// runs alongside it during an upgrade.
 func TestGoldenRecords(t *testing.T) {
 	golden.Check(t, []golden.Sample{
 		golden.CBOR("team record", Record{FencingToken: 78, Frozen: true, Shares: map[string]Share{"node-1": {CPUs: 100.5, GPUs: 12.5}}}),
