--- a/internal/quota/phase_test.go
+++ b/internal/quota/phase_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Every phase allows the writes of the table in docs/design/quota.md, and no others.
+// Every phase allows exactly the events of the table in docs/design/quota.md.
 func TestPhaseTransitions(t *testing.T) {
 	allowed := map[Phase]map[Event]Phase{
 		Unlimited: {},
@@ -17,11 +17,11 @@
 	}
 	for phase, events := range allowed {
 		for _, event := range []Event{ShareOut, Freeze, HandOver, Transfer} {
-			t.Run(fmt.Sprintf("%s of shares that are %s", event, phase), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s in phase %s", event, phase), func(t *testing.T) {
 				next, err := phase.Next(event)
 				want, ok := events[event]
 				if ok != (err == nil) || ok && next != want || !ok && next != phase {
-					t.Errorf("%s, %v", next, err)
+					t.Errorf("next phase %s, error %v", next, err)
 				}
 			})
 		}
