--- a/internal/quota/reservation_test.go
+++ b/internal/quota/reservation_test.go
@@ -9,7 +9,7 @@
 	"wheatspur/wire"
 )
 
-// newReservingManager is a manager of two teams with guarantees and one without.
+// newReservingManager returns a manager of two teams with guarantees and one without.
 func newReservingManager() *Manager {
 	return NewManager([]Team{
 		{Name: "x", Guarantee: Amount{GPUs: 8}},
@@ -18,11 +18,11 @@
 	}, Options{Reservations: true})
 }
 
-// storeReservations carries a decision out and lets the manager read it.
+// storeReservations stores the decided reservations and lets the manager read them.
 func storeReservations(t *testing.T, m *Manager, decided *Reservations) {
 	t.Helper()
 	if decided == nil {
-		t.Fatal("nothing is to be stored")
+		t.Fatal("no reservations to store")
 	}
 	if err := m.ApplyReservations(wire.MustMarshal(*decided)); err != nil {
 		t.Fatal(err)
@@ -30,8 +30,9 @@
 	m.ReservationsWritten()
 }
 
-// A wait is stored once it has lasted, keeps its beginning while its amount
-// changes or a new leader goes on, and is dropped some time after its end.
+// A reservation is stored once a wait has lasted. It keeps the start of the wait when
+// its amount changes or a new leader takes over, and is dropped some time after the
+// wait ends.
 func TestReservationKeepsTheStartOfItsWaitAcrossFailover(t *testing.T) {
 	m, begin := newReservingManager(), time.UnixMilli(1_000_000)
 	shortfalls := map[string]Amount{"x": {GPUs: 3}, "z": {GPUs: 5}}
@@ -41,7 +42,7 @@
 	now := begin.Add(tuning.ReserveAfter)
 	decided := m.Reserve(now, shortfalls)
 	if m.Reserve(now.Add(time.Minute), shortfalls) != nil {
-		t.Fatal("decided again while the write is under way")
+		t.Fatal("decided again while the write is in flight")
 	}
 	storeReservations(t, m, decided)
 	if r, ok := m.Reserved("x"); !ok || r.Since != begin.UnixMilli() || r.GPUs != 3 {
@@ -51,7 +52,7 @@
 		t.Fatal("a team without a guarantee has a reservation")
 	}
 
-	// A new leader knows nothing but the record; the amount has doubled.
+	// A new leader knows only the stored record. The amount changes, then doubles.
 	next := newReservingManager()
 	if err := next.ApplyReservations(wire.MustMarshal(*decided)); err != nil {
 		t.Fatal(err)
@@ -66,28 +67,28 @@
 		t.Fatalf("a new leader stored %+v", r)
 	}
 	if !next.MayReclaim("x", begin.Add(tuning.GuaranteePreemptAfter+time.Second)) || next.MayReclaim("x", begin.Add(tuning.GuaranteePreemptAfter-time.Second)) {
-		t.Fatal("the wait counts from another time")
+		t.Fatal("the wait does not count from its start")
 	}
 
-	// A moment without need is not the end.
+	// A short time without a shortfall does not end the wait.
 	now = now.Add(20 * time.Second)
 	for _, after := range []time.Duration{0, tuning.ReserveHold / 2} {
 		if next.Reserve(now.Add(after), nil) != nil {
-			t.Fatal("dropped at once")
+			t.Fatal("the reservation is dropped too early")
 		}
 	}
 	if next.Reserve(now.Add(tuning.ReserveHold*3/4), shortfalls) != nil {
-		t.Fatal("the same need again is stored")
+		t.Fatal("an unchanged shortfall is stored again")
 	}
 	now = now.Add(time.Minute)
 	_ = next.Reserve(now, nil) // the wait ends
 	storeReservations(t, next, next.Reserve(now.Add(tuning.ReserveHold), nil))
 	if _, ok := next.Reserved("x"); ok {
-		t.Fatal("it stays when nothing lacks room")
+		t.Fatal("the reservation remains although no work lacks capacity")
 	}
 }
 
-// A guarantee that operators take away takes its reservation along.
+// Removing a team's guarantee drops its reservation.
 func TestReservationEndsWithItsGuarantee(t *testing.T) {
 	m, now := newReservingManager(), time.UnixMilli(1_000_000)
 	_ = m.Reserve(now, map[string]Amount{"y": {GPUs: 1}}) // the wait begins
@@ -95,18 +96,18 @@
 	m.Configure([]Team{{Name: "x", Guarantee: Amount{GPUs: 8}}, {Name: "y"}}, Options{Reservations: true})
 	storeReservations(t, m, m.Reserve(now.Add(time.Minute), nil))
 	if _, ok := m.Reserved("y"); ok {
-		t.Fatal("it stays")
+		t.Fatal("the reservation remains")
 	}
 }
 
-// Guarantees beyond what the fleet holds are cut in equal parts, once it is shown
-// that the fleet does not grow.
+// Guarantees that exceed the fleet's capacity are scaled down by the same factor for
+// all teams, once a team has waited so long that the fleet is known not to grow.
 func TestGuaranteesBeyondTheFleetAreScaledEqually(t *testing.T) {
 	m, begin := newReservingManager(), time.UnixMilli(1_000_000)
 	fleet := func() Amount { return Amount{CPUs: 100, GPUs: 12} }
 	late := begin.Add(tuning.GuaranteePreemptAfter + time.Minute)
 	if scale := m.Scale(fleet, late); scale != (Amount{1, 1}) {
-		t.Fatalf("scale %+v though nobody waits", scale)
+		t.Fatalf("scale %+v although no team waits", scale)
 	}
 	_ = m.Reserve(begin, map[string]Amount{"x": {GPUs: 8}}) // the wait begins
 	storeReservations(t, m, m.Reserve(begin.Add(tuning.ReserveAfter), map[string]Amount{"x": {GPUs: 8}}))
@@ -123,15 +124,15 @@
 	}
 }
 
-// Reservations that can't be read, or can't be, count as none and end nothing.
+// Reservations that can't be decoded or are invalid count as none.
 func TestDamagedReservationsAreIgnored(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		raw  wire.Raw
 		want error // nil: any
 	}{
-		{"no cbor", wire.Raw{0xff}, nil},
-		{"a list", wire.MustMarshal([]int{1}), nil},
+		{"not CBOR", wire.Raw{0xff}, nil},
+		{"wrong type", wire.MustMarshal([]int{1}), nil},
 		{"negative", wire.MustMarshal(Reservations{Teams: map[string]Reservation{"x": {GPUs: -1, Since: 1}}}), ErrDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
