--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -11,9 +11,9 @@
 	"wheatspur/wire"
 )
 
-// model is a key-value store, and controllers that each have read a part of what
-// is stored. Writes are delivered in any order, their answers get lost, and they
-// may be applied late. The checker sees stored changes only.
+// model simulates a key-value store and controllers that have each read a part of its
+// changes. Writes are delivered in any order, responses get lost, and writes may be
+// applied late. The invariants are checked on the stored state only.
 type model struct {
 	team           string
 	now            time.Time
@@ -24,12 +24,12 @@
 	record         wire.Raw
 	membership     membership
 	controllers    map[string]*modelController
-	inFlight       []*write // decided on; not applied yet
-	abandoned      []*write // their controller has given up on them
+	inFlight       []*write // decided on, not yet applied
+	abandoned      []*write // their controllers no longer wait for a response; they may still be applied
 	claimCount     int
-	unused         Amount // of a giver's share by its own work
-	ignoreCompares bool   // a planted fault: writes are applied whatever their compares say
-	violation      error  // the first violation that the checker saw
+	unused         Amount // of a donor's share, after the needs of its own work
+	ignoreCompares bool   // an injected fault: writes are applied even if their compares fail
+	violation      error  // the first violation of an invariant
 }
 
 // claim is a stored claim on a machine.
@@ -45,7 +45,7 @@
 	members []string
 }
 
-// owner is the member that a machine is hashed to.
+// owner returns the member that owns a machine.
 func (m membership) owner(machine int) string { return m.members[machine%len(m.members)] }
 
 // Keys of the model's key-value store.
@@ -54,36 +54,36 @@
 	recordKey     = "record"
 )
 
-// change is one stored change of one key.
+// change is a stored change of one key.
 type change struct {
 	key      string
 	revision uint64
-	claim    *claim // of a claim's key; nil: released
+	claim    *claim // value of the key of a claim; nil: the claim is released
 	record   wire.Raw
 	members  membership
 }
 
-// write is a compare-and-swap.
+// write is a compare-and-swap of one or more keys.
 type write struct {
 	controller  *modelController
 	compares    map[string]uint64
 	changes     []change
-	limit       Amount     // that the controller decided under
-	admission   *Admission // of claims
-	recordWrite *Write     // of the leader's shares, or a transfer
+	limit       Amount     // the limit that the controller decided under
+	admission   *Admission // set for a write of claims
+	recordWrite *Write     // set for a write of the record by Rebalance or Transfer
 }
 
-// modelController is a process of a controller, with its cache.
+// modelController is a process of a controller, including its cache.
 type modelController struct {
-	label          string
-	manager        *Manager
-	readCount      int // changes of the log that it has read
-	revision       uint64
-	newestOwnWrite uint64 // of its own writes
-	versions       map[string]uint64
-	claims         map[string]claim
-	membership     membership
-	limit          Amount
+	label         string
+	manager       *Manager
+	readCount     int // number of changes of the log that it has read
+	revision      uint64
+	newestApplied uint64 // the latest revision that it has applied, including its own writes
+	versions      map[string]uint64
+	claims        map[string]claim
+	membership    membership
+	limit         Amount
 }
 
 func newModel(limit Amount, nodes ...string) *model {
@@ -95,21 +95,21 @@
 	return m
 }
 
-// startController begins a process of a controller, which has read nothing.
+// startController starts a process of a controller that has read nothing yet.
 func (m *model) startController(label string, limit Amount) {
 	n := &modelController{label: label, manager: &Manager{}, versions: map[string]uint64{}, claims: map[string]claim{}}
 	n.configure(m.team, limit)
 	m.controllers[label] = n
 }
 
-// configure gives the controller a limit of the team.
+// configure sets the team's limit at the controller.
 func (n *modelController) configure(team string, limit Amount) {
 	n.limit = limit
 	n.manager.Configure([]Team{{Name: team, Limit: limit}}, Options{Transfers: true})
 }
 
-// restart ends a controller's process and begins another; the writes of the
-// former one may still arrive.
+// restart replaces a controller's process by a new one. Writes of the old process may
+// still arrive.
 func (m *model) restart(label string) {
 	old := m.controllers[label]
 	remaining := m.inFlight[:0]
@@ -149,7 +149,7 @@
 	}
 }
 
-// applyWrite carries a write out if its compares hold, and checks the invariants.
+// applyWrite applies a write if its compares hold, and checks the invariants.
 func (m *model) applyWrite(w *write) bool {
 	for key, version := range w.compares {
 		if m.versions[key] != version && !m.ignoreCompares {
@@ -163,7 +163,7 @@
 	return true
 }
 
-// claimedByController is what the stored claims on each controller's machines take.
+// claimedByController returns what the stored claims on each controller's machines take.
 func claimedByController(team string, claims map[string]claim, members membership) ClaimedByNode {
 	claimed := ClaimedByNode{}
 	for _, c := range claims {
@@ -176,12 +176,12 @@
 	return claimed
 }
 
-// checkInvariants looks at what is stored after a write: claims stay within the
-// limit that they were decided under, and each controller's within its share.
+// checkInvariants checks the stored state after a write: the claims must not exceed the
+// limit that they were decided under, nor any controller's claims its share.
 func (m *model) checkInvariants(w *write) error {
 	claimed := claimedByController(m.team, m.claims, m.membership)
 	if total := claimed.Of(m.team); w.admission != nil && !total.Within(w.limit) {
-		return fmt.Errorf("claims of %+v after an admission by %s under a limit of %+v", total, w.controller.label, w.limit)
+		return fmt.Errorf("claims of %+v after an admission by %s exceed the limit %+v", total, w.controller.label, w.limit)
 	}
 	var record Record
 	if m.record == nil || wire.Unmarshal(m.record, &record) != nil || record.FencingToken != m.membership.token || record.Frozen {
@@ -189,14 +189,14 @@
 	}
 	for label, byTeam := range claimed {
 		if share := record.Shares[label].Amount(); !byTeam[m.team].fits(share, w.limit) {
-			return fmt.Errorf("%s has claims of %+v, its share is %+v", label, byTeam[m.team], share)
+			return fmt.Errorf("%s has claims of %+v, which exceed its share %+v", label, byTeam[m.team], share)
 		}
 	}
 	return nil
 }
 
-// readTo lets a controller read the log up to some change of it. A later change of a
-// key that it knows already, as its own write, stays.
+// readTo lets a controller read the first count changes of the log. Changes of a key that
+// are older than what the controller knows of it, from its own write, are ignored.
 func (n *modelController) readTo(log []change, count int) {
 	for ; n.readCount < count; n.readCount++ {
 		n.applyChange(log[n.readCount])
@@ -208,7 +208,7 @@
 	if c.revision <= n.versions[c.key] {
 		return
 	}
-	n.versions[c.key], n.newestOwnWrite = c.revision, max(n.newestOwnWrite, c.revision)
+	n.versions[c.key], n.newestApplied = c.revision, max(n.newestApplied, c.revision)
 	switch {
 	case c.key == recordKey:
 		_ = n.manager.Apply("x", c.record, c.revision)
@@ -221,26 +221,27 @@
 	}
 }
 
-// Version, Revision and NewestRevision are those of the controller's cache.
+// Version, Revision and NewestRevision implement Cache.
 
 func (n *modelController) Version(key string) uint64 { return n.versions[key] }
 func (n *modelController) Revision() uint64          { return n.revision }
-func (n *modelController) NewestRevision() uint64    { return max(n.revision, n.newestOwnWrite) }
+func (n *modelController) NewestRevision() uint64    { return max(n.revision, n.newestApplied) }
 
 func (n *modelController) view(team string) View {
 	return View{Self: n.label, Leader: n.membership.leader, Nodes: n.membership.members, FencingToken: n.membership.token,
 		Claimed: claimedByController(team, n.claims, n.membership), Revision: n.revision}
 }
 
-// isMember reports whether the controller, as far as it has read, is a member.
+// isMember reports whether the controller is a member, according to what it has read.
 func (n *modelController) isMember() bool { return slices.Contains(n.membership.members, n.label) }
 
-// compares is what every write of the team compares.
+// compares returns the versions that every write for the team compares.
 func (n *modelController) compares() map[string]uint64 {
 	return map[string]uint64{membershipKey: n.versions[membershipKey], recordKey: n.versions[recordKey]}
 }
 
-// admit lets a controller decide on a claim on a machine; nil if it may not.
+// admit lets a controller decide on a claim on a machine. It returns nil if the
+// controller may not admit the claim.
 func (m *model) admit(n *modelController, machine int, amount Amount) *write {
 	ledger := n.manager.Ledger(m.team)
 	ledger.Forget(n)
@@ -270,8 +271,8 @@
 	return w
 }
 
-// rebalance lets a controller that takes itself for the leader share out; nil if
-// there is nothing to do.
+// rebalance lets a controller that considers itself the leader rebalance the shares. It
+// returns nil if there is nothing to do.
 func (m *model) rebalance(n *modelController, pending iter.Seq[Amount], shortage bool) *write {
 	if !n.isMember() || n.membership.leader != n.label {
 		return nil
@@ -282,7 +283,8 @@
 	return m.sendRecordWrite(n, ledger.Rebalance(m.now, n.view(m.team), pending, true))
 }
 
-// transfer lets a controller give part of its share; nil if it does not.
+// transfer lets a controller transfer part of its share. It returns nil if the controller
+// makes no transfer.
 func (m *model) transfer(n *modelController, recipient string, shortfall Amount) *write {
 	if !n.isMember() {
 		return nil
@@ -294,7 +296,7 @@
 	return m.sendRecordWrite(n, ledger.Transfer(m.now, v, recipient, shortfall, m.unused))
 }
 
-// sendRecordWrite sends a write of the record on its way.
+// sendRecordWrite puts a write of the record in flight.
 func (m *model) sendRecordWrite(n *modelController, decided *Write) *write {
 	if decided == nil {
 		return nil
@@ -305,7 +307,7 @@
 	return w
 }
 
-// deliver applies a write that is in flight and answers its controller.
+// deliver applies a write that is in flight and responds to its controller.
 func (m *model) deliver(w *write) {
 	m.removeInFlight(w)
 	if m.applyWrite(w) {
@@ -315,7 +317,7 @@
 	}
 }
 
-// loseResponse lets a write go without an answer: applied now, or perhaps later.
+// loseResponse ends a write without a response. If it is not applied now, it may be later.
 func (m *model) loseResponse(w *write, applied bool) {
 	m.removeInFlight(w)
 	if applied {
@@ -330,7 +332,7 @@
 	m.inFlight = slices.DeleteFunc(m.inFlight, func(o *write) bool { return o == w })
 }
 
-// respond tells a controller what became of its write.
+// respond tells a controller the outcome of its write.
 func (m *model) respond(w *write, outcome Outcome) {
 	n := w.controller
 	if outcome == Stored {
@@ -339,7 +341,7 @@
 			n.applyChange(c)
 		}
 	} else {
-		n.readTo(m.log, len(m.log)) // what is stored now decides
+		n.readTo(m.log, len(m.log)) // the controller reads the current state before it goes on
 	}
 	ledger := n.manager.Ledger(m.team)
 	if w.recordWrite != nil {
@@ -350,16 +352,16 @@
 	}
 }
 
-// release ends a stored claim.
+// release deletes a stored claim.
 func (m *model) release(key string) { m.storeChanges([]change{{key: key}}) }
 
-// storeRaw stores something else in the record's place.
+// storeRaw stores arbitrary bytes as the record.
 func (m *model) storeRaw(raw wire.Raw) { m.storeChanges([]change{{key: recordKey, record: raw}}) }
 
-// claimKeys lists the stored claims, in order.
+// claimKeys returns the keys of the stored claims, sorted.
 func (m *model) claimKeys() []string { return slices.Sorted(maps.Keys(m.claims)) }
 
-// deliverAll lets every write in flight arrive.
+// deliverAll delivers every write in flight.
 func (m *model) deliverAll() {
 	for len(m.inFlight) > 0 {
 		m.deliver(m.inFlight[0])
@@ -373,8 +375,8 @@
 	}
 }
 
-// converge lets every write arrive and every controller read, and the leader share
-// out until nothing changes.
+// converge applies all writes, lets every controller read all changes, and lets the leader
+// rebalance, in enough rounds for the shares to become stable.
 func (m *model) converge() {
 	for _, w := range m.abandoned {
 		m.applyWrite(w)
@@ -392,44 +394,44 @@
 	m.readAll()
 }
 
-// noPendingWork is no waiting work.
+// noPendingWork yields no waiting jobs.
 func noPendingWork(func(Amount) bool) {}
 
-// onePendingUnit is a waiting job that takes one unit.
+// onePendingUnit yields one waiting job that takes one unit.
 func onePendingUnit(yield func(Amount) bool) { yield(Amount{GPUs: 1}) }
 
-// newSharedModel is a model whose limit has been shared out to all controllers, which
-// have read it.
+// newSharedModel returns a model in which the limit has been divided and all controllers
+// have read their shares.
 func newSharedModel(t *testing.T, gpus float64, labels ...string) *model {
 	t.Helper()
 	m := newModel(Amount{GPUs: gpus}, labels...)
 	m.converge()
 	for _, n := range m.controllers {
 		if phase := n.manager.Ledger(m.team).Phase(m.membership.token); phase != Shared {
-			t.Fatalf("the shares are %s at %s", phase, n.label)
+			t.Fatalf("phase %s at %s", phase, n.label)
 		}
 	}
 	return m
 }
 
-// tryAdmit lets a controller claim one unit on a machine, if it may.
+// tryAdmit lets a controller claim one unit on a machine if it may.
 func (m *model) tryAdmit(label string, machine int) {
 	if w := m.admit(m.controllers[label], machine, Amount{GPUs: 1}); w != nil {
 		m.deliver(w)
 	}
 }
 
-// mustAdmit lets a controller decide on a claim of one unit.
+// mustAdmit lets a controller decide on a claim of one unit, and fails if it may not.
 func (m *model) mustAdmit(t *testing.T, label string, machine int) *write {
 	t.Helper()
 	w := m.admit(m.controllers[label], machine, Amount{GPUs: 1})
 	if w == nil {
-		t.Fatalf("%s admits nothing on machine %d", label, machine)
+		t.Fatalf("%s does not admit a claim on machine %d", label, machine)
 	}
 	return w
 }
 
-// The checker must see a violation: here the key-value store ignores compares.
+// The invariant checker must detect a violation, here with a store that ignores compares.
 func TestInvariantCheckerDetectsViolations(t *testing.T) {
 	m := newSharedModel(t, 4, "a", "b")
 	m.ignoreCompares = true
@@ -441,10 +443,10 @@
 		m.tryAdmit("b", 1)
 	}
 	for range 3 {
-		stale.changes[0].key += "again" // the same claim, carried out several times
+		stale.changes[0].key += "again" // the same claim, applied several times under different keys
 		m.applyWrite(stale)
 	}
 	if m.violation == nil {
-		t.Fatalf("%d claims of a limit of 4 went unseen", len(m.claims))
+		t.Fatalf("%d claims under a limit of 4 were not detected as a violation", len(m.claims))
 	}
 }
