--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -9,8 +9,8 @@
 	"wheatspur/wire"
 )
 
-// TestMain sets how many histories are generated, and from which seed, so that
-// the verdict is the same at every run. Flags of the command line win:
+// TestMain sets how many histories are generated, and the seed, so that every run
+// gives the same result. Flags on the command line take precedence:
 //
 //	go test ./internal/quota -run EveryHistory -rapid.seed=0 -rapid.checks=100000 -rapid.steps=100
 func TestMain(m *testing.M) {
@@ -22,13 +22,13 @@
 	m.Run()
 }
 
-// controllerLabels are the controllers of the generated histories.
+// controllerLabels are the labels of the controllers in the generated histories.
 var controllerLabels = []string{"a", "b", "c"}
 
-// machineCount is how many machines the generated histories have.
+// machineCount is the number of machines in the generated histories.
 const machineCount = 7
 
-// history generates what happens to a model: a draw method chooses one event.
+// history generates random events on a model. Each draw method draws one event.
 type history struct {
 	*model
 	limit Amount
@@ -40,7 +40,7 @@
 
 func (h *history) drawInFlight(t *rapid.T) *write {
 	if len(h.inFlight) == 0 {
-		t.Skip("nothing is under way")
+		t.Skip("no write is in flight")
 	}
 	return h.inFlight[rapid.IntRange(0, len(h.inFlight)-1).Draw(t, "write")]
 }
@@ -64,7 +64,7 @@
 
 func (h *history) drawTransfer(t *rapid.T) {
 	shortfall := Amount{CPUs: float64(rapid.IntRange(0, 9).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(1, 6).Draw(t, "gpus"))}
-	h.transfer(h.drawController(t), rapid.SampledFrom(controllerLabels).Draw(t, "taker"), shortfall)
+	h.transfer(h.drawController(t), rapid.SampledFrom(controllerLabels).Draw(t, "recipient"), shortfall)
 }
 
 func (h *history) drawMembership(t *rapid.T) {
@@ -72,8 +72,8 @@
 	h.setMembership(members, rapid.SampledFrom(members).Draw(t, "leader"))
 }
 
-// drawLimit changes the team's limit at one controller, as a restart with other
-// settings.
+// drawLimit changes the team's limit at one controller, as a restart with changed
+// settings does.
 func (h *history) drawLimit(t *rapid.T) {
 	n := h.drawController(t)
 	n.configure(h.team, Amount{CPUs: h.limit.CPUs, GPUs: float64(rapid.IntRange(2, 12).Draw(t, "limit"))})
@@ -86,8 +86,8 @@
 	wire.MustMarshal(map[string]any{"b": 1, "g": map[string]any{"a": []any{"x"}}}),
 }
 
-// drawDamage stores a record that can't be read, or one that looks like a good one
-// with shares that can't be.
+// drawDamage stores a record that can't be decoded, or one that is well-formed but has
+// invalid shares.
 func (h *history) drawDamage(t *rapid.T) {
 	if rapid.Bool().Draw(t, "readable") {
 		shares := map[string]Share{}
@@ -101,8 +101,8 @@
 	h.storeRaw(rapid.SampledFrom(unreadableRecords).Draw(t, "raw"))
 }
 
-// quiesce lets every write in flight arrive, every controller read and the leader
-// share out, so that histories get to the states in which work is admitted.
+// quiesce lets every write in flight arrive, every controller read all changes and the
+// leader divide the limit, so that histories reach the states in which work is admitted.
 func (h *history) quiesce(t *rapid.T) {
 	for range rapid.IntRange(1, 3).Draw(t, "rounds") {
 		h.deliverAll()
@@ -111,32 +111,32 @@
 	}
 }
 
-// rarely is for actions that most histories have few of.
+// rarely skips most draws of an action that should be rare in a history.
 func rarely(t *rapid.T) {
-	if rapid.IntRange(0, 5).Draw(t, "seldom") != 0 {
-		t.Skip("not this time")
+	if rapid.IntRange(0, 5).Draw(t, "rarely") != 0 {
+		t.Skip("rare action not drawn")
 	}
 }
 
-// actions are the events of a history. rapid draws among the names in their sorted
-// order, so another name gives other histories from the same seed.
+// actions returns the events of a history. rapid draws from the names in sorted order,
+// so a name that changes this order gives other histories for the same seed.
 func (h *history) actions() map[string]func(*rapid.T) {
 	actions := map[string]func(*rapid.T){
-		"redistribute": h.drawRebalance,
-		"transfer":     h.drawTransfer,
-		"transfer 2":   h.drawTransfer,
-		"deliver":      func(t *rapid.T) { h.deliver(h.drawInFlight(t)) },
-		"lose":         func(t *rapid.T) { h.loseResponse(h.drawInFlight(t), rapid.Bool().Draw(t, "applied")) },
-		"late": func(t *rapid.T) {
+		"redistribute":  h.drawRebalance,
+		"transfer":      h.drawTransfer,
+		"transfer 2":    h.drawTransfer,
+		"deliver":       func(t *rapid.T) { h.deliver(h.drawInFlight(t)) },
+		"lose response": func(t *rapid.T) { h.loseResponse(h.drawInFlight(t), rapid.Bool().Draw(t, "applied")) },
+		"late delivery": func(t *rapid.T) {
 			if len(h.abandoned) == 0 {
-				t.Skip("nothing is late")
+				t.Skip("no write is late")
 			}
 			i := rapid.IntRange(0, len(h.abandoned)-1).Draw(t, "late write")
-			h.applyWrite(h.abandoned[i]) // it stays: a repeat must do nothing
+			h.applyWrite(h.abandoned[i]) // the write stays abandoned: applying it again must have no effect
 		},
 		"release": func(t *rapid.T) {
 			if len(h.claims) == 0 {
-				t.Skip("nothing is claimed")
+				t.Skip("no claim is stored")
 			}
 			h.release(rapid.SampledFrom(h.claimKeys()).Draw(t, "claim"))
 		},
@@ -144,27 +144,28 @@
 			n := h.drawController(t)
 			n.readTo(h.log, rapid.IntRange(n.readCount, len(h.log)).Draw(t, "up to"))
 		},
-		"calm":    h.quiesce,
-		"restart": func(t *rapid.T) { rarely(t); h.restart(h.drawController(t).label) },
-		"members": func(t *rapid.T) { rarely(t); h.drawMembership(t) },
-		"damage":  func(t *rapid.T) { rarely(t); h.drawDamage(t) },
-		"limit":   func(t *rapid.T) { rarely(t); h.drawLimit(t) },
+		"catch up": h.quiesce,
+		"restart":  func(t *rapid.T) { rarely(t); h.restart(h.drawController(t).label) },
+		"members":  func(t *rapid.T) { rarely(t); h.drawMembership(t) },
+		"damage":   func(t *rapid.T) { rarely(t); h.drawDamage(t) },
+		"limit":    func(t *rapid.T) { rarely(t); h.drawLimit(t) },
 		"": func(t *rapid.T) {
 			if h.violation != nil {
 				t.Fatal(h.violation)
 			}
 		},
 	}
-	// rapid chooses among the names: what is to happen often has several.
+	// rapid draws each name with the same probability: admissions get several names to be frequent.
 	for _, name := range []string{"admit 1", "admit 2", "admit 3", "admit 4", "admit 5"} {
 		actions[name] = h.drawAdmission
 	}
 	return actions
 }
 
-// Whatever order writes arrive in, whatever is lost, late, restarted, damaged or
-// lowered: claims never exceed the limit that they were decided under, nor a
-// controller's share. Once nothing is in flight, the whole limit can be used again.
+// Writes arrive in any order, responses are lost, writes are applied late, controllers
+// restart, and records are damaged or limits lowered. Claims must never exceed the limit
+// that they were decided under, nor a controller's share. Once nothing is in flight, the
+// whole limit must be usable again.
 func TestLimitHoldsInEveryHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Amount{GPUs: float64(rapid.IntRange(3, 12).Draw(t, "limit"))}
@@ -191,7 +192,7 @@
 			left = left.Add(a.Left[n.label])
 		}
 		if free := limit.Sub(left).maskUnlimited(limit); !free.IsZero() {
-			t.Fatalf("%+v of %+v can't be used once nothing is in flight", free, limit)
+			t.Fatalf("%+v of %+v is not usable although nothing is in flight", free, limit)
 		}
 	})
 }
