--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -24,9 +24,9 @@
 	Next *Record
 }
 
-// UncertainAdmission is an admission whose write got no response. The write can
-// still be applied until one of the keys that it compares has changed. The
-// admission counts until all changes up to that one have been read.
+// UncertainAdmission is the amount of an admission or a transfer whose write got no
+// response. The write can still be applied until one of the keys that it compares has
+// changed. The amount counts until all changes up to that one have been read.
 type UncertainAdmission struct {
 	Compares map[string]uint64 // the versions that the write compares, by key
 	Amount   Amount
--- a/internal/quota/reservation.go
+++ b/internal/quota/reservation.go
@@ -73,11 +73,11 @@
 	return ok && now.Sub(time.UnixMilli(r.Since)) > tuning.GuaranteePreemptAfter
 }
 
-// Reserve lets the leader decide which reservations to store next. short is the
-// capacity that each team's work lacks within its guarantee. The result is nil if
+// Reserve lets the leader decide which reservations to store next. shortfalls
+// is the capacity that each team's work lacks within its guarantee. The result is nil if
 // the stored record needs no change. After a result that is not nil, Reserve returns
 // nil until ReservationsWritten is called.
-func (m *Manager) Reserve(now time.Time, short map[string]Amount) *Reservations {
+func (m *Manager) Reserve(now time.Time, shortfalls map[string]Amount) *Reservations {
 	if !m.options.Reservations || m.reservationWriteInFlight || now.Sub(m.reservationDecidedAt) < tuning.ReservePause {
 		return nil
 	}
@@ -88,7 +88,7 @@
 	changed := false
 	for _, l := range m.ledgers {
 		if l.team.Guaranteed() {
-			changed = l.updateReservation(now, short[l.team.Name], next.Teams) || changed
+			changed = l.updateReservation(now, shortfalls[l.team.Name], next.Teams) || changed
 		}
 	}
 	for team := range next.Teams {
