--- a/internal/placement/builders_test.go
+++ b/internal/placement/builders_test.go
@@ -6,8 +6,8 @@
 	"wheatspur/wire"
 )
 
-// newJob is an open job of team x whose tasks take one of each resource; edit
-// changes its spec.
+// newJob returns an open job of team x whose tasks each need one CPU, one GPU and 1 GB of RAM.
+// edit, if not nil, changes the spec first.
 func newJob(id, kind, priority string, tasks int, edit func(*wire.JobSpec)) *jobs.Job {
 	spec := &wire.JobSpec{ID: id, Team: "x", Kind: kind, Priority: priority, Tasks: tasks, CPUs: 1, GPUs: 1, RAMGB: 1, Image: "img", ImageGB: 5, Spot: true}
 	if edit != nil {
@@ -21,13 +21,13 @@
 	return j
 }
 
-// newArray is a job array of normal priority.
+// newArray returns a job array of normal priority.
 func newArray(id string, tasks int, edit func(*wire.JobSpec)) *jobs.Job {
 	return newJob(id, wire.KindArray, wire.PriorityNormal, tasks, edit)
 }
 
-// claim claims the job's first tasks on machines, one each.
-func claim(j *jobs.Job, machines ...string) *jobs.Job {
+// claimTasks claims the job's first tasks, one on each of the machines.
+func claimTasks(j *jobs.Job, machines ...string) *jobs.Job {
 	j.Chunks[0] = make([]jobs.Task, j.Record.Tasks)
 	for i, name := range machines {
 		j.Chunks[0][i] = jobs.Task{State: jobs.Claimed, Machine: name, Incarnation: 3}
@@ -36,14 +36,14 @@
 	return j
 }
 
-// newMachine is an empty schedulable machine.
+// newMachine returns a schedulable machine without tasks.
 func newMachine(name, owner, zone string, role Role, gpus float64) *Machine {
 	total := jobs.Resources{CPUs: 8, GPUs: gpus, RAM: 64}
 	return &Machine{Name: name, Owner: owner, Zone: zone, Type: "g", Role: role, Schedulable: true, Incarnation: 3, Total: total, Free: total}
 }
 
-// newFullMachine is a batch machine of one GPU, in zone z1, that a job's task
-// fills.
+// newFullMachine returns a batch machine with one GPU in zone z1, fully occupied by a task of the
+// resident job.
 func newFullMachine(resident *jobs.Job) *Machine {
 	m := newMachine("m", "a", "z1", Batch, 1)
 	m.Free = jobs.Resources{}
@@ -51,7 +51,7 @@
 	return m
 }
 
-// newDemand is the demand for all pending tasks of a job.
+// newDemand returns the demand for all pending tasks of a job.
 func newDemand(j *jobs.Job) *Demand {
 	d := &Demand{Job: j, Avoid: map[string]bool{}}
 	for i := range j.Record.Tasks {
@@ -62,19 +62,19 @@
 	return d
 }
 
-// newInput is a pass of a controller over machines and jobs. The leader is L, and
-// every job prefers a to b to L.
-func newInput(self string, machines []*Machine, list ...*jobs.Job) Input {
+// newInput returns the input of a scheduling pass by controller self. The leader is L, and every
+// job ranks the controllers a, b, L.
+func newInput(self string, machines []*Machine, openJobs ...*jobs.Job) Input {
 	in := Input{Self: self, Leader: "L", RankNodes: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
 		Teams: map[string]*quota.Allowance{"x": {}}, MaxJobs: 100}
 	in.Fleet.Refresh()
-	for _, j := range list {
+	for _, j := range openJobs {
 		in.Demands = append(in.Demands, newDemand(j))
 	}
 	return in
 }
 
-// claimsByMachine counts the claims of a pass.
+// claimsByMachine counts the claims of a pass by machine.
 func claimsByMachine(out Output) map[string]int {
 	counts := map[string]int{}
 	for _, c := range out.Claims {
--- a/internal/placement/fit_test.go
+++ b/internal/placement/fit_test.go
@@ -72,20 +72,20 @@
 	}
 	sameZone := func(spec *wire.JobSpec) { spec.SameZone = true }
 	t.Run("spread over zones", func(t *testing.T) {
-		spread := claim(newArray("wk-1", 5, func(spec *wire.JobSpec) { spec.SpreadZones = true }), "m1")
+		spread := claimTasks(newArray("wk-1", 5, func(spec *wire.JobSpec) { spec.SpreadZones = true }), "m1")
 		if got := claimsByMachine(Schedule(newInput("L", machines(), spread))); got["m1"] != 2 || got["m2"] != 2 {
 			t.Fatalf("%v beside one live on m1, the cap is 3", got)
 		}
 	})
 	t.Run("same zone", func(t *testing.T) {
-		for _, c := range Schedule(newInput("L", machines(), claim(newArray("wk-2", 4, sameZone), "m2"))).Claims {
+		for _, c := range Schedule(newInput("L", machines(), claimTasks(newArray("wk-2", 4, sameZone), "m2"))).Claims {
 			if c.Machine != "m2" {
 				t.Fatalf("a task is in z2 but another was placed on %s", c.Machine)
 			}
 		}
 	})
 	t.Run("same zone as a machine that is not known", func(t *testing.T) {
-		if out := Schedule(newInput("L", machines(), claim(newArray("wk-2", 4, sameZone), "gone"))); len(out.Claims) != 0 {
+		if out := Schedule(newInput("L", machines(), claimTasks(newArray("wk-2", 4, sameZone), "gone"))); len(out.Claims) != 0 {
 			t.Fatal("placed beside a task in an unknown zone")
 		}
 	})
@@ -133,7 +133,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m0, m1, m2 := newMachine("m0", "L", "z1", Batch, 0), newMachine("m1", "L", "z1", Batch, c.z1GPUs), newMachine("m2", "L", "z2", Batch, 8)
-			bound := claim(newArray("wk-1", 4, c.edit), c.live...)
+			bound := claimTasks(newArray("wk-1", 4, c.edit), c.live...)
 			got := claimsByMachine(Schedule(newInput("L", []*Machine{m0, m1, m2}, bound)))
 			if !maps.Equal(got, c.want) {
 				t.Errorf("placed on %v, want %v", got, c.want)
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -63,7 +63,7 @@
 func TestNothingIsPreemptedInAZoneThatTheJobMayNotUse(t *testing.T) {
 	low := newJob("wk-9", wire.KindArray, wire.PriorityLow, 1, nil)
 	spread := newJob("wk-1", wire.KindArray, wire.PriorityUrgent, 2, func(spec *wire.JobSpec) { spec.SpreadZones = true })
-	if out := Schedule(newInput("a", []*Machine{newFullMachine(low)}, claim(spread, "m"))); len(out.Preemptions) != 0 {
+	if out := Schedule(newInput("a", []*Machine{newFullMachine(low)}, claimTasks(spread, "m"))); len(out.Preemptions) != 0 {
 		t.Fatal("a task was preempted in the zone that the job's other task holds")
 	}
 }
--- a/internal/placement/starvation_test.go
+++ b/internal/placement/starvation_test.go
@@ -42,7 +42,7 @@
 }
 
 func (s *starvationSim) submit(round int, id, team string, tasks int, size float64) {
-	j := claim(newArray(id, tasks, func(spec *wire.JobSpec) { spec.Team, spec.GPUs, spec.CPUs = team, size, size }))
+	j := claimTasks(newArray(id, tasks, func(spec *wire.JobSpec) { spec.Team, spec.GPUs, spec.CPUs = team, size, size }))
 	j.ReadyAtMs = int64(round)
 	s.open = append(s.open, j)
 	s.submitted[id] = round
