--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -7,13 +7,18 @@
 // only its own part of the result: a job belongs to the first controller, in
 // the job's hashed order, whose machines hold all its pending tasks; jobs too
 // large for one shard belong to the leader. All controllers, also those of
-// other versions, must therefore come to the same result: sort orders,
-// tie-breaks and the order of float arithmetic are part of the protocol. What
-// differing views leave over is settled by the compares of the writes.
+// other versions, must therefore compute the same result: sort orders,
+// tie-breaks and the order of float arithmetic are part of the protocol. If
+// controllers compute different results from different views of the state, the
+// compare conditions of the store transactions reject the conflicting writes.
 //
-// The package is pure. It neither reads nor writes the key-value store, and it
-// doesn't decide how teams share their limits (package quota) or when machines
-// are scaled out and in (package autoscale).
+// A team may use more than its guarantee, up to its limit. The part beyond the
+// guarantee is borrowed: another team's job may preempt it to reclaim capacity
+// within its own guarantee.
+//
+// The package performs no I/O. It neither reads nor writes the key-value store,
+// and it doesn't decide how teams share their limits (package quota) or when
+// machines are scaled out and in (package autoscale).
 package placement
 
 import (
@@ -23,28 +28,29 @@
 	"wheatspur/internal/quota"
 )
 
-// Input of a pass.
+// Input is the input of a scheduling pass.
 type Input struct {
 	Self, Leader string                      // labels of this controller and of the leader
-	RankNodes    func(jobID string) []string // the controllers in the job's hashed order
+	RankNodes    func(jobID string) []string // labels of the controllers in the job's hashed order
 	Fleet        *Fleet
 	Demands      []*Demand
-	Teams        map[string]*quota.Allowance // by name; a pass draws on them
+	Teams        map[string]*quota.Allowance // by name; the pass deducts what it places
 	Now          time.Time
-	// MaxJobs bounds the jobs that are placed in one pass, and with them its
-	// processor time; the rest has its turn when those are stored.
+	// MaxJobs bounds the number of jobs placed in one pass, and with it the CPU time
+	// of the pass. The remaining jobs are placed in later passes, after the writes of
+	// this one.
 	MaxJobs int
-	// MinimizeLoss lets this controller preempt, on its own machines, those of the
-	// victims of one priority first that lose the least work. Which machine is
-	// emptied does not depend on it, since other controllers can't know.
+	// MinimizeLoss makes this controller, on its own machines, preempt the victims
+	// that lose the least work first within a priority. It has no influence on which
+	// machine is chosen for preemption, because other controllers can't compute it.
 	MinimizeLoss bool
 
-	reservedPriority    int  // borrowed work of this priority, as a number, and of lower ones waits for a guarantee
-	preemptionScansLeft int  // how often makeRoom may still look through the machines
-	trackMaxFree        bool // room only shrinks: pools may note what is left
+	reservedPriority    int  // borrowed work of this priority number or a larger one waits: the room is reserved for a guarantee
+	preemptionScansLeft int  // how many more times the pass may scan the machines for tasks to preempt
+	trackMaxFree        bool // free room only shrinks during the pass, so pools may update maxFree
 }
 
-// Claim is a placement for this controller to store.
+// Claim is the placement of a task on a machine, to be stored by this controller.
 type Claim struct {
 	Job         *jobs.Job
 	Task        int
@@ -55,43 +61,44 @@
 // Preemption is a task to stop on one of this controller's machines.
 type Preemption struct {
 	ClaimedTask
-	For string // the job that needs the room
+	For string // ID of the job that needs the room
 }
 
-// Output of a pass.
+// Output is the result of a scheduling pass.
 type Output struct {
 	Claims      []Claim
 	Preemptions []Preemption
-	Unplaced    map[string]int    // how many tasks have no place, by job
-	Reasons     map[string]string // why, by job
-	// ShareShortfall has the teams whose limit is not used up, but shared out so
-	// that work waits, with what the leader lacks of it for the first job that
-	// waits; nothing if machines lack room, too.
+	Unplaced    map[string]int    // number of tasks that were not placed, by job
+	Reasons     map[string]string // why they were not placed, by job
+	// ShareShortfall has an entry for each team whose limit is not used up, but is
+	// split between controllers so that work waits. The amount is what the leader's
+	// share lacks for the team's first waiting job; it is zero if the machines lack
+	// room, too.
 	ShareShortfall map[string]quota.Amount
-	// GuaranteeShortfall is the room that each team's work lacks within its guarantee.
+	// GuaranteeShortfall is, by team, the resources that waiting work within the team's
+	// guarantee lacks.
 	GuaranteeShortfall map[string]quota.Amount
 }
 
-// Why tasks wait, as users are told.
+// Reasons why tasks wait, as shown to users.
 const (
 	ReasonNoRoom  = "no machine has room"
 	ReasonNoTurn  = "others are placed first"
 	ReasonNoQuota = "its team is at its limit"
 	ReasonNoShare = "its team's limit is being shared out anew"
 
-	reasonNoTeam           = "its team is not in the settings"
-	reasonKeptForGuarantee = "room is kept for another team's guarantee"
+	reasonNoTeam               = "its team is not in the settings"
+	reasonReservedForGuarantee = "room is kept for another team's guarantee"
 )
 
-// recordUnplaced notes how many tasks of the demand have no place, and why.
+// recordUnplaced records how many tasks of the demand were not placed, and why.
 func (out *Output) recordUnplaced(d *Demand, tasks int, reason string) {
 	out.Unplaced[d.Job.ID] = tasks
 	out.Reasons[d.Job.ID] = reason
 }
 
-// explainUnplaced notes why tasks of the demand were left without a place, of
-// which tasks are within its team's limit. It reports whether machines with
-// more room would help.
+// explainUnplaced records why tasks of the demand were not placed. tasks are those
+// within the team's limit. It reports whether machines with more room would help.
 func (out *Output) explainUnplaced(d *Demand, tasks []int, choice machineChoice) bool {
 	placed := len(choice.machines)
 	switch {
@@ -105,15 +112,15 @@
 		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonNoShare)
 		return false
 	case len(tasks) == placed:
-		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonNoQuota) // no machine helps these
+		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonNoQuota) // more machines would not help
 		return false
 	}
 	out.recordUnplaced(d, len(tasks)-placed, ReasonNoRoom)
 	return true
 }
 
-// withAmount sets a team's amount and returns the map, which is made for the
-// first one: most passes have none.
+// withAmount sets a team's amount and returns the map. It allocates the map for the
+// first entry only, since most passes have none.
 func withAmount(byTeam map[string]quota.Amount, team string, amount quota.Amount) map[string]quota.Amount {
 	if byTeam == nil {
 		byTeam = map[string]quota.Amount{}
--- a/internal/placement/schedule.go
+++ b/internal/placement/schedule.go
@@ -35,7 +35,7 @@
 	if !guaranteed && d.priority >= in.reservedPriority {
 		// Guards against borrowed work taking back the room that was freed for
 		// a guarantee: it was preempted and placed again many times a minute.
-		out.recordUnplaced(d, len(d.Tasks), reasonKeptForGuarantee)
+		out.recordUnplaced(d, len(d.Tasks), reasonReservedForGuarantee)
 		return
 	}
 	tasks := d.Tasks[:team.Total(d.Job.Need.Amount(), len(d.Tasks))]
