--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -7,10 +7,10 @@
 	"wheatspur/internal/tuning"
 )
 
-// Role of a machine.
+// Role is the kind of work that a machine runs.
 type Role string
 
-// Roles.
+// The roles of machines.
 const (
 	Batch   Role = "batch"
 	Service Role = "service"
@@ -21,49 +21,50 @@
 	ID           jobs.TaskID
 	Job          *jobs.Job
 	Stopping     bool
-	RunningSince time.Time // since when it runs, as the shard owner knows; zero: it does not, or this controller doesn't know
+	RunningSince time.Time // start time, known to the shard owner only; zero: not running, or not known to this controller
 
 	preemptedInPass bool // Stopping was set by the pass
 }
 
-// Machine is a machine as the pass sees it.
+// Machine is the state of a machine during a scheduling pass.
 type Machine struct {
 	Name, Type, Zone, Owner string // Owner is the label of the shard owner
 	Spot                    bool
 	Role                    Role
-	Schedulable             bool   // takes new tasks
+	Schedulable             bool   // accepts new tasks
 	Incarnation             uint64 // of its worker
 	Total                   jobs.Resources
 	Free                    jobs.Resources // not claimed
 	Freeing                 jobs.Resources // claimed by tasks that are being stopped
-	Images                  []string       // those that it holds
+	Images                  []string       // images present on it
 	FetchGBPerS             float64        // rate of image pulls; 0: not known
 	Tasks                   []ClaimedTask
 
 	imagePulls  []imagePull // images that its tasks wait for
-	placedTasks int         // tasks placed on it in this pass
+	placedTasks int         // number of tasks placed on it in this pass
 	preempting  bool        // the pass preempts some of its tasks
 	changed     bool        // the pass has changed it
 	snapshot    machineSnapshot
 	pool        *pool
 }
 
-// noPreemptibleTask stands for the lowest priority of a machine, or of a pool,
-// that has no task to preempt. It is smaller than the number of any priority.
+// noPreemptibleTask is the lowestPriority of a machine or pool without a task that
+// could be preempted. It is smaller than the number of any priority.
 const noPreemptibleTask = -1
 
-// machineSnapshot is what a machine was like before a pass began to place on it.
+// machineSnapshot is the state of a machine before a pass places tasks on it.
 type machineSnapshot struct {
 	free, freeing  jobs.Resources
-	imagePulls     int // how many
-	lowestPriority int // of the tasks that could be preempted, as a number; or noPreemptibleTask
+	imagePulls     int // number of them
+	lowestPriority int // number of the lowest priority among the tasks that could be preempted, or noPreemptibleTask
 }
 
-// freeTaskSlots is how many more tasks the machine's heartbeats can name.
+// freeTaskSlots is the number of tasks that the machine can still take: its heartbeats
+// can list tuning.TasksPerMachine at most.
 func (m *Machine) freeTaskSlots() int { return tuning.TasksPerMachine - len(m.Tasks) - m.placedTasks }
 
-// Snapshot takes the machine's room, tasks and images, as its fields hold them, for
-// what the next passes begin with.
+// Snapshot saves the machine's free room, tasks and images, as currently set in its
+// fields, as the state in which the next passes start.
 func (m *Machine) Snapshot() {
 	m.imagePulls, m.placedTasks, m.preempting = m.imagePulls[:0], 0, false
 	lowestPriority := noPreemptibleTask
@@ -81,7 +82,7 @@
 	}
 }
 
-// SetSchedulable notes whether the machine takes new tasks.
+// SetSchedulable sets whether the machine accepts new tasks.
 func (m *Machine) SetSchedulable(schedulable bool) {
 	if m.Schedulable != schedulable {
 		m.Schedulable = schedulable
@@ -89,7 +90,7 @@
 	}
 }
 
-// rollback undoes what a pass did to the machine.
+// rollback undoes a pass's changes to the machine.
 func (m *Machine) rollback() {
 	m.changed, m.pool.stale = false, true
 	m.Free, m.Freeing = m.snapshot.free, m.snapshot.freeing
