--- a/internal/placement/imagepull.go
+++ b/internal/placement/imagepull.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	// imageWaitBucketS is the difference in expected pull time, in seconds, below
-	// which two machines count as equal and the least free room decides.
+	// imageWaitBucketS is the width in seconds of the buckets to which expected pull
+	// times are rounded up. Of machines in the same bucket, the one with the least
+	// free room is chosen.
 	imageWaitBucketS = 2.0
-	// defaultFetchGBPerS stands in for the rate of a machine type that has none.
+	// defaultFetchGBPerS is the pull rate assumed for a machine whose rate is not known.
 	defaultFetchGBPerS = 1
 )
 
-// imagePull is an image that a machine is to pull.
+// imagePull is an image that a machine is pulling or has yet to pull.
 type imagePull struct {
 	image  string
 	sizeGB float64
 }
 
-// HasImage reports whether the machine holds an image.
+// HasImage reports whether the image is present on the machine.
 func (m *Machine) HasImage(image string) bool { return slices.Contains(m.Images, image) }
 
-// addImagePull notes that a task with this image is on the machine or comes to it.
+// addImagePull records that the machine has to pull the image of a task that is claimed
+// or placed on it, if it does not have the image.
 func (m *Machine) addImagePull(spec *wire.JobSpec) {
 	if spec == nil || m.HasImage(spec.Image) {
 		return
@@ -38,9 +40,9 @@
 	m.imagePulls = append(m.imagePulls, imagePull{image: spec.Image, sizeGB: spec.ImageGB})
 }
 
-// imageWait is the expected time until the machine has the job's image, in buckets:
-// nothing if it holds it, else the pull together with those under way, which
-// share the machine's rate.
+// imageWait is the expected time until the machine has the job's image, in buckets of
+// imageWaitBucketS: 0 if the image is present, else the time of this pull and those
+// in progress, which share the machine's pull rate.
 func (m *Machine) imageWait(j *jobs.Job) float64 {
 	spec := j.Record.Spec
 	if m.HasImage(spec.Image) {
@@ -53,7 +55,7 @@
 	pendingGB := spec.ImageGB
 	for _, pull := range m.imagePulls {
 		if pull.image == spec.Image {
-			pendingGB -= spec.ImageGB / 2 // joins a pull that is under way: half of it counts as done
+			pendingGB -= spec.ImageGB / 2 // shares a pull in progress: half of it counts as done
 		} else {
 			pendingGB += pull.sizeGB
 		}
