--- a/internal/placement/fleet.go
+++ b/internal/placement/fleet.go
@@ -8,39 +8,40 @@
 )
 
 // Fleet indexes the machines of a pass: by name, and in pools of machines that
-// are alike for every job, so that a job looks only at those it may use. It is
-// built when machines, roles or shard owners change. Before each pass
-// Machine.Snapshot takes in the machines whose tasks or images have changed, and
-// Fleet.Rollback undoes what the last pass has placed.
+// are equally eligible for every job, so that the search for a job skips whole
+// pools. It is built when machines, roles or shard owners change. Before each pass
+// Machine.Snapshot saves the state of the machines whose tasks or images have
+// changed, and Fleet.Rollback undoes the last pass's placements.
 type Fleet struct {
 	Machines        []*Machine // by name
 	byName          map[string]*Machine
 	pools           []*pool
-	candidateBuffer []candidate // of the last search, for its memory
-	changed         []*Machine  // machines that the pass has placed on, or preempts tasks on
+	candidateBuffer []candidate // reused by each search, to save allocations
+	changed         []*Machine  // machines that the pass has placed tasks on, preempted tasks on or reserved
 }
 
-// poolKey is what a pool's machines have in common.
+// poolKey has the properties that all machines of a pool share.
 type poolKey struct {
 	Owner, Type, Zone string
 	Spot              bool
 	Role              Role
 }
 
-// pool is machines that are alike for every job, and what they can offer at most.
+// pool is a group of machines that are equally eligible for every job, with a summary
+// of the room they can offer at most.
 type pool struct {
 	poolKey
 	machines       []*Machine
-	stale          bool           // what follows is to be summed up again
-	maxFree        jobs.Resources // no schedulable machine has more free, in any resource
-	freeing        bool           // some room is being freed
-	lowestPriority int            // of the tasks that could be preempted, as a number; or noPreemptibleTask
+	stale          bool           // the fields below have to be computed again
+	maxFree        jobs.Resources // no schedulable machine has more free of any resource
+	freeing        bool           // resources of some machine are being freed
+	lowestPriority int            // number of the lowest priority among the tasks that could be preempted, or noPreemptibleTask
 }
 
 // eligible reports whether the job may use the pool's machines.
 func (p *pool) eligible(j *jobs.Job) bool { return Eligible(j, p.machines[0]) }
 
-// NewFleet indexes machines. It sorts the slice by name and keeps it.
+// NewFleet indexes machines. It sorts the slice by name and retains it.
 func NewFleet(machines []*Machine) *Fleet {
 	f := &Fleet{Machines: machines, byName: make(map[string]*Machine, len(machines))}
 	slices.SortFunc(machines, func(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) })
@@ -61,10 +62,10 @@
 	return f
 }
 
-// Machine finds a machine by name; nil if it is not known.
+// Machine returns the machine with the name, nil if it is not known.
 func (f *Fleet) Machine(name string) *Machine { return f.byName[name] }
 
-// Refresh takes a snapshot of every machine and sums up the pools.
+// Refresh takes a snapshot of every machine and summarizes the pools.
 func (f *Fleet) Refresh() {
 	for _, m := range f.Machines {
 		m.Snapshot()
@@ -72,7 +73,7 @@
 	f.Rollback()
 }
 
-// Rollback undoes what a pass has placed and preempted, and sums up the pools whose
+// Rollback undoes a pass's changes to the machines, and summarizes the pools whose
 // machines have changed.
 func (f *Fleet) Rollback() {
 	for _, m := range f.changed {
@@ -86,7 +87,7 @@
 	}
 }
 
-// markChanged notes that a pass changes a machine.
+// markChanged records that the pass changes a machine, so that Rollback restores it.
 func (f *Fleet) markChanged(m *Machine) {
 	if !m.changed {
 		m.changed = true
@@ -94,7 +95,7 @@
 	}
 }
 
-// summarize works out what the pool's machines can offer at most.
+// summarize computes the room that the pool's machines can offer at most.
 func (p *pool) summarize() {
 	p.stale = false
 	p.maxFree, p.freeing, p.lowestPriority = jobs.Resources{}, false, noPreemptibleTask
@@ -108,7 +109,8 @@
 	}
 }
 
-// mayFit reports whether some machine might have room for a task of the job.
+// mayFit reports whether some machine might have room for a task of the job, judging
+// by the summaries of the pools alone.
 func (f *Fleet) mayFit(j *jobs.Job) bool {
 	for _, p := range f.pools {
 		if p.eligible(j) && j.Need.Fits(p.maxFree) {
@@ -118,8 +120,9 @@
 	return false
 }
 
-// Zones counts the live claims of a job per zone. A machine that is not known
-// counts for the zone "": such a job gets no constrained placement.
+// Zones counts the job's claims by zone. A claim on a machine that is not known
+// counts for the zone ""; with such a claim, no task of a job with a zone constraint
+// is placed.
 func (f *Fleet) Zones(j *jobs.Job) map[string]int {
 	tasksByZone := map[string]int{}
 	for _, task := range j.Claims {
