--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -7,7 +7,7 @@
 	"wheatspur/internal/jobs"
 )
 
-// Eligible reports whether the job may use the machine, leaving aside zones of
+// Eligible reports whether the job may use the machine, regardless of the zones of
 // its other tasks.
 func Eligible(j *jobs.Job, m *Machine) bool {
 	spec := j.Record.Spec
@@ -22,23 +22,23 @@
 	return m.Role == Batch
 }
 
-// MaxTasksPerZone is the most tasks in one zone of a job that is to be spread
-// over zones.
+// MaxTasksPerZone is the maximum number of tasks in one zone for a job with the
+// spread-zones constraint.
 func MaxTasksPerZone(tasks int) int { return (tasks + 1) / 2 }
 
-// FitElsewhere finds another machine with room for a running task, given where
-// the job's other tasks are; nil if there is none.
+// FitElsewhere finds a machine other than from with room for a running task, subject
+// to the job's zone constraint; nil if there is none.
 func FitElsewhere(fleet *Fleet, j *jobs.Job, task int, from string) *Machine {
 	in := Input{Fleet: fleet}
-	// The task's own claim is released before it starts elsewhere.
-	others := *j
-	others.Claims = make(map[int]jobs.Task, len(j.Claims))
+	// The task's own claim does not count: it is released before the task starts elsewhere.
+	withoutTask := *j
+	withoutTask.Claims = make(map[int]jobs.Task, len(j.Claims))
 	for i, t := range j.Claims {
 		if i != task {
-			others.Claims[i] = t
+			withoutTask.Claims[i] = t
 		}
 	}
-	d := &Demand{Job: &others, Tasks: []int{task}, Avoid: map[string]bool{from: true}}
+	d := &Demand{Job: &withoutTask, Tasks: []int{task}, Avoid: map[string]bool{from: true}}
 	if picks := in.fit(d, d.Tasks, anyOwner); len(picks) == 1 {
 		return picks[0]
 	}
@@ -50,12 +50,12 @@
 	anyZone  = "" // machines of all zones
 )
 
-// fitAcrossOwners chooses machines of as few shard owners as it can, those with
-// the most places first: every owner stores the ends of its tasks by itself, so
-// a job spread thin over all of them costs several times the writes.
+// fitAcrossOwners chooses machines of as few shard owners as it can, starting with
+// the owner whose machines hold the most tasks. Every owner stores the ends of its
+// own tasks, so a job with a few tasks at each owner costs several times the writes.
 func (in *Input) fitAcrossOwners(d *Demand, tasks []int) []*Machine {
-	if constrainedByZone(d.Job) {
-		return in.fit(d, tasks, anyOwner) // zones count across owners
+	if hasZoneConstraint(d.Job) {
+		return in.fit(d, tasks, anyOwner) // zone constraints apply across owners
 	}
 	var picksByOwner [][]*Machine
 	for _, owner := range in.RankNodes(d.Job.ID) {
@@ -65,16 +65,16 @@
 	}
 	slices.SortStableFunc(picksByOwner, func(a, b []*Machine) int { return cmp.Compare(len(b), len(a)) })
 	var picks []*Machine
-	for _, ofOwner := range picksByOwner {
-		picks = append(picks, ofOwner[:min(len(ofOwner), len(tasks)-len(picks))]...)
+	for _, ownerPicks := range picksByOwner {
+		picks = append(picks, ownerPicks[:min(len(ownerPicks), len(tasks)-len(picks))]...)
 	}
 	return picks
 }
 
-// reserveMachine keeps the machine that comes closest to holding a task of the
-// job from what comes later in the pass. It guards against small tasks taking
-// all room as it comes free, so that a large one never finds enough on one
-// machine.
+// reserveMachine reserves the machine with the largest free share, among those large
+// enough for a task of the job: the rest of the pass places nothing on it. It guards
+// against starvation of a large task by small ones, which would otherwise take all
+// room as it becomes free, so that no machine ever has enough.
 func (in *Input) reserveMachine(d *Demand) {
 	var best *Machine
 	for _, p := range in.Fleet.pools {
@@ -94,19 +94,19 @@
 	}
 }
 
-// fit chooses a machine for each task, as many as fit, among those of one shard
-// owner (or of anyOwner): the shortest wait for the image first, among equals
-// the least free room left.
+// fit chooses a machine for each task, for as many tasks as fit, among the machines
+// of one shard owner (or of anyOwner). It prefers the shortest wait for the image,
+// then the least free room left.
 func (in *Input) fit(d *Demand, tasks []int, owner string) []*Machine {
 	candidates := in.candidates(d, owner)
 	if len(candidates) == 0 {
 		return nil
 	}
 	tasksByZone := map[string]int{}
-	if constrainedByZone(d.Job) {
+	if hasZoneConstraint(d.Job) {
 		tasksByZone = in.Fleet.Zones(d.Job)
 		if tasksByZone[""] > 0 {
-			return nil // a task is on a machine that is not known, and so is its zone
+			return nil // the zone of a claimed task is unknown, because its machine is
 		}
 	}
 	if d.Job.Record.Spec.SameZone {
@@ -115,15 +115,16 @@
 	return fillBestFirst(d, tasks, candidates, tasksByZone, anyZone)
 }
 
-// candidate is a machine that a task of the demand fits.
+// candidate is a machine with room for a task of the demand.
 type candidate struct {
 	machine   *Machine
 	imageWait float64
-	freeShare float64 // that stays free beside the task
+	freeShare float64 // share of the machine that stays free beside the task
 }
 
-// before orders candidates: the shortest wait, least free room left, the name.
-func (c *candidate) before(other *candidate) bool {
+// less orders candidates by the shortest wait for the image, then the least free room
+// left, then the name.
+func (c *candidate) less(other *candidate) bool {
 	if c.imageWait != other.imageWait {
 		return c.imageWait < other.imageWait
 	}
@@ -133,11 +134,11 @@
 	return c.machine.Name < other.machine.Name
 }
 
-// candidates lists the machines of one shard owner (or of anyOwner) that a task
-// of the demand fits, in memory that the next call uses again. It notes what
-// room is left in the pools that it looks through.
+// candidates returns the machines of one shard owner (or of anyOwner) with room for a
+// task of the demand. The next call reuses the slice. It updates maxFree of the pools
+// that it scans, if trackMaxFree is set.
 func (in *Input) candidates(d *Demand, owner string) []candidate {
-	list := in.Fleet.candidateBuffer[:0]
+	candidates := in.Fleet.candidateBuffer[:0]
 	for _, p := range in.Fleet.pools {
 		if owner != anyOwner && p.Owner != owner || !p.eligible(d.Job) || !d.Job.Need.Fits(p.maxFree) {
 			continue
@@ -149,19 +150,19 @@
 			}
 			maxFree = maxFree.Max(m.Free)
 			if d.Job.Need.Fits(m.Free) && !d.Avoid[m.Name] && m.freeTaskSlots() > 0 {
-				list = append(list, candidate{machine: m, imageWait: m.imageWait(d.Job), freeShare: m.Free.Sub(d.Job.Need).Share(m.Total)})
+				candidates = append(candidates, candidate{machine: m, imageWait: m.imageWait(d.Job), freeShare: m.Free.Sub(d.Job.Need).Share(m.Total)})
 			}
 		}
 		if in.trackMaxFree && p.maxFree != maxFree {
 			p.maxFree, p.stale = maxFree, true
 		}
 	}
-	in.Fleet.candidateBuffer = list
-	return list
+	in.Fleet.candidateBuffer = candidates
+	return candidates
 }
 
-// fitSameZone chooses machines in the zone that holds the most of the tasks; if
-// the job has tasks already, in theirs.
+// fitSameZone chooses machines in one zone: the zone of the job's claimed tasks if it
+// has any, else the zone that holds the most of the tasks.
 func fitSameZone(d *Demand, tasks []int, candidates []candidate, tasksByZone map[string]int) []*Machine {
 	var best []*Machine
 	tried := map[string]bool{}
@@ -179,12 +180,12 @@
 }
 
 // fillBestFirst chooses machines for as many of the tasks as fit, in one zone (or
-// in anyZone): the best candidate is filled before the next. tasksByZone counts
-// the job's tasks that have a place already, and stays as it is.
+// in anyZone). It fills the best candidate before it goes on to the next one.
+// tasksByZone counts the job's claimed tasks; it is not modified.
 func fillBestFirst(d *Demand, tasks []int, candidates []candidate, tasksByZone map[string]int, zone string) []*Machine {
 	counts := tasksByZone
 	if d.Job.Record.Spec.SpreadZones {
-		// maps.Clone would move the callers' maps to the heap.
+		// maps.Clone would make the callers' maps escape to the heap.
 		counts = make(map[string]int, len(tasksByZone))
 		for z, count := range tasksByZone {
 			counts[z] = count
@@ -193,8 +194,8 @@
 	picks := make([]*Machine, 0, len(tasks))
 	full := make([]bool, len(candidates))
 	for len(picks) < len(tasks) {
-		// The best machine has less room after each task, so it stays the best
-		// until it is full: one look through the others for each machine.
+		// Each task placed on the best machine leaves it less free room, so it stays
+		// the best until it is full. One scan per machine, not per task, is enough.
 		best := bestCandidate(d.Job, candidates, full, counts, zone)
 		if best < 0 {
 			break
@@ -205,8 +206,8 @@
 	return picks
 }
 
-// bestCandidate is the index of the best candidate in the zone that is not full,
-// -1 if there is none.
+// bestCandidate returns the index of the best candidate in the zone (or in anyZone)
+// that is not full, -1 if there is none.
 func bestCandidate(j *jobs.Job, candidates []candidate, full []bool, tasksByZone map[string]int, zone string) int {
 	best := -1
 	for i := range candidates {
@@ -214,15 +215,16 @@
 		if full[i] || zone != anyZone && c.machine.Zone != zone || zoneFull(j, tasksByZone, c.machine.Zone) {
 			continue
 		}
-		if best < 0 || c.before(&candidates[best]) {
+		if best < 0 || c.less(&candidates[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-// fillMachine picks the machine for as many tasks as it holds, until there are
-// maxPicks, and counts them in tasksByZone if the job is to be spread over zones.
+// fillMachine appends the machine to picks once for each task that it has room for, up
+// to maxPicks in total. For a job with the spread-zones constraint it counts them in
+// tasksByZone.
 func fillMachine(j *jobs.Job, m *Machine, tasksByZone map[string]int, picks []*Machine, maxPicks int) []*Machine {
 	free := m.Free
 	for filled := 0; len(picks) < maxPicks && filled < m.freeTaskSlots() && j.Need.Fits(free); filled++ {
@@ -238,14 +240,14 @@
 	return picks
 }
 
-// constrainedByZone reports whether it matters to the job's tasks in which zones
-// the others are.
-func constrainedByZone(j *jobs.Job) bool {
+// hasZoneConstraint reports whether the zones of the job's other tasks restrict where
+// a task may be placed.
+func hasZoneConstraint(j *jobs.Job) bool {
 	return j.Record.Spec.SpreadZones || j.Record.Spec.SameZone
 }
 
-// zoneFull reports whether the job is to be spread over zones, and has as many
-// tasks in this one as it may.
+// zoneFull reports whether the job has the spread-zones constraint and already has the
+// maximum number of tasks in the zone.
 func zoneFull(j *jobs.Job, tasksByZone map[string]int, zone string) bool {
 	return j.Record.Spec.SpreadZones && tasksByZone[zone] >= MaxTasksPerZone(j.Record.Tasks)
 }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -82,7 +82,7 @@
 
 // constrainedZones counts the job's tasks by zone, if it matters for others of them.
 func (in *Input) constrainedZones(j *jobs.Job) map[string]int {
-	if constrainedByZone(j) {
+	if hasZoneConstraint(j) {
 		return in.Fleet.Zones(j)
 	}
 	return nil
