--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -46,7 +46,7 @@
 	MinimizeLoss bool
 
 	reservedPriority    int  // borrowed work of this priority number or a larger one waits: the room is reserved for a guarantee
-	preemptionScansLeft int  // how many more times the pass may scan the machines for tasks to preempt
+	preemptionScansLeft int  // how many more times reserveOrPreempt may scan the machines
 	trackMaxFree        bool // free room only shrinks during the pass, so pools may update maxFree
 }
 
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -7,24 +7,25 @@
 	"wheatspur/internal/jobs"
 )
 
-// preemptionScansPerPass bounds how often a pass looks through all machines for
-// tasks to preempt.
+// preemptionScansPerPass bounds how many times a pass scans the machines for tasks
+// to preempt.
 const preemptionScansPerPass = 16
 
-// preemptionPlan is a machine, and the tasks that are to be preempted there.
+// preemptionPlan is a machine and the tasks to preempt on it.
 type preemptionPlan struct {
 	machine *Machine
 	victims []ClaimedTask
 }
 
-// makeRoom reserves room that is being freed for one task, or preempts the fewest
-// tasks that the protocol lets it preempt.
-func (in *Input) makeRoom(d *Demand, out *Output) bool {
+// reserveOrPreempt provides room for one task of the demand: it reserves room that is
+// being freed, or else preempts tasks on the machine where the fewest victims are
+// needed. It reports whether it found either.
+func (in *Input) reserveOrPreempt(d *Demand, out *Output) bool {
 	var best preemptionPlan
-	tasksByZone := in.constrainedZones(d.Job)
+	tasksByZone := in.constrainedZoneCounts(d.Job)
 	scanned := false
 	for _, p := range in.Fleet.pools {
-		if !p.mayMakeRoom(d) || !zoneAllowed(d.Job, tasksByZone, p.Zone) {
+		if !p.mayReserveOrPreempt(d) || !zoneAllowed(d.Job, tasksByZone, p.Zone) {
 			continue
 		}
 		if !scanned {
@@ -33,7 +34,7 @@
 			}
 			scanned = true
 		}
-		if in.makeRoomInPool(d, p, &best) {
+		if in.reserveInPool(d, p, &best) {
 			return true
 		}
 	}
@@ -44,10 +45,10 @@
 	return true
 }
 
-// makeRoomInPool reserves room that is being freed on a machine of the pool. If
-// there is none it returns false, and best is a machine of the pool where it takes
-// fewer victims than before.
-func (in *Input) makeRoomInPool(d *Demand, p *pool, best *preemptionPlan) bool {
+// reserveInPool reserves room that is being freed on a machine of the pool and returns
+// true. If there is none it returns false, and sets best to a machine of the pool that
+// needs fewer victims than best did, if there is one.
+func (in *Input) reserveInPool(d *Demand, p *pool, best *preemptionPlan) bool {
 	for _, m := range p.machines {
 		if !m.Schedulable || d.Avoid[m.Name] {
 			continue
@@ -61,16 +62,16 @@
 		if d.PreemptedFor {
 			continue
 		}
-		if victims := in.victims(d, m, room, readyLater); victims != nil && (best.machine == nil || len(victims) < len(best.victims)) {
+		if victims := in.selectVictims(d, m, room, newestFirst); victims != nil && (best.machine == nil || len(victims) < len(best.victims)) {
 			*best = preemptionPlan{machine: m, victims: victims}
 		}
 	}
 	return false
 }
 
-// mayMakeRoom reports whether the demand may use the pool's machines, and tasks
-// there are being stopped, or may be preempted for it.
-func (p *pool) mayMakeRoom(d *Demand) bool {
+// mayReserveOrPreempt reports whether the demand may use the pool's machines, and tasks
+// there are being stopped or might be preempted for it.
+func (p *pool) mayReserveOrPreempt(d *Demand) bool {
 	if !p.eligible(d.Job) {
 		return false
 	}
@@ -80,17 +81,18 @@
 	return !d.PreemptedFor && (p.lowestPriority > d.priority || d.reclaims())
 }
 
-// constrainedZones counts the job's tasks by zone, if it matters for others of them.
-func (in *Input) constrainedZones(j *jobs.Job) map[string]int {
+// constrainedZoneCounts counts the job's claims by zone; nil for a job without a zone
+// constraint.
+func (in *Input) constrainedZoneCounts(j *jobs.Job) map[string]int {
 	if hasZoneConstraint(j) {
 		return in.Fleet.Zones(j)
 	}
 	return nil
 }
 
-// zoneAllowed reports whether the job may have one more task in the zone. It
-// guards against preempting tasks for room that the job may not use: they came
-// back to it and were preempted again, every few seconds.
+// zoneAllowed reports whether the job may have one more task in the zone. It guards
+// against preempting tasks for room that the job may not use: such tasks were placed
+// there again and preempted again every few seconds.
 func zoneAllowed(j *jobs.Job, tasksByZone map[string]int, zone string) bool {
 	if zoneFull(j, tasksByZone, zone) {
 		return false
@@ -98,12 +100,12 @@
 	return !j.Record.Spec.SameZone || len(tasksByZone) == 0 || tasksByZone[zone] > 0
 }
 
-// preempt stops tasks of the machine and reserves their room for one task of
-// the demand.
+// preempt marks the plan's victims as stopping and reserves their room for one task of
+// the demand. On this controller's machines it adds them to the output.
 func (in *Input) preempt(d *Demand, plan preemptionPlan, out *Output) {
 	m, victims := plan.machine, plan.victims
 	if in.MinimizeLoss && m.Owner == in.Self {
-		victims = in.victims(d, m, m.Free.Add(m.Freeing), in.losesLess)
+		victims = in.selectVictims(d, m, m.Free.Add(m.Freeing), in.leastLostWorkFirst)
 	}
 	in.Fleet.markChanged(m)
 	for _, victim := range victims {
@@ -117,7 +119,7 @@
 	m.Freeing = m.Freeing.Sub(d.Job.Need)
 }
 
-// markPreempted notes that a task of the machine is being stopped by the pass.
+// markPreempted records that the pass stops a task of the machine.
 func (m *Machine) markPreempted(id jobs.TaskID) {
 	for i := range m.Tasks {
 		if task := &m.Tasks[i]; task.ID == id {
@@ -126,35 +128,37 @@
 	}
 }
 
-// victims is the shortest list of tasks whose preemption makes room for a task of
-// the demand, the lowest priority first, and within a priority in the given
-// order; nil if there is none.
-func (in *Input) victims(d *Demand, m *Machine, room jobs.Resources, before func(a, b *ClaimedTask) bool) []ClaimedTask {
-	var list []ClaimedTask
+// selectVictims returns the tasks to preempt on the machine to make room for a task of
+// the demand: the first ones that are enough, the lowest priority first and within a
+// priority in the order of less. It returns nil if preemption can't make enough room.
+func (in *Input) selectVictims(d *Demand, m *Machine, room jobs.Resources, less func(a, b *ClaimedTask) bool) []ClaimedTask {
+	var preemptible []ClaimedTask
 	for _, task := range m.Tasks {
 		if !task.Stopping && in.mayPreempt(d, task) {
-			list = append(list, task)
+			preemptible = append(preemptible, task)
 		}
 	}
-	// The order of equal tasks, such as those of one job, is what sort.Slice makes
-	// of them. All controllers, also those of other versions, must choose the same
-	// victims, so this stays until they are known to agree on another order.
-	//revive:disable-next-line:use-slices-sort // by value, that copies two tasks to the heap for each comparison
-	sort.Slice(list, func(a, b int) bool {
-		if x, y := list[a].Job.Priority, list[b].Job.Priority; x != y {
+	// The order of equal tasks, such as those of one job, is whatever sort.Slice
+	// produces. All controllers, also those of other versions, must choose the same
+	// victims, so sort.Slice stays until all of them are known to use another order.
+	//revive:disable-next-line:use-slices-sort // passing tasks by value would copy two to the heap per comparison
+	sort.Slice(preemptible, func(a, b int) bool {
+		if x, y := preemptible[a].Job.Priority, preemptible[b].Job.Priority; x != y {
 			return x > y
 		}
-		return before(&list[a], &list[b])
+		return less(&preemptible[a], &preemptible[b])
 	})
-	for i, task := range list {
+	for i, task := range preemptible {
 		if room = room.Add(task.Job.Need); d.Job.Need.Fits(room) {
-			return list[:i+1]
+			return preemptible[:i+1]
 		}
 	}
 	return nil
 }
 
-// mayPreempt reports whether the protocol lets the demand preempt a task.
+// mayPreempt reports whether the demand may preempt the task: one of a lower priority,
+// or borrowed work of another team that is not a service, if the demand reclaims its
+// team's guarantee.
 func (in *Input) mayPreempt(d *Demand, task ClaimedTask) bool {
 	spec, victimSpec := d.Job.Record.Spec, task.Job.Record.Spec
 	if victimSpec == nil {
@@ -164,35 +168,36 @@
 		return true
 	}
 	if task.Job.Service() {
-		// A running service is worth more to people than a start in time.
+		// Keeping a service running matters more to users than starting a job on time.
 		return false
 	}
 	victimTeam := in.Teams[victimSpec.Team]
 	return d.MayReclaim && victimSpec.Team != spec.Team && in.guaranteed(d.Job) && victimTeam != nil && !victimTeam.WithinGuarantee(victimTeam.Used)
 }
 
-// readyLater orders victims of one priority by the age of their jobs, which
-// every controller knows: the youngest first.
-func readyLater(a, b *ClaimedTask) bool { return a.Job.ReadyAtMs > b.Job.ReadyAtMs }
+// newestFirst orders victims of one priority by the age of their jobs, which every
+// controller knows: the newest first.
+func newestFirst(a, b *ClaimedTask) bool { return a.Job.ReadyAtMs > b.Job.ReadyAtMs }
 
-// losesLess orders victims of one priority on this controller's machines: those
-// that have not begun first, then by what a preemption loses.
-func (in *Input) losesLess(a, b *ClaimedTask) bool {
+// leastLostWorkFirst orders victims of one priority on this controller's machines by the
+// run time that a preemption loses, which is 0 for a task that has not started; equal
+// ones by newestFirst.
+func (in *Input) leastLostWorkFirst(a, b *ClaimedTask) bool {
 	if x, y := in.lostWork(a), in.lostWork(b); x != y {
 		return x < y
 	}
-	return readyLater(a, b)
+	return newestFirst(a, b)
 }
 
-// lostWork is the run time that a preemption of the task loses: all of it, or
-// what it takes to write a checkpoint for a task that can.
+// lostWork is the run time that a preemption of the task loses: all of it, but for a
+// task that writes checkpoints at most the time that writing one takes.
 func (in *Input) lostWork(task *ClaimedTask) time.Duration {
 	if task.RunningSince.IsZero() {
 		return 0
 	}
-	ran := in.Now.Sub(task.RunningSince)
+	lost := in.Now.Sub(task.RunningSince)
 	if spec := task.Job.Record.Spec; spec != nil && spec.CheckpointIntervalS > 0 {
-		ran = min(ran, time.Duration(spec.CheckpointWriteS*float64(time.Second)))
+		lost = min(lost, time.Duration(spec.CheckpointWriteS*float64(time.Second)))
 	}
-	return ran
+	return lost
 }
--- a/internal/placement/schedule.go
+++ b/internal/placement/schedule.go
@@ -144,7 +144,7 @@
 		in.reserveMachine(d)
 	}
 	for range unplaced {
-		if !in.makeRoom(d, out) {
+		if !in.reserveOrPreempt(d, out) {
 			break
 		}
 	}
