--- a/internal/placement/schedule.go
+++ b/internal/placement/schedule.go
@@ -7,8 +7,8 @@
 	"wheatspur/internal/quota"
 )
 
-// Schedule runs a pass: it places pending tasks, and preempts others for them
-// where that is allowed. It changes the machines of the fleet and the
+// Schedule runs a scheduling pass: it places pending tasks, and preempts others for
+// them where that is allowed. It modifies the machines of the fleet and the
 // allowances; Fleet.Rollback restores the machines.
 func Schedule(in Input) Output {
 	out := Output{Unplaced: map[string]int{}, Reasons: map[string]string{}}
@@ -23,8 +23,8 @@
 	return out
 }
 
-// scheduleDemand places the tasks of a demand, as many as it can, and notes why the
-// others wait.
+// scheduleDemand places as many tasks of a demand as it can, and records why the others
+// wait.
 func (in *Input) scheduleDemand(d *Demand, out *Output) {
 	team := in.Teams[d.Job.Record.Spec.Team]
 	if team == nil {
@@ -33,8 +33,8 @@
 	}
 	guaranteed := in.guaranteed(d.Job)
 	if !guaranteed && d.priority >= in.reservedPriority {
-		// Guards against borrowed work taking back the room that was freed for
-		// a guarantee: it was preempted and placed again many times a minute.
+		// Keeps borrowed work from taking back the room that was freed for a guarantee.
+		// Without this rule, such work was preempted and placed again many times a minute.
 		out.recordUnplaced(d, len(d.Tasks), reasonReservedForGuarantee)
 		return
 	}
@@ -56,21 +56,21 @@
 		in.applyChoice(d, team, tasks, choice, out)
 	}
 	if out.explainUnplaced(d, tasks, choice) {
-		in.seekRoom(d, guaranteed, tasks, choice, out)
+		in.makeRoomForUnplaced(d, guaranteed, tasks, choice, out)
 	}
 }
 
-// machineChoice is the machines chosen for a demand's first tasks, and the
-// controller that stores the claims.
+// machineChoice holds the machines chosen for a demand's first tasks, one for each, and
+// the controller that stores the claims.
 type machineChoice struct {
 	controller     string
 	machines       []*Machine
 	shareLimited   bool         // the leader's share of the team's limit admits fewer tasks than the limit
-	shareShortfall quota.Amount // what the leader lacks of the limit, if that alone is in the way
+	shareShortfall quota.Amount // what the leader's share lacks for all tasks, if the share is the only obstacle
 }
 
 // chooseMachines finds machines for the tasks: those of one shard owner if they
-// hold all of them, else those of any.
+// have room for all tasks, else those of several, with the leader as controller.
 func (in *Input) chooseMachines(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
 	choice := in.chooseOwner(d, team, tasks)
 	if choice.controller == "" {
@@ -83,17 +83,17 @@
 		}
 	}
 	if d.Job.Gang() && (len(d.Job.Claims) > 0 || len(choice.machines) < d.Job.Record.Tasks-d.Job.Counts[jobs.Completed]) {
-		choice.machines = nil // gang scheduling: all tasks at once or none
+		choice.machines = nil // gang scheduling: all tasks are placed at once or none
 	}
 	return choice
 }
 
-// chooseOwner finds the first shard owner whose machines hold all tasks, the
-// shortest waits for the image coming first: an image pull costs more than any
-// other choice here. Without such an owner the choice is empty.
+// chooseOwner finds the shard owner whose machines have room for all tasks with the
+// shortest total wait for the image, the first in the job's order among equals. An image
+// pull costs more than any other criterion here. Without such an owner the choice is empty.
 func (in *Input) chooseOwner(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
 	var best machineChoice
-	leastWait := 0.0
+	shortestWait := 0.0
 	for _, owner := range in.RankNodes(d.Job.ID) {
 		if team.AtNode(owner, d.Job.Need.Amount(), len(tasks)) < len(tasks) {
 			continue
@@ -106,16 +106,16 @@
 		for _, m := range picks {
 			wait += m.imageWait(d.Job)
 		}
-		if best.controller == "" || wait < leastWait {
+		if best.controller == "" || wait < shortestWait {
 			best.controller, best.machines = owner, picks
-			leastWait = wait
+			shortestWait = wait
 		}
 	}
 	return best
 }
 
-// applyChoice takes the room of the chosen machines and of the team's limit, and
-// claims the tasks if this controller is to store them.
+// applyChoice deducts the tasks from the room of the chosen machines and from the team's
+// allowance, and adds the claims to the output if this controller is to store them.
 func (in *Input) applyChoice(d *Demand, team *quota.Allowance, tasks []int, choice machineChoice, out *Output) {
 	for i, m := range choice.machines {
 		in.Fleet.markChanged(m)
@@ -129,9 +129,9 @@
 	team.Take(choice.controller, d.Job.Need.Amount().Times(float64(len(choice.machines))))
 }
 
-// seekRoom sees to it that the tasks without a place get one: what comes later
-// in the pass may not take the room, and other tasks are preempted for it.
-func (in *Input) seekRoom(d *Demand, guaranteed bool, tasks []int, choice machineChoice, out *Output) {
+// makeRoomForUnplaced provides room for the tasks that were not placed: it reserves room
+// against later demands of the pass, and preempts other tasks.
+func (in *Input) makeRoomForUnplaced(d *Demand, guaranteed bool, tasks []int, choice machineChoice, out *Output) {
 	placed := len(choice.machines)
 	unplaced := len(tasks) - placed
 	if guaranteed {
@@ -150,12 +150,12 @@
 	}
 }
 
-// recordGuaranteeShortfall adds what so many tasks of the demand take to the
-// shortfall of its team, as far as the guarantee is not used up.
+// recordGuaranteeShortfall adds the resources of so many tasks of the demand to the
+// shortfall of its team, up to the unused part of the guarantee.
 func (in *Input) recordGuaranteeShortfall(d *Demand, tasks int, out *Output) {
 	name := d.Job.Record.Spec.Team
 	team := in.Teams[name]
-	lack := d.Job.Need.Amount().Times(float64(tasks))
-	unused := team.Guarantee.Sub(team.Used).Max(quota.Amount{})
-	out.GuaranteeShortfall = withAmount(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(lack).Min(unused))
+	needed := d.Job.Need.Amount().Times(float64(tasks))
+	unusedGuarantee := team.Guarantee.Sub(team.Used).Max(quota.Amount{})
+	out.GuaranteeShortfall = withAmount(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(needed).Min(unusedGuarantee))
 }
