--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -10,48 +10,49 @@
 type Demand struct {
 	Job           *jobs.Job
 	Tasks         []int
-	Avoid         map[string]bool // machines that lately refused or failed it
-	MayReclaim    bool            // has waited long enough to have borrowed work preempted
-	PreemptedFor  bool            // tasks were preempted for it lately; their room comes
-	WriteInFlight bool            // a write of this controller about it is under way
-	Starved       bool            // has waited so long that nothing of its priority goes before it
+	Avoid         map[string]bool // machines that recently refused or failed its tasks
+	MayReclaim    bool            // it has waited long enough to preempt borrowed work
+	PreemptedFor  bool            // tasks were recently preempted for it, and their room is about to become free
+	WriteInFlight bool            // a write by this controller for the job is in flight
+	Starved       bool            // it has waited so long that it goes first within its priority, after reclaiming demands
 
-	// As the pass begins: the order of the demands must not change while teams'
-	// use does.
-	priority          int // the lower the number, the earlier
+	// The sort keys are computed when the pass begins: the order of the demands must not
+	// change while the pass changes the usage of the teams.
+	priority          int // a lower number is placed earlier
 	guaranteedAtStart bool
 	latestStart       int64 // see Input.latestStart
 }
 
 const (
-	// beyondLowestPriority is a larger number than any priority has.
+	// beyondLowestPriority is larger than the number of any priority.
 	beyondLowestPriority = 1 << 10
-	// noDeadlineMs puts a job behind all that have a deadline to keep, by age.
-	noDeadlineMs = int64(1) << 50
+	// noDeadlineOffsetMs is added to the age key of jobs without an attainable deadline,
+	// so that they sort behind all others, by age.
+	noDeadlineOffsetMs = int64(1) << 50
 )
 
-// reclaims reports whether others' borrowed work may be preempted for the demand.
+// reclaims reports whether borrowed work of other teams may be preempted for the demand.
 func (d *Demand) reclaims() bool { return d.guaranteedAtStart && d.MayReclaim }
 
-// compareDemands is the order in which demands are placed: by priority; then work
+// compareDemands defines the order in which demands are placed: by priority; then work
 // that reclaims its team's guarantee; then starved work, by age; then other work
-// within its guarantee; then by the latest start that keeps the deadline. Work
-// that can't keep its deadline any more, or has none, comes last, by age. The job
-// id makes the order complete, so that all controllers agree on it.
+// within its guarantee; then by the latest start that meets the deadline. Work
+// that can't meet its deadline any more, or has none, comes last, by age. The job
+// ID breaks ties, so that all controllers agree on the order.
 func compareDemands(a, b *Demand) int {
 	if a.priority != b.priority {
 		return cmp.Compare(a.priority, b.priority)
 	}
 	if a.reclaims() != b.reclaims() {
-		// What others were preempted for takes the room that they leave. Guards
-		// against a livelock: the room went to the next in line, often to the very
-		// tasks that had been preempted, since their job was older, and they were
+		// The demand for which tasks were preempted gets the room that they free. This
+		// prevents a livelock: the room went to the next demand in order, often to the
+		// same tasks that had been preempted, since their job was older, and they were
 		// preempted again.
 		return trueFirst(a.reclaims())
 	}
 	if a.Starved != b.Starved {
-		// Guards against starving a team without a guarantee, or a job that
-		// can't keep its deadline, by an endless stream of others.
+		// Prevents an endless stream of other work from starving a team without a
+		// guarantee, or a job that can't meet its deadline.
 		return trueFirst(a.Starved)
 	}
 	if a.Starved && a.Job.ReadyAtMs != b.Job.ReadyAtMs {
@@ -66,7 +67,8 @@
 	return cmp.Compare(a.Job.ID, b.Job.ID)
 }
 
-// trueFirst compares two flags that differ, given the first of them.
+// trueFirst returns the comparison of two flags that differ, given the first of them;
+// the true one sorts first.
 func trueFirst(first bool) int {
 	if first {
 		return -1
@@ -74,22 +76,23 @@
 	return 1
 }
 
-// latestStart is when a job's tasks must start to keep its deadline, and those of
-// the jobs that depend on it, in Unix milliseconds.
+// latestStart is the latest time at which a job's tasks can start and meet its deadline
+// and those of the jobs that depend on it, in Unix milliseconds. A job without a deadline
+// that it can meet gets a later time than all others.
 func (in *Input) latestStart(j *jobs.Job) int64 {
 	if j.DeadlineMs == 0 {
-		return j.ReadyAtMs + noDeadlineMs
+		return j.ReadyAtMs + noDeadlineOffsetMs
 	}
-	runMs := int64(j.Record.Spec.EstimateS * 1000)
-	if in.Now.UnixMilli()+runMs/2 > j.DeadlineMs {
-		// Even a run of half the estimate would be late.
-		return j.ReadyAtMs + noDeadlineMs
+	estimateMs := int64(j.Record.Spec.EstimateS * 1000)
+	if in.Now.UnixMilli()+estimateMs/2 > j.DeadlineMs {
+		// Even a run time of half the estimate would miss the deadline.
+		return j.ReadyAtMs + noDeadlineOffsetMs
 	}
-	return j.DeadlineMs - runMs
+	return j.DeadlineMs - estimateMs
 }
 
-// guaranteed reports whether one more task of the job stays within its team's
-// guarantee, beside what the team uses at this point of the pass.
+// guaranteed reports whether one more task of the job stays within its team's guarantee,
+// given what the team uses at this point of the pass.
 func (in *Input) guaranteed(j *jobs.Job) bool {
 	team := in.Teams[j.Record.Spec.Team]
 	return team != nil && team.WithinGuarantee(team.Used.Add(j.Need.Amount()))
