--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -9,34 +9,34 @@
 	"wheatspur/wire"
 )
 
-func TestTightestDeadlineThatCanBeKeptGoesFirst(t *testing.T) {
+func TestEarliestAttainableDeadlineIsPlacedFirst(t *testing.T) {
 	due := func(seconds float64) func(*wire.JobSpec) {
 		return func(spec *wire.JobSpec) { spec.DeadlineS, spec.EstimateS = &seconds, 20 }
 	}
-	loose, tight, lost := newArray("wk-1", 1, due(300)), newArray("wk-2", 1, due(100)), newArray("wk-3", 1, due(60))
+	loose, tight, missed := newArray("wk-1", 1, due(300)), newArray("wk-2", 1, due(100)), newArray("wk-3", 1, due(60))
 	for _, c := range []struct {
 		name string
 		open []*jobs.Job
 		want string
 	}{
-		{"all three open", []*jobs.Job{loose, tight, lost}, "wk-2"},
-		{"the tight one is done", []*jobs.Job{loose, lost}, "wk-1"},
-		{"the one that can't be kept is left", []*jobs.Job{lost}, "wk-3"},
+		{"all three jobs are open", []*jobs.Job{loose, tight, missed}, "wk-2"},
+		{"the job with the tight deadline is done", []*jobs.Job{loose, missed}, "wk-1"},
+		{"only the missed deadline is left", []*jobs.Job{missed}, "wk-3"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, c.open...)
 			in.Now = time.UnixMilli(0).Add(55 * time.Second)
 			if out := Schedule(in); len(out.Claims) != 1 || out.Claims[0].Job.ID != c.want {
-				t.Fatalf("%+v, want %s", out.Claims, c.want)
+				t.Fatalf("claims %+v, want one of %s", out.Claims, c.want)
 			}
 		})
 	}
 }
 
-// A team without a guarantee, and jobs that can't keep their deadline, come
-// after all others until they are starved. That goes before a guarantee and not
-// before priority.
-func TestStarvedWorkGoesFirstWithinItsPriority(t *testing.T) {
+// Jobs of a team without a guarantee, and jobs that can't meet their deadline, are placed
+// after all others until they are starved. Starvation takes precedence over a guarantee,
+// but not over priority.
+func TestStarvedJobIsPlacedFirstWithinItsPriority(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		starved bool
@@ -46,14 +46,14 @@
 		{"starved, the other has a guarantee", true, "wk-2"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			better := newArray("wk-1", 1, nil)
-			old := newArray("wk-2", 1, func(spec *wire.JobSpec) { spec.Team = "y" })
-			in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, better, old)
+			guaranteed := newArray("wk-1", 1, nil)
+			starving := newArray("wk-2", 1, func(spec *wire.JobSpec) { spec.Team = "y" })
+			in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, guaranteed, starving)
 			in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
 			in.Teams["y"] = &quota.Allowance{}
 			in.Demands[1].Starved = c.starved
 			if got := Schedule(in).Claims[0].Job.ID; got != c.want {
-				t.Fatalf("%s goes first, want %s", got, c.want)
+				t.Fatalf("%s is placed first, want %s", got, c.want)
 			}
 		})
 	}
@@ -62,7 +62,7 @@
 		in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, urgent, newArray("wk-2", 1, nil))
 		in.Demands[1].Starved = true
 		if Schedule(in).Claims[0].Job.ID != "wk-1" {
-			t.Fatal("a starved demand goes before one of a higher priority")
+			t.Fatal("a starved demand is placed before one of a higher priority")
 		}
 	})
 }
