--- a/internal/placement/fit_test.go
+++ b/internal/placement/fit_test.go
@@ -9,7 +9,7 @@
 	"wheatspur/wire"
 )
 
-func TestPlacementStaysWithinTheRole(t *testing.T) {
+func TestPlacementRespectsMachineRoles(t *testing.T) {
 	machines := func() []*Machine {
 		spot := newMachine("spot", "a", "z", Batch, 4)
 		spot.Spot = true
@@ -19,13 +19,13 @@
 	t.Run("service too large for a shard, seen by its owner", func(t *testing.T) {
 		out := Schedule(newInput("a", machines(), service()))
 		if len(out.Claims) != 0 || out.Unplaced["wk-1"] != 2 {
-			t.Fatalf("six replicas on four service GPUs, by the leader: claims %d unplaced %d", len(out.Claims), out.Unplaced["wk-1"])
+			t.Fatalf("six replicas on four service GPUs, to be placed by the leader: %d claims, %d unplaced; want 0 and 2", len(out.Claims), out.Unplaced["wk-1"])
 		}
 	})
 	t.Run("service too large for a shard, seen by the leader", func(t *testing.T) {
 		out := Schedule(newInput("L", machines(), service()))
 		if len(out.Claims) != 4 {
-			t.Fatalf("the leader claims %d", len(out.Claims))
+			t.Fatalf("the leader claims %d tasks, want 4", len(out.Claims))
 		}
 		for _, c := range out.Claims {
 			if c.Machine != "s" {
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestBinPackingPrefersHeldImagesThenLeastFreeRoom(t *testing.T) {
+func TestBinPackingPrefersPresentImagesThenLeastFreeRoom(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		imageOnBig  bool
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestZoneConstraintsCountAllLiveClaims(t *testing.T) {
+func TestZoneConstraintsCountExistingClaims(t *testing.T) {
 	machines := func() []*Machine {
 		return []*Machine{newMachine("m1", "L", "z1", Batch, 8), newMachine("m2", "L", "z2", Batch, 2)}
 	}
@@ -74,7 +74,7 @@
 	t.Run("spread over zones", func(t *testing.T) {
 		spread := claimTasks(newArray("wk-1", 5, func(spec *wire.JobSpec) { spec.SpreadZones = true }), "m1")
 		if got := claimsByMachine(Schedule(newInput("L", machines(), spread))); got["m1"] != 2 || got["m2"] != 2 {
-			t.Fatalf("%v beside one live on m1, the cap is 3", got)
+			t.Fatalf("new claims %v beside an existing one on m1; want 2 on each machine, for at most 3 per zone", got)
 		}
 	})
 	t.Run("same zone", func(t *testing.T) {
@@ -84,52 +84,53 @@
 			}
 		}
 	})
-	t.Run("same zone as a machine that is not known", func(t *testing.T) {
+	t.Run("same zone as a task on a machine that is not known", func(t *testing.T) {
 		if out := Schedule(newInput("L", machines(), claimTasks(newArray("wk-2", 4, sameZone), "gone"))); len(out.Claims) != 0 {
 			t.Fatal("placed beside a task in an unknown zone")
 		}
 	})
 }
 
-// A job for which no shard owner has room enough takes as few owners as it can.
+// A job that is too large for every shard is placed on the machines of as few shard
+// owners as possible.
 func TestLargeJobIsSpreadOverFewShardOwners(t *testing.T) {
 	machines := []*Machine{newMachine("m1", "a", "z", Batch, 1), newMachine("m2", "b", "z", Batch, 4), newMachine("m3", "L", "z", Batch, 3)}
 	got := claimsByMachine(Schedule(newInput("L", machines, newArray("wk-1", 7, nil))))
 	if got["m1"] != 0 || got["m2"] != 4 || got["m3"] != 3 {
-		t.Fatalf("placed on %v", got)
+		t.Fatalf("placed on %v, want 4 tasks on m2 and 3 on m3", got)
 	}
 }
 
-// A machine's heartbeats name all its tasks in a message of bounded size.
-func TestMachineTakesNoMoreTasksThanItsHeartbeatsCanName(t *testing.T) {
+// A machine's heartbeats list all its tasks in a message of bounded size.
+func TestTasksOfAMachineAreLimitedByItsHeartbeatSize(t *testing.T) {
 	tiny := newArray("wk-1", 2*tuning.TasksPerMachine, func(spec *wire.JobSpec) { spec.CPUs, spec.GPUs, spec.RAMGB = 0.001, 0, 0.001 })
 	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 4)}, tiny)
 	in.Leader = "a"
 	if n := len(Schedule(in).Claims); n != tuning.TasksPerMachine {
-		t.Fatalf("%d tiny tasks on one machine", n)
+		t.Fatalf("%d tiny tasks on one machine, want %d", n, tuning.TasksPerMachine)
 	}
 }
 
-// Jobs that are bound to one zone, by name or by their other tasks, lose
-// machines: what is lost waits for room in that zone and for no other, and is
-// placed as soon as there is some; once nothing of a job is left, any zone does.
-func TestJobBoundToAZoneIsReplacedInThatZoneOnly(t *testing.T) {
+// A job that is bound to one zone, by name or by its other tasks, loses machines. The
+// lost tasks wait for room in that zone, even if other zones have room, and are placed
+// as soon as it has some. A same-zone job without any task left may use any zone.
+func TestLostTasksOfAZoneBoundJobAreReplacedInThatZoneOnly(t *testing.T) {
 	z1 := "z1"
 	namedZone := func(spec *wire.JobSpec) { spec.Zone = &z1 }
 	sameZone := func(spec *wire.JobSpec) { spec.SameZone = true }
 	for _, c := range []struct {
 		name   string
 		edit   func(*wire.JobSpec)
-		live   []string // machines that its tasks are left on
-		z1GPUs float64  // room there
+		live   []string // machines of its remaining tasks
+		z1GPUs float64  // free GPUs in zone z1
 		want   map[string]int
 	}{
-		{"named, no room there", namedZone, []string{"m0"}, 0, map[string]int{}},
-		{"named, room for two", namedZone, []string{"m0"}, 2, map[string]int{"m1": 2}},
-		{"same zone as what is left, no room there", sameZone, []string{"m0"}, 0, map[string]int{}},
-		{"same zone as what is left, room for two", sameZone, []string{"m0", "m0"}, 2, map[string]int{"m1": 2}},
-		{"same zone, nothing is left", sameZone, nil, 0, map[string]int{"m2": 4}},
-		{"same zone, its machine is not proven gone", sameZone, []string{"lost"}, 8, map[string]int{}},
+		{"named zone without room", namedZone, []string{"m0"}, 0, map[string]int{}},
+		{"named zone with room for two", namedZone, []string{"m0"}, 2, map[string]int{"m1": 2}},
+		{"zone of the remaining tasks without room", sameZone, []string{"m0"}, 0, map[string]int{}},
+		{"zone of the remaining tasks with room for two", sameZone, []string{"m0", "m0"}, 2, map[string]int{"m1": 2}},
+		{"same zone, no task is left", sameZone, nil, 0, map[string]int{"m2": 4}},
+		{"same zone, the machine of a task is not proven gone", sameZone, []string{"lost"}, 8, map[string]int{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m0, m1, m2 := newMachine("m0", "L", "z1", Batch, 0), newMachine("m1", "L", "z1", Batch, c.z1GPUs), newMachine("m2", "L", "z2", Batch, 8)
