--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -11,7 +11,7 @@
 	"wheatspur/wire"
 )
 
-func TestPreemptionOfWorkOfAnotherTeam(t *testing.T) {
+func TestPreemptionOfTasksOfAnotherTeam(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
 		priority             string
@@ -20,7 +20,7 @@
 	}{
 		{"higher priority", wire.PriorityUrgent, false, false, 1},
 		{"same priority within the other's guarantee", wire.PriorityNormal, true, false, 0},
-		{"the cloud may still bring room", wire.PriorityNormal, false, true, 0},
+		{"waiting too briefly to reclaim, the cloud may still add machines", wire.PriorityNormal, false, true, 0},
 		{"borrowed work for a guarantee", wire.PriorityNormal, true, true, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestNothingIsPreemptedForRoomThatIsBeingFreed(t *testing.T) {
+func TestNoPreemptionWhileRoomIsBeingFreed(t *testing.T) {
 	resident := newArray("wk-9", 1, func(spec *wire.JobSpec) { spec.Team = "y" })
 	urgent := newJob("wk-1", wire.KindArray, wire.PriorityUrgent, 1, nil)
 	t.Run("a task of the machine is being stopped", func(t *testing.T) {
@@ -47,7 +47,7 @@
 		m.Freeing = jobs.Resources{CPUs: 1, GPUs: 1, RAM: 1}
 		m.Tasks[0].Stopping = true
 		if out := Schedule(newInput("a", []*Machine{m}, urgent)); len(out.Preemptions) != 0 {
-			t.Error("a task was preempted for room that is being freed")
+			t.Error("a task was preempted although enough room is being freed")
 		}
 	})
 	t.Run("tasks were preempted for the job lately", func(t *testing.T) {
@@ -55,12 +55,12 @@
 		in := newInput("a", []*Machine{newFullMachine(low)}, urgent)
 		in.Demands[0].PreemptedFor = true
 		if out := Schedule(in); len(out.Preemptions) != 0 {
-			t.Fatal("more was preempted for a job before the first preemption could help it")
+			t.Fatal("another task was preempted for a job before the room of the first one was free")
 		}
 	})
 }
 
-func TestNothingIsPreemptedInAZoneThatTheJobMayNotUse(t *testing.T) {
+func TestNoPreemptionInAZoneThatTheJobMayNotUse(t *testing.T) {
 	low := newJob("wk-9", wire.KindArray, wire.PriorityLow, 1, nil)
 	spread := newJob("wk-1", wire.KindArray, wire.PriorityUrgent, 2, func(spec *wire.JobSpec) { spec.SpreadZones = true })
 	if out := Schedule(newInput("a", []*Machine{newFullMachine(low)}, claimTasks(spread, "m"))); len(out.Preemptions) != 0 {
@@ -82,11 +82,11 @@
 }
 
 func TestBorrowedWorkDoesNotTakeRoomFreedForAGuarantee(t *testing.T) {
-	mine := newArray("wk-1", 2, nil)
-	theirs := newArray("wk-2", 1, func(spec *wire.JobSpec) { spec.Team, spec.CPUs = "y", 0.5 })
+	reclaiming := newArray("wk-1", 2, nil)
+	borrowing := newArray("wk-2", 1, func(spec *wire.JobSpec) { spec.Team, spec.CPUs = "y", 0.5 })
 	m := newMachine("m", "a", "z", Batch, 1)
-	m.Free = jobs.Resources{CPUs: 0.5, GPUs: 1, RAM: 64} // too small for mine, freed for it
-	in := newInput("a", []*Machine{m}, mine, theirs)
+	m.Free = jobs.Resources{CPUs: 0.5, GPUs: 1, RAM: 64} // CPUs too few for reclaiming, enough for borrowing
+	in := newInput("a", []*Machine{m}, reclaiming, borrowing)
 	in.Demands[0].MayReclaim = true
 	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
 	in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 2}, Guarantee: quota.Amount{GPUs: 1}}
@@ -95,26 +95,26 @@
 	}
 }
 
-// Of two jobs within their guarantees the one that others were preempted for
-// takes the room; the other once did, and more were preempted.
+// Of two jobs within their guarantees, the one for which tasks were preempted gets the
+// room that they freed. Otherwise the other job takes it and more tasks are preempted.
 func TestReclaimingWorkTakesTheRoomThatWasFreedForIt(t *testing.T) {
 	first, reclaiming := newArray("wk-1", 1, nil), newArray("wk-2", 1, nil)
 	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, first, reclaiming)
 	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
 	in.Demands[1].MayReclaim = true
 	if out := Schedule(in); len(out.Claims) != 1 || out.Claims[0].Job != reclaiming {
-		t.Fatalf("%+v", out.Claims)
+		t.Fatalf("claims %+v, want one of the reclaiming job", out.Claims)
 	}
 }
 
-// Borrowed tasks that were preempted for a guarantee wait again, and their job is
-// older than what they were preempted for: it does not take the room back. Guards
-// against a livelock in which a team never got its guarantee.
+// Borrowed tasks that were preempted for a guarantee are pending again, and their job is
+// older than the job for which they were preempted. It must not take the room back, or
+// the preemptions repeat forever and the team never gets its guarantee.
 func TestPreemptedWorkDoesNotTakeTheRoomBack(t *testing.T) {
-	borrowed, waiting := newArray("wk-1", 4, nil), newArray("wk-2", 4, nil)
-	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 4)}, borrowed, waiting)
-	borrowed.ReadyAtMs, waiting.ReadyAtMs = 1000, 2000
-	waiting.Team, waiting.Record.Spec.Team = "y", "y"
+	borrowed, reclaiming := newArray("wk-1", 4, nil), newArray("wk-2", 4, nil)
+	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 4)}, borrowed, reclaiming)
+	borrowed.ReadyAtMs, reclaiming.ReadyAtMs = 1000, 2000
+	reclaiming.Team, reclaiming.Record.Spec.Team = "y", "y"
 	in.Teams["y"] = &quota.Allowance{Guarantee: quota.Amount{GPUs: 4}}
 	for _, d := range in.Demands {
 		d.Starved, d.MayReclaim = true, true
@@ -126,15 +126,15 @@
 		}
 	}
 	if len(out.Claims) != 4 {
-		t.Fatalf("%d claims", len(out.Claims))
+		t.Fatalf("%d claims of the reclaiming job, want 4", len(out.Claims))
 	}
 }
 
-// On its own machines a controller preempts what loses the least: what has not
-// begun, what can write a checkpoint, then what has run the shortest; the lowest
-// priority still goes before all that, and no more tasks go than are needed. On
-// other controllers' machines age alone decides.
-func TestVictimsThatLoseTheLeastComeFirst(t *testing.T) {
+// On its own machines a controller preempts the tasks that lose the least work first:
+// those that have not started, those that write checkpoints, then those with the shortest
+// run time. A lower priority still comes first, and no more tasks than needed are
+// preempted. On machines of other controllers the age alone decides.
+func TestVictimsThatLoseTheLeastWorkArePreemptedFirst(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	for _, c := range []struct {
 		name  string
@@ -142,20 +142,20 @@
 		want  []string
 	}{
 		{"own machine", "a", []string{"wk-12", "wk-11", "wk-10"}},
-		{"machine of another owner, who preempts them", "b", nil},
+		{"machine of another owner, which preempts them itself", "b", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newMachine("m", c.owner, "z", Batch, 4)
 			m.Free = jobs.Resources{}
-			for i, ran := range []time.Duration{50 * time.Second, 300 * time.Second, 0, 400 * time.Second} {
+			for i, runTime := range []time.Duration{50 * time.Second, 300 * time.Second, 0, 400 * time.Second} {
 				j := newArray(fmt.Sprintf("wk-%d", 10+i), 1, nil)
 				j.ReadyAtMs = int64(1000 * (i + 1))
 				if i == 1 {
 					j.Record.Spec.CheckpointIntervalS, j.Record.Spec.CheckpointWriteS = 30, 4
 				}
 				task := ClaimedTask{ID: jobs.TaskID{Job: j.ID}, Job: j}
-				if ran > 0 {
-					task.RunningSince = now.Add(-ran)
+				if runTime > 0 {
+					task.RunningSince = now.Add(-runTime)
 				}
 				m.Tasks = append(m.Tasks, task)
 			}
@@ -168,7 +168,7 @@
 				preempted = append(preempted, p.ID.Job)
 			}
 			if !slices.Equal(preempted, c.want) {
-				t.Errorf("%v are preempted, want %v", preempted, c.want)
+				t.Errorf("preempted %v, want %v", preempted, c.want)
 			}
 		})
 	}
