--- a/internal/placement/schedule_test.go
+++ b/internal/placement/schedule_test.go
@@ -13,15 +13,15 @@
 	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 8)}, newArray("wk-1", 3, nil), newArray("wk-2", 3, nil))
 	in.Teams["x"].Limit, in.Teams["x"].Used = quota.Amount{GPUs: 5}, quota.Amount{GPUs: 1}
 	if n := len(Schedule(in).Claims); n != 4 {
-		t.Fatalf("%d claims beside one of five", n)
+		t.Fatalf("%d claims, want 4: one of the limit of five GPUs was in use", n)
 	}
 }
 
-func TestTasksBeyondQuotaWaitForNoMachine(t *testing.T) {
+func TestTasksBeyondTheLimitWaitForQuota(t *testing.T) {
 	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 8)}, newArray("wk-1", 5, nil))
 	in.Teams["x"].Limit = quota.Amount{GPUs: 3}
 	if out := Schedule(in); len(out.Claims) != 3 || out.Reasons["wk-1"] != ReasonNoQuota {
-		t.Fatalf("%d claims, waits because %s", len(out.Claims), out.Reasons["wk-1"])
+		t.Fatalf("%d claims, the others wait because %q; want 3 and %q", len(out.Claims), out.Reasons["wk-1"], ReasonNoQuota)
 	}
 }
 
@@ -45,19 +45,19 @@
 }
 
 func TestPassPlacesABoundedNumberOfJobs(t *testing.T) {
-	var list []*jobs.Job
+	var openJobs []*jobs.Job
 	for i := range 9 {
-		list = append(list, newArray(fmt.Sprintf("wk-%d", i+1), 1, nil))
+		openJobs = append(openJobs, newArray(fmt.Sprintf("wk-%d", i+1), 1, nil))
 	}
-	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 8)}, list...)
+	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 8)}, openJobs...)
 	in.MaxJobs = 3
 	out := Schedule(in)
 	if len(out.Claims) != 3 || len(out.Unplaced) != 6 || out.Reasons["wk-9"] != ReasonNoTurn {
-		t.Fatalf("%d claims, waiting %v", len(out.Claims), out.Reasons)
+		t.Fatalf("%d claims, waiting jobs %v; want 3 claims and 6 waiting jobs", len(out.Claims), out.Reasons)
 	}
 }
 
-func TestJobBelongsToTheFirstShardThatHoldsItElseToTheLeader(t *testing.T) {
+func TestJobIsPlacedByTheFirstShardOwnerWithRoomElseByTheLeader(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		self  string
@@ -81,10 +81,10 @@
 	}
 }
 
-func TestShardWhoseMachinesHoldTheImageComesFirst(t *testing.T) {
+func TestShardWithTheImageIsPreferred(t *testing.T) {
 	m1, m2 := newMachine("m1", "a", "z", Batch, 2), newMachine("m2", "b", "z", Batch, 4)
 	m2.Images = []string{"img"}
 	if n := len(Schedule(newInput("b", []*Machine{m1, m2}, newArray("wk-1", 2, nil))).Claims); n != 2 {
-		t.Fatalf("the owner of the machine with the image claims %d of 2", n)
+		t.Fatalf("the owner of the machine with the image claims %d tasks, want 2", n)
 	}
 }
