--- a/internal/placement/starvation_test.go
+++ b/internal/placement/starvation_test.go
@@ -9,23 +9,23 @@
 	"wheatspur/wire"
 )
 
-// runningTask is a task of the simulation that runs until a round begins.
+// runningTask is a running task of the simulation. It ends at the beginning of endRound.
 type runningTask struct {
-	job     *jobs.Job
-	task    int
-	machine *Machine
-	ends    int
+	job      *jobs.Job
+	task     int
+	machine  *Machine
+	endRound int
 }
 
-// starvationSim runs passes round after round over a small fleet, on which tasks
+// starvationSim simulates rounds of scheduling passes over a small fleet, on which tasks
 // end at different times.
 type starvationSim struct {
-	machines  []*Machine
-	open      []*jobs.Job
-	running   []runningTask
-	submitted map[string]int // round, by job
-	began     map[string]int // round, by job
-	served    map[string]int // jobs that began, by team and GPUs of a task
+	machines    []*Machine
+	jobs        []*jobs.Job
+	running     []runningTask
+	submitRound map[string]int // round, by job
+	startRound  map[string]int // round, by job
+	startedJobs map[string]int // number of jobs that started, by team and GPUs of a task
 }
 
 const (
@@ -34,36 +34,36 @@
 )
 
 func newStarvationSim() *starvationSim {
-	s := &starvationSim{submitted: map[string]int{}, began: map[string]int{}, served: map[string]int{}}
+	s := &starvationSim{submitRound: map[string]int{}, startRound: map[string]int{}, startedJobs: map[string]int{}}
 	for i := range 4 {
 		s.machines = append(s.machines, newMachine(fmt.Sprintf("m%d", i), "a", "z", Batch, 4))
 	}
 	return s
 }
 
-func (s *starvationSim) submit(round int, id, team string, tasks int, size float64) {
-	j := claimTasks(newArray(id, tasks, func(spec *wire.JobSpec) { spec.Team, spec.GPUs, spec.CPUs = team, size, size }))
+func (s *starvationSim) submit(round int, id, team string, tasks int, gpus float64) {
+	j := claimTasks(newArray(id, tasks, func(spec *wire.JobSpec) { spec.Team, spec.GPUs, spec.CPUs = team, gpus, gpus }))
 	j.ReadyAtMs = int64(round)
-	s.open = append(s.open, j)
-	s.submitted[id] = round
+	s.jobs = append(s.jobs, j)
+	s.submitRound[id] = round
 }
 
-// endTasks ends the tasks whose time is over.
+// endTasks completes the tasks whose endRound has come.
 func (s *starvationSim) endTasks(round int) {
-	var still []runningTask
+	var running []runningTask
 	for _, r := range s.running {
-		if r.ends > round {
-			still = append(still, r)
+		if r.endRound > round {
+			running = append(running, r)
 			continue
 		}
 		r.job.Chunks[0][r.task].State = jobs.Completed
 		r.machine.Free = r.machine.Free.Add(r.job.Need)
 	}
-	s.running = still
+	s.running = running
 }
 
-// input is the pass of a round: team x has a guarantee beyond the fleet, team y
-// has a limit and no guarantee.
+// input returns the input of a round's pass: team x has a guarantee larger than the
+// fleet, team y has a limit and no guarantee.
 func (s *starvationSim) input(round int) Input {
 	in := newInput("a", s.machines)
 	in.Leader, in.MaxJobs = "a", 1000
@@ -72,10 +72,10 @@
 	for _, r := range s.running {
 		in.Teams[r.job.Team].Used = in.Teams[r.job.Team].Used.Add(r.job.Need.Amount())
 	}
-	for _, j := range s.open {
+	for _, j := range s.jobs {
 		d := newDemand(j)
-		_, began := s.began[j.ID]
-		d.Starved = !began && round-s.submitted[j.ID] > simStarvedAfter
+		_, started := s.startRound[j.ID]
+		d.Starved = !started && round-s.submitRound[j.ID] > simStarvedAfter
 		if len(d.Tasks) > 0 {
 			in.Demands = append(in.Demands, d)
 		}
@@ -83,7 +83,7 @@
 	return in
 }
 
-// pass places tasks and starts what it has claimed.
+// pass runs a scheduling pass and starts the claimed tasks.
 func (s *starvationSim) pass(round int) {
 	in := s.input(round)
 	free := map[*Machine]jobs.Resources{}
@@ -92,24 +92,24 @@
 	}
 	out := Schedule(in)
 	for _, m := range s.machines {
-		m.Free = free[m] // what a pass reserves is free again
+		m.Free = free[m] // reservations end with the pass
 	}
 	for i, c := range out.Claims {
 		c.Job.Chunks[0][c.Task].State = jobs.Claimed
 		m := in.Fleet.Machine(c.Machine)
 		m.Free = m.Free.Sub(c.Job.Need)
-		s.running = append(s.running, runningTask{job: c.Job, task: c.Task, machine: m, ends: round + 1 + i%3})
-		if _, began := s.began[c.Job.ID]; !began {
-			s.began[c.Job.ID] = round
-			s.served[fmt.Sprint(c.Job.Team, c.Job.Need.GPUs)]++
+		s.running = append(s.running, runningTask{job: c.Job, task: c.Task, machine: m, endRound: round + 1 + i%3})
+		if _, started := s.startRound[c.Job.ID]; !started {
+			s.startRound[c.Job.ID] = round
+			s.startedJobs[fmt.Sprint(c.Job.Team, c.Job.Need.GPUs)]++
 		}
 	}
 }
 
-// A stream of small jobs of a team within its guarantee asks for more than the
-// fleet has, round after round, and its tasks end at different times. Beside
-// it, jobs of a team without a guarantee, one of them with tasks as large as a
-// machine, begin before long, and at least half of each kind is served.
+// A continuous stream of small jobs of a team within its guarantee requests more than
+// the fleet has, and its tasks end at different times. Jobs of a team without a guarantee,
+// some of them with tasks as large as a machine, must still start: at least half of each
+// class, and each large job that starts within a bounded wait.
 func TestStreamOfSmallJobsStarvesNoTeamAndNoLargeJob(t *testing.T) {
 	sim := newStarvationSim()
 	for round := range simRounds {
@@ -123,24 +123,23 @@
 		sim.endTasks(round)
 		sim.pass(round)
 	}
-	for _, kind := range []string{"y1", "y4"} {
-		if 2*sim.served[kind] < simRounds/10 {
-			t.Errorf("%s: %d of %d jobs began", kind, sim.served[kind], simRounds/10)
+	for _, class := range []string{"y1", "y4"} {
+		if 2*sim.startedJobs[class] < simRounds/10 {
+			t.Errorf("class %s: %d of %d jobs started, want at least half", class, sim.startedJobs[class], simRounds/10)
 		}
 	}
-	if sim.served["x1"] == 0 {
-		t.Error("the stream itself starves")
+	if sim.startedJobs["x1"] == 0 {
+		t.Error("no job of the stream started")
 	}
-	for id, began := range sim.began {
-		if wait := began - sim.submitted[id]; id[len("wk-")] == '3' && wait > 3*simStarvedAfter {
-			t.Errorf("large job %s began after %d rounds", id, wait)
+	for id, startRound := range sim.startRound {
+		if wait := startRound - sim.submitRound[id]; id[len("wk-")] == '3' && wait > 3*simStarvedAfter {
+			t.Errorf("large job %s started after %d rounds, want at most %d", id, wait, 3*simStarvedAfter)
 		}
 	}
 }
 
-// A stream of small tasks
-// takes room as it comes free; a task that needs a whole machine once waited for
-// ever.
+// Small tasks take room as soon as it becomes free. Without a reserved machine, a task
+// that needs a whole machine waits forever.
 func TestStarvedLargeTaskHasAMachineReserved(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -157,7 +156,7 @@
 			in := newInput("L", []*Machine{a, b}, newArray("wk-1", 8, nil), large)
 			in.Demands[1].Starved = c.starved
 			if got := claimsByMachine(Schedule(in)); got["a"] != c.wantA || got["b"] != c.wantB {
-				t.Fatalf("small tasks get %v, want %d on a and %d on b", got, c.wantA, c.wantB)
+				t.Fatalf("small tasks placed on %v, want %d on a and %d on b", got, c.wantA, c.wantB)
 			}
 		})
 	}
