--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -1,8 +1,8 @@
 package membership
 
-// silentMachinesMin is the number of silent machines from which on the fault is taken for
+// minSilentMachines is the number of silent machines from which on the fault is taken for
 // the controller's: one may have a fault of its own.
-const silentMachinesMin = 2
+const minSilentMachines = 2
 
 // Reachability is what a controller knows of whether its workers reach it.
 type Reachability struct {
@@ -21,5 +21,5 @@
 	if r.Unreachable {
 		return !r.ProbeAnswered
 	}
-	return r.Heard == 0 && r.Silent >= silentMachinesMin && r.SiblingHearsWorkers
+	return r.Heard == 0 && r.Silent >= minSilentMachines && r.SiblingHearsWorkers
 }
