--- a/internal/membership/shardowner.go
+++ b/internal/membership/shardowner.go
@@ -15,7 +15,7 @@
 		if slices.Contains(r.Unreachable, node.Label) {
 			continue
 		}
-		if w := weight(machine, node.Label); owner == "" || w > highest || w == highest && node.Label < owner {
+		if w := rendezvousWeight(machine, node.Label); owner == "" || w > highest || w == highest && node.Label < owner {
 			owner, highest = node.Label, w
 		}
 	}
@@ -27,14 +27,14 @@
 func (r *Record) RankNodes(jobID string) []string {
 	nodes := slices.Clone(r.Nodes)
 	slices.SortFunc(nodes, func(a, b Node) int {
-		return cmp.Or(cmp.Compare(weight(jobID, b.Label), weight(jobID, a.Label)), cmp.Compare(a.Label, b.Label))
+		return cmp.Or(cmp.Compare(rendezvousWeight(jobID, b.Label), rendezvousWeight(jobID, a.Label)), cmp.Compare(a.Label, b.Label))
 	})
 	return labels(nodes)
 }
 
-// weight is the rendezvous weight of a member for a machine or a job. All versions of the
+// rendezvousWeight is the rendezvous weight of a member for a machine or a job. All versions of the
 // program that work side by side have to agree on it.
-func weight(key, label string) uint64 {
+func rendezvousWeight(key, label string) uint64 {
 	h := fnv.New64a() // its Write returns no error
 	h.Write([]byte(key))
 	h.Write([]byte{0})
