--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -82,9 +82,9 @@
 func (r *Record) Contains(node Node) bool { return slices.Contains(r.Nodes, node) }
 
 // Labels lists the labels of the members.
-func (r *Record) Labels() []string { return labels(r.Nodes) }
+func (r *Record) Labels() []string { return nodeLabels(r.Nodes) }
 
-func labels(nodes []Node) []string {
+func nodeLabels(nodes []Node) []string {
 	labels := make([]string, len(nodes))
 	for i, node := range nodes {
 		labels[i] = node.Label
--- a/internal/membership/shardowner.go
+++ b/internal/membership/shardowner.go
@@ -29,7 +29,7 @@
 	slices.SortFunc(nodes, func(a, b Node) int {
 		return cmp.Or(cmp.Compare(rendezvousWeight(jobID, b.Label), rendezvousWeight(jobID, a.Label)), cmp.Compare(a.Label, b.Label))
 	})
-	return labels(nodes)
+	return nodeLabels(nodes)
 }
 
 // rendezvousWeight is the rendezvous weight of a member for a machine or a job. All versions of the
