--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -28,9 +28,9 @@
 
 // AllSupport reports whether every member has told, in the session of its present
 // incarnation, that it knows a form. sessions are the stored ones by label.
-func (r *Record) AllSupport(form uint64, sessions map[string]Session) bool {
+func (r *Record) AllSupport(format uint64, sessions map[string]Session) bool {
 	for _, member := range r.Nodes {
-		if session, ok := sessions[member.Label]; !ok || session.Node != member || session.Format < form {
+		if session, ok := sessions[member.Label]; !ok || session.Node != member || session.Format < format {
 			return false
 		}
 	}
