--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -32,7 +32,7 @@
 	switch {
 	case view.Sessions[view.Self.Label] != view.Self:
 		return Action{}
-	case view.leaderGone():
+	case view.leadershipVacant():
 		return Action{BecomeLeader: true}
 	case *view.Leader != view.Self:
 		return Action{}
@@ -50,9 +50,9 @@
 	return Action{WriteMembership: next}
 }
 
-// leaderGone reports whether there is no leader, or it was this controller's former
+// leadershipVacant reports whether there is no leader, or it was this controller's former
 // process, whose lease nobody renews: there is no need to wait for its expiry.
-func (v *View) leaderGone() bool {
+func (v *View) leadershipVacant() bool {
 	return v.Leader == nil || v.Leader.Label == v.Self.Label && v.Leader.Incarnation != v.Self.Incarnation
 }
 
