--- a/internal/membership/attestation_test.go
+++ b/internal/membership/attestation_test.go
@@ -13,7 +13,7 @@
 	attested := func(asked int) Attestation {
 		return Attestation{Incarnation: 7, Since: at(0), AskedAt: at(asked), LastCancellation: 40}
 	}
-	with := func(a Attestation, change func(*Attestation)) Attestation { change(&a); return a }
+	modified := func(a Attestation, change func(*Attestation)) Attestation { change(&a); return a }
 	for _, c := range []struct {
 		name     string
 		siblings []Attestation
@@ -22,9 +22,9 @@
 		{"nobody else", nil, 10},
 		{"all attest: the earliest request", []Attestation{attested(50), attested(30)}, 30},
 		{"one was never heard", []Attestation{attested(50), {}}, 10},
-		{"one is new since the read", []Attestation{attested(50), with(attested(50), func(a *Attestation) { a.Since = at(10) })}, 10},
-		{"one knows a cancellation that is not in the cache", []Attestation{attested(50), with(attested(50), func(a *Attestation) { a.LastCancellation = 51 })}, 10},
-		{"the last that is", []Attestation{attested(50), with(attested(50), func(a *Attestation) { a.LastCancellation = 50 })}, 50},
+		{"one is new since the read", []Attestation{attested(50), modified(attested(50), func(a *Attestation) { a.Since = at(10) })}, 10},
+		{"one knows a cancellation that is not in the cache", []Attestation{attested(50), modified(attested(50), func(a *Attestation) { a.LastCancellation = 51 })}, 10},
+		{"the last that is", []Attestation{attested(50), modified(attested(50), func(a *Attestation) { a.LastCancellation = 50 })}, 50},
 		{"asked before the read", []Attestation{attested(50), attested(5)}, 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
