--- a/internal/membership/session_test.go
+++ b/internal/membership/session_test.go
@@ -29,19 +29,19 @@
 func TestFormatSupportedOnceEveryMemberTold(t *testing.T) {
 	a, b := node("a", 1), node("b", 2)
 	record := Record{Nodes: []Node{a, b}}
-	knows := func(n Node, format uint64) Session { return Session{Node: n, Format: format} }
+	withFormat := func(n Node, format uint64) Session { return Session{Node: n, Format: format} }
 	for _, c := range []struct {
 		name     string
 		sessions map[string]Session
 		want     bool
 	}{
-		{"all know it", map[string]Session{"a": knows(a, 2), "b": knows(b, 2)}, true},
-		{"one knows a newer one", map[string]Session{"a": knows(a, 2), "b": knows(b, 3)}, true},
-		{"a controller that is no member does not", map[string]Session{"a": knows(a, 2), "b": knows(b, 2), "c": knows(node("c", 3), 0)}, true},
-		{"one knows an older one", map[string]Session{"a": knows(a, 2), "b": knows(b, 1)}, false},
-		{"one tells no form", map[string]Session{"a": knows(a, 2), "b": knows(b, 0)}, false},
-		{"one has no session", map[string]Session{"a": knows(a, 2)}, false},
-		{"one told it in another incarnation", map[string]Session{"a": knows(a, 2), "b": knows(node("b", 4), 2)}, false},
+		{"all know it", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 2)}, true},
+		{"one knows a newer one", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 3)}, true},
+		{"a controller that is no member does not", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 2), "c": withFormat(node("c", 3), 0)}, true},
+		{"one knows an older one", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 1)}, false},
+		{"one tells no form", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 0)}, false},
+		{"one has no session", map[string]Session{"a": withFormat(a, 2)}, false},
+		{"one told it in another incarnation", map[string]Session{"a": withFormat(a, 2), "b": withFormat(node("b", 4), 2)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := record.AllSupport(FormatTokenRanges, c.sessions); got != c.want {
