--- a/internal/membership/session_test.go
+++ b/internal/membership/session_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestFormatSupportedOnceEveryMemberTold(t *testing.T) {
+func TestFormatSupportedOnceEveryMemberAnnouncesIt(t *testing.T) {
 	a, b := node("a", 1), node("b", 2)
 	record := Record{Nodes: []Node{a, b}}
 	withFormat := func(n Node, format uint64) Session { return Session{Node: n, Format: format} }
