--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestMembershipBeginsAfterTokenRangeOfLast(t *testing.T) {
+func TestMembershipStartsAfterPreviousTokenRange(t *testing.T) {
 	a := node("a", 1)
 	view := View{Self: a, Sessions: map[string]Node{"a": a}, Leader: &a, TokenRangesSupported: true}
 	first := requireMembership(t, view, 1, "first")
