--- a/internal/membership/shardowner_test.go
+++ b/internal/membership/shardowner_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestShardOwnersAreEvenAndStayWhileTheirOwnerDoes(t *testing.T) {
+func TestShardOwnersAreBalancedAndStable(t *testing.T) {
 	three := Record{Nodes: []Node{node("a", 1), node("b", 2), node("c", 3)}}
 	two := Record{Nodes: three.Nodes[:2]}
 	owned := map[string]int{}
