--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -21,7 +21,7 @@
 	if worker.State == LeaseExpired {
 		return Decision{} // no command would be carried out
 	}
-	wanted := desired.wantedBy(worker)
+	wanted := desired.shouldRunOn(worker)
 	sameAttempt := desired.Claimed && observed.Attempt == desired.Attempt
 	switch {
 	case wanted && observed.missing(desired):
--- a/internal/recovery/state.go
+++ b/internal/recovery/state.go
@@ -9,9 +9,9 @@
 	Incarnation uint64 // of the machine's worker that the claim is for
 }
 
-// wantedBy reports whether the task is claimed for this incarnation of the worker,
+// shouldRunOn reports whether the task is claimed for this incarnation of the worker,
 // and its job is open.
-func (d DesiredTask) wantedBy(w Worker) bool {
+func (d DesiredTask) shouldRunOn(w Worker) bool {
 	return d.Claimed && d.Open && d.Incarnation == w.Incarnation
 }
 
