--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -24,7 +24,7 @@
 	wanted := desired.shouldRunOn(worker)
 	sameAttempt := desired.Claimed && observed.Attempt == desired.Attempt
 	switch {
-	case wanted && observed.missing(desired):
+	case wanted && observed.lacksAttempt(desired):
 		return Decision{Start: worker.AllowStarts, Stop: stopOlderAttempt(observed, worker)}
 	case observed.State == NotListed:
 		return Decision{}
@@ -70,7 +70,7 @@
 		return UpdateReleased, ReasonNewIncarnation
 	case observed.State == Exited && observed.Attempt == desired.Attempt:
 		return updateAfterExit(observed.Cause), ReasonExited
-	case desired.Cancelled && observed.missing(desired) && worker.NeverRan:
+	case desired.Cancelled && observed.lacksAttempt(desired) && worker.NeverRan:
 		// No controller starts a cancelled job's task any more. Guards against a
 		// claim that counted against its team, and filled its machine, for as long
 		// as the machine's incarnation lasted.
--- a/internal/recovery/state.go
+++ b/internal/recovery/state.go
@@ -47,8 +47,8 @@
 // running reports whether an attempt takes up the machine.
 func (o ObservedTask) running() bool { return o.State == Alive || o.State == Checkpointing }
 
-// missing reports whether the worker knows nothing yet of the desired attempt.
-func (o ObservedTask) missing(desired DesiredTask) bool {
+// lacksAttempt reports whether the worker knows nothing yet of the desired attempt.
+func (o ObservedTask) lacksAttempt(desired DesiredTask) bool {
 	return o.State == NotListed || o.Attempt < desired.Attempt
 }
 
