--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -21,10 +21,10 @@
 	if worker.State == LeaseExpired {
 		return Decision{} // no command would be carried out
 	}
-	wanted := desired.shouldRunOn(worker)
+	shouldRun := desired.shouldRunOn(worker)
 	sameAttempt := desired.Claimed && observed.Attempt == desired.Attempt
 	switch {
-	case wanted && observed.lacksAttempt(desired):
+	case shouldRun && observed.lacksAttempt(desired):
 		return Decision{Start: worker.AllowStarts, Stop: stopOlderAttempt(observed, worker)}
 	case observed.State == NotListed:
 		return Decision{}
@@ -35,7 +35,7 @@
 			return Decision{Stop: Reap}
 		}
 		return Decision{}
-	case wanted && sameAttempt:
+	case shouldRun && sameAttempt:
 		if worker.Stopping && observed.State != Checkpointing {
 			return Decision{Stop: KillWithCheckpoint}
 		}
