--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -18,8 +18,8 @@
 // Total is the sum of all classes.
 func (b Backlog) Total() int { return sum(b[:]) }
 
-// moreUrgent is how many starts wait of classes before one.
-func (b Backlog) moreUrgent(c Class) int { return sum(b[:c]) }
+// moreUrgentThan is how many starts wait of classes before one.
+func (b Backlog) moreUrgentThan(c Class) int { return sum(b[:c]) }
 
 func sum(counts []int) int {
 	total := 0
@@ -54,7 +54,7 @@
 		return true
 	}
 	p.refill(now)
-	if p.tokens-float64(p.backlog.moreUrgent(c)) < 1 {
+	if p.tokens-float64(p.backlog.moreUrgentThan(c)) < 1 {
 		return false
 	}
 	p.tokens--
