--- a/internal/recovery/progress.go
+++ b/internal/recovery/progress.go
@@ -61,11 +61,11 @@
 // the controller became a member, tokenAcknowledged whether the worker has
 // acknowledged its fencing token, waited how long ago the controller became a
 // member, and timeout how long a machine has time to be reconciled.
-func StateOf(reported, tokenAcknowledged bool, waited, timeout time.Duration) MachineState {
+func StateOf(reported, tokenAcknowledged bool, memberFor, timeout time.Duration) MachineState {
 	switch {
 	case reported && tokenAcknowledged:
 		return Reconciled
-	case waited > timeout:
+	case memberFor > timeout:
 		return Missing
 	case reported:
 		return HeartbeatReceived
