--- a/internal/recovery/progress.go
+++ b/internal/recovery/progress.go
@@ -123,8 +123,8 @@
 // controller that has seen no open job since it began has nothing to wait for.
 // Guards against an end of the recovery in the moment between the release of what
 // an outage has ended and its new claims.
-func (p *Progress) Quiet(now time.Time, d time.Duration) bool {
-	return !p.sawOpenJobs || now.Sub(p.lastPendingAt) >= d && now.Sub(p.Since) >= d
+func (p *Progress) Quiet(now time.Time, quietPeriod time.Duration) bool {
+	return !p.sawOpenJobs || now.Sub(p.lastPendingAt) >= quietPeriod && now.Sub(p.Since) >= quietPeriod
 }
 
 // Done reports whether ordinary operation goes on.
