--- a/internal/recovery/pacer_test.go
+++ b/internal/recovery/pacer_test.go
@@ -8,7 +8,7 @@
 )
 
 // In no time of any length do more starts go than its rate, and a second's worth.
-func TestPacerKeepsItsRateInEveryWindow(t *testing.T) {
+func TestPacerLimitsRateInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.IntRange(1, 50).Draw(t, "rate")
 		now := time.UnixMilli(0)
