--- a/internal/recovery/pacer_test.go
+++ b/internal/recovery/pacer_test.go
@@ -48,7 +48,7 @@
 }
 
 // Starts of arrays leave what services that wait need.
-func TestPacerStartsServicesFirst(t *testing.T) {
+func TestPacerReservesTokensForServices(t *testing.T) {
 	now := time.UnixMilli(0)
 	p := NewPacer(10, now)
 	p.SetBacklog(Backlog{ServiceStart: 8, ArrayStart: 100})
