--- a/internal/recovery/pacer_test.go
+++ b/internal/recovery/pacer_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestPacerWithoutARateAdmitsAll(t *testing.T) {
+func TestPacerWithoutRateAdmitsAll(t *testing.T) {
 	now := time.UnixMilli(0)
 	if admitted := countAdmitted(NewPacer(0, now), ArrayStart, 1000, now); admitted != 1000 {
 		t.Fatalf("a pacer without a rate holds %d starts back", 1000-admitted)
