--- a/internal/recovery/reconcile_test.go
+++ b/internal/recovery/reconcile_test.go
@@ -12,7 +12,7 @@
 func TestReconcileTable(t *testing.T) {
 	claim := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 5}
 	cancelled := DesiredTask{Claimed: true, Cancelled: true, Attempt: 3, Incarnation: 5}
-	earlier := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 4}
+	earlierIncarnation := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 4}
 	later := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 6}
 	checkpointing := ObservedTask{State: Checkpointing, Attempt: 3}
 	alive := func(attempt uint64) ObservedTask { return ObservedTask{State: Alive, Attempt: attempt} }
@@ -43,8 +43,8 @@
 		{"12 claimed, failed: stored", claim, exited(3, ExitFailed), nil, Decision{Update: UpdateFailed, Reason: ReasonExited}},
 		{"13 claimed, stopped or refused: released", claim, exited(3, ExitOther), nil, Decision{Update: UpdateReleased, Reason: ReasonExited}},
 		{"14 claimed, done, token not acknowledged: waits", claim, exited(3, ExitDone), unacknowledged, Decision{}},
-		{"15 claimed for an earlier incarnation: released", earlier, ObservedTask{}, nil, Decision{Update: UpdateReleased, Reason: ReasonNewIncarnation}},
-		{"16 claimed for an earlier incarnation, token not acknowledged: waits", earlier, ObservedTask{}, unacknowledged, Decision{}},
+		{"15 claimed for an earlier incarnation: released", earlierIncarnation, ObservedTask{}, nil, Decision{Update: UpdateReleased, Reason: ReasonNewIncarnation}},
+		{"16 claimed for an earlier incarnation, token not acknowledged: waits", earlierIncarnation, ObservedTask{}, unacknowledged, Decision{}},
 		{"17 claimed, lease expired: released, nothing sent", claim, alive(3), leaseExpired, Decision{Update: UpdateReleased, Reason: ReasonLeaseExpired}},
 		{"18 claimed for a later incarnation than the expired one: waits", later, ObservedTask{}, leaseExpired, Decision{}},
 		{"19 claimed for a later incarnation, not listed: waits", later, ObservedTask{}, nil, Decision{}},
