--- a/internal/recovery/reconcile_test.go
+++ b/internal/recovery/reconcile_test.go
@@ -13,7 +13,7 @@
 	claim := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 5}
 	cancelled := DesiredTask{Claimed: true, Cancelled: true, Attempt: 3, Incarnation: 5}
 	earlierIncarnation := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 4}
-	later := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 6}
+	laterIncarnation := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 6}
 	checkpointing := ObservedTask{State: Checkpointing, Attempt: 3}
 	alive := func(attempt uint64) ObservedTask { return ObservedTask{State: Alive, Attempt: attempt} }
 	exited := func(attempt uint64, cause ExitCause) ObservedTask {
@@ -46,8 +46,8 @@
 		{"15 claimed for an earlier incarnation: released", earlierIncarnation, ObservedTask{}, nil, Decision{Update: UpdateReleased, Reason: ReasonNewIncarnation}},
 		{"16 claimed for an earlier incarnation, token not acknowledged: waits", earlierIncarnation, ObservedTask{}, unacknowledged, Decision{}},
 		{"17 claimed, lease expired: released, nothing sent", claim, alive(3), leaseExpired, Decision{Update: UpdateReleased, Reason: ReasonLeaseExpired}},
-		{"18 claimed for a later incarnation than the expired one: waits", later, ObservedTask{}, leaseExpired, Decision{}},
-		{"19 claimed for a later incarnation, not listed: waits", later, ObservedTask{}, nil, Decision{}},
+		{"18 claimed for a later incarnation than the expired one: waits", laterIncarnation, ObservedTask{}, leaseExpired, Decision{}},
+		{"19 claimed for a later incarnation, not listed: waits", laterIncarnation, ObservedTask{}, nil, Decision{}},
 		{"20 cancelled, alive: killed", cancelled, alive(3), nil, Decision{Stop: Kill}},
 		{"21 cancelled, checkpointing: killed", cancelled, checkpointing, nil, Decision{Stop: Kill}},
 		{"22 cancelled, not listed, a start may arrive: waits", cancelled, ObservedTask{}, nil, Decision{}},
