--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	if write.reachability {
+	if write.changesReachability {
 		// Not before: a controller that is cut off tries again and again.
 		el.Log.Info(logging.EventReachabilityChanged, logging.KeyUnreachable, write.operation.Put != "")
 	}
--- a/internal/election/membershipwrite.go
+++ b/internal/election/membershipwrite.go
@@ -8,9 +8,9 @@
 
 // membershipWrite is a compare-and-swap of one of the keys that make up the membership.
 type membershipWrite struct {
-	compares     []wire.Compare
-	operation    wire.Operation
-	reachability bool // it stores whether workers reach this controller
+	compares            []wire.Compare
+	operation           wire.Operation
+	changesReachability bool // it stores whether workers reach this controller
 }
 
 // nextMembershipWrite chooses what this controller has to write about the membership
@@ -78,9 +78,9 @@
 		operation = wire.Operation{Put: key, Value: wire.MustMarshal(el.Self), LeaseID: el.Self.Incarnation}
 	}
 	return &membershipWrite{
-		compares:     []wire.Compare{el.Cache.Compare(membership.SessionKey(el.Self.Label))},
-		operation:    operation,
-		reachability: true,
+		compares:            []wire.Compare{el.Cache.Compare(membership.SessionKey(el.Self.Label))},
+		operation:           operation,
+		changesReachability: true,
 	}
 }
 
