--- a/internal/membership/attestation.go
+++ b/internal/membership/attestation.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Attestation is what a controller has heard of a sibling about cancellations.
+// Attestation is what the answers of a sibling tell a controller about cancellations.
 type Attestation struct {
-	Incarnation      uint64    // of the sibling; 0: nothing that counts
-	Since            time.Time // when this incarnation was first heard
-	AskedAt          time.Time // when the newest request that was answered was sent
-	LastCancellation uint64    // version of the last cancellation that the sibling knew then
+	Incarnation      uint64    // of the sibling; 0 if it has given no usable answer
+	Since            time.Time // when this incarnation first answered
+	AskedAt          time.Time // when the newest answered request was sent
+	LastCancellation uint64    // version of the last cancellation that the sibling is known to have seen
 }
 
-// Update is the attestation after an answer that came now to a request sent at askedAt.
-// Answers may come out of order: an older one takes nothing back.
+// Update returns the attestation after an answer that arrived at now to a request sent at
+// askedAt. Answers may arrive out of order; an older one never moves a field back.
 func (a Attestation) Update(incarnation, lastCancellation uint64, askedAt, now time.Time) Attestation {
 	if a.Incarnation != incarnation {
 		a = Attestation{Incarnation: incarnation, Since: now}
@@ -23,18 +23,19 @@
 	return a
 }
 
-// attests reports whether the attestation says something beyond the last answered read,
-// with a cache that is complete up to revision. A sibling that is new since the read
-// may follow on a process that confirmed what nobody here has read.
+// attests reports whether the attestation extends what a controller knows beyond its last
+// answered read, given a cache that is complete up to revision. An incarnation that first
+// answered after that read does not count: its former process may have confirmed a
+// cancellation that this controller has not read.
 func (a Attestation) attests(lastRead time.Time, revision uint64) bool {
 	return a.Incarnation != 0 && a.Since.Before(lastRead) && a.LastCancellation <= revision
 }
 
-// CancellationsKnownUntil is the time up to which a controller knows every cancellation
-// that any user was told of: when its last answered read was sent, or, if each of its
-// siblings attests, the earliest of the times at which it asked them, if that is
-// later. revision is the revision up to which its cache is complete. The argument
-// is in docs/protocol-notes.md.
+// CancellationsKnownUntil returns the time up to which a controller knows every cancellation
+// that was confirmed to a user. That is the time at which its last answered read was sent
+// or, if every sibling attests and this is later, the earliest time at which it asked one
+// of them. revision is the revision up to which its cache is complete. The proof is in
+// docs/protocol-notes.md.
 func CancellationsKnownUntil(lastRead time.Time, revision uint64, siblings []Attestation) time.Time {
 	if len(siblings) == 0 {
 		return lastRead
