--- a/internal/membership/attestation_test.go
+++ b/internal/membership/attestation_test.go
@@ -7,8 +7,8 @@
 
 func at(second int) time.Time { return time.Unix(int64(1000+second), 0) }
 
-// Each sibling has to attest, in the incarnation that it had before the last
-// read, and for nothing that is not in the cache.
+// Attestations count only if every sibling gives one, in the incarnation that it had before
+// the last read, and knows no cancellation that is missing from the cache.
 func TestCancellationsKnownUntilEarliestAttestation(t *testing.T) {
 	attested := func(asked int) Attestation {
 		return Attestation{Incarnation: 7, Since: at(0), AskedAt: at(asked), LastCancellation: 40}
@@ -19,12 +19,12 @@
 		siblings []Attestation
 		want     int
 	}{
-		{"nobody else", nil, 10},
-		{"all attest: the earliest request", []Attestation{attested(50), attested(30)}, 30},
-		{"one was never heard", []Attestation{attested(50), {}}, 10},
-		{"one is new since the read", []Attestation{attested(50), modified(attested(50), func(a *Attestation) { a.Since = at(10) })}, 10},
+		{"no siblings", nil, 10},
+		{"all attest: time of the earliest request", []Attestation{attested(50), attested(30)}, 30},
+		{"one has never answered", []Attestation{attested(50), {}}, 10},
+		{"one first answered after the read", []Attestation{attested(50), modified(attested(50), func(a *Attestation) { a.Since = at(10) })}, 10},
 		{"one knows a cancellation that is not in the cache", []Attestation{attested(50), modified(attested(50), func(a *Attestation) { a.LastCancellation = 51 })}, 10},
-		{"the last that is", []Attestation{attested(50), modified(attested(50), func(a *Attestation) { a.LastCancellation = 50 })}, 50},
+		{"one knows a cancellation at the last cached revision", []Attestation{attested(50), modified(attested(50), func(a *Attestation) { a.LastCancellation = 50 })}, 50},
 		{"asked before the read", []Attestation{attested(50), attested(5)}, 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -43,8 +43,8 @@
 		want Attestation
 	}{
 		{"first answer", first, Attestation{Incarnation: 7, Since: at(2), AskedAt: at(1), LastCancellation: 40}},
-		{"an older answer takes nothing back", first.Update(7, 30, at(0), at(3)), first},
-		{"a new incarnation begins anew", first.Update(8, 0, at(4), at(5)), Attestation{Incarnation: 8, Since: at(5), AskedAt: at(4)}},
+		{"an older answer moves nothing back", first.Update(7, 30, at(0), at(3)), first},
+		{"a new incarnation replaces the attestation", first.Update(8, 0, at(4), at(5)), Attestation{Incarnation: 8, Since: at(5), AskedAt: at(4)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
