--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -8,26 +8,25 @@
 	"wheatspur/internal/tuning"
 )
 
-// View is what the decisions about leader and membership are made from.
+// View is the input of the decisions about the leader and the membership.
 type View struct {
 	Self                 Node
 	Sessions             map[string]Node // stored sessions by label
-	Unreachable          map[string]bool // labels of the controllers that hear no worker
-	Leader               *Node           // holder of the leader's key, nil if none
-	Membership           *Record         // the stored one, nil before the first
-	TokenRangesSupported bool            // every controller with a session knows FormatTokenRanges
+	Unreachable          map[string]bool // labels of the controllers that have stored that no worker reaches them
+	Leader               *Node           // holder of the leader key; nil if there is none
+	Membership           *Record         // as stored; nil before the first
+	TokenRangesSupported bool            // every controller with a session supports FormatTokenRanges
 }
 
-// Action is what a controller should do about leader and membership; at most one of its
-// fields is set.
+// Action is the next step of a controller concerning the leader and the membership. At most
+// one of its fields is set.
 type Action struct {
-	BecomeLeader    bool    // take the leader's key
-	WriteMembership *Record // store this record after the present one
+	BecomeLeader    bool    // acquire the leader key
+	WriteMembership *Record // store this record as the successor of the current one
 }
 
-// Decide returns the next step for a controller whose session is Registered. It does
-// nothing unless the view, too, holds that session; only the leader writes the
-// membership.
+// Decide returns the next step for a controller whose session is Registered. There is none
+// unless the view contains that session. Only the leader writes the membership.
 func Decide(view View) Action {
 	switch {
 	case view.Sessions[view.Self.Label] != view.Self:
@@ -50,14 +49,15 @@
 	return Action{WriteMembership: next}
 }
 
-// leadershipVacant reports whether there is no leader, or it was this controller's former
-// process, whose lease nobody renews: there is no need to wait for its expiry.
+// leadershipVacant reports whether there is no leader, or the leader is a former incarnation
+// of this controller. Nobody renews the lease of a former incarnation, so there is no need
+// to wait until it expires.
 func (v *View) leadershipVacant() bool {
 	return v.Leader == nil || v.Leader.Label == v.Self.Label && v.Leader.Incarnation != v.Self.Incarnation
 }
 
-// desiredMembership is the membership of all controllers with a session, led by this
-// one, with the first of all fencing tokens.
+// desiredMembership returns the membership of all controllers with a session, led by this
+// one. Its fencing token is 1, the first of all; Decide replaces it if a membership is stored.
 func (v *View) desiredMembership() *Record {
 	record := Record{FencingToken: 1, Leader: v.Self}
 	record.Nodes = slices.SortedFunc(maps.Values(v.Sessions), func(a, b Node) int { return cmp.Compare(a.Label, b.Label) })
@@ -67,12 +67,12 @@
 		}
 	}
 	if len(record.Unreachable) == len(record.Nodes) {
-		record.Unreachable = nil // somebody must own the machines
+		record.Unreachable = nil // some member must own the machines
 	}
 	return &record
 }
 
-// sameMembers reports whether two memberships differ in their tokens alone.
+// sameMembers reports whether two memberships differ at most in their tokens.
 func (r *Record) sameMembers(other *Record) bool {
 	return r.Leader == other.Leader && slices.Equal(r.Nodes, other.Nodes) && slices.Equal(r.Unreachable, other.Unreachable)
 }
