--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -10,7 +10,7 @@
 	return Node{Label: label, Incarnation: incarnation}
 }
 
-// requireNoAction fails the test if there is anything to do.
+// requireNoAction fails the test if Decide returns any action.
 func requireNoAction(t *testing.T, view View, when string) {
 	t.Helper()
 	if action := Decide(view); action.BecomeLeader || action.WriteMembership != nil {
@@ -18,12 +18,13 @@
 	}
 }
 
-// requireMembership returns the membership to write, which must begin with the token.
+// requireMembership returns the membership that Decide wants to write, and fails the test
+// unless there is one whose first fencing token is token.
 func requireMembership(t *testing.T, view View, token uint64, when string) *Record {
 	t.Helper()
 	record := Decide(view).WriteMembership
 	if record == nil || record.FencingToken != token {
-		t.Fatalf("%s: %+v, want a membership from token %d on", when, record, token)
+		t.Fatalf("%s: %+v, want a membership with first token %d", when, record, token)
 	}
 	return record
 }
@@ -32,7 +33,7 @@
 	a, b := node("a", 1), node("b", 2)
 	view := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}}
 	if !Decide(view).BecomeLeader {
-		t.Fatal("there is no leader and nobody becomes it")
+		t.Fatal("there is no leader, but the controller does not become it")
 	}
 	view.Leader = &a
 	record := requireMembership(t, view, 1, "first")
@@ -41,8 +42,8 @@
 	}
 	view.Membership = record
 	requireNoAction(t, view, "nothing has changed")
-	// A restarted controller is another incarnation: its former process may have
-	// commands under way.
+	// A restarted controller is a new incarnation and needs a new token, because commands
+	// of its former process may still be in flight.
 	view.Sessions["b"] = node("b", 3)
 	record = requireMembership(t, view, 2, "after a restart")
 	if !record.Contains(node("b", 3)) || record.Contains(b) {
@@ -66,9 +67,9 @@
 	view.Sessions["b"] = node("b", 2)
 	second := requireMembership(t, view, tuning.TokenRange+1, "after a join")
 	if !second.Follows(first) || first.Follows(second) || second.Follows(second) {
-		t.Fatalf("%+v must follow %+v, and nothing else", second, first)
+		t.Fatalf("%+v must follow only %+v", second, first)
 	}
-	// A version that does not know ranges has a session.
+	// A controller whose version does not support token ranges has a session.
 	view.Membership, view.TokenRangesSupported = second, false
 	view.Sessions["c"] = node("c", 3)
 	third := requireMembership(t, view, 2*tuning.TokenRange+1, "after an older version's join")
@@ -88,6 +89,6 @@
 	requireNoAction(t, view, "a controller without a stored session")
 	view.Sessions["a"] = view.Self
 	if !Decide(view).BecomeLeader {
-		t.Fatal("a restarted leader waits for the expiry of its former lease")
+		t.Fatal("a restarted leader waits for its former lease to expire")
 	}
 }
