--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -7,10 +7,10 @@
 	"wheatspur/internal/golden"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden bytes")
+var update = flag.Bool("update", false, "rewrite the golden file")
 
-// What a controller has stored must stay readable to every later version, and to the
-// version that works beside it.
+// Stored records must stay readable by every later version, and by the other version that
+// runs at the same time during an upgrade.
 func TestGoldenRecords(t *testing.T) {
 	stored := node("node-1", 81)
 	golden.Check(t, []golden.Sample{
