--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,12 +1,12 @@
-// Package membership decides who may act in the cluster: the state of a controller's
-// session, the leader, the membership record and its fencing token, and which
-// member owns which shard of the machines. It also decides when a controller counts
-// as unreachable for its workers, and how far its siblings attest that it knows
-// every cancellation.
+// Package membership decides which controllers may act in the cluster: the state of a
+// controller's session, the leader, the membership record and its fencing token, and which
+// member owns which shard of the machines. It also decides when a controller counts as
+// unreachable for its workers, and up to which time its siblings attest that it knows every
+// cancellation.
 //
-// It is pure: state in, actions out. The controller keeps the state, reads and writes
-// the keys, renews the lease and acts on the decisions. What a member does with its
-// machines is no concern of this package.
+// The package is pure: it takes state and returns actions. The controller keeps the state,
+// reads and writes the keys, renews the lease and carries out the actions. What a member
+// does with its machines is decided elsewhere.
 package membership
 
 import (
@@ -16,8 +16,8 @@
 	"wheatspur/wire"
 )
 
-// Keys of the key-value store. All but the membership record's are attached to the
-// lease of the controller that wrote them, and go with it.
+// Keys of the key-value store. All except the key of the membership record are attached to
+// the lease of the controller that wrote them, and are deleted when it ends.
 const (
 	Key               = jobs.Root + "member" // of the membership record
 	LeaderKey         = jobs.Root + "lead"   // of the leader's Node
@@ -28,18 +28,18 @@
 // SessionKey is the key of a controller's session, attached to its lease.
 func SessionKey(label string) string { return SessionPrefix + label }
 
-// UnreachableKey is the key by which a controller tells that it hears no worker,
+// UnreachableKey is the key with which a controller declares that no worker reaches it,
 // attached to its lease.
 func UnreachableKey(label string) string { return UnreachablePrefix + label }
 
-// Node is one incarnation of a controller. Its number is the id of its lease, so a
-// controller that has restarted, or whose lease has expired, is another Node.
+// Node is one incarnation of a controller. Incarnation is the ID of its lease, so a
+// controller that has restarted, or whose lease has expired, becomes a different Node.
 type Node struct {
 	Label       string `cbor:"l"`
 	Incarnation uint64 `cbor:"i"`
 }
 
-// DecodeNode decodes the value of the leader's key, or the Node of a session.
+// DecodeNode decodes the value of the leader key, or the Node of a session.
 func DecodeNode(raw wire.Raw) (*Node, error) { return decode[Node](raw) }
 
 func decode[T any](raw wire.Raw) (*T, error) {
@@ -50,38 +50,36 @@
 	return &value, nil
 }
 
-// Record is the membership: which controllers may act, and under which fencing tokens.
-// The leader writes a new one whenever a member comes, goes, restarts, or changes
-// its reachability; each begins with the token after the last one of its
-// predecessor.
+// Record is the membership: which controllers may act, and with which fencing tokens. The
+// leader writes a new one whenever a member joins, leaves, restarts or changes its
+// reachability. Its first token is the one after the last token of its predecessor.
 type Record struct {
 	// FencingToken is the first token of the membership.
 	FencingToken uint64 `cbor:"b"`
 	// Leader is the controller that wrote the record.
 	Leader Node `cbor:"d"`
-	// Nodes are the members, in order of their labels.
+	// Nodes are the members, sorted by label.
 	Nodes []Node `cbor:"n"`
-	// Unreachable lists the labels of the members that hear no worker and own no
-	// machines.
+	// Unreachable lists the labels of the members that no worker reaches, and that
+	// therefore own no machines.
 	Unreachable []string `cbor:"f,omitempty"`
-	// TokenRange is how many tokens from FencingToken on belong to this membership, if
-	// all its members know of it: an owner raises the token of one of its machines
-	// within it, to fence off commands that may still be on their way there.
-	// Absent: one.
+	// TokenRange is the number of tokens, starting at FencingToken, that belong to this
+	// membership. Within it, the owner of a machine raises the machine's token to fence
+	// off commands that may still be in flight. Absent means one token; it is set only
+	// if all members support it.
 	TokenRange uint64 `cbor:"t,omitempty"`
 }
 
-// LastToken is the highest token of the membership.
+// LastToken returns the highest token of the membership.
 func (r *Record) LastToken() uint64 { return r.FencingToken + max(r.TokenRange, 1) - 1 }
 
-// Follows reports whether the membership is the one right after another, with none
-// between.
+// Follows reports whether the membership is the immediate successor of previous.
 func (r *Record) Follows(previous *Record) bool { return r.FencingToken == previous.LastToken()+1 }
 
-// Contains reports whether a controller is a member, in this incarnation.
+// Contains reports whether this incarnation of a controller is a member.
 func (r *Record) Contains(node Node) bool { return slices.Contains(r.Nodes, node) }
 
-// Labels lists the labels of the members.
+// Labels returns the labels of the members.
 func (r *Record) Labels() []string { return nodeLabels(r.Nodes) }
 
 func nodeLabels(nodes []Node) []string {
