--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -1,22 +1,22 @@
 package membership
 
-// minSilentMachines is the number of silent machines from which on the fault is taken for
-// the controller's: one may have a fault of its own.
+// minSilentMachines is the least number of silent machines for which the fault is
+// attributed to the controller. A single silent machine may itself be at fault.
 const minSilentMachines = 2
 
-// Reachability is what a controller knows of whether its workers reach it.
+// Reachability is what a controller knows about whether its workers reach it.
 type Reachability struct {
-	Unreachable         bool // it has told that they don't
-	Heard               int  // machines of its own that were heard lately
-	Silent              int  // machines of its own with tasks that were not
-	SiblingHearsWorkers bool // a sibling hears a machine of its own
-	ProbeAnswered       bool // while unreachable: a worker answers a probe, or there is none to ask
+	Unreachable         bool // it has stored that they don't
+	Heard               int  // its own machines that have sent a message recently
+	Silent              int  // its own machines with tasks that have not
+	SiblingHearsWorkers bool // a sibling receives messages from its own machines
+	ProbeAnswered       bool // while unreachable: a worker has answered a probe, or there is none to probe
 }
 
-// NextUnreachable decides whether the controller counts as unreachable from now on. A
-// single silent machine may be at fault itself; if all of several are silent while a
-// sibling hears its own, the controller is cut off from the workers. It stays so
-// until a worker answers it.
+// NextUnreachable reports whether the controller counts as unreachable from now on. If it
+// hears none of its machines, at least minSilentMachines of them are silent, and a sibling
+// hears its own, the controller is cut off from the workers. It remains unreachable until a
+// worker answers a probe.
 func (r Reachability) NextUnreachable() bool {
 	if r.Unreachable {
 		return !r.ProbeAnswered
