--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -12,10 +12,10 @@
 		Reachability
 		want bool
 	}{
-		{"one silent machine may be at fault itself", Reachability{Silent: 1, SiblingHearsWorkers: true}, false},
+		{"a single silent machine may itself be at fault", Reachability{Silent: 1, SiblingHearsWorkers: true}, false},
 		{"siblings hear nothing either", Reachability{Silent: 5}, false},
 		{"another machine is heard", Reachability{Silent: 5, Heard: 1, SiblingHearsWorkers: true}, false},
-		{"several are silent while a sibling hears its own", Reachability{Silent: 2, SiblingHearsWorkers: true}, true},
+		{"several machines are silent while a sibling hears its own", Reachability{Silent: 2, SiblingHearsWorkers: true}, true},
 		{"no worker has answered yet", Reachability{Unreachable: true}, true},
 		{"a worker answers", Reachability{Unreachable: true, ProbeAnswered: true}, false},
 	} {
@@ -27,8 +27,9 @@
 	}
 }
 
-// A controller that was cut off from the workers alone kept its machines: their
-// workers were sent back to it by its siblings until their leases expired.
+// A controller that is cut off from the workers, and from nothing else, must lose its
+// machines. If it keeps them, its siblings redirect the workers back to it until the
+// leases of the workers expire.
 func TestUnreachableMemberOwnsNoMachines(t *testing.T) {
 	a, b := node("a", 1), node("b", 2)
 	view := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}
