--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -2,13 +2,14 @@
 
 import "wheatspur/wire"
 
-// CurrentFormat is the number of the stored forms that this program reads and writes.
-// 1: dependencies (jobs that are stored waiting). 2: memberships with a range of
-// tokens. It stands beside the Node in the controller's session alone, so that
-// versions which know no forms, and tell none, compare Nodes as ever.
+// CurrentFormat is the version of the stored formats that this program reads and writes.
+// Version 1 added dependencies (jobs that are stored while they wait), version 2 added
+// memberships with a range of tokens. It is stored only in the controller's session, next to
+// the Node rather than in it, so that program versions without format versions still compare
+// Nodes correctly.
 const CurrentFormat = 2
 
-// Forms that members have to know before something is stored in them.
+// Format versions that members have to support before anything is stored that uses them.
 const (
 	FormatDependencies = 1
 	FormatTokenRanges  = 2
@@ -17,17 +18,18 @@
 // Session is the stored form of a controller's session.
 type Session struct {
 	Node
-	// Format is the newest form that the controller knows; 0 if its version tells none.
+	// Format is the newest format version that the controller supports; 0 if its program
+	// version does not store one.
 	Format uint64 `cbor:"v,omitempty"`
-	// ProgramVersion is the version of the program, for operators.
+	// ProgramVersion is the version of the program, stored for operators.
 	ProgramVersion string `cbor:"s,omitempty"`
 }
 
-// DecodeSession decodes the value of a session's key.
+// DecodeSession decodes the value of a session key.
 func DecodeSession(raw wire.Raw) (*Session, error) { return decode[Session](raw) }
 
-// AllSupport reports whether every member has told, in the session of its present
-// incarnation, that it knows a form. sessions are the stored ones by label.
+// AllSupport reports whether the session of every member's current incarnation declares
+// support for a format version. sessions are the stored sessions by label.
 func (r *Record) AllSupport(format uint64, sessions map[string]Session) bool {
 	for _, member := range r.Nodes {
 		if session, ok := sessions[member.Label]; !ok || session.Node != member || session.Format < format {
@@ -43,38 +45,37 @@
 //	   ^                         |                          |
 //	   +-----LeaseExpired--------+-------LeaseExpired-------+
 //
-// Any other event leaves the state as it is: answers may come late, and twice. Two
-// changes follow from no event, and the controller makes them itself: back to Leased
-// when it sees that the stored session is not its own, and to NoLease when it shuts
-// down.
+// Any other event leaves the state unchanged, because answers may arrive late or twice. The
+// controller makes two transitions itself, without an event: back to Leased when it finds
+// that the stored session is not its own, and to NoLease when it shuts down.
 type SessionState string
 
 // States of a session. Their values are shown to operators.
 const (
-	// NoLease: the controller has no lease and hence no incarnation. It asks for a
-	// lease and takes no part in the membership.
+	// NoLease: the controller has no lease and hence no incarnation. It requests a lease
+	// and takes no part in the membership.
 	NoLease SessionState = "no lease"
-	// Leased: the lease is granted, which begins an incarnation, and is renewed. The
-	// session's key is not known to be stored: the controller stores it, and takes no
-	// part in the election, as others can't see it yet.
+	// Leased: the lease is granted, which starts an incarnation, and is being renewed. The
+	// session key is not known to be stored. The controller stores it, and takes no part
+	// in the election because the others can't see it yet.
 	Leased SessionState = "leased"
-	// Registered: the session's key is stored under the lease. The controller takes part
-	// in the election, and acts if the membership contains its incarnation. The state
-	// ends with the lease, at the latest when a renewal finds it expired.
+	// Registered: the session key is stored under the lease. The controller takes part in
+	// the election, and acts if the membership contains its incarnation. The state ends
+	// with the lease, at the latest when a renewal finds that the lease has expired.
 	Registered SessionState = "registered"
 )
 
-// SessionEvent is what changes a session's state.
+// SessionEvent is an event that may change the state of a session.
 type SessionEvent string
 
 // Events of a session.
 const (
 	// LeaseGranted: the store has granted a new lease.
 	LeaseGranted SessionEvent = "got lease"
-	// SessionStored: the session's key is stored under the lease, by the answer to its
-	// write or by the watch.
+	// SessionStored: the session key is stored under the lease, according to the answer to
+	// the write or to the watch.
 	SessionStored SessionEvent = "stored"
-	// LeaseExpired: the store says that the lease is no more.
+	// LeaseExpired: the store reports that the lease does not exist any more.
 	LeaseExpired SessionEvent = "lease ended"
 )
 
