--- a/internal/membership/session_test.go
+++ b/internal/membership/session_test.go
@@ -35,13 +35,13 @@
 		sessions map[string]Session
 		want     bool
 	}{
-		{"all know it", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 2)}, true},
-		{"one knows a newer one", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 3)}, true},
-		{"a controller that is no member does not", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 2), "c": withFormat(node("c", 3), 0)}, true},
-		{"one knows an older one", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 1)}, false},
-		{"one tells no form", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 0)}, false},
+		{"all support it", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 2)}, true},
+		{"one supports a newer format", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 3)}, true},
+		{"a controller that is not a member does not", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 2), "c": withFormat(node("c", 3), 0)}, true},
+		{"one supports only an older format", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 1)}, false},
+		{"one declares no format", map[string]Session{"a": withFormat(a, 2), "b": withFormat(b, 0)}, false},
 		{"one has no session", map[string]Session{"a": withFormat(a, 2)}, false},
-		{"one told it in another incarnation", map[string]Session{"a": withFormat(a, 2), "b": withFormat(node("b", 4), 2)}, false},
+		{"one declared it in another incarnation", map[string]Session{"a": withFormat(a, 2), "b": withFormat(node("b", 4), 2)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := record.AllSupport(FormatTokenRanges, c.sessions); got != c.want {
