--- a/internal/membership/shardowner.go
+++ b/internal/membership/shardowner.go
@@ -6,9 +6,10 @@
 	"slices"
 )
 
-// ShardOwner is the shard owner of a machine: of the members that hear workers, the one with
-// the highest rendezvous weight for it. So a machine moves only if its owner goes or
-// becomes unreachable, or to a member that comes.
+// ShardOwner returns the label of the member that owns a machine: of the members that
+// workers reach, the one with the highest rendezvous weight for the machine. So a machine
+// changes its owner only if the owner leaves or becomes unreachable, or if another member
+// joins or becomes reachable again and outweighs it.
 func (r *Record) ShardOwner(machine string) string {
 	owner, highest := "", uint64(0)
 	for _, node := range r.Nodes {
@@ -22,8 +23,8 @@
 	return owner
 }
 
-// RankNodes returns the labels of the members in the order in which they take a job's
-// tasks: by their rendezvous weight for it.
+// RankNodes returns the labels of the members in the order in which they take the tasks of a
+// job, which is by descending rendezvous weight for the job.
 func (r *Record) RankNodes(jobID string) []string {
 	nodes := slices.Clone(r.Nodes)
 	slices.SortFunc(nodes, func(a, b Node) int {
@@ -32,14 +33,15 @@
 	return nodeLabels(nodes)
 }
 
-// rendezvousWeight is the rendezvous weight of a member for a machine or a job. All versions of the
-// program that work side by side have to agree on it.
+// rendezvousWeight returns the weight of a member for a machine or a job in rendezvous
+// hashing. All program versions that run at the same time have to agree on it.
 func rendezvousWeight(key, label string) uint64 {
 	h := fnv.New64a() // its Write returns no error
 	h.Write([]byte(key))
 	h.Write([]byte{0})
 	h.Write([]byte(label))
-	// FNV's low-entropy inputs need a final mix to spread evenly: MurmurHash3's.
+	// FNV spreads inputs of low entropy unevenly, so its hash goes through the finalizer of
+	// MurmurHash3.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
