--- a/internal/membership/shardowner_test.go
+++ b/internal/membership/shardowner_test.go
@@ -14,7 +14,7 @@
 		owner := three.ShardOwner(machine)
 		owned[owner]++
 		if three.RankNodes(machine)[0] != owner {
-			t.Fatalf("%s: order and owner differ", machine)
+			t.Fatalf("%s: the first-ranked node is not the owner", machine)
 		}
 		if other := two.ShardOwner(machine); owner != "c" && other != owner {
 			t.Fatalf("%s moved from %s to %s though its owner is a member", machine, owner, other)
@@ -22,7 +22,7 @@
 	}
 	for label, machines := range owned {
 		if machines < 70 || machines > 130 {
-			t.Errorf("%s owns %d of 300", label, machines)
+			t.Errorf("%s owns %d of 300 machines, want 70 to 130", label, machines)
 		}
 	}
 }
