--- a/internal/recovery/decision.go
+++ b/internal/recovery/decision.go
@@ -1,28 +1,29 @@
 package recovery
 
-// Stop is the command that ends something on a machine.
+// Stop is the command that ends a task, or removes an exited one, on a machine.
 type Stop int
 
-// Commands that end something.
+// Stop commands.
 const (
 	NoStop             Stop = iota
 	Kill                    // the task ends at once
 	KillWithCheckpoint      // the task may write a checkpoint before it ends
-	Reap                    // an exited task leaves the heartbeats
+	Reap                    // the worker removes an exited task from its heartbeats
 )
 
-// TaskUpdate is the change of the stored state that the heartbeat proves.
+// TaskUpdate is the change of the stored state that follows from a heartbeat or from the
+// expiry of a lease.
 type TaskUpdate int
 
-// Changes of the stored state.
+// Updates of the stored state.
 const (
 	NoUpdate       TaskUpdate = iota
 	UpdateDone                // the task is done
-	UpdateFailed              // it failed and starts again later
-	UpdateReleased            // the claim ends; the task starts again
+	UpdateFailed              // the task failed and is retried later
+	UpdateReleased            // the claim ends and the task is rescheduled
 )
 
-// Reason says why a claim ends.
+// Reason is the reason why a claim ends.
 type Reason string
 
 // Reasons for the end of a claim.
@@ -34,8 +35,8 @@
 	ReasonNeverStarted   Reason = "never started"
 )
 
-// Decision is what becomes of one task on one machine. Without any part of it,
-// the task is kept as it is, or waited for.
+// Decision is what happens to one task on one machine. The zero value leaves the task as it
+// is, or waits for it.
 type Decision struct {
 	Stop   Stop
 	Start  bool
@@ -43,7 +44,7 @@
 	Reason Reason // of Update
 }
 
-// Adopted reports whether a task that is alive is left running.
+// Adopted reports whether a running task is kept running.
 func (d Decision) Adopted(observed ObservedTask) bool {
 	return observed.running() && d.Stop == NoStop && d.Update == NoUpdate
 }
