--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Class orders starts by what they protect.
+// Class is the priority class of a start.
 type Class int
 
-// Classes of starts, the most urgent first.
+// Classes of starts, in descending order of priority.
 const (
 	ServiceStart Class = iota
 	ArrayStart
 	classCount
 )
 
-// Backlog is how many starts wait, by class.
+// Backlog is the number of waiting starts by class.
 type Backlog [classCount]int
 
-// Total is the sum of all classes.
+// Total returns the number of waiting starts of all classes.
 func (b Backlog) Total() int { return sum(b[:]) }
 
-// moreUrgentThan is how many starts wait of classes before one.
+// moreUrgentThan returns the number of waiting starts of higher priority than a class.
 func (b Backlog) moreUrgentThan(c Class) int { return sum(b[:c]) }
 
 func sum(counts []int) int {
@@ -29,26 +29,26 @@
 	return total
 }
 
-// Pacer bounds the rate of starts of one controller, as a token bucket: so many a
-// second, and at most a second's worth at once. Starts of a class leave what more
-// urgent ones that wait need. Commands that protect limits and cancellations,
-// kills and reaps, are not paced. The zero value lets everything pass.
+// Pacer limits the rate at which one controller starts tasks. It is a token bucket that
+// holds the tokens of one second. A start is admitted only if enough tokens are left for all
+// waiting starts of higher priority. Kills and reaps are not paced, because limits and
+// cancellations depend on them. The zero value admits every start.
 type Pacer struct {
-	rate       float64 // starts a second; 0: no bound
+	rate       float64 // starts per second; 0 means no limit
 	tokens     float64
 	refilledAt time.Time
 	backlog    Backlog
 }
 
-// NewPacer returns a pacer of a rate.
+// NewPacer returns a pacer with a full bucket that admits rate starts per second.
 func NewPacer(rate float64, now time.Time) *Pacer {
 	return &Pacer{rate: rate, tokens: rate, refilledAt: now}
 }
 
-// SetBacklog tells how many starts wait of each class.
+// SetBacklog sets the number of waiting starts by class.
 func (p *Pacer) SetBacklog(b Backlog) { p.backlog = b }
 
-// Admit takes one start of a class; false if it has to wait.
+// Admit reports whether a start of a class may be sent now, and takes a token for it.
 func (p *Pacer) Admit(c Class, now time.Time) bool {
 	if p.rate <= 0 {
 		return true
@@ -62,7 +62,7 @@
 	return true
 }
 
-// refill adds the tokens of the time since the last refill.
+// refill adds the tokens for the time since the last refill.
 func (p *Pacer) refill(now time.Time) {
 	p.tokens = min(p.rate, p.tokens+p.rate*max(0, now.Sub(p.refilledAt).Seconds()))
 	p.refilledAt = now
