--- a/internal/recovery/pacer_test.go
+++ b/internal/recovery/pacer_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// In no time of any length do more starts go than its rate, and a second's worth.
+// In a window of any length, the pacer admits at most the starts that its rate allows for the
+// window and one second more.
 func TestPacerLimitsRateInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.IntRange(1, 50).Draw(t, "rate")
@@ -16,10 +17,10 @@
 		var admitted []time.Time
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "milliseconds")) * time.Millisecond)
-			if rapid.Bool().Draw(t, "count") {
+			if rapid.Bool().Draw(t, "set backlog") {
 				p.SetBacklog(Backlog{ServiceStart: rapid.IntRange(0, 30).Draw(t, "services"), ArrayStart: rapid.IntRange(0, 90).Draw(t, "arrays")})
 			}
-			for range rapid.IntRange(0, 60).Draw(t, "tries") {
+			for range rapid.IntRange(0, 60).Draw(t, "attempts") {
 				if p.Admit(Class(rapid.IntRange(0, 1).Draw(t, "class")), now) {
 					admitted = append(admitted, now)
 				}
@@ -29,14 +30,14 @@
 			for last := first; last < len(admitted); last++ {
 				window := admitted[last].Sub(admitted[first]).Seconds()
 				if starts := last - first + 1; float64(starts) > float64(rate)*(window+1)+1e-6 {
-					t.Fatalf("%d starts in %v s at %d a second", starts, window, rate)
+					t.Fatalf("%d starts in %v s at a rate of %d per second", starts, window, rate)
 				}
 			}
 		}
 	})
 }
 
-// countAdmitted counts how many of so many tries in the same instant are admitted.
+// countAdmitted returns how many of a number of starts at the same instant are admitted.
 func countAdmitted(p *Pacer, c Class, tries int, now time.Time) int {
 	admitted := 0
 	for range tries {
@@ -47,20 +48,20 @@
 	return admitted
 }
 
-// Starts of arrays leave what services that wait need.
+// Starts of arrays leave enough tokens for the services that wait.
 func TestPacerReservesTokensForServices(t *testing.T) {
 	now := time.UnixMilli(0)
 	p := NewPacer(10, now)
 	p.SetBacklog(Backlog{ServiceStart: 8, ArrayStart: 100})
 	arrays, services := countAdmitted(p, ArrayStart, 20, now), countAdmitted(p, ServiceStart, 20, now)
 	if arrays != 2 || services != 8 {
-		t.Fatalf("%d arrays and %d services of ten", arrays, services)
+		t.Fatalf("admitted %d arrays and %d services, want 2 and 8", arrays, services)
 	}
 }
 
 func TestPacerWithoutRateAdmitsAll(t *testing.T) {
 	now := time.UnixMilli(0)
 	if admitted := countAdmitted(NewPacer(0, now), ArrayStart, 1000, now); admitted != 1000 {
-		t.Fatalf("a pacer without a rate holds %d starts back", 1000-admitted)
+		t.Fatalf("a pacer without a rate rejected %d starts", 1000-admitted)
 	}
 }
