--- a/internal/recovery/progress.go
+++ b/internal/recovery/progress.go
@@ -2,36 +2,35 @@
 
 import "time"
 
-// Phase is how far a controller is in knowing its machines.
+// Phase is the phase of a controller's recovery.
 type Phase string
 
 // Phases of a controller's recovery.
 const (
-	// Loading: the stored state is not read yet, or the controller is no member.
+	// Loading: the stored state is not read yet, or the controller is not a member.
 	Loading Phase = "loading"
-	// Reconciling: not all machines with claims have sent a heartbeat yet. What
-	// runs is kept; nothing is stopped or moved, and nothing is scaled out, on a
-	// view with gaps.
+	// Reconciling: some machines with claims are not accounted for yet. While the view is
+	// incomplete, running tasks are kept, and nothing is stopped, moved or scaled out.
 	Reconciling Phase = "reconciling"
-	// CatchingUp: every machine is accounted for; commands that have piled up go
-	// out at a bounded rate.
+	// CatchingUp: every machine is accounted for, and the backlog of commands is sent at a
+	// limited rate.
 	CatchingUp Phase = "catching up"
-	// Recovered: ordinary operation.
+	// Recovered: normal operation.
 	Recovered Phase = "recovered"
 )
 
-// Event changes a controller's phase.
+// Event is an event that may change the phase of a controller's recovery.
 type Event string
 
 // Events of a controller's recovery.
 const (
 	Loaded         Event = "loaded"    // the stored state is read, and the controller is a member
 	AllAccounted   Event = "accounted" // every machine is reconciled or missing
-	CaughtUp       Event = "caught up" // no commands are left over
-	MembershipLost Event = "lost"      // the controller is a member no longer
+	CaughtUp       Event = "caught up" // no backlog of commands is left
+	MembershipLost Event = "lost"      // the controller is not a member any more
 )
 
-// Next is the one function that changes a controller's phase.
+// Next returns the phase after an event. All changes of the phase go through it.
 func (p Phase) Next(e Event) Phase {
 	switch {
 	case p == Loading && e == Loaded:
@@ -46,21 +45,21 @@
 	return p
 }
 
-// MachineState is what a controller knows of one of its machines.
+// MachineState is what a controller knows about one of its machines.
 type MachineState string
 
 // States of a machine.
 const (
 	Unknown           MachineState = "unknown"    // no heartbeat since the controller became a member
-	HeartbeatReceived MachineState = "reported"   // heartbeats come; our fencing token is not acknowledged yet
-	Reconciled        MachineState = "reconciled" // our fencing token is acknowledged: what the machine runs is known
-	Missing           MachineState = "missing"    // not reconciled though it had the time
+	HeartbeatReceived MachineState = "reported"   // heartbeats arrive, but our fencing token is not acknowledged yet
+	Reconciled        MachineState = "reconciled" // our fencing token is acknowledged, so what the machine runs is known
+	Missing           MachineState = "missing"    // not reconciled within the timeout
 )
 
-// StateOf is a machine's state. reported says whether heartbeats have come since
-// the controller became a member, tokenAcknowledged whether the worker has
-// acknowledged its fencing token, waited how long ago the controller became a
-// member, and timeout how long a machine has time to be reconciled.
+// StateOf returns the state of a machine. reported says whether heartbeats have arrived
+// since the controller became a member, tokenAcknowledged whether the worker has
+// acknowledged the controller's fencing token, memberFor how long ago the controller became
+// a member, and timeout how long a machine may take to be reconciled.
 func StateOf(reported, tokenAcknowledged bool, memberFor, timeout time.Duration) MachineState {
 	switch {
 	case reported && tokenAcknowledged:
@@ -73,7 +72,7 @@
 	return Unknown
 }
 
-// Count is how many machines are in each state.
+// Count is the number of machines by state.
 type Count map[MachineState]int
 
 // Accounted reports whether every machine is reconciled or missing.
@@ -82,21 +81,21 @@
 // Progress is the state of a controller's recovery.
 type Progress struct {
 	Phase         Phase
-	Since         time.Time // of the phase
-	Began         time.Time // when the controller last became a member while it recovered
+	Since         time.Time // when Phase began
+	Began         time.Time // when the controller last became a member during its recovery
 	Machines      Count
 	PendingStarts Backlog
 
 	sawOpenJobs   bool
-	lastPendingAt time.Time // when starts last waited
+	lastPendingAt time.Time // when starts were last seen waiting
 }
 
-// NewProgress is the recovery of a controller that begins.
+// NewProgress returns the state of a recovery that begins now.
 func NewProgress(now time.Time) *Progress {
 	return &Progress{Phase: Loading, Since: now, Machines: Count{}}
 }
 
-// Apply enters an event; true if it has changed the phase.
+// Apply applies an event and reports whether it changed the phase.
 func (p *Progress) Apply(e Event, now time.Time) bool {
 	next := p.Phase.Next(e)
 	if next == p.Phase {
@@ -109,8 +108,7 @@
 	return true
 }
 
-// RecordCounts enters how many machines are in each state, how many jobs are open, and
-// how many starts wait.
+// RecordCounts records the number of machines by state, of open jobs, and of waiting starts.
 func (p *Progress) RecordCounts(machines Count, openJobs int, pending Backlog, now time.Time) {
 	p.Machines, p.PendingStarts = machines, pending
 	p.sawOpenJobs = p.sawOpenJobs || openJobs > 0
@@ -119,16 +117,16 @@
 	}
 }
 
-// Quiet reports whether no start has waited for a time, in the present phase; a
-// controller that has seen no open job since it began has nothing to wait for.
-// Guards against an end of the recovery in the moment between the release of what
-// an outage has ended and its new claims.
+// Quiet reports whether the current phase has lasted for quietPeriod and no start has waited
+// during that time. Without it, the recovery could end in the moment after the claims that
+// an outage ended are released and before their tasks are claimed again. A controller that
+// has seen no open job since its recovery began is always quiet.
 func (p *Progress) Quiet(now time.Time, quietPeriod time.Duration) bool {
 	return !p.sawOpenJobs || now.Sub(p.lastPendingAt) >= quietPeriod && now.Sub(p.Since) >= quietPeriod
 }
 
-// Done reports whether ordinary operation goes on.
+// Done reports whether the recovery is over.
 func (p *Progress) Done() bool { return p.Phase == Recovered }
 
-// MachinesUnknown reports whether machines that may hold work are not accounted for.
+// MachinesUnknown reports whether machines that may run tasks are not accounted for yet.
 func (p *Progress) MachinesUnknown() bool { return p.Phase == Loading || p.Phase == Reconciling }
