--- a/internal/recovery/progress_test.go
+++ b/internal/recovery/progress_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A controller's recovery goes through its phases in order, begins anew when it
-// loses its membership, and never comes back once it is over.
+// A controller's recovery goes through its phases in order, starts over when the controller
+// loses its membership, and never resumes once it is over.
 func TestRecoveryPhases(t *testing.T) {
 	now := time.UnixMilli(0)
 	p := NewProgress(now)
@@ -15,10 +15,10 @@
 		now = now.Add(time.Second)
 		before := p.Phase
 		if changed := p.Apply(e, now); p.Phase != want || changed != (before != want) {
-			t.Fatalf("%s in %s: %s", e, before, p.Phase)
+			t.Fatalf("phase after %s in %s: %s", e, before, p.Phase)
 		}
 		if before != want && !p.Since.Equal(now) {
-			t.Fatalf("since %v", p.Since)
+			t.Fatalf("the phase changed, but Since is %v", p.Since)
 		}
 	}
 	step(AllAccounted, Loading)
@@ -29,14 +29,14 @@
 	step(MembershipLost, Loading)
 	step(Loaded, Reconciling)
 	if p.Began.Equal(began) || !p.MachinesUnknown() || p.Done() {
-		t.Fatal("a new membership does not begin the time for heartbeats anew")
+		t.Fatal("a new membership does not restart the time for heartbeats")
 	}
 	step(AllAccounted, CatchingUp)
 	step(MembershipLost, Loading)
 	step(Loaded, Reconciling)
 	step(AllAccounted, CatchingUp)
 	if p.MachinesUnknown() || p.Done() {
-		t.Fatal("machines are unknown while catching up, or recovery is over")
+		t.Fatal("while catching up, machines are unknown or the recovery is over")
 	}
 	step(CaughtUp, Recovered)
 	for _, e := range []Event{MembershipLost, Loaded, AllAccounted, CaughtUp} {
@@ -79,7 +79,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.count.Accounted(); got != c.want {
-				t.Errorf("%v is accounted: %v", c.count, got)
+				t.Errorf("accounted for %v: %v", c.count, got)
 			}
 		})
 	}
