--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -1,25 +1,25 @@
-// Package recovery reconciles the desired state, which is stored, with the
-// observed state, which workers' heartbeats tell, above all when every controller
-// starts anew. It owns three decisions: what becomes of each task (Reconcile), in
-// which order and how fast starts go out (Pacer), and when a controller knows its
-// machines again (Progress).
+// Package recovery reconciles the desired state, which is stored, with the observed state,
+// which the heartbeats of workers report. This matters most after a restart of all
+// controllers. The package makes three decisions: what happens to each task (Reconcile), in
+// which order and how fast starts are sent (Pacer), and when a controller knows its machines
+// again (Progress).
 //
-// The table of docs/design/recovery.md is Reconcile; ordinary operation uses the
-// same. The package is pure: it neither sends commands nor writes the key-value
-// store, which packages worker and controller do.
+// Reconcile implements the table in docs/design/recovery.md, and is used in normal operation
+// as well. The package is pure: sending commands and writing the key-value store is left to
+// packages worker and controller.
 package recovery
 
-// Reconcile decides what becomes of a task on a machine.
+// Reconcile decides what happens to a task on a machine.
 func Reconcile(desired DesiredTask, observed ObservedTask, worker Worker) Decision {
 	decision := Commands(desired, observed, worker)
 	decision.Update, decision.Reason = ProvenUpdate(desired, observed, worker)
 	return decision
 }
 
-// Commands decides which commands the worker is sent.
+// Commands decides which commands to send to the worker.
 func Commands(desired DesiredTask, observed ObservedTask, worker Worker) Decision {
 	if worker.State == LeaseExpired {
-		return Decision{} // no command would be carried out
+		return Decision{} // the worker would not carry out any command
 	}
 	shouldRun := desired.shouldRunOn(worker)
 	sameAttempt := desired.Claimed && observed.Attempt == desired.Attempt
@@ -29,8 +29,9 @@
 	case observed.State == NotListed:
 		return Decision{}
 	case observed.State == Exited:
-		// Only once its end is stored: then no claim names the attempt. Guards
-		// against a late start that runs a forgotten attempt again.
+		// An exited task is reaped only after its exit is stored, when no claim names the
+		// attempt any more. Otherwise a delayed start command could run an attempt again
+		// that the worker has already forgotten.
 		if !sameAttempt && worker.mayReap() {
 			return Decision{Stop: Reap}
 		}
@@ -41,11 +42,11 @@
 		}
 		return Decision{}
 	}
-	// No stored claim covers it, or its job is over.
+	// No stored claim covers the task, or its job is over.
 	return Decision{Stop: Kill}
 }
 
-// stopOlderAttempt ends what the worker lists of an attempt before the desired one.
+// stopOlderAttempt returns the command that removes an attempt older than the desired one.
 func stopOlderAttempt(observed ObservedTask, worker Worker) Stop {
 	switch {
 	case observed.State == Exited && worker.mayReap():
@@ -56,7 +57,7 @@
 	return NoStop
 }
 
-// ProvenUpdate decides what is stored: only what the heartbeat, or the expiry of
+// ProvenUpdate decides which update is stored: only one that the heartbeat, or the expiry of
 // the worker's lease, proves.
 func ProvenUpdate(desired DesiredTask, observed ObservedTask, worker Worker) (TaskUpdate, Reason) {
 	switch {
@@ -65,21 +66,21 @@
 	case worker.State == LeaseExpired && desired.Incarnation <= worker.Incarnation:
 		return UpdateReleased, ReasonLeaseExpired
 	case worker.State != TokenAcknowledged:
-		return NoUpdate, ReasonNone // a former shard owner's commands may still be under way
+		return NoUpdate, ReasonNone // commands of a former shard owner may still be in flight
 	case desired.Incarnation < worker.Incarnation:
 		return UpdateReleased, ReasonNewIncarnation
 	case observed.State == Exited && observed.Attempt == desired.Attempt:
 		return updateAfterExit(observed.Cause), ReasonExited
 	case desired.Cancelled && observed.lacksAttempt(desired) && worker.NeverRan:
-		// No controller starts a cancelled job's task any more. Guards against a
-		// claim that counted against its team, and filled its machine, for as long
-		// as the machine's incarnation lasted.
+		// No controller starts tasks of a cancelled job any more. If the claim were kept,
+		// it would count against its team's limit and occupy the machine for as long as
+		// the machine's incarnation lasts.
 		return UpdateReleased, ReasonNeverStarted
 	}
 	return NoUpdate, ReasonNone
 }
 
-// updateAfterExit is the change that an exit leads to.
+// updateAfterExit returns the update that follows from an exit.
 func updateAfterExit(cause ExitCause) TaskUpdate {
 	switch cause {
 	case ExitDone:
