--- a/internal/recovery/reconcile_test.go
+++ b/internal/recovery/reconcile_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// The rows of the table in docs/design/recovery.md, in its order. The worker's
-// incarnation is 5 and has acknowledged the fencing token, starts may be sent and
-// nothing is under way, unless the row says otherwise.
+// The cases are the rows of the table in docs/design/recovery.md, in the same order. Unless
+// the row says otherwise, the worker's incarnation is 5 and has acknowledged the fencing
+// token, starts may be sent, and no command is in flight.
 func TestReconcileTable(t *testing.T) {
 	claim := DesiredTask{Claimed: true, Open: true, Attempt: 3, Incarnation: 5}
 	cancelled := DesiredTask{Claimed: true, Cancelled: true, Attempt: 3, Incarnation: 5}
@@ -31,15 +31,15 @@
 	}{
 		{"1 claimed, alive: kept", claim, alive(3), nil, Decision{}},
 		{"2 claimed, checkpointing: kept until it ends", claim, checkpointing, nil, Decision{}},
-		{"3 claimed, alive, wanted off: killed, may write a checkpoint", claim, alive(3), func(w *Worker) { w.Stopping = true }, Decision{Stop: KillWithCheckpoint}},
+		{"3 claimed, alive, to be stopped: killed, may write a checkpoint", claim, alive(3), func(w *Worker) { w.Stopping = true }, Decision{Stop: KillWithCheckpoint}},
 		{"4 claimed, not listed: started", claim, ObservedTask{}, nil, Decision{Start: true}},
 		{"5 claimed, not listed, no key-value store: waits", claim, ObservedTask{}, func(w *Worker) { w.AllowStarts = false }, Decision{}},
 		{"6 claimed, not listed, token not acknowledged: started, nothing stored", claim, ObservedTask{}, unacknowledged, Decision{Start: true}},
-		{"7 claimed, older attempt alive: that is killed, the claim started", claim, alive(2), nil, Decision{Stop: Kill, Start: true}},
-		{"8 claimed, older attempt exited: that is reaped, the claim started", claim, exited(2, ExitOther), nil, Decision{Stop: Reap, Start: true}},
+		{"7 claimed, older attempt alive: older attempt killed, claim started", claim, alive(2), nil, Decision{Stop: Kill, Start: true}},
+		{"8 claimed, older attempt exited: older attempt reaped, claim started", claim, exited(2, ExitOther), nil, Decision{Stop: Reap, Start: true}},
 		{"9 claimed, older attempt exited, a start of it pending: not reaped", claim, exited(2, ExitOther), startPending, Decision{Start: true}},
 		{"10 claimed, newer attempt alive: killed", claim, alive(4), nil, Decision{Stop: Kill}},
-		{"11 claimed, done: stored, not reaped before", claim, exited(3, ExitDone), nil, Decision{Update: UpdateDone, Reason: ReasonExited}},
+		{"11 claimed, done: stored before it is reaped", claim, exited(3, ExitDone), nil, Decision{Update: UpdateDone, Reason: ReasonExited}},
 		{"12 claimed, failed: stored", claim, exited(3, ExitFailed), nil, Decision{Update: UpdateFailed, Reason: ReasonExited}},
 		{"13 claimed, stopped or refused: released", claim, exited(3, ExitOther), nil, Decision{Update: UpdateReleased, Reason: ReasonExited}},
 		{"14 claimed, done, token not acknowledged: waits", claim, exited(3, ExitDone), unacknowledged, Decision{}},
@@ -72,12 +72,12 @@
 	}
 }
 
-// What holds of every decision, whatever is desired, observed and under way.
+// Invariants that hold for every decision, whatever is desired, observed and in flight.
 func TestReconcileInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		number := func(name string) uint64 { return rapid.Uint64Range(1, 3).Draw(t, name) }
-		desired := DesiredTask{Claimed: flag("stored"), Open: flag("open"), Attempt: number("attempt"), Incarnation: number("claimed incarnation")}
+		desired := DesiredTask{Claimed: flag("claimed"), Open: flag("open"), Attempt: number("attempt"), Incarnation: number("claimed incarnation")}
 		desired.Cancelled = !desired.Open && flag("cancelled")
 		observed := ObservedTask{State: TaskState(rapid.IntRange(0, 3).Draw(t, "state")), Attempt: number("observed attempt"), Cause: ExitCause(rapid.IntRange(0, 2).Draw(t, "cause"))}
 		worker := Worker{Incarnation: number("incarnation"), State: WorkerState(rapid.IntRange(0, 2).Draw(t, "worker state")), AllowStarts: flag("allow starts"),
@@ -87,25 +87,25 @@
 		covered := desired.Claimed && desired.Open && desired.Incarnation == worker.Incarnation && desired.Attempt == observed.Attempt
 		switch {
 		case d.Start && (!desired.Claimed || !desired.Open || desired.Incarnation != worker.Incarnation || !worker.AllowStarts):
-			t.Fatalf("started without an open claim for the incarnation: %+v", d)
+			t.Fatalf("start without an open claim for the incarnation: %+v", d)
 		case d.Start && running && d.Stop != Kill:
-			t.Fatalf("started beside another attempt: %+v", d)
+			t.Fatalf("start while another attempt is running and not killed: %+v", d)
 		case d.Start && observed.State != NotListed && observed.Attempt >= desired.Attempt:
-			t.Fatalf("started again: %+v", d)
+			t.Fatalf("start of an attempt that is not newer than the listed one: %+v", d)
 		case running && covered && !worker.Stopping && d.Stop != NoStop:
-			t.Fatalf("a task that runs correctly is stopped: %+v", d)
+			t.Fatalf("stop of a running task that a claim covers: %+v", d)
 		case running && !covered && worker.State != LeaseExpired && d.Stop != Kill:
-			t.Fatalf("a task without an open claim goes on: %+v", d)
+			t.Fatalf("no kill of a running task without an open claim: %+v", d)
 		case d.Stop == Reap && (observed.State != Exited || worker.StartPending || worker.State != TokenAcknowledged || desired.Claimed && desired.Attempt == observed.Attempt):
-			t.Fatalf("reaped too early: %+v", d)
+			t.Fatalf("reap that is too early: %+v", d)
 		case d.Update != NoUpdate && (!desired.Claimed || worker.State == TokenUnacknowledged):
-			t.Fatalf("stored without proof: %+v", d)
+			t.Fatalf("update without proof: %+v", d)
 		case d.Update == UpdateDone && (observed.State != Exited || observed.Cause != ExitDone || observed.Attempt != desired.Attempt):
-			t.Fatalf("done without an end: %+v", d)
+			t.Fatalf("update to done without a successful exit of the attempt: %+v", d)
 		case d.Update != NoUpdate && running && observed.Attempt == desired.Attempt && desired.Incarnation == worker.Incarnation && worker.State == TokenAcknowledged:
-			t.Fatalf("the claim of a running task ends: %+v", d)
+			t.Fatalf("update that ends the claim of a running task: %+v", d)
 		case worker.State == LeaseExpired && (d.Start || d.Stop != NoStop):
-			t.Fatalf("a command to a worker whose lease has expired: %+v", d)
+			t.Fatalf("command to a worker whose lease has expired: %+v", d)
 		}
 	})
 }
