--- a/internal/election/membershipwrite.go
+++ b/internal/election/membershipwrite.go
@@ -6,15 +6,15 @@
 	"wheatspur/wire"
 )
 
-// membershipWrite is a compare-and-swap of one of the keys that make up the membership.
+// membershipWrite is a compare-and-swap of one of the keys of package membership.
 type membershipWrite struct {
 	compares            []wire.Compare
 	operation           wire.Operation
-	changesReachability bool // it stores whether workers reach this controller
+	changesReachability bool // the write stores whether workers reach this controller
 }
 
-// nextMembershipWrite chooses what this controller has to write about the membership
-// now, nil for nothing. The lock is held.
+// nextMembershipWrite returns the write that this controller has to make now, or nil if there
+// is none. The lock is held.
 func (el *Election) nextMembershipWrite() *membershipWrite {
 	if el.Session == membership.NoLease {
 		return nil
@@ -47,12 +47,13 @@
 	return nil
 }
 
-// reconcileSession brings the session's state in line with the key that is stored. The
-// lock is held.
+// reconcileSession updates the state of the session to match the stored session key. The lock
+// is held.
 func (el *Election) reconcileSession() {
 	stored := el.Sessions[el.Self.Label] == el.Self
 	if el.Session == membership.Registered && !stored {
-		// Guards against a late write of a former process of this controller.
+		// A delayed write by a former process of this controller may replace the stored
+		// session, which then has to be stored again.
 		el.Session = membership.Leased
 	}
 	if el.Session == membership.Leased && stored {
@@ -60,7 +61,7 @@
 	}
 }
 
-// sessionWrite stores this controller's session. The lock is held.
+// sessionWrite returns the write that stores this controller's session. The lock is held.
 func (el *Election) sessionWrite() *membershipWrite {
 	key := membership.SessionKey(el.Self.Label)
 	session := membership.Session{Node: el.Self, Format: membership.CurrentFormat, ProgramVersion: tuning.Version}
@@ -70,7 +71,8 @@
 	}
 }
 
-// reachabilityWrite stores whether workers reach this controller. The lock is held.
+// reachabilityWrite returns the write that stores whether workers reach this controller. The
+// lock is held.
 func (el *Election) reachabilityWrite(unreachable bool) *membershipWrite {
 	key := membership.UnreachableKey(el.Self.Label)
 	operation := wire.Operation{Delete: key}
@@ -84,7 +86,7 @@
 	}
 }
 
-// leaderWrite takes the leadership. The lock is held.
+// leaderWrite returns the write that acquires the leadership. The lock is held.
 func (el *Election) leaderWrite() *membershipWrite {
 	return &membershipWrite{
 		compares:  []wire.Compare{el.Cache.Compare(membership.LeaderKey), el.Cache.Compare(membership.SessionKey(el.Self.Label))},
@@ -92,7 +94,7 @@
 	}
 }
 
-// membershipRecordWrite stores the next membership. The lock is held.
+// membershipRecordWrite returns the write that stores the next membership. The lock is held.
 func (el *Election) membershipRecordWrite(next *membership.Record) *membershipWrite {
 	return &membershipWrite{
 		compares:  []wire.Compare{el.Cache.Compare(membership.LeaderKey), el.Cache.Compare(membership.Key)},
