--- a/internal/election/reachability.go
+++ b/internal/election/reachability.go
@@ -10,12 +10,13 @@
 	"wheatspur/internal/tuning"
 )
 
-// reachability sums up whether workers reach this controller. The lock is held.
+// reachability summarizes what this controller knows about whether workers reach it. The lock
+// is held.
 func (el *Election) reachability(now time.Time) membership.Reachability {
 	summary := membership.Reachability{Unreachable: el.Unreachable[el.Self.Label]}
 	switch {
 	case !el.IsMember():
-		// It owns no machines that could reach it.
+		// A controller that is not a member owns no machines that could reach it.
 	case summary.Unreachable:
 		summary.ProbeAnswered = el.probeAnswered(now)
 	default:
@@ -25,9 +26,9 @@
 	return summary
 }
 
-// probeAnswered reports whether this controller may own machines again: a worker has
-// answered a probe, or there is none to ask. Not for a while, so that a network that
-// comes and goes does not move machines to and fro. The lock is held.
+// probeAnswered reports whether this controller may own machines again: a worker has answered
+// a probe, or there is none to probe. It is false for the first MinUnreachable, so that an
+// unstable network does not move machines back and forth. The lock is held.
 func (el *Election) probeAnswered(now time.Time) bool {
 	if now.Sub(el.unreachableSince) <= tuning.MinUnreachable {
 		return false
@@ -35,9 +36,9 @@
 	return len(el.probes) == 0 || el.probeAnsweredAt.After(el.unreachableSince)
 }
 
-// countHeard counts this controller's machines that are heard, and those with tasks
-// that are silent though they had time for a heartbeat under this membership. The lock
-// is held.
+// countHeard counts this controller's machines that have sent a message recently, and the
+// silent ones among those with tasks. A machine counts as silent only if it had time for a
+// heartbeat under the current membership. The lock is held.
 func (el *Election) countHeard(now time.Time) (heard, silent int) {
 	silentAfter := el.SilenceTimeout()
 	for machine, w := range el.Workers.ByMachine {
@@ -53,7 +54,7 @@
 	return heard, silent
 }
 
-// chooseProbes chooses workers to ask until one answers. The lock is held.
+// chooseProbes chooses the workers to probe until one answers. The lock is held.
 func (el *Election) chooseProbes(now time.Time) {
 	el.probes, el.unreachableSince, el.probeAnsweredAt = nil, now, time.Time{}
 	for _, w := range el.Workers.ByMachine {
@@ -63,8 +64,8 @@
 	}
 }
 
-// RunProbes asks workers, while it is stored that none reaches this controller, whether
-// they answer again, until ctx ends. It takes the lock.
+// RunProbes probes workers until ctx ends, whenever it is stored that none reaches this
+// controller. It takes the lock.
 func (el *Election) RunProbes(ctx context.Context) error {
 	for ctx.Err() == nil {
 		timing.Sleep(ctx, el.Settings.HeartbeatInterval())
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// activeProbes returns the addresses of the workers to ask, none while workers reach
-// this controller. It takes the lock.
+// activeProbes returns the addresses of the workers to probe. There are none while workers
+// reach this controller. It takes the lock.
 func (el *Election) activeProbes() []string {
 	el.Lock()
 	defer el.Unlock()
@@ -89,7 +90,7 @@
 	return el.probes
 }
 
-// recordProbeAnswer notes that a worker has answered a probe. It takes the lock.
+// recordProbeAnswer records that a worker has answered a probe. It takes the lock.
 func (el *Election) recordProbeAnswer() {
 	el.Lock()
 	defer el.Unlock()
