--- a/internal/election/session.go
+++ b/internal/election/session.go
@@ -13,9 +13,9 @@
 	"wheatspur/internal/tuning"
 )
 
-// RunSession keeps this controller's lease of the store until ctx ends or the
-// controller drains, and does nothing else: a write of the membership that waits, or a
-// busy processor, must not cost the session.
+// RunSession acquires and renews this controller's lease in the store until ctx ends or the
+// controller drains. It does nothing else, so that neither a blocked write of the membership
+// nor a busy CPU costs the session. It takes the lock.
 func (el *Election) RunSession(ctx context.Context) error {
 	var renewalDue time.Time
 	for ctx.Err() == nil {
@@ -27,7 +27,7 @@
 			continue
 		}
 		if el.Draining() {
-			return nil // the session was ended for good
+			return nil // the session has ended for good
 		}
 		el.OpenSession(ctx)
 		renewalDue = el.Now().Add(tuning.SessionRenewEvery)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// currentSession returns the state of this controller's session and its lease. It
+// currentSession returns the state of this controller's session and the ID of its lease. It
 // takes the lock.
 func (el *Election) currentSession() (state membership.SessionState, leaseID uint64) {
 	el.Lock()
@@ -43,7 +43,7 @@
 	return el.Session, el.Self.Incarnation
 }
 
-// renewSession renews the lease once, and returns when the next renewal is due. It
+// renewSession tries once to renew the lease, and returns when the next renewal is due. It
 // takes the lock.
 func (el *Election) renewSession(ctx context.Context, leaseID uint64) (due time.Time) {
 	due = el.Now().Add(tuning.SessionRenewEvery)
@@ -56,7 +56,7 @@
 	return due
 }
 
-// OpenSession asks for a lease once, and pauses if none is granted. It takes the lock.
+// OpenSession requests a lease once, and pauses if none is granted. It takes the lock.
 func (el *Election) OpenSession(ctx context.Context) {
 	leaseID, err := el.Store.GrantLease(ctx, tuning.SessionTTL)
 	if err != nil {
@@ -71,8 +71,8 @@
 	cluster.Wake(el.MembershipWake)
 }
 
-// EndSession notes that a lease has expired, unless another has been granted since. It
-// takes the lock.
+// EndSession ends the session whose lease has expired, unless another lease has been granted
+// since. It takes the lock.
 func (el *Election) EndSession(leaseID uint64) {
 	el.Lock()
 	defer el.Unlock()
