--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -6,56 +6,55 @@
 	"wheatspur/internal/membership"
 )
 
-// membershipState is this controller's own session, and the sessions, the leader
-// and the membership as stored. The lock guards all of it.
+// membershipState holds this controller's own session, and the sessions, the leader and the
+// membership as stored. The lock guards all of it.
 type membershipState struct {
-	Self                membership.Node               // this controller's label, which never changes, and the lease of its session
-	Session             membership.SessionState       // of this controller
+	Self                membership.Node               // this controller's label, which never changes, and the ID of its lease
+	Session             membership.SessionState       // state of this controller's session
 	Sessions            map[string]membership.Node    // controllers with a stored session, by label
-	StoredSessions      map[string]membership.Session // the same with the formats and the program that each supports
-	Unreachable         map[string]bool               // controllers that have stored that no worker reaches them
+	StoredSessions      map[string]membership.Session // the same, with the format version and program version of each
+	Unreachable         map[string]bool               // labels of the controllers that have stored that no worker reaches them
 	Leader              *membership.Node              // as stored; nil if there is none
-	Membership          *membership.Record            // the newest that is known; nil if there is none
-	MemberLabels        []string                      // the labels of Membership's nodes
-	MembershipChangedAt time.Time                     // when the membership last changed here
-	shardOwners         map[string]string             // owner by machine under Membership; filled as they are asked for
+	Membership          *membership.Record            // the newest known; nil if there is none
+	MemberLabels        []string                      // labels of Membership's nodes
+	MembershipChangedAt time.Time                     // when this controller last applied a new membership
+	shardOwners         map[string]string             // cache of the owner by machine under Membership, filled on demand
 }
 
-// ShardOwner returns the label of the member that owns a machine. There has to be
-// a membership. The lock is held.
+// ShardOwner returns the label of the member that owns a machine. The membership must be
+// known. The lock is held.
 func (cs *State) ShardOwner(machine string) string {
 	owner, ok := cs.shardOwners[machine]
 	if !ok {
 		owner = cs.Membership.ShardOwner(machine)
 		if cs.Inventory.KeyOf(machine) != "" {
-			cs.shardOwners[machine] = owner // stored machines only: whatever workers name would grow it without bound
+			cs.shardOwners[machine] = owner // only for stored machines: caching every name that workers send would be unbounded
 		}
 	}
 	return owner
 }
 
-// IsMember reports whether this controller is a member of the newest membership
-// that it knows. The lock is held.
+// IsMember reports whether this controller is a member of the newest membership that it knows,
+// with a registered session and a consistent cache. The lock is held.
 func (cs *State) IsMember() bool {
 	return cs.Membership != nil && cs.Session == membership.Registered && cs.Membership.Contains(cs.Self) && cs.Cache.Consistent()
 }
 
-// IsLeader reports whether this controller is the leader, by the membership and by
+// IsLeader reports whether this controller is the leader according to both the membership and
 // the leader record. The lock is held.
 func (cs *State) IsLeader() bool {
 	return cs.IsMember() && cs.Membership.Leader == cs.Self && cs.Leader != nil && *cs.Leader == cs.Self
 }
 
-// DependenciesSupported reports whether every member knows jobs that are stored
-// while they wait for their dependencies. A member that does not would run such a
-// job at once if it took it in, and would stop its tasks on its machines. The lock
-// is held.
+// DependenciesSupported reports whether every member supports jobs that are stored while they
+// wait for their dependencies. A member that does not would run such a job at once if it
+// accepted it, and would stop the job's tasks on its machines. The lock is held.
 func (cs *State) DependenciesSupported() bool {
 	return cs.Membership != nil && cs.Membership.AllSupport(membership.FormatDependencies, cs.StoredSessions)
 }
 
-// TokenRangesSupported reports whether every controller with a session knows
-// memberships that span several fencing tokens. The lock is held.
+// TokenRangesSupported reports whether every controller with a session supports memberships
+// that span several fencing tokens. The lock is held.
 func (cs *State) TokenRangesSupported() bool {
 	for label, node := range cs.Sessions {
 		if stored := cs.StoredSessions[label]; stored.Node != node || stored.Format < membership.FormatTokenRanges {
@@ -65,7 +64,7 @@
 	return true
 }
 
-// SetMembership enters a new membership. The lock is held.
+// SetMembership applies a new membership. The lock is held.
 func (cs *State) SetMembership(record *membership.Record) {
 	cs.Membership = record
 	cs.MemberLabels = record.Labels()
