--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -9,9 +9,9 @@
 	"wheatspur/internal/store"
 )
 
-// Metrics holds the registry, and the counters that are kept as things happen: all
-// other metrics are read from the state when they are gathered. It has locks of its
-// own, so that its methods need none.
+// Metrics holds the registry and the counters that are updated as events occur. All other
+// metrics are read from the state when they are gathered. Metrics does its own locking, so
+// its methods do not need the lock of the state.
 type Metrics struct {
 	Registry *prometheus.Registry
 	answers  *prometheus.CounterVec // by request and status
@@ -34,12 +34,12 @@
 	return m
 }
 
-// CountAnswer counts an answer to a kind of request.
+// CountAnswer counts an answer by kind of request and status.
 func (m *Metrics) CountAnswer(request string, status int) {
 	m.answers.WithLabelValues(request, strconv.Itoa(status)).Inc()
 }
 
-// CountWrite counts a compare-and-swap of a kind by its outcome.
+// CountWrite counts a compare-and-swap by kind and outcome.
 func (m *Metrics) CountWrite(kind string, err error) {
 	outcome := "stored"
 	switch {
