--- a/internal/cluster/progress.go
+++ b/internal/cluster/progress.go
@@ -9,33 +9,33 @@
 	"wheatspur/internal/tuning"
 )
 
-// loop is one of the loops that a controller can't do without.
+// loop identifies one of the loops that a controller needs in order to work.
 type loop int
 
-// Loops of a controller whose progress is watched.
+// Loops whose progress is monitored.
 const (
-	PassLoop       loop = iota // the scheduler's passes
-	SessionLoop                // renewals of the session's lease
-	MembershipLoop             // steps of the election and the membership
+	PassLoop       loop = iota // scheduler passes
+	SessionLoop                // renewals of the session lease
+	MembershipLoop             // steps of the leader election and the membership
 	Loops                      // the number of loops
 )
 
-// String returns the name of the loop in errors.
+// String returns the name that error messages use for the loop.
 func (l loop) String() string { return [...]string{"passes", "session", "membership"}[l] }
 
-// loopTimes are the times at which each loop last began a round, in nanoseconds of
-// the Unix epoch; 0 before its first.
+// loopTimes holds the time at which each loop last began an iteration, in nanoseconds since the
+// Unix epoch; 0 before the first iteration.
 type loopTimes [Loops]atomic.Int64
 
-// ErrStalled says that a loop of the controller makes no progress.
+// ErrStalled is returned if a loop of the controller makes no progress.
 var ErrStalled = errors.New("loop stalled")
 
-// RecordProgress notes that a loop begins a round. The lock is not needed.
+// RecordProgress records that a loop begins an iteration. The lock is not needed.
 func (cs *State) RecordProgress(l loop) { cs.loopProgress[l].Store(cs.Now().UnixNano()) }
 
-// Progress returns nil while all loops that have begun make progress, else an error
-// that wraps ErrStalled. It takes no lock, so that it also tells of loops that wait
-// for the lock.
+// Progress returns nil while all loops that have begun make progress, and otherwise an error
+// that wraps ErrStalled. It takes no lock, so that it also detects loops that are blocked on
+// the lock.
 func (cs *State) Progress() error {
 	for l := range Loops {
 		last := cs.loopProgress[l].Load()
@@ -49,6 +49,6 @@
 	return nil
 }
 
-// Draining reports whether the controller accepts nothing new, since it stops. The
-// lock is not needed.
+// Draining reports whether the controller is stopping and accepts nothing new. The lock is not
+// needed.
 func (cs *State) Draining() bool { return cs.Stopping.Load() }
