--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -1,5 +1,5 @@
-// This file enters the stored records that belong to the state itself. The cache
-// calls it, by way of the controller, with the lock held.
+// This file applies the stored records that belong to the state itself. The cache calls it,
+// through the controller, with the lock held.
 
 package cluster
 
@@ -10,11 +10,12 @@
 )
 
 // MachineTypesKey is the key of the machine types. They are stored so that every controller
-// knows them, also while the cloud is out.
+// knows them even while the cloud API is unavailable.
 const MachineTypesKey = jobs.Root + "types"
 
-// ApplyJob enters a job's record, and its version if it is the last cancellation: a
-// record that can't be read may be one. The lock is held.
+// ApplyJob applies the record of a job. If the job is cancelled, its version counts towards
+// LastCancellation; so does that of a record that can't be decoded, which may be a
+// cancellation. The lock is held.
 func (cs *State) ApplyJob(jobID string, value wire.Raw, version uint64) error {
 	err := cs.Table.ApplyJob(jobID, value)
 	if j := cs.Table.Jobs[jobID]; err != nil || j != nil && j.Record.Phase == jobs.Cancelled {
@@ -23,8 +24,8 @@
 	return err
 }
 
-// ApplySession enters a controller's session, nil for one that has ended. The lock
-// is held.
+// ApplySession applies the session of a controller; a nil value means that it has ended. The
+// lock is held.
 func (cs *State) ApplySession(label string, value wire.Raw) error {
 	if value == nil {
 		delete(cs.Sessions, label)
@@ -40,8 +41,8 @@
 	return nil
 }
 
-// ApplyUnreachable enters whether a controller has stored that no worker reaches it.
-// The lock is held.
+// ApplyUnreachable applies whether a controller has stored that no worker reaches it; a nil
+// value means that it has not. The lock is held.
 func (cs *State) ApplyUnreachable(label string, value wire.Raw) {
 	if value == nil {
 		delete(cs.Unreachable, label)
@@ -50,8 +51,8 @@
 	}
 }
 
-// ApplyLeader enters the leader record; one that is deleted or can't be read leaves
-// no leader. The lock is held.
+// ApplyLeader applies the leader record. If it is deleted or can't be decoded, there is no
+// leader. The lock is held.
 func (cs *State) ApplyLeader(value wire.Raw) error {
 	cs.Leader = nil
 	if value == nil {
