--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -1,7 +1,7 @@
-// Package cluster holds what a controller knows of the cluster from the key-value
-// store: the cache and the tables fed by it, its own session, the membership, and
-// the one lock that guards them and the components that embed State. It decides
-// nothing, and what is known at run time only is package fleet's.
+// Package cluster holds what a controller knows about the cluster from the key-value store: the
+// cache and the tables that it feeds, the controller's own session, the membership, and the
+// one lock that guards them and the components that embed State. It makes no decisions.
+// What is known only at run time is kept in package fleet.
 package cluster
 
 import (
@@ -20,29 +20,28 @@
 	"wheatspur/wire"
 )
 
-// State is what this controller knows of the cluster from the key-value store, and
-// holds the one lock of the controller. The components embed a pointer to it.
+// State is what this controller knows about the cluster from the key-value store. It holds the
+// one lock of the controller, and the components embed a pointer to it.
 //
 // The rules of the lock:
 //
-//   - It guards the fields of State and all that they point to, and the fields of
-//     every component that embeds State. Exempt are Environment, which never
-//     changes; Syncer, Limiter and Metrics, which have locks of their own; atomic
-//     values and the channels that wake loops; pointers from one component to
-//     another and to Cache, which are set before the loops run; and what says so at
-//     its declaration.
-//   - Handlers and loops take it. A method whose comment says "The lock is held"
-//     expects it of its caller and never takes or releases it. Any other method
-//     either does without it or takes it itself, and then no caller holds it.
-//   - What is decided on one state is decided within one critical section.
-//   - No call to the store, the cloud, a worker or a peer is made with it held, and
-//     nothing waits with it held but for the locks named next, and for the reader of
-//     the metrics, which needs no lock. A channel is sent to only where there is
-//     room: Wake drops what a loop has yet to take, and a slot for a direct call is
-//     taken only after a look at how many are.
-//   - The locks of Syncer, Limiter, Metrics and Log may be taken while it is held;
-//     nobody who holds one of them takes it. The leader's lock of machine writes is
-//     taken before it.
+//   - It guards the fields of State and everything they point to, and the fields of every
+//     component that embeds State. Exempt are Environment, which never changes; Syncer,
+//     Limiter and Metrics, which do their own locking; atomic values and the channels that
+//     wake loops; pointers from one component to another and to Cache, which are set before
+//     the loops run; and whatever is declared as exempt.
+//   - Handlers and loops take it. A method whose comment says "The lock is held" expects its
+//     caller to hold it, and never takes or releases it. Any other method either works
+//     without it or takes it itself, and then must not be called with it held.
+//   - A decision that rests on one view of the state is made within one critical section.
+//   - No call to the store, the cloud, a worker or a peer is made while it is held. Nothing
+//     blocks while it is held, except on the locks named below and on the reader of the
+//     metrics, which needs no lock. Sends to channels do not block: Wake drops the signal if
+//     one is pending, and a slot for a direct call is taken only after checking that one is
+//     free.
+//   - The locks of Syncer, Limiter, Metrics and Log may be taken while it is held, but it is
+//     never taken while one of them is held. The leader's lock of machine writes is taken
+//     before it.
 type State struct {
 	Environment
 	membershipState
@@ -52,34 +51,34 @@
 	Syncer           *store.Syncer               // feeds Cache
 	Table            *jobs.Table                 // jobs, tasks and claims as stored
 	Inventory        *inventory.Inventory        // machine records as stored
-	Quota            *quota.Manager              // shares of the teams' limits and guarantees
-	MachineTypeList  []wire.MachineType          // as stored; replaced as a whole, so that a copy may be read without the lock
-	MachineTypes     map[string]wire.MachineType // the same by label
-	LastCancellation uint64                      // version of the last cancellation that is known here
+	Quota            *quota.Manager              // shares of the limits and guarantees of teams
+	MachineTypeList  []wire.MachineType          // as stored; replaced as a whole, so that a copy of the slice can be read without the lock
+	MachineTypes     map[string]wire.MachineType // the same, by label
+	LastCancellation uint64                      // version of the last cancellation that this controller knows
 
-	QueuedWrites      float64 // operations that wait for this controller's share of the store's budget, a mean over the last passes
-	MachineWritesLeft int     // groups of machine records that the leader has yet to write
+	QueuedWrites      float64 // writes that wait for this controller's share of the store's rate limit, averaged over the last passes
+	MachineWritesLeft int     // groups of machine records that the leader still has to write
 
-	Stopping       atomic.Bool   // a clean stop has begun: nothing new is accepted
+	Stopping       atomic.Bool   // a graceful stop has begun, and nothing new is accepted
 	loopProgress   loopTimes     // see RecordProgress
 	PassWake       chan struct{} // wakes the scheduler
 	MembershipWake chan struct{} // wakes the election
 }
 
-// Environment is what a controller is given when it is built. Nothing in it is
-// replaced while the controller runs, so that the lock is not needed for it.
+// Environment holds what a controller is given when it is created. Nothing in it is replaced
+// while the controller runs, so it can be read without the lock.
 type Environment struct {
 	Settings *config.Settings
-	Limits   config.Limits // of the store; every request keeps to them
+	Limits   config.Limits // of the store; every request stays within them
 	Log      *slog.Logger
 	Now      func() time.Time
 	Store    store.KeyValueStore
-	Limiter  *store.Limiter // bounds the requests to the store
+	Limiter  *store.Limiter // limits the rate of requests to the store
 	Metrics  *Metrics
 }
 
-// NewEnvironment returns an environment, with the store's limits from the settings
-// and with metrics of its own.
+// NewEnvironment returns an environment with the store's limits from the settings and with new
+// metrics.
 func NewEnvironment(settings *config.Settings, log *slog.Logger, now func() time.Time, kv store.KeyValueStore, limiter *store.Limiter) Environment {
 	return Environment{
 		Settings: settings,
@@ -92,7 +91,7 @@
 	}
 }
 
-// New returns a state that knows nothing of the store yet. OpenCache has to follow.
+// New returns a state that knows nothing from the store yet. OpenCache must be called next.
 func New(env Environment) *State {
 	return &State{
 		Environment: env,
@@ -113,14 +112,14 @@
 	}
 }
 
-// OpenCache gives the state an empty cache of the store, which calls onUpdate with
-// every changed value and the lock held. It comes before anything runs.
+// OpenCache gives the state an empty cache of the store, which calls onUpdate with every
+// changed value while the lock is held. It must be called before any loop runs.
 func (cs *State) OpenCache(onUpdate store.UpdateFunc) {
 	cs.Cache = store.NewCache(onUpdate)
 	cs.Syncer = store.NewSyncer(cs.Store, jobs.Root, cs, cs.Cache, cs.onStoreChange, cs.Settings.Operator.PollQueue, cs.Now, cs.Log)
 }
 
-// QuotaTeams returns the limits and guarantees of the settings' teams.
+// QuotaTeams returns the limits and guarantees of the teams in the settings.
 func QuotaTeams(teams []config.Team) []quota.Team {
 	out := make([]quota.Team, len(teams))
 	for i, team := range teams {
@@ -133,51 +132,52 @@
 	return out
 }
 
-// QuotaOptions returns the parts of quota that the operators have switched on.
+// QuotaOptions returns the optional quota features that the operators have enabled.
 func QuotaOptions(settings *config.Settings) quota.Options {
 	return quota.Options{Transfers: settings.Operator.QuotaTransfers, Reservations: settings.Operator.QuotaReservations}
 }
 
-// MaxConnections is how many connections of users and workers this controller
-// accepts at once. The lock is not needed.
+// MaxConnections returns the number of connections from users and workers that this controller
+// accepts at the same time. The lock is not needed.
 func (cs *State) MaxConnections() int {
 	return int(float64(cs.Settings.Params.Limits.MaxConnections) * tuning.ConnectionShare)
 }
 
-// onStoreChange wakes the loops that decide by what is stored, after each read that
-// the cache was fed with. The lock is held.
+// onStoreChange wakes the loops whose decisions depend on what is stored. It is called after
+// each read that was fed to the cache. The lock is held.
 func (cs *State) onStoreChange() {
 	Wake(cs.PassWake)
 	Wake(cs.MembershipWake)
 }
 
-// HasStore reports whether the store was read recently enough for decisions to rest
-// on it. The lock is not needed.
+// HasStore reports whether the last read of the store is recent enough to base decisions on.
+// The lock is not needed.
 func (cs *State) HasStore() bool {
 	return cs.Now().Sub(cs.Syncer.LastReadAt()) < tuning.StoreStaleAfter
 }
 
-// SilenceTimeout is how long after a worker's last message its machine counts as
-// silent. The lock is not needed.
+// SilenceTimeout returns the time after a worker's last message after which its machine counts
+// as silent. The lock is not needed.
 func (cs *State) SilenceTimeout() time.Duration {
 	return time.Duration(tuning.SilentHeartbeats * float64(cs.Settings.HeartbeatInterval()))
 }
 
-// MaxGroupBytes is how many bytes of JSON a group of machine records may hold. The
+// MaxGroupBytes returns the maximum size of a group of machine records, in bytes of JSON. The
 // lock is not needed.
 func (cs *State) MaxGroupBytes() int {
 	return int(cs.Limits.ValueKB * tuning.BytesPerKB * tuning.GroupFillShare)
 }
 
-// MachineGroupKey returns the key that holds a machine's record, "" if it has none. It
-// takes the lock.
+// MachineGroupKey returns the key that holds the record of a machine, or "" if it has no
+// record. It takes the lock.
 func (cs *State) MachineGroupKey(machine string) string {
 	cs.Lock()
 	defer cs.Unlock()
 	return cs.Inventory.KeyOf(machine)
 }
 
-// Wake signals a loop without waiting: a signal that the loop has yet to take serves.
+// Wake signals a loop without blocking. A signal that is still pending is enough, so the new
+// one is dropped.
 func Wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
