--- a/internal/roles/arrivals.go
+++ b/internal/roles/arrivals.go
@@ -25,9 +25,9 @@
 	*a = (*a)[expired:]
 }
 
-// during is the load that came in the last window of time, and the number of its
+// loadWithin is the load that came in the last window of time, and the number of its
 // arrivals.
-func (a arrivalLog) during(now time.Time, window time.Duration) (load float64, count int) {
+func (a arrivalLog) loadWithin(now time.Time, window time.Duration) (load float64, count int) {
 	for _, arrival := range a {
 		if now.Sub(arrival.at) <= window {
 			load += arrival.load
--- a/internal/roles/controller.go
+++ b/internal/roles/controller.go
@@ -26,55 +26,55 @@
 }
 
 // Arrive notes a service arrival that asks for load machines.
-func (c *Balancer) Arrive(now time.Time, load float64) { c.arrivals.add(now, load) }
+func (b *Balancer) Arrive(now time.Time, load float64) { b.arrivals.add(now, load) }
 
 // Evaluate prices the adjacent splits and says whether to move one machine
 // now. fits reports whether the tasks of the machine that would leave the
 // service role have room on the others; it is asked only if nothing else is in
 // the way.
-func (c *Balancer) Evaluate(now time.Time, s Split, fits func() bool) Decision {
-	current := s.loads(c.settings, s.Batch, s.Service)
-	short, shortArrivals := c.arrivalRate(now, tuning.RoleShortWindow)
-	long, _ := c.arrivalRate(now, tuning.RoleLongWindow)
+func (b *Balancer) Evaluate(now time.Time, s Split, fits func() bool) Decision {
+	current := s.loads(b.settings, s.Batch, s.Service)
+	short, shortArrivals := b.arrivalRate(now, tuning.RoleShortWindow)
+	long, _ := b.arrivalRate(now, tuning.RoleLongWindow)
 	d := Decision{Type: s.Type, Batch: s.Batch, Service: s.Service, BatchLoad: current.batch, ServiceLoad: current.service,
-		Short: short, Long: long, EvidenceOpen: !c.evidenceClosed(now)}
+		Short: short, Long: long, EvidenceOpen: !b.evidenceClosed(now)}
 
-	d.Proposal, d.Gate = c.propose(s)
+	d.Proposal, d.Gate = b.propose(s)
 	switch {
 	case d.Proposal.Direction == None:
-		c.forgetProposal(Cleared)
+		b.resetProposal(Cleared)
 		return d
 	case d.Proposal.Rule == Floor:
 		// A role without a machine is restored at once, one per evaluation.
-		return c.move(now, d)
+		return b.acceptProposal(now, d)
 	}
-	c.confirm(d.Proposal)
-	d.Confirmations = c.confirmations
-	rising := shortArrivals >= tuning.RoleEvidenceArrivals && short > long*(1+c.settings.RoleDemandRise)
-	if d.Gate = c.gate(now, d, rising, fits); d.Gate != Open {
+	b.countConfirmation(d.Proposal)
+	d.Confirmations = b.confirmations
+	rising := shortArrivals >= tuning.RoleEvidenceArrivals && short > long*(1+b.settings.RoleDemandRise)
+	if d.Gate = b.blockingGate(now, d, rising, fits); d.Gate != Open {
 		return d
 	}
-	return c.move(now, d)
+	return b.acceptProposal(now, d)
 }
 
-// confirm counts how often the same proposal comes in a row.
-func (c *Balancer) confirm(p Proposal) {
-	if c.state == Confirming && c.proposal == p {
-		c.confirmations++
+// countConfirmation counts how often the same proposal comes in a row.
+func (b *Balancer) countConfirmation(p Proposal) {
+	if b.state == Confirming && b.proposal == p {
+		b.confirmations++
 	} else {
-		c.proposal, c.confirmations = p, 1
+		b.proposal, b.confirmations = p, 1
 	}
-	c.state = c.state.Next(Proposed)
+	b.state = b.state.Next(Proposed)
 }
 
-// gate is what blocks the decision's proposal. rising says whether service demand
+// blockingGate is what blocks the decision's proposal. rising says whether service demand
 // rises.
-func (c *Balancer) gate(now time.Time, d Decision, rising bool, fits func() bool) Gate {
+func (b *Balancer) blockingGate(now time.Time, d Decision, rising bool, fits func() bool) Gate {
 	toBatch := d.Proposal.Direction == ToBatch
 	switch {
-	case c.confirmations < c.settings.RoleConfirm:
+	case b.confirmations < b.settings.RoleConfirm:
 		return Confirm
-	case !toBatch && now.Sub(c.lastMoveToService) < c.settings.RoleCooldown:
+	case !toBatch && now.Sub(b.lastMoveToService) < b.settings.RoleCooldown:
 		return Cooldown
 	case toBatch && d.EvidenceOpen:
 		return Evidence
@@ -86,42 +86,42 @@
 	return Open
 }
 
-// move carries the proposal into the decision, unless operators want advice only.
-func (c *Balancer) move(now time.Time, d Decision) Decision {
-	if c.settings.RoleAdvisory {
+// acceptProposal carries the proposal into the decision, unless operators want advice only.
+func (b *Balancer) acceptProposal(now time.Time, d Decision) Decision {
+	if b.settings.RoleAdvisory {
 		d.Gate = Advisory
 		return d
 	}
 	d.Gate, d.Move = Open, d.Proposal.Direction
-	c.forgetProposal(Moved)
+	b.resetProposal(Moved)
 	if d.Move == ToService {
-		c.lastMoveToService = now
+		b.lastMoveToService = now
 		// A move toward services restarts the evidence.
-		c.evidenceSince = now
+		b.evidenceSince = now
 	}
 	return d
 }
 
-// forgetProposal ends the confirmations, by an event.
-func (c *Balancer) forgetProposal(e Event) {
-	c.state = c.state.Next(e)
-	c.proposal, c.confirmations = Proposal{}, 0
+// resetProposal ends the confirmations, by an event.
+func (b *Balancer) resetProposal(e Event) {
+	b.state = b.state.Next(e)
+	b.proposal, b.confirmations = Proposal{}, 0
 }
 
 // arrivalRate is the arriving service load per second over a window, and the
 // number of arrivals in it. The window is no longer than the controller's life.
-func (c *Balancer) arrivalRate(now time.Time, window time.Duration) (rate float64, count int) {
-	window = min(window, max(now.Sub(c.startedAt), time.Second))
-	load, count := c.arrivals.during(now, window)
+func (b *Balancer) arrivalRate(now time.Time, window time.Duration) (rate float64, count int) {
+	window = min(window, max(now.Sub(b.startedAt), time.Second))
+	load, count := b.arrivals.loadWithin(now, window)
 	return load / window.Seconds(), count
 }
 
 // evidenceClosed reports whether the evidence window has closed: enough service
 // arrivals are known, or it has lasted long enough without them.
-func (c *Balancer) evidenceClosed(now time.Time) bool {
-	age := now.Sub(c.evidenceSince)
-	if age >= c.settings.RoleEvidenceMax {
+func (b *Balancer) evidenceClosed(now time.Time) bool {
+	age := now.Sub(b.evidenceSince)
+	if age >= b.settings.RoleEvidenceMax {
 		return true
 	}
-	return age >= c.settings.RoleEvidenceMin && c.arrivals.countSince(c.evidenceSince) >= tuning.RoleEvidenceArrivals
+	return age >= b.settings.RoleEvidenceMin && b.arrivals.countSince(b.evidenceSince) >= tuning.RoleEvidenceArrivals
 }
--- a/internal/roles/controller_test.go
+++ b/internal/roles/controller_test.go
@@ -11,8 +11,8 @@
 var start = time.Unix(1000, 0)
 
 // fits and fitsNot answer whether a machine's tasks have room on the others.
-func fits() bool    { return true }
-func fitsNot() bool { return false }
+func fits() bool       { return true }
+func doesNotFit() bool { return false }
 
 // harness is a role controller and its time.
 type harness struct {
@@ -35,7 +35,7 @@
 	return d
 }
 
-func TestMoveToServiceNeedsThreeConfirmationsAndCoolsDown(t *testing.T) {
+func TestMoveToServiceRequiresThreeConfirmationsAndCooldown(t *testing.T) {
 	h := newHarness(config.DefaultOperator())
 	s := Split{Batch: 4, Service: 2, ServiceBooked: 2, Complete: true}
 	if d := h.evaluate(2, s, fits); d.Move != None || d.Gate != Confirm {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestAnotherProposalRestartsTheConfirmations(t *testing.T) {
+func TestDifferentProposalResetsConfirmations(t *testing.T) {
 	s := Split{Batch: 4, Service: 2, ServiceBooked: 2, Complete: true}
 	for _, c := range []struct {
 		name  string
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestConsolidationNeedsAnIdleSourceAndTheMargin(t *testing.T) {
+func TestConsolidationRequiresLightlyLoadedSourceAndMargin(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		split Split
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestMoveToBatchWaitsForEvidenceStableDemandAndRoom(t *testing.T) {
+func TestMoveToBatchRequiresEvidenceStableDemandAndRoom(t *testing.T) {
 	s := Split{Batch: 2, Service: 6, ServiceBooked: 1, BatchWork: 3 * tuning.RoleStartTarget.Seconds(), Complete: true}
 	t.Run("enough arrivals, then room", func(t *testing.T) {
 		h := newHarness(config.DefaultOperator())
@@ -106,7 +106,7 @@
 		for range tuning.RoleEvidenceArrivals {
 			h.Arrive(start.Add(time.Second), 0.1)
 		}
-		if d := h.evaluate(1, s, fitsNot); d.Gate != NoRoom {
+		if d := h.evaluate(1, s, doesNotFit); d.Gate != NoRoom {
 			t.Fatalf("ten arrivals and 20 s do not close the window, or room was not asked for: %+v", d)
 		}
 		if d := h.evaluate(1, s, fits); d.Move != ToBatch {
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestMixedPressureMovesOneThoughServiceStaysBusy(t *testing.T) {
+func TestMixedPressureMovesMachineWhileServiceStaysLoaded(t *testing.T) {
 	s := Split{Batch: 1, Service: 4, ServiceBooked: 2, BatchWork: 4 * tuning.RoleStartTarget.Seconds(), Complete: true}
 	if d := newHarness(config.DefaultOperator()).evaluate(8, s, fits); d.Move != ToBatch || d.Proposal.Rule != Mixed {
 		t.Fatalf("batch load 4 with services at 0.63: %+v", d)
@@ -166,7 +166,7 @@
 	})
 }
 
-func TestSpotMachinesKeepTheBatchFloor(t *testing.T) {
+func TestSpotMachinesCountTowardBatchFloor(t *testing.T) {
 	h := newHarness(config.DefaultOperator())
 	s := Split{Batch: 0, Spot: 1, Service: 3, ServiceBooked: 2.4, BatchWork: 1, Complete: true}
 	if d := h.evaluate(1, s, fits); d.Move != None {
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestAdvisoryModeRecordsButMovesNothing(t *testing.T) {
+func TestAdvisoryModeReportsProposalWithoutMoving(t *testing.T) {
 	settings := config.DefaultOperator()
 	settings.RoleAdvisory = true
 	d := newHarness(settings).evaluate(4, Split{Batch: 4, Service: 2, ServiceBooked: 2, Complete: true}, fits)
--- a/internal/roles/propose.go
+++ b/internal/roles/propose.go
@@ -2,21 +2,21 @@
 
 import "wheatspur/internal/tuning"
 
-// endlessLoad is beyond every load of a role that has machines.
-const endlessLoad = 1e300
+// infiniteLoadThreshold is beyond every load of a role that has machines.
+const infiniteLoadThreshold = 1e300
 
 // propose finds the eligible adjacent split, or the gate that stops it: the one of
 // the move to batch if both directions have one.
-func (c *Balancer) propose(s Split) (Proposal, Gate) {
+func (b *Balancer) propose(s Split) (Proposal, Gate) {
 	if p := proposeFloor(s); p.Direction != None {
 		return p, Open
 	}
-	current := s.loads(c.settings, s.Batch, s.Service)
-	p, gate := c.proposeToService(s, current)
+	current := s.loads(b.settings, s.Batch, s.Service)
+	p, gate := b.proposeToService(s, current)
 	if p.Direction != None {
 		return p, Open
 	}
-	p, toBatchGate := c.proposeToBatch(s, current)
+	p, toBatchGate := b.proposeToBatch(s, current)
 	if p.Direction != None {
 		return p, Open
 	}
@@ -32,49 +32,49 @@
 	switch {
 	case s.Batch+s.Service < 2*tuning.RoleFloor:
 	case s.Service+s.ServiceComing < tuning.RoleFloor && s.Batch > tuning.RoleFloor:
-		return s.adjacent(ToService, Floor)
+		return s.adjacentProposal(ToService, Floor)
 	case s.Batch+s.BatchComing+s.Spot < tuning.RoleFloor && s.Service > tuning.RoleFloor && s.BatchWork > 0:
-		return s.adjacent(ToBatch, Floor)
+		return s.adjacentProposal(ToBatch, Floor)
 	}
 	return Proposal{}
 }
 
 // proposeToService moves a batch machine if the worst load falls by the margin, and
 // what is left of the batch role is lightly loaded.
-func (c *Balancer) proposeToService(s Split, current loads) (Proposal, Gate) {
+func (b *Balancer) proposeToService(s Split, current loads) (Proposal, Gate) {
 	if s.Batch == 0 || s.Batch+s.Spot <= tuning.RoleFloor {
 		if current.service > current.batch {
 			return Proposal{}, AtFloor
 		}
 		return Proposal{}, NoGain
 	}
-	next := s.loads(c.settings, s.Batch-1, s.Service+1)
+	next := s.loads(b.settings, s.Batch-1, s.Service+1)
 	switch {
-	case worstLoadDrop(current, next) < c.settings.RoleMargin:
+	case worstLoadDrop(current, next) < b.settings.RoleMargin:
 		return Proposal{}, NoGain
-	case next.batch <= c.settings.RoleShrink:
-		return s.adjacent(ToService, Consolidate), Open
+	case next.batch <= b.settings.RoleShrink:
+		return s.adjacentProposal(ToService, Consolidate), Open
 	}
 	return Proposal{}, SourceBusy
 }
 
 // proposeToBatch moves a service machine if the worst load falls by the margin, and
 // what is left of the service role is lightly loaded or batch work waits too long.
-func (c *Balancer) proposeToBatch(s Split, current loads) (Proposal, Gate) {
+func (b *Balancer) proposeToBatch(s Split, current loads) (Proposal, Gate) {
 	if s.Service <= tuning.RoleFloor {
 		if current.batch > current.service {
 			return Proposal{}, AtFloor
 		}
 		return Proposal{}, NoGain
 	}
-	next := s.loads(c.settings, s.Batch+1, s.Service-1)
+	next := s.loads(b.settings, s.Batch+1, s.Service-1)
 	switch {
-	case worstLoadDrop(current, next) < c.settings.RoleMargin:
+	case worstLoadDrop(current, next) < b.settings.RoleMargin:
 		return Proposal{}, NoGain
-	case next.service <= c.settings.RoleShrink:
-		return s.adjacent(ToBatch, Consolidate), Open
-	case current.batch >= c.settings.RoleExpand:
-		return s.adjacent(ToBatch, Mixed), Open
+	case next.service <= b.settings.RoleShrink:
+		return s.adjacentProposal(ToBatch, Consolidate), Open
+	case current.batch >= b.settings.RoleExpand:
+		return s.adjacentProposal(ToBatch, Mixed), Open
 	}
 	return Proposal{}, SourceBusy
 }
@@ -83,10 +83,10 @@
 // endless.
 func worstLoadDrop(current, next loads) float64 {
 	switch {
-	case current.worst() > endlessLoad && next.worst() > endlessLoad:
+	case current.worst() > infiniteLoadThreshold && next.worst() > infiniteLoadThreshold:
 		return 0
-	case current.worst() > endlessLoad:
-		return endlessLoad
+	case current.worst() > infiniteLoadThreshold:
+		return infiniteLoadThreshold
 	}
 	return current.worst() - next.worst()
 }
--- a/internal/roles/split.go
+++ b/internal/roles/split.go
@@ -46,8 +46,8 @@
 	return s.ServiceBooked / (float64(max(machines, 0)) * usable)
 }
 
-// adjacent is the proposal of the split with one machine moved.
-func (s Split) adjacent(direction Direction, rule Rule) Proposal {
+// adjacentProposal is the proposal of the split with one machine moved.
+func (s Split) adjacentProposal(direction Direction, rule Rule) Proposal {
 	p := Proposal{Direction: direction, Rule: rule, Complete: s.Complete, Batch: s.Batch + 1, Service: s.Service - 1}
 	if direction == ToService {
 		p.Batch, p.Service = s.Batch-1, s.Service+1
