--- a/internal/leader/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -86,16 +86,16 @@
 	defer ld.Unlock()
 	changed = len(types) != len(ld.MachineTypeList)
 	for i := 0; !changed && i < len(types); i++ {
-		changed = !sameButSpotPrice(types[i], ld.MachineTypeList[i])
+		changed = !equalExceptSpotPrice(types[i], ld.MachineTypeList[i])
 	}
 	return []wire.Compare{ld.Cache.Compare(membership.Key), ld.Cache.Compare(cluster.MachineTypesKey)}, changed
 }
 
-// sameButSpotPrice reports whether two machine types differ in nothing but the spot
+// equalExceptSpotPrice reports whether two machine types differ in nothing but the spot
 // price, which moves all the time. They are compared as printed: the numbers are the
 // cloud's and not checked, and one that is NaN, which no == finds equal, must not
 // have the types stored with every read.
-func sameButSpotPrice(a, b wire.MachineType) bool {
+func equalExceptSpotPrice(a, b wire.MachineType) bool {
 	a.SpotPrice = b.SpotPrice
 	return fmt.Sprint(a) == fmt.Sprint(b)
 }
@@ -162,7 +162,7 @@
 	case !stored:
 		rc.addNew(machine)
 	}
-	rc.learnAddress(machine)
+	rc.setInitialAddress(machine)
 }
 
 // recordFirstListed notes when a machine was first listed.
@@ -198,9 +198,9 @@
 		logging.KeyZone, machine.Zone, logging.KeySpot, machine.Spot, logging.KeyRole, string(record.Role))
 }
 
-// learnAddress enters the address of a machine of this controller that has sent no
+// setInitialAddress enters the address of a machine of this controller that has sent no
 // heartbeat yet.
-func (rc *listReconciliation) learnAddress(machine wire.Machine) {
+func (rc *listReconciliation) setInitialAddress(machine wire.Machine) {
 	if rc.loop.ShardOwner(machine.Name) != rc.loop.Self.Label || machine.State != wire.MachineRunning {
 		return
 	}
--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -17,8 +17,8 @@
 // scaling out only when the last free machine is taken: with hundreds of jobs that
 // took half a minute.
 func (b *planBuilder) addNotScheduledYet() {
-	scheduler := b.leader.scheduler
-	for jobID, job := range b.leader.Table.Open {
+	scheduler := b.loop.scheduler
+	for jobID, job := range b.loop.Table.Open {
 		reason := scheduler.PendingReasons[jobID]
 		count := job.Counts[jobs.Pending]
 		if reason != placement.ReasonNoTurn {
@@ -37,9 +37,9 @@
 // addUnplaced enters the tasks that the pass found no room for, those that have
 // waited longest first.
 func (b *planBuilder) addUnplaced() {
-	scheduler := b.leader.scheduler
-	for _, jobID := range b.leader.unplacedByAge() {
-		job := b.leader.Table.Open[jobID]
+	scheduler := b.loop.scheduler
+	for _, jobID := range b.loop.unplacedByAge() {
+		job := b.loop.Table.Open[jobID]
 		if job == nil || scheduler.PendingReasons[jobID] != placement.ReasonNoRoom {
 			continue
 		}
@@ -93,7 +93,7 @@
 			continue
 		}
 		for _, task := range machine.Tasks {
-			if openService(task) {
+			if isOpenServiceTask(task) {
 				count[task.Job]++
 			}
 		}
--- a/internal/leader/headroom.go
+++ b/internal/leader/headroom.go
@@ -13,8 +13,8 @@
 	"wheatspur/internal/tuning"
 )
 
-// addClaimed enters what the tasks on a machine hold, for the headroom.
-func (b *planBuilder) addClaimed(machine *placement.Machine) {
+// addTaskLoads enters what the tasks on a machine hold, for the headroom.
+func (b *planBuilder) addTaskLoads(machine *placement.Machine) {
 	for _, task := range machine.Tasks {
 		spec := task.Job.Record.Spec
 		if spec == nil || task.Job.Phase != jobs.Open {
@@ -25,47 +25,47 @@
 			b.input.Service.Need, b.input.Service.Spec = task.Job.Need, spec
 			continue
 		}
-		load := b.batch[spec.Class]
+		load := b.batchClasses[spec.Class]
 		if load == nil {
 			load = &batchClassLoad{}
-			b.batch[spec.Class] = load
+			b.batchClasses[spec.Class] = load
 		}
 		load.add(task.Job, machine.Total)
 	}
 }
 
-// addHeadroom enters what batch work holds, for its headroom.
-func (b *planBuilder) addHeadroom() {
-	state := b.leaderState
-	state.averageBatch(state.chooseTypicalBatch(b.batch), b.now)
+// addBatchLoads enters what batch work holds, for its headroom.
+func (b *planBuilder) addBatchLoads() {
+	state := b.state
+	state.updateMeanBatchTasks(state.chooseTypicalBatch(b.batchClasses), b.now)
 	state.batchLoad.Tasks, state.batchLoad.MinTasks = state.meanBatchTasks, 0
 	if b.now.Sub(state.lastArrayAt) < tuning.BatchHeadroomHold {
-		state.batchLoad.MinTasks = headroomTasks(state.meanArraySize)
+		state.batchLoad.MinTasks = minHeadroomTasks(state.meanArraySize)
 	}
 	b.input.Batch = state.batchLoad
-	b.input.OnDemand = b.leader.updateOnDemandLoad(state, b.now)
+	b.input.OnDemand = b.loop.updateOnDemandLoad(state, b.now)
 }
 
-// headroomTasks is the least headroom of batch work, given the mean size of arrays.
-func headroomTasks(meanArraySize float64) int {
+// minHeadroomTasks is the least headroom of batch work, given the mean size of arrays.
+func minHeadroomTasks(meanArraySize float64) int {
 	return int(math.Ceil(meanArraySize * tuning.BatchHeadroomJobs))
 }
 
-// averageBatch moves the mean of the batch tasks held towards their present number.
-func (ls *State) averageBatch(tasks float64, now time.Time) {
-	if ls.meanUpdatedAt.IsZero() {
+// updateMeanBatchTasks moves the mean of the batch tasks held towards their present number.
+func (ls *State) updateMeanBatchTasks(tasks float64, now time.Time) {
+	if ls.meanBatchUpdatedAt.IsZero() {
 		ls.meanBatchTasks = tasks
 	} else {
-		alpha := min(1, now.Sub(ls.meanUpdatedAt).Seconds()/tuning.BatchWindow.Seconds())
+		alpha := min(1, now.Sub(ls.meanBatchUpdatedAt).Seconds()/tuning.BatchWindow.Seconds())
 		ls.meanBatchTasks += (tasks - ls.meanBatchTasks) * alpha
 	}
-	ls.meanUpdatedAt = now
+	ls.meanBatchUpdatedAt = now
 }
 
 // addActiveRoles enters which roles have had work lately.
 func (b *planBuilder) addActiveRoles() {
-	activeAt := b.leaderState.roleActiveAt
-	for _, job := range b.leader.Table.Open {
+	activeAt := b.state.roleActiveAt
+	for _, job := range b.loop.Table.Open {
 		if job.Service() {
 			activeAt[placement.Service] = b.now
 		} else {
@@ -100,7 +100,7 @@
 		}
 	}
 	if typical != nil {
-		state.onDemandLoad = autoscale.Load{Need: typical.Need, Spec: typical.Record.Spec, MinTasks: headroomTasks(tasks / float64(arrays))}
+		state.onDemandLoad = autoscale.Load{Need: typical.Need, Spec: typical.Record.Spec, MinTasks: minHeadroomTasks(tasks / float64(arrays))}
 		state.onDemandSeenAt = now
 	} else if now.Sub(state.onDemandSeenAt) > tuning.BatchHeadroomHold {
 		state.onDemandLoad = autoscale.Load{}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -47,11 +47,11 @@
 // plan is what one plan of the leader decides.
 type plan struct {
 	scaleOut []autoscale.ScaleOut
-	stored   *storedPlan // nil: the plan before is still being stored
+	writes   *planWrites // nil: the plan before is still being stored
 }
 
-// storedPlan is the part of a plan that takes writes to the store.
-type storedPlan struct {
+// planWrites is the part of a plan that takes writes to the store.
+type planWrites struct {
 	roleMoves   []inventory.RecordChange
 	terminate   []string                 // machines
 	changes     []inventory.RecordChange // drains, and records to drop
@@ -71,8 +71,8 @@
 		if !ok {
 			continue
 		}
-		if next.stored != nil {
-			ld.storeInBackground(ctx, &run, next.stored)
+		if next.writes != nil {
+			ld.storeInBackground(ctx, &run, next.writes)
 		}
 		for _, request := range next.scaleOut {
 			ld.scaleOut(ctx, request) // does not wait for the budget of writes
@@ -92,9 +92,9 @@
 	state, now := ld.CurrentTerm(), ld.Now()
 	machines := ld.MachineIndex.RefreshMachines(now)
 	ld.RecordArrivals(state, now)
-	mayStore := len(run.storing) == 0
+	canStore := len(run.storing) == 0
 	var roleMoves []inventory.RecordChange
-	if mayStore && now.Sub(run.rolesEvaluatedAt) >= tuning.RoleStep {
+	if canStore && now.Sub(run.rolesEvaluatedAt) >= tuning.RoleStep {
 		run.rolesEvaluatedAt = now
 		roleMoves = ld.MoveRoles(state, machines, now)
 	}
@@ -103,36 +103,36 @@
 		capacity = autoscale.Plan(ld.PlanInput(state, machines, now))
 	}
 	next.scaleOut = capacity.ScaleOut
-	if mayStore {
-		next.stored = ld.planStored(state, capacity.ScaleIn, now)
-		next.stored.roleMoves = roleMoves
+	if canStore {
+		next.writes = ld.planStoreWrites(state, capacity.ScaleIn, now)
+		next.writes.roleMoves = roleMoves
 	}
 	return next, true
 }
 
-// planStored decides what of a plan takes writes to the store, but for role moves.
+// planStoreWrites decides what of a plan takes writes to the store, but for role moves.
 // The caller holds the lock.
-func (ld *Loop) planStored(state *State, scaleIn []autoscale.ScaleIn, now time.Time) *storedPlan {
+func (ld *Loop) planStoreWrites(state *State, scaleIn []autoscale.ScaleIn, now time.Time) *planWrites {
 	drains, dead := ld.PlanDrains(scaleIn)
 	drained, drops := ld.PlanTerminations(state, now)
-	stored := &storedPlan{
+	writes := &planWrites{
 		terminate: slices.Concat(dead, state.LostWhileDraining, drained),
 		changes:   append(drains, drops...),
 	}
 	if ld.Limiter.AvailableWrites(tuning.WriteReserve) >= tuning.GroupSplitWrites {
-		stored.splitGroups = ld.Inventory.OversizeGroups(ld.MaxGroupBytes(), tuning.GroupSplitsPerPlan)
+		writes.splitGroups = ld.Inventory.OversizeGroups(ld.MaxGroupBytes(), tuning.GroupSplitsPerPlan)
 	}
-	return stored
+	return writes
 }
 
 // storeInBackground carries out the part of a plan that takes writes; plans that
 // are made until it has ended only scale out. RunPlanning waits for it.
-func (ld *Loop) storeInBackground(ctx context.Context, run *planRun, stored *storedPlan) {
+func (ld *Loop) storeInBackground(ctx context.Context, run *planRun, writes *planWrites) {
 	run.storing <- struct{}{}
 	run.background.Go(func() {
-		ld.StoreMachines(ctx, stored.roleMoves)
-		ld.Terminate(ctx, stored.terminate)
-		ld.storeMachineGroups(ctx, stored.changes, stored.splitGroups, tuning.GroupsPerBatch)
+		ld.StoreMachines(ctx, writes.roleMoves)
+		ld.Terminate(ctx, writes.terminate)
+		ld.storeMachineGroups(ctx, writes.changes, writes.splitGroups, tuning.GroupsPerBatch)
 		<-run.storing
 	})
 }
--- a/internal/leader/planinput.go
+++ b/internal/leader/planinput.go
@@ -22,7 +22,7 @@
 	}
 	b.input.MaxDraining = int(float64(b.serviceMachines) * tuning.DrainingShare)
 	b.addScalingOut()
-	b.addHeadroom()
+	b.addBatchLoads()
 	b.addActiveRoles()
 	b.addNotScheduledYet()
 	b.input.MaxGroups = ld.groupWriteBudget()
@@ -34,13 +34,13 @@
 // planBuilder puts the input of one capacity plan together. It lives while the lock
 // is held, and all of its methods expect that.
 type planBuilder struct {
-	leader          *Loop
-	leaderState     *State
+	loop            *Loop
+	state           *State
 	now             time.Time
 	lease           time.Duration              // after which a worker's lease has expired for certain
 	sinceHeard      map[string]time.Duration   // how long ago each machine was heard by its owner
 	movable         map[string]bool            // service machines whose tasks have room elsewhere
-	batch           map[string]*batchClassLoad // what batch tasks hold, by class
+	batchClasses    map[string]*batchClassLoad // what batch tasks hold, by class
 	serviceMachines int                        // service machines that take tasks
 	input           autoscale.Input
 }
@@ -48,13 +48,13 @@
 // newPlanBuilder begins the input of a plan.
 func (ld *Loop) newPlanBuilder(state *State, machines *placement.Fleet, now time.Time) *planBuilder {
 	return &planBuilder{
-		leader:      ld,
-		leaderState: state,
-		now:         now,
-		lease:       time.Duration(float64(ld.Settings.WorkerLease())*tuning.DriftFactor) + tuning.LeaseMargin,
-		sinceHeard:  ld.Peers.LastHeardByOwners(now),
-		movable:     movableServiceMachines(machines),
-		batch:       map[string]*batchClassLoad{},
+		loop:         ld,
+		state:        state,
+		now:          now,
+		lease:        time.Duration(float64(ld.Settings.WorkerLease())*tuning.DriftFactor) + tuning.LeaseMargin,
+		sinceHeard:   ld.Peers.LastHeardByOwners(now),
+		movable:      movableServiceMachines(machines),
+		batchClasses: map[string]*batchClassLoad{},
 		input: autoscale.Input{
 			Now:            now,
 			Operator:       ld.Settings.Operator,
@@ -88,10 +88,10 @@
 // addMachine enters a machine that has a record: what its tasks hold, and itself if
 // it is neither draining nor terminated.
 func (b *planBuilder) addMachine(machine *placement.Machine) {
-	phase := b.leader.Inventory.Machines[machine.Name].Phase
-	b.recordHeard(machine)
+	phase := b.loop.Inventory.Machines[machine.Name].Phase
+	b.updateLastHeard(machine)
 	described := b.describeMachine(machine, phase)
-	b.addClaimed(machine)
+	b.addTaskLoads(machine)
 	if machine.Schedulable && machine.Role == placement.Service {
 		b.serviceMachines++
 	}
@@ -100,33 +100,33 @@
 		b.input.Draining++
 	}
 	if draining && (described.Missing || described.Silent) {
-		b.leaderState.LostWhileDraining = append(b.leaderState.LostWhileDraining, machine.Name)
+		b.state.LostWhileDraining = append(b.state.LostWhileDraining, machine.Name)
 	}
 	if phase == inventory.Active {
 		b.input.Machines = append(b.input.Machines, described)
 	}
 }
 
-// recordHeard notes when a machine was last heard.
-func (b *planBuilder) recordHeard(machine *placement.Machine) {
+// updateLastHeard notes when a machine was last heard.
+func (b *planBuilder) updateLastHeard(machine *placement.Machine) {
 	if age, ok := b.sinceHeard[machine.Name]; ok {
-		b.leaderState.recordHeard(machine.Name, b.now.Add(-age))
+		b.state.updateLastHeard(machine.Name, b.now.Add(-age))
 		return
 	}
-	listed, isListed := b.leaderState.listed[machine.Name]
+	listed, isListed := b.state.listed[machine.Name]
 	running := len(machine.Tasks) > 0 || isListed && listed.State == wire.MachineRunning
-	if _, ok := b.leaderState.LastHeard[machine.Name]; !ok && running {
+	if _, ok := b.state.LastHeard[machine.Name]; !ok && running {
 		// Up, but not heard under this leader yet: its time begins now.
-		b.leaderState.recordHeard(machine.Name, b.now)
+		b.state.updateLastHeard(machine.Name, b.now)
 	}
 }
 
 // describeMachine describes a machine to the plan, and notes since when it is idle or
 // quarantined.
 func (b *planBuilder) describeMachine(machine *placement.Machine, phase inventory.Phase) autoscale.Machine {
-	_, wasUp := b.leaderState.LastHeard[machine.Name]
+	_, wasUp := b.state.LastHeard[machine.Name]
 	silentFor := b.silentFor(machine.Name)
-	missingAfter := time.Duration(tuning.MissingHeartbeats * float64(b.leader.Settings.HeartbeatInterval()))
+	missingAfter := time.Duration(tuning.MissingHeartbeats * float64(b.loop.Settings.HeartbeatInterval()))
 	described := autoscale.Machine{
 		Name:             machine.Name,
 		Kind:             autoscale.MachineKind{MachineType: machine.Type, Zone: machine.Zone, Spot: machine.Spot},
@@ -139,9 +139,9 @@
 		Claims:           len(machine.Tasks),
 		Free:             machine.Free,
 		Silent:           wasUp && silentFor > tuning.SilentLeases*b.lease,
-		Missing:          b.leaderState.MissingLists[machine.Name] >= tuning.MissingLists && wasUp && silentFor > missingAfter,
-		HeartbeatOverdue: wasUp && silentFor > b.leader.SilenceTimeout(),
-		Group:            b.leader.Inventory.KeyOf(machine.Name),
+		Missing:          b.state.MissingLists[machine.Name] >= tuning.MissingLists && wasUp && silentFor > missingAfter,
+		HeartbeatOverdue: wasUp && silentFor > b.loop.SilenceTimeout(),
+		Group:            b.loop.Inventory.KeyOf(machine.Name),
 	}
 	described.Quarantined = b.quarantinedTooLong(machine, phase, described.Booting) || b.hasFailingTasks(machine)
 	return described
@@ -149,28 +149,28 @@
 
 // silentFor is how long ago a machine was last heard by any controller.
 func (b *planBuilder) silentFor(machine string) time.Duration {
-	return b.now.Sub(b.leaderState.LastHeard[machine])
+	return b.now.Sub(b.state.LastHeard[machine])
 }
 
 // age is how old a machine is by the cloud's last list; 0 if it is not on it.
 func (b *planBuilder) age(machine string) time.Duration {
-	listed, ok := b.leaderState.listed[machine]
+	listed, ok := b.state.listed[machine]
 	if !ok {
 		return 0
 	}
-	return time.Duration(listed.AgeS*float64(time.Second)) + b.now.Sub(b.leaderState.ListedAt)
+	return time.Duration(listed.AgeS*float64(time.Second)) + b.now.Sub(b.state.ListedAt)
 }
 
 // idleFor is how long a machine has had no claims, and notes when that began.
 func (b *planBuilder) idleFor(machine *placement.Machine, phase inventory.Phase) time.Duration {
 	if len(machine.Tasks) > 0 || phase != inventory.Active {
-		delete(b.leaderState.idleSince, machine.Name)
+		delete(b.state.idleSince, machine.Name)
 		return 0
 	}
-	since, ok := b.leaderState.idleSince[machine.Name]
+	since, ok := b.state.idleSince[machine.Name]
 	if !ok {
 		since = b.now
-		b.leaderState.idleSince[machine.Name] = since
+		b.state.idleSince[machine.Name] = since
 	}
 	return b.now.Sub(since)
 }
@@ -179,13 +179,13 @@
 // tasks, for instance because it receives no commands: another takes its place. It
 // notes when that began.
 func (b *planBuilder) quarantinedTooLong(machine *placement.Machine, phase inventory.Phase, booting bool) bool {
-	if machine.Schedulable || booting || phase != inventory.Active || b.silentFor(machine.Name) > b.leader.SilenceTimeout() {
-		delete(b.leaderState.quarantinedSince, machine.Name)
+	if machine.Schedulable || booting || phase != inventory.Active || b.silentFor(machine.Name) > b.loop.SilenceTimeout() {
+		delete(b.state.quarantinedSince, machine.Name)
 		return false
 	}
-	since, ok := b.leaderState.quarantinedSince[machine.Name]
+	since, ok := b.state.quarantinedSince[machine.Name]
 	if !ok {
-		b.leaderState.quarantinedSince[machine.Name] = b.now
+		b.state.quarantinedSince[machine.Name] = b.now
 		return false
 	}
 	return b.now.Sub(since) > tuning.QuarantineLeases*b.lease
@@ -194,15 +194,15 @@
 // hasFailingTasks reports whether too many tasks failed lately on a machine of this
 // controller.
 func (b *planBuilder) hasFailingTasks(machine *placement.Machine) bool {
-	w := b.leader.Workers.ByMachine[machine.Name]
-	return machine.Owner == b.leader.Self.Label && w != nil && len(w.FailedJobs) >= tuning.MachineFailuresMax
+	w := b.loop.Workers.ByMachine[machine.Name]
+	return machine.Owner == b.loop.Self.Label && w != nil && len(w.FailedJobs) >= tuning.MachineFailuresMax
 }
 
 // addScalingOut enters the machines that were scaled out and have no record yet.
 func (b *planBuilder) addScalingOut() {
-	for machine, request := range b.leaderState.ScalingOut {
-		if _, stored := b.leader.Inventory.Machines[machine]; stored || b.now.Sub(request.requestedAt) > tuning.ScaleOutListedWithin {
-			delete(b.leaderState.ScalingOut, machine)
+	for machine, request := range b.state.ScalingOut {
+		if _, stored := b.loop.Inventory.Machines[machine]; stored || b.now.Sub(request.requestedAt) > tuning.ScaleOutListedWithin {
+			delete(b.state.ScalingOut, machine)
 			continue
 		}
 		b.input.Machines = append(b.input.Machines, autoscale.Machine{
@@ -211,7 +211,7 @@
 			Role:    request.Role,
 			Booting: true,
 			Age:     b.now.Sub(request.requestedAt),
-			Free:    emptyMachine(b.leader.MachineTypes[request.kind.MachineType]),
+			Free:    machineCapacity(b.loop.MachineTypes[request.kind.MachineType]),
 		})
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -37,7 +37,7 @@
 	idle := ld.idleDrains(changes)
 	defer ld.setMachineWritesLeft(0)
 	for i, write := range writes {
-		operations, fencedOut := ld.beginGroupWrite(write, idle[write.Key], len(writes)-i)
+		operations, fencedOut := ld.prepareGroupWrite(write, idle[write.Key], len(writes)-i)
 		if fencedOut {
 			return
 		}
@@ -69,7 +69,7 @@
 		return nil, false
 	}
 	planned := ld.Inventory.PlanWrites(changes, splitGroups, ld.MaxGroupBytes(), ld.Limits.TxnOps)
-	if len(planned) > maxGroups && !slices.ContainsFunc(planned, ofSingleMachine) {
+	if len(planned) > maxGroups && !slices.ContainsFunc(planned, writesSingleMachineRecord) {
 		planned = planned[:maxGroups]
 	}
 	current := ld.Cache.Compare(membership.Key)
@@ -84,8 +84,8 @@
 	return writes, true
 }
 
-// ofSingleMachine reports whether a write is of a record of the earlier layout.
-func ofSingleMachine(write inventory.GroupWrite) bool {
+// writesSingleMachineRecord reports whether a write is of a record of the earlier layout.
+func writesSingleMachineRecord(write inventory.GroupWrite) bool {
 	return strings.HasPrefix(write.Key, inventory.SingleMachinePrefix)
 }
 
@@ -102,11 +102,11 @@
 	return idle
 }
 
-// beginGroupWrite returns the operations of a write whose turn has come; none if a
+// prepareGroupWrite returns the operations of a write whose turn has come; none if a
 // machine that was to go because it was idle has got work while the write waited.
 // fencedOut: the membership has changed, so that this write and the rest would fail,
 // and count as writes. left is how many writes there are, with this one.
-func (ld *Loop) beginGroupWrite(write groupWrite, idle []string, left int) (operations []wire.Operation, fencedOut bool) {
+func (ld *Loop) prepareGroupWrite(write groupWrite, idle []string, left int) (operations []wire.Operation, fencedOut bool) {
 	ld.Lock()
 	defer ld.Unlock()
 	ld.MachineWritesLeft = left
--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -58,7 +58,7 @@
 func (ld *Loop) recordServiceArrival(state *State, job *jobs.Job, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if jobs.AllowsMachineType(job.Record.Spec, machineType.Label) {
-			load := job.Need.Share(emptyMachine(machineType)) * float64(job.Record.Tasks)
+			load := job.Need.Share(machineCapacity(machineType)) * float64(job.Record.Tasks)
 			state.roleControllers[machineType.Label].Arrive(now, load)
 		}
 	}
@@ -73,24 +73,24 @@
 		if controller == nil {
 			continue
 		}
-		service, batch := ld.movable(machineType.Label, machines)
-		victim := roles.ServiceMachineToMove(service)
-		fits := func() bool { return victim != nil && tasksFitElsewhere(machines, victim, false) }
+		service, batch := ld.movableMachines(machineType.Label, machines)
+		serviceMachine := roles.ServiceMachineToMove(service)
+		fits := func() bool { return serviceMachine != nil && tasksFitElsewhere(machines, serviceMachine, false) }
 		decision := controller.Evaluate(now, ld.describeSplit(machineType, machines), fits)
 		state.RoleDecisions[machineType.Label] = decision
 		ld.logRoleDecision(machineType.Label, decision)
 		switch decision.Move {
 		case roles.ToBatch:
-			moves = ld.addMove(moves, victim, placement.Batch, decision)
+			moves = ld.appendMove(moves, serviceMachine, placement.Batch, decision)
 		case roles.ToService:
-			moves = ld.addMove(moves, roles.BatchMachineToMove(batch), placement.Service, decision)
+			moves = ld.appendMove(moves, roles.BatchMachineToMove(batch), placement.Service, decision)
 		}
 	}
 	return moves
 }
 
-// movable lists the on-demand machines of a type that are up, by role.
-func (ld *Loop) movable(machineType string, machines *placement.Fleet) (service, batch []*placement.Machine) {
+// movableMachines lists the on-demand machines of a type that are up, by role.
+func (ld *Loop) movableMachines(machineType string, machines *placement.Fleet) (service, batch []*placement.Machine) {
 	for _, machine := range machines.Machines {
 		if machine.Type != machineType || machine.Spot || ld.Inventory.Machines[machine.Name].Phase != inventory.Active || !machine.Schedulable && len(machine.Tasks) == 0 {
 			continue
@@ -111,8 +111,8 @@
 		logging.KeyConfirmations, decision.Confirmations, logging.KeyGate, string(decision.Gate), logging.KeyEvidenceOpen, decision.EvidenceOpen)
 }
 
-// addMove adds the move of a machine to a role; nil: there is none to move.
-func (ld *Loop) addMove(moves []inventory.RecordChange, machine *placement.Machine, role placement.Role, decision roles.Decision) []inventory.RecordChange {
+// appendMove adds the move of a machine to a role; nil: there is none to move.
+func (ld *Loop) appendMove(moves []inventory.RecordChange, machine *placement.Machine, role placement.Role, decision roles.Decision) []inventory.RecordChange {
 	if machine == nil {
 		return moves
 	}
@@ -139,7 +139,7 @@
 		}
 	}()
 	for _, task := range from.Tasks {
-		if !openService(task) {
+		if !isOpenServiceTask(task) {
 			continue
 		}
 		target := placement.FitElsewhere(fleet, task.Job, task.ID.Task, from.Name)
@@ -163,12 +163,12 @@
 	if request, ok := state.ScalingOut[machine.Name]; ok {
 		return request.Role
 	}
-	count := ld.countRoles(machine.MachineType, added)
-	services, arrays := ld.unplacedKinds()
+	counts := ld.countRoles(machine.MachineType, added)
+	services, batch := ld.unplacedJobKinds()
 	switch {
-	case count[placement.Service] < tuning.RoleFloor:
+	case counts[placement.Service] < tuning.RoleFloor:
 		return placement.Service
-	case count[placement.Batch] < tuning.RoleFloor, arrays && !services && count[placement.Batch] < count[placement.Service]:
+	case counts[placement.Batch] < tuning.RoleFloor, batch && !services && counts[placement.Batch] < counts[placement.Service]:
 		return placement.Batch
 	}
 	// Services have on-demand machines only, and people wait for them; most batch
@@ -179,10 +179,10 @@
 // countRoles counts the active on-demand machines of a type by role, those that are
 // being added included.
 func (ld *Loop) countRoles(machineType string, added []inventory.RecordChange) map[placement.Role]int {
-	count := map[placement.Role]int{}
+	counts := map[placement.Role]int{}
 	add := func(record inventory.Record) {
 		if record.MachineType == machineType && !record.Spot && record.Phase == inventory.Active {
-			count[record.Role]++
+			counts[record.Role]++
 		}
 	}
 	for _, record := range ld.Inventory.Machines {
@@ -191,18 +191,18 @@
 	for _, change := range added {
 		add(*change.After)
 	}
-	return count
+	return counts
 }
 
-// unplacedKinds reports whether service jobs, and whether others, have tasks without
+// unplacedJobKinds reports whether service jobs, and whether others, have tasks without
 // a place.
-func (ld *Loop) unplacedKinds() (services, arrays bool) {
+func (ld *Loop) unplacedJobKinds() (services, batch bool) {
 	for jobID := range ld.scheduler.Unplaced {
 		if job := ld.Table.Open[jobID]; job != nil && job.Service() {
 			services = true
 		} else if job != nil {
-			arrays = true
+			batch = true
 		}
 	}
-	return services, arrays
+	return services, batch
 }
--- a/internal/leader/rolesplit.go
+++ b/internal/leader/rolesplit.go
@@ -16,10 +16,10 @@
 // caller holds the lock.
 func (ld *Loop) describeSplit(machineType wire.MachineType, machines *placement.Fleet) roles.Split {
 	b := splitBuilder{
-		leader:      ld,
+		loop:        ld,
 		machineType: machineType,
-		split:       roles.Split{Type: machineType.Label, Complete: ld.hearsAllMembers()},
-		up:          map[string]int{},
+		split:       roles.Split{Type: machineType.Label, Complete: ld.allMemberStatusesFresh()},
+		upByType:    map[string]int{},
 	}
 	for _, machine := range machines.Machines {
 		if ld.Inventory.Machines[machine.Name].Phase == inventory.Active {
@@ -35,9 +35,9 @@
 	return b.split
 }
 
-// hearsAllMembers reports whether the status of every other member is fresh. The
+// allMemberStatusesFresh reports whether the status of every other member is fresh. The
 // caller holds the lock.
-func (ld *Loop) hearsAllMembers() bool {
+func (ld *Loop) allMemberStatusesFresh() bool {
 	for _, sibling := range ld.Peers.Siblings {
 		node := membership.Node{Label: sibling.Settings.Label, Incarnation: sibling.Status.Incarnation}
 		if ld.Membership.Contains(node) && !ld.Peers.IsFresh(sibling) {
@@ -50,26 +50,26 @@
 // splitBuilder puts the description of one type's split together. It lives while the
 // lock is held.
 type splitBuilder struct {
-	leader      *Loop
-	machineType wire.MachineType
-	split       roles.Split
-	up          map[string]int   // machines that take tasks, of any role, by type
-	booting     []jobs.Resources // room on the type's batch machines that still boot
+	loop             *Loop
+	machineType      wire.MachineType
+	split            roles.Split
+	upByType         map[string]int   // machines that take tasks, of any role, by type
+	bootingBatchRoom []jobs.Resources // room on the type's batch machines that still boot
 }
 
 // addMachine enters an active machine of any type. Only machines that are up count,
 // and only they move. Counting those that boot made queued work that waits for them
 // look like a lack of batch machines.
 func (b *splitBuilder) addMachine(machine *placement.Machine) {
-	ofType := machine.Type == b.machineType.Label
+	matchesType := machine.Type == b.machineType.Label
 	if !machine.Schedulable && len(machine.Tasks) == 0 {
-		if ofType {
+		if matchesType {
 			b.addBooting(machine)
 		}
 		return
 	}
-	b.up[machine.Type]++
-	if !ofType {
+	b.upByType[machine.Type]++
+	if !matchesType {
 		return
 	}
 	switch {
@@ -81,7 +81,7 @@
 		b.split.Batch++
 	}
 	for _, task := range machine.Tasks {
-		if openService(task) {
+		if isOpenServiceTask(task) {
 			b.split.ServiceBooked += task.Job.Need.Share(machine.Total)
 		}
 	}
@@ -90,7 +90,7 @@
 // addBooting enters a machine of the type that does not take tasks yet.
 func (b *splitBuilder) addBooting(machine *placement.Machine) {
 	if machine.Role == placement.Batch {
-		b.booting = append(b.booting, machine.Free)
+		b.bootingBatchRoom = append(b.bootingBatchRoom, machine.Free)
 	}
 	switch {
 	case machine.Spot:
@@ -106,10 +106,10 @@
 // that of its machines among all that the job may use.
 func (b *splitBuilder) addUnplaced(job *jobs.Job, tasks int) {
 	if !job.Service() {
-		tasks = b.takeBooting(job, tasks)
+		tasks = b.placeOnBooting(job, tasks)
 	}
 	usable := 0
-	for label, machines := range b.up {
+	for label, machines := range b.upByType {
 		if jobs.AllowsMachineType(job.Record.Spec, label) {
 			usable += machines
 		}
@@ -117,7 +117,7 @@
 	if usable == 0 {
 		return
 	}
-	load := float64(tasks) * job.Need.Share(emptyMachine(b.machineType)) * float64(b.up[b.machineType.Label]) / float64(usable)
+	load := float64(tasks) * job.Need.Share(machineCapacity(b.machineType)) * float64(b.upByType[b.machineType.Label]) / float64(usable)
 	if job.Service() {
 		b.split.ServiceBooked += load
 	} else {
@@ -125,24 +125,24 @@
 	}
 }
 
-// takeBooting gives tasks room on the machines that boot, and returns how many are
+// placeOnBooting gives tasks room on the machines that boot, and returns how many are
 // left.
-func (b *splitBuilder) takeBooting(job *jobs.Job, tasks int) int {
-	for i := range b.booting {
-		for tasks > 0 && job.Need.Fits(b.booting[i]) {
-			b.booting[i] = b.booting[i].Sub(job.Need)
+func (b *splitBuilder) placeOnBooting(job *jobs.Job, tasks int) int {
+	for i := range b.bootingBatchRoom {
+		for tasks > 0 && job.Need.Fits(b.bootingBatchRoom[i]) {
+			b.bootingBatchRoom[i] = b.bootingBatchRoom[i].Sub(job.Need)
 			tasks--
 		}
 	}
 	return tasks
 }
 
-// emptyMachine is the room on a machine of the type that holds no task.
-func emptyMachine(machineType wire.MachineType) jobs.Resources {
+// machineCapacity is the room on a machine of the type that holds no task.
+func machineCapacity(machineType wire.MachineType) jobs.Resources {
 	return jobs.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAM: machineType.RAMGB}
 }
 
-// openService reports whether a task belongs to a service that is to run on.
-func openService(task placement.ClaimedTask) bool {
+// isOpenServiceTask reports whether a task belongs to a service that is to run on.
+func isOpenServiceTask(task placement.ClaimedTask) bool {
 	return task.Job.Service() && task.Job.Phase == jobs.Open
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -40,9 +40,9 @@
 			dead = append(dead, choice.Machine)
 			continue
 		}
-		drained := record
-		drained.Phase, drained.Reason = next, choice.Reason
-		changes = append(changes, inventory.RecordChange{Machine: choice.Machine, Before: &record, After: &drained})
+		updated := record
+		updated.Phase, updated.Reason = next, choice.Reason
+		changes = append(changes, inventory.RecordChange{Machine: choice.Machine, Before: &record, After: &updated})
 	}
 	return changes, dead
 }
@@ -51,11 +51,11 @@
 // and empty, and returns the changes that drop records of machines that are gone.
 // The caller holds the lock.
 func (ld *Loop) PlanTerminations(state *State, _ time.Time) (terminate []string, drops []inventory.RecordChange) {
-	gone := map[string][]inventory.RecordChange{} // by group
+	dropsByGroup := map[string][]inventory.RecordChange{} // by group
 	for machine, record := range ld.Inventory.Machines {
 		switch record.Phase {
 		case inventory.Draining:
-			if ld.drained(machine) {
+			if ld.isDrained(machine) {
 				terminate = append(terminate, machine)
 			}
 		case inventory.Terminated:
@@ -64,19 +64,19 @@
 			}
 			if state.MissingLists[machine] >= tuning.MissingLists {
 				key := ld.Inventory.KeyOf(machine)
-				gone[key] = append(gone[key], inventory.RecordChange{Machine: machine, Before: &record})
+				dropsByGroup[key] = append(dropsByGroup[key], inventory.RecordChange{Machine: machine, Before: &record})
 			} else if state.listed[machine].State == wire.MachineFailed && state.MissingLists[machine] == 0 {
 				terminate = append(terminate, machine) // stays listed until it is deleted
 			}
 		}
 	}
 	slices.Sort(terminate)
-	return terminate, ld.chooseDrops(state, gone)
+	return terminate, ld.chooseRecordDrops(state, dropsByGroup)
 }
 
-// drained reports whether a draining machine holds no more claims of open jobs. It
+// isDrained reports whether a draining machine holds no more claims of open jobs. It
 // does not while claims that were stored before the drain may not be known here.
-func (ld *Loop) drained(machine string) bool {
+func (ld *Loop) isDrained(machine string) bool {
 	if ld.Cache.Revision() < ld.Cache.Version(ld.Inventory.KeyOf(machine)) {
 		return false
 	}
@@ -88,19 +88,19 @@
 	return true
 }
 
-// chooseDrops takes the drops of a few groups of machine records, those with the
+// chooseRecordDrops takes the drops of a few groups of machine records, those with the
 // most first: nothing waits for the end of a record. Guards against a wave of lost
 // machines taking the budget of writes twice, once for the proofs that they are gone
 // and once for this.
-func (ld *Loop) chooseDrops(state *State, gone map[string][]inventory.RecordChange) []inventory.RecordChange {
+func (ld *Loop) chooseRecordDrops(state *State, dropsByGroup map[string][]inventory.RecordChange) []inventory.RecordChange {
 	var drops []inventory.RecordChange
-	keys := slices.SortedFunc(maps.Keys(gone), func(a, b string) int {
-		return cmp.Or(cmp.Compare(len(gone[b]), len(gone[a])), cmp.Compare(a, b))
+	keys := slices.SortedFunc(maps.Keys(dropsByGroup), func(a, b string) int {
+		return cmp.Or(cmp.Compare(len(dropsByGroup[b]), len(dropsByGroup[a])), cmp.Compare(a, b))
 	})
 	for _, key := range keys[:min(len(keys), max(ld.groupWriteBudget(), 1))] {
-		for _, drop := range gone[key] {
+		for _, drop := range dropsByGroup[key] {
 			drops = append(drops, drop)
-			state.forget(drop.Machine)
+			state.forgetMachine(drop.Machine)
 		}
 	}
 	return drops
@@ -147,14 +147,14 @@
 			// machine that was not drained may yet get a claim that is in flight.
 			state := ld.CurrentTerm()
 			state.terminatedAt[machine] = ld.Now()
-			state.forget(machine)
+			state.forgetMachine(machine)
 			changes = append(changes, inventory.RecordChange{Machine: machine, Before: &record})
 			continue
 		}
 		if next, err := record.Phase.Next(inventory.EventTerminated); err == nil {
-			terminated := record
-			terminated.Phase = next
-			changes = append(changes, inventory.RecordChange{Machine: machine, Before: &record, After: &terminated})
+			updated := record
+			updated.Phase = next
+			changes = append(changes, inventory.RecordChange{Machine: machine, Before: &record, After: &updated})
 		}
 	}
 	return changes
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -39,13 +39,13 @@
 	LastHeard         map[string]time.Time // when a machine was last heard by any controller
 	LostWhileDraining []string             // machines that went away while they were drained, with claims on them
 
-	meanBatchTasks float64        // mean number of tasks that batch work holds, in typical tasks
-	meanUpdatedAt  time.Time      // when that was last updated
-	meanArraySize  float64        // mean number of tasks of arriving job arrays
-	lastArrayAt    time.Time      // when the last one arrived
-	batchLoad      autoscale.Load // of the class of batch work that holds the most
-	onDemandLoad   autoscale.Load // of batch work that may not use spot machines
-	onDemandSeenAt time.Time      // when there last was any
+	meanBatchTasks     float64        // mean number of tasks that batch work holds, in typical tasks
+	meanBatchUpdatedAt time.Time      // when that was last updated
+	meanArraySize      float64        // mean number of tasks of arriving job arrays
+	lastArrayAt        time.Time      // when the last one arrived
+	batchLoad          autoscale.Load // of the class of batch work that holds the most
+	onDemandLoad       autoscale.Load // of batch work that may not use spot machines
+	onDemandSeenAt     time.Time      // when there last was any
 }
 
 // PendingMachine is a machine that was scaled out and has no record yet.
@@ -62,15 +62,15 @@
 		return &ld.Term
 	}
 	old := ld.Term
-	ld.Term = newLeaderState(ld.Membership.FencingToken, ld.Membership.LastToken()+1)
+	ld.Term = newState(ld.Membership.FencingToken, ld.Membership.LastToken()+1)
 	if old.fencingToken > 0 && old.nextFencingToken == ld.Membership.FencingToken && old.ScalingOut != nil {
-		ld.Term.inherit(&old)
+		ld.Term.inheritFrom(&old)
 	}
 	return &ld.Term
 }
 
-// newLeaderState is what a leader remembers at the start of a term.
-func newLeaderState(token, nextToken uint64) State {
+// newState is what a leader remembers at the start of a term.
+func newState(token, nextToken uint64) State {
 	return State{
 		fencingToken:     token,
 		nextFencingToken: nextToken,
@@ -91,22 +91,22 @@
 	}
 }
 
-// inherit takes over what the same leader knew of the cloud and of its load under
+// inheritFrom takes over what the same leader knew of the cloud and of its load under
 // the membership before. Role controllers restart empty.
-func (ls *State) inherit(old *State) {
+func (ls *State) inheritFrom(old *State) {
 	ls.listed, ls.ListedAt, ls.MissingLists = old.listed, old.ListedAt, old.MissingLists
 	ls.ScalingOut, ls.noCapacityAt = old.ScalingOut, old.noCapacityAt
 	ls.idleSince, ls.LastHeard, ls.FirstListed = old.idleSince, old.LastHeard, old.FirstListed
 	ls.quarantinedSince, ls.terminatedAt = old.quarantinedSince, old.terminatedAt
 	ls.surplusSince, ls.roleActiveAt = old.surplusSince, old.roleActiveAt
 	ls.meanArraySize, ls.lastArrayAt = old.meanArraySize, old.lastArrayAt
-	ls.meanBatchTasks, ls.meanUpdatedAt = old.meanBatchTasks, old.meanUpdatedAt
+	ls.meanBatchTasks, ls.meanBatchUpdatedAt = old.meanBatchTasks, old.meanBatchUpdatedAt
 	ls.batchLoad = old.batchLoad
 	ls.onDemandLoad, ls.onDemandSeenAt = old.onDemandLoad, old.onDemandSeenAt
 }
 
-// recordHeard notes that a machine was up at a time.
-func (ls *State) recordHeard(machine string, at time.Time) {
+// updateLastHeard notes that a machine was up at a time.
+func (ls *State) updateLastHeard(machine string, at time.Time) {
 	if at.After(ls.LastHeard[machine]) {
 		ls.LastHeard[machine] = at
 	}
@@ -116,13 +116,13 @@
 // caller holds the lock.
 func (ld *Loop) RecordSilent(machine string, heardAt time.Time) {
 	if ld.Term.LastHeard != nil { // nil: this controller has not led yet
-		ld.Term.recordHeard(machine, heardAt)
+		ld.Term.updateLastHeard(machine, heardAt)
 	}
 }
 
-// forget drops what is remembered of a machine that is gone. terminatedAt stays:
+// forgetMachine drops what is remembered of a machine that is gone. terminatedAt stays:
 // late lists may still show the machine.
-func (ls *State) forget(machine string) {
+func (ls *State) forgetMachine(machine string) {
 	delete(ls.listed, machine)
 	delete(ls.MissingLists, machine)
 	delete(ls.LastHeard, machine)
