--- a/internal/roles/arrivals.go
+++ b/internal/roles/arrivals.go
@@ -6,16 +6,16 @@
 	"wheatspur/internal/tuning"
 )
 
-// arrival is a service job that came, and the load that it asks for, in machines.
+// arrival is the arrival of a service job.
 type arrival struct {
 	at   time.Time
-	load float64
+	load float64 // requested, in machines
 }
 
-// arrivalLog is the service arrivals of the long window, by time.
+// arrivalLog holds the service arrivals of tuning.RoleLongWindow in order of time.
 type arrivalLog []arrival
 
-// add notes an arrival and drops those that are older than the long window.
+// add appends an arrival and removes those that are older than the long window.
 func (a *arrivalLog) add(now time.Time, load float64) {
 	*a = append(*a, arrival{at: now, load: load})
 	expired := 0
@@ -25,8 +25,7 @@
 	*a = (*a)[expired:]
 }
 
-// loadWithin is the load that came in the last window of time, and the number of its
-// arrivals.
+// loadWithin returns the total load and the number of the arrivals within the window before now.
 func (a arrivalLog) loadWithin(now time.Time, window time.Duration) (load float64, count int) {
 	for _, arrival := range a {
 		if now.Sub(arrival.at) <= window {
@@ -37,7 +36,7 @@
 	return load, count
 }
 
-// countSince is the number of arrivals at or after a time.
+// countSince returns the number of arrivals at or after start.
 func (a arrivalLog) countSince(start time.Time) int {
 	count := 0
 	for _, arrival := range a {
