--- a/internal/roles/choose.go
+++ b/internal/roles/choose.go
@@ -2,20 +2,21 @@
 
 import "wheatspur/internal/placement"
 
-// ServiceMachineToMove chooses the service machine to move to the batch role: the one with the
-// fewest service tasks (ours); names break ties. It is nil without machines.
+// ServiceMachineToMove returns the service machine to move to the batch role: the one with the
+// fewest service tasks, and of equal ones the first by name. It returns nil if there are no
+// machines.
 func ServiceMachineToMove(machines []*placement.Machine) *placement.Machine {
 	return fewestTasks(machines, func(task placement.ClaimedTask) bool { return task.Job.Service() })
 }
 
-// BatchMachineToMove chooses the batch machine to move to the service role: the one with the
-// fewest tasks; names break ties. It is nil without machines.
+// BatchMachineToMove returns the batch machine to move to the service role: the one with the fewest
+// tasks, and of equal ones the first by name. It returns nil if there are no machines.
 func BatchMachineToMove(machines []*placement.Machine) *placement.Machine {
 	return fewestTasks(machines, func(placement.ClaimedTask) bool { return true })
 }
 
-// fewestTasks is the machine with the fewest tasks that count, the first by name
-// among equals.
+// fewestTasks returns the machine with the fewest tasks for which counts is true, and of equal ones
+// the first by name.
 func fewestTasks(machines []*placement.Machine, counts func(placement.ClaimedTask) bool) *placement.Machine {
 	var best *placement.Machine
 	fewest := 0
