--- a/internal/roles/controller.go
+++ b/internal/roles/controller.go
@@ -7,31 +7,30 @@
 	"wheatspur/internal/tuning"
 )
 
-// Balancer is the role controller of one machine type. Its counters live in the
-// leader's memory and restart empty after a failover.
+// Balancer decides on role changes for one machine type. Its state is held only in the leader's
+// memory, so a new leader starts without it.
 type Balancer struct {
 	settings          config.Operator
 	state             State
-	proposal          Proposal // the last one that is not confirmed yet
-	confirmations     int      // how often it came in a row
-	evidenceSince     time.Time
+	proposal          Proposal  // the proposal being confirmed
+	confirmations     int       // how many evaluations in a row made this proposal
+	evidenceSince     time.Time // start of the evidence window
 	lastMoveToService time.Time
 	arrivals          arrivalLog
 	startedAt         time.Time
 }
 
-// New returns a controller whose evidence window starts now.
+// New returns a Balancer whose evidence window starts now.
 func New(settings config.Operator, now time.Time) *Balancer {
 	return &Balancer{settings: settings, state: Steady, evidenceSince: now, startedAt: now}
 }
 
-// Arrive notes a service arrival that asks for load machines.
+// Arrive records the arrival of a service job that requests load, in machines.
 func (b *Balancer) Arrive(now time.Time, load float64) { b.arrivals.add(now, load) }
 
-// Evaluate prices the adjacent splits and says whether to move one machine
-// now. fits reports whether the tasks of the machine that would leave the
-// service role have room on the others; it is asked only if nothing else is in
-// the way.
+// Evaluate compares the split with the two that differ by one machine, and decides whether to move
+// a machine now. fits reports whether the tasks of the machine that would leave the service role
+// have room on the other machines; it is called only if all other gates are open.
 func (b *Balancer) Evaluate(now time.Time, s Split, fits func() bool) Decision {
 	current := s.loads(b.settings, s.Batch, s.Service)
 	short, shortArrivals := b.arrivalRate(now, tuning.RoleShortWindow)
@@ -45,7 +44,7 @@
 		b.resetProposal(Cleared)
 		return d
 	case d.Proposal.Rule == Floor:
-		// A role without a machine is restored at once, one per evaluation.
+		// A role below its floor gets a machine without confirmations, one per evaluation.
 		return b.acceptProposal(now, d)
 	}
 	b.countConfirmation(d.Proposal)
@@ -57,7 +56,7 @@
 	return b.acceptProposal(now, d)
 }
 
-// countConfirmation counts how often the same proposal comes in a row.
+// countConfirmation counts how many evaluations in a row have made the same proposal.
 func (b *Balancer) countConfirmation(p Proposal) {
 	if b.state == Confirming && b.proposal == p {
 		b.confirmations++
@@ -67,8 +66,8 @@
 	b.state = b.state.Next(Proposed)
 }
 
-// blockingGate is what blocks the decision's proposal. rising says whether service demand
-// rises.
+// blockingGate returns the first gate that blocks the decision's proposal, or Open. rising says
+// whether service demand is rising.
 func (b *Balancer) blockingGate(now time.Time, d Decision, rising bool, fits func() bool) Gate {
 	toBatch := d.Proposal.Direction == ToBatch
 	switch {
@@ -86,7 +85,8 @@
 	return Open
 }
 
-// acceptProposal carries the proposal into the decision, unless operators want advice only.
+// acceptProposal makes the proposal the decision's move, unless the operator has enabled advisory
+// mode.
 func (b *Balancer) acceptProposal(now time.Time, d Decision) Decision {
 	if b.settings.RoleAdvisory {
 		d.Gate = Advisory
@@ -96,28 +96,28 @@
 	b.resetProposal(Moved)
 	if d.Move == ToService {
 		b.lastMoveToService = now
-		// A move toward services restarts the evidence.
+		// A move to the service role starts a new evidence window.
 		b.evidenceSince = now
 	}
 	return d
 }
 
-// resetProposal ends the confirmations, by an event.
+// resetProposal applies an event and discards the proposal with its confirmations.
 func (b *Balancer) resetProposal(e Event) {
 	b.state = b.state.Next(e)
 	b.proposal, b.confirmations = Proposal{}, 0
 }
 
-// arrivalRate is the arriving service load per second over a window, and the
-// number of arrivals in it. The window is no longer than the controller's life.
+// arrivalRate returns the service load that arrived per second over a window, and the number of
+// arrivals in it. The window is cut to the time since the Balancer was created.
 func (b *Balancer) arrivalRate(now time.Time, window time.Duration) (rate float64, count int) {
 	window = min(window, max(now.Sub(b.startedAt), time.Second))
 	load, count := b.arrivals.loadWithin(now, window)
 	return load / window.Seconds(), count
 }
 
-// evidenceClosed reports whether the evidence window has closed: enough service
-// arrivals are known, or it has lasted long enough without them.
+// evidenceClosed reports whether the evidence window has closed: RoleEvidenceMin has passed and
+// enough service jobs have arrived, or RoleEvidenceMax has passed.
 func (b *Balancer) evidenceClosed(now time.Time) bool {
 	age := now.Sub(b.evidenceSince)
 	if age >= b.settings.RoleEvidenceMax {
