--- a/internal/roles/propose.go
+++ b/internal/roles/propose.go
@@ -2,11 +2,12 @@
 
 import "wheatspur/internal/tuning"
 
-// infiniteLoadThreshold is beyond every load of a role that has machines.
+// infiniteLoadThreshold is larger than any load of a role that has machines. The load of a role
+// with demand but no machines is infinite.
 const infiniteLoadThreshold = 1e300
 
-// propose finds the eligible adjacent split, or the gate that stops it: the one of
-// the move to batch if both directions have one.
+// propose returns the adjacent split that is eligible, or the gate that blocks it. If both
+// directions are blocked, the gate of the move to batch is returned unless it is NoGain.
 func (b *Balancer) propose(s Split) (Proposal, Gate) {
 	if p := proposeFloor(s); p.Direction != None {
 		return p, Open
@@ -26,8 +27,8 @@
 	return Proposal{}, gate
 }
 
-// proposeFloor restores a role without a machine, if the other one has machines to
-// spare.
+// proposeFloor proposes to move a machine to a role that is below its floor, if the other role has
+// machines to spare. The batch role gets one only while batch work is queued.
 func proposeFloor(s Split) Proposal {
 	switch {
 	case s.Batch+s.Service < 2*tuning.RoleFloor:
@@ -39,8 +40,8 @@
 	return Proposal{}
 }
 
-// proposeToService moves a batch machine if the worst load falls by the margin, and
-// what is left of the batch role is lightly loaded.
+// proposeToService proposes to move a batch machine if this lowers the worse load of the two roles
+// by at least RoleMargin and leaves the batch role with a load of at most RoleShrink.
 func (b *Balancer) proposeToService(s Split, current loads) (Proposal, Gate) {
 	if s.Batch == 0 || s.Batch+s.Spot <= tuning.RoleFloor {
 		if current.service > current.batch {
@@ -58,8 +59,9 @@
 	return Proposal{}, SourceBusy
 }
 
-// proposeToBatch moves a service machine if the worst load falls by the margin, and
-// what is left of the service role is lightly loaded or batch work waits too long.
+// proposeToBatch proposes to move a service machine if this lowers the worse load of the two roles
+// by at least RoleMargin and either leaves the service role with a load of at most RoleShrink or
+// the batch load is at least RoleExpand, that is, batch work waits too long.
 func (b *Balancer) proposeToBatch(s Split, current loads) (Proposal, Gate) {
 	if s.Service <= tuning.RoleFloor {
 		if current.batch > current.service {
@@ -79,8 +81,8 @@
 	return Proposal{}, SourceBusy
 }
 
-// worstLoadDrop is how much the worst load falls; a load without machines is
-// endless.
+// worstLoadDrop returns by how much the worse load of the two roles falls. A drop from an infinite
+// load counts as infiniteLoadThreshold.
 func worstLoadDrop(current, next loads) float64 {
 	switch {
 	case current.worst() > infiniteLoadThreshold && next.worst() > infiniteLoadThreshold:
