--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -1,33 +1,33 @@
-// Package roles is the role control of the design: for each machine type the
-// leader moves single on-demand machines between the batch and the service role,
-// toward an adjacent split, behind gates. It owns the decision whether to move one
-// (Controller) and the choice of that machine (Victim, Emptiest).
+// Package roles decides for each machine type whether to move one on-demand machine between the
+// batch and the service role. A Balancer compares the current split of the machines with the two
+// splits that differ from it by one machine, and proposes a move; a proposal is carried out only
+// while no gate blocks it. ServiceMachineToMove and BatchMachineToMove choose the machine.
 //
-// The package is pure: demand, machines and the time go in, a decision comes out.
-// The leader, in package controller, carries a move out and drains the machine.
-// Spot machines are batch only and never move.
+// The package has no side effects: demand, machines and the current time are inputs, and a decision
+// is the output. Package leader stores the machine's new role; the scheduler then moves service
+// tasks off a machine that has left the service role. Spot machines are always batch machines.
 package roles
 
-// State of the role controller of a machine type.
+// State is the state of a Balancer.
 type State string
 
 // States.
 const (
 	Steady     State = "steady"     // no move is proposed
-	Confirming State = "confirming" // a proposal waits for matching ones
+	Confirming State = "confirming" // the same proposal must be repeated before the move
 )
 
-// Event changes a role controller's state.
+// Event is an event that changes the state of a Balancer.
 type Event string
 
 // Events.
 const (
-	Proposed Event = "proposed" // a split is eligible
-	Cleared  Event = "cleared"  // none is
-	Moved    Event = "moved"    // a machine is moved
+	Proposed Event = "proposed" // a move is eligible
+	Cleared  Event = "cleared"  // no move is eligible
+	Moved    Event = "moved"    // a move was decided
 )
 
-// Next is the one function that changes a role controller's state.
+// Next returns the state after an event. All state changes of a Balancer go through it.
 func (s State) Next(e Event) State {
 	if e == Proposed {
 		return Confirming
@@ -35,7 +35,7 @@
 	return Steady
 }
 
-// Direction of a move.
+// Direction is the direction of a move.
 type Direction string
 
 // Directions.
@@ -45,53 +45,53 @@
 	ToService Direction = "batch-to-service"
 )
 
-// Rule that makes a move eligible.
+// Rule is the rule that makes a move eligible.
 type Rule string
 
 // Rules.
 const (
-	Consolidate Rule = "consolidation"  // the source stays lightly loaded
-	Mixed       Rule = "mixed-pressure" // the source stays busy, and batch work waits too long
-	Floor       Rule = "role-floor"     // a role has no machine
+	Consolidate Rule = "consolidation"  // the source role stays lightly loaded
+	Mixed       Rule = "mixed-pressure" // the service role stays loaded, but batch work waits too long
+	Floor       Rule = "role-floor"     // the target role is below its floor
 )
 
-// Gate that blocks a proposal.
+// Gate is a condition that blocks a move.
 type Gate string
 
 // Gates.
 const (
-	Open       Gate = ""                     // nothing blocks it
-	NoGain     Gate = "margin"               // the worst load would fall too little
-	SourceBusy Gate = "source-load"          // the source would be left too busy
-	AtFloor    Gate = "role-floor"           // the source has no machine to spare
-	Confirm    Gate = "confirmations"        // too few matching proposals in a row
-	Cooldown   Gate = "cooldown"             // the last move to service was lately
-	Evidence   Gate = "evidence-window"      // too little is known of service arrivals
-	Rising     Gate = "rising-demand"        // service demand rises
-	NoRoom     Gate = "residents-do-not-fit" // the machine's tasks have no room elsewhere
-	Advisory   Gate = "advisory"             // operators let nothing move
+	Open       Gate = ""                     // nothing blocks the move
+	NoGain     Gate = "margin"               // the worse load of the two roles would fall too little
+	SourceBusy Gate = "source-load"          // the source role would be left with too much load
+	AtFloor    Gate = "role-floor"           // the source role has no machine to spare
+	Confirm    Gate = "confirmations"        // too few equal proposals in a row
+	Cooldown   Gate = "cooldown"             // the last move to the service role was too recent
+	Evidence   Gate = "evidence-window"      // too few service arrivals were observed
+	Rising     Gate = "rising-demand"        // service demand is rising
+	NoRoom     Gate = "residents-do-not-fit" // the machine's tasks have no room on other machines
+	Advisory   Gate = "advisory"             // advisory mode is on: decisions are recorded, but not carried out
 )
 
-// Proposal is one adjacent split that may be taken.
+// Proposal is a move of one machine that is eligible, and the split that it leads to.
 type Proposal struct {
 	Direction Direction
 	Rule      Rule
-	Complete  bool // demand evidence is complete
-	Batch     int  // machines per role of the split proposed
-	Service   int
+	Complete  bool // the demand of all controllers was known
+	Batch     int  // batch machines after the move
+	Service   int  // service machines after the move
 }
 
-// Decision is the outcome of one evaluation, kept for operators.
+// Decision is the result of one evaluation. The leader keeps the last one to show it to operators.
 type Decision struct {
-	Type          string // of the machines
-	Batch         int    // machines per role that are up
-	Service       int
-	BatchLoad     float64 // see Split
-	ServiceLoad   float64
-	Short, Long   float64 // arriving service load per second, over the short and the long window
+	Type          string  // machine type
+	Batch         int     // batch machines that are up
+	Service       int     // service machines that are up
+	BatchLoad     float64 // time to work off the queued batch work, over the start-time target
+	ServiceLoad   float64 // service demand over usable service capacity
+	Short, Long   float64 // service load that arrived per second over the short and the long window
 	EvidenceOpen  bool    // the evidence window has not closed yet
 	Proposal      Proposal
-	Confirmations int  // matching proposals in a row, with this one
-	Gate          Gate // what blocks the proposal, or why there is none
-	Move          Direction
+	Confirmations int       // equal proposals in a row, including this one
+	Gate          Gate      // what blocks the proposal, or why there is none
+	Move          Direction // the move to carry out, or None
 }
