--- a/internal/roles/split.go
+++ b/internal/roles/split.go
@@ -6,31 +6,32 @@
 	"wheatspur/internal/config"
 )
 
-// Split is the on-demand machines of one type, and the demand for them.
+// Split describes how the on-demand machines of one type are split between the roles, and the
+// demand for them.
 type Split struct {
-	Type           string
+	Type           string  // machine type
 	Batch, Service int     // machines per role that are up
-	BatchComing    int     // batch machines that still boot; they keep the floor
-	ServiceComing  int     // service machines that still boot
-	Spot           int     // spot machines: batch only, never split, count for the batch floor
+	BatchComing    int     // batch machines that are booting; they count toward the batch floor
+	ServiceComing  int     // service machines that are booting; they count toward the service floor
+	Spot           int     // spot machines: batch role only, never moved, count toward the batch floor
 	BatchWork      float64 // queued batch work in machine-seconds
 	ServiceBooked  float64 // service demand in machines
-	Complete       bool    // demand evidence is complete
+	Complete       bool    // the demand of all controllers is known
 }
 
-// loads are the loads of both roles; infinite without machines.
+// loads holds the loads of both roles. The load of a role with demand but no machines is infinite.
 type loads struct{ batch, service float64 }
 
-// worst is the larger load.
+// worst returns the larger of the two loads.
 func (l loads) worst() float64 { return max(l.batch, l.service) }
 
-// loads are those of the split with so many machines per role.
+// loads returns the loads that the split would have with the given number of machines per role.
 func (s Split) loads(settings config.Operator, batch, service int) loads {
 	return loads{batch: s.batchLoad(batch, settings.RoleStartTarget), service: s.serviceLoad(service, settings.RoleUsable)}
 }
 
-// batchLoad is predicted start work over the start-time target, with so many
-// machines beside the spot ones.
+// batchLoad returns the time in which the spot machines and the given number of on-demand machines
+// would work off the queued batch work, divided by the start-time target.
 func (s Split) batchLoad(machines int, target time.Duration) float64 {
 	if s.BatchWork <= 0 {
 		return 0
@@ -38,7 +39,8 @@
 	return s.BatchWork / float64(max(machines+s.Spot, 0)) / target.Seconds()
 }
 
-// serviceLoad is the booked share over the usable share, with so many machines.
+// serviceLoad returns the service demand divided by the usable capacity of the given number of
+// machines.
 func (s Split) serviceLoad(machines int, usable float64) float64 {
 	if s.ServiceBooked <= 0 {
 		return 0
@@ -46,7 +48,7 @@
 	return s.ServiceBooked / (float64(max(machines, 0)) * usable)
 }
 
-// adjacentProposal is the proposal of the split with one machine moved.
+// adjacentProposal returns the proposal to move one machine in a direction.
 func (s Split) adjacentProposal(direction Direction, rule Rule) Proposal {
 	p := Proposal{Direction: direction, Rule: rule, Complete: s.Complete, Batch: s.Batch + 1, Service: s.Service - 1}
 	if direction == ToService {
