--- a/internal/roles/controller_test.go
+++ b/internal/roles/controller_test.go
@@ -10,11 +10,11 @@
 
 var start = time.Unix(1000, 0)
 
-// fits and fitsNot answer whether a machine's tasks have room on the others.
+// fits and doesNotFit stand in for the check whether a machine's tasks have room on the others.
 func fits() bool       { return true }
 func doesNotFit() bool { return false }
 
-// harness is a role controller and its time.
+// harness runs a Balancer on a simulated clock.
 type harness struct {
 	*Balancer
 	now time.Time
@@ -24,7 +24,7 @@
 	return &harness{Balancer: New(settings, start), now: start}
 }
 
-// evaluate evaluates a split so many times, a step apart, and returns the last
+// evaluate evaluates a split the given number of times, RoleStep apart, and returns the last
 // decision.
 func (h *harness) evaluate(times int, s Split, fits func() bool) Decision {
 	var d Decision
@@ -39,12 +39,12 @@
 	h := newHarness(config.DefaultOperator())
 	s := Split{Batch: 4, Service: 2, ServiceBooked: 2, Complete: true}
 	if d := h.evaluate(2, s, fits); d.Move != None || d.Gate != Confirm {
-		t.Fatalf("moved after two confirmations: %+v", d)
+		t.Fatalf("not waiting for confirmations after two evaluations: %+v", d)
 	}
 	if d := h.evaluate(1, s, fits); d.Move != ToService || d.Proposal.Rule != Consolidate {
-		t.Fatalf("no move after three: %+v", d)
+		t.Fatalf("no move after three confirmations: %+v", d)
 	}
-	// The next move waits for confirmations and the cooldown, whichever is later.
+	// The next move waits for both the confirmations and the cooldown.
 	s.Batch, s.Service, s.ServiceBooked = 3, 3, 3
 	h.lastMoveToService = h.now.Add(3*tuning.RoleStep - tuning.RoleCooldown + time.Second)
 	if d := h.evaluate(3, s, fits); d.Move != None || d.Gate != Cooldown {
@@ -58,18 +58,18 @@
 		name  string
 		other Split
 	}{
-		{"another split", Split{Batch: 5, Service: 2, ServiceBooked: 2, Complete: true}},
-		{"another completeness", Split{Batch: 4, Service: 2, ServiceBooked: 2}},
+		{"different split", Split{Batch: 5, Service: 2, ServiceBooked: 2, Complete: true}},
+		{"different completeness", Split{Batch: 4, Service: 2, ServiceBooked: 2}},
 		{"no eligible split", Split{Batch: 4, Service: 2, ServiceBooked: 0.1, Complete: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(config.DefaultOperator())
 			h.evaluate(2, s, fits)
 			if d := h.evaluate(1, c.other, fits); d.Move != None {
-				t.Fatal("moved at once")
+				t.Fatal("moved on the first different proposal")
 			}
 			if d := h.evaluate(2, s, fits); d.Move != None {
-				t.Fatal("the count was not reset")
+				t.Fatal("the confirmations were not reset")
 			}
 			if d := h.evaluate(1, s, fits); d.Move != ToService {
 				t.Fatal("no move after three confirmations")
@@ -84,13 +84,13 @@
 		split Split
 		want  Gate
 	}{
-		{"batch would be left above 0.5", Split{Batch: 2, Service: 2, ServiceBooked: 2, BatchWork: 0.6 * tuning.RoleStartTarget.Seconds(), Complete: true}, SourceBusy},
+		{"batch load would be left above 0.5", Split{Batch: 2, Service: 2, ServiceBooked: 2, BatchWork: 0.6 * tuning.RoleStartTarget.Seconds(), Complete: true}, SourceBusy},
 		{"the worst load falls from 0.80 to 0.78", Split{Batch: 20, Service: 40, ServiceBooked: 25.6, Complete: true}, NoGain},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newHarness(config.DefaultOperator()).evaluate(5, c.split, fits)
 			if d.Proposal.Direction != None || d.Gate != c.want {
-				t.Fatalf("%+v, want %s", d, c.want)
+				t.Fatalf("got %+v, want no proposal and gate %s", d, c.want)
 			}
 		})
 	}
@@ -101,25 +101,25 @@
 	t.Run("enough arrivals, then room", func(t *testing.T) {
 		h := newHarness(config.DefaultOperator())
 		if d := h.evaluate(3, s, fits); d.Gate != Evidence {
-			t.Fatalf("moved on open evidence: %+v", d)
+			t.Fatalf("not blocked by the open evidence window: %+v", d)
 		}
 		for range tuning.RoleEvidenceArrivals {
 			h.Arrive(start.Add(time.Second), 0.1)
 		}
 		if d := h.evaluate(1, s, doesNotFit); d.Gate != NoRoom {
-			t.Fatalf("ten arrivals and 20 s do not close the window, or room was not asked for: %+v", d)
+			t.Fatalf("after ten arrivals and 20 s the window is still open, or the room check was skipped: %+v", d)
 		}
 		if d := h.evaluate(1, s, fits); d.Move != ToBatch {
-			t.Fatalf("no move: %+v", d)
+			t.Fatalf("no move with the evidence window closed and room elsewhere: %+v", d)
 		}
 	})
-	t.Run("sparse arrivals", func(t *testing.T) {
+	t.Run("too few arrivals", func(t *testing.T) {
 		h := newHarness(config.DefaultOperator())
 		if d := h.evaluate(7, s, fits); d.Gate != Evidence {
-			t.Fatalf("sparse evidence closed before 40 s: %+v", d)
+			t.Fatalf("with few arrivals the window closed before 40 s: %+v", d)
 		}
 		if d := h.evaluate(1, s, fits); d.Move != ToBatch {
-			t.Fatalf("sparse evidence did not close at 40 s: %+v", d)
+			t.Fatalf("with few arrivals the window did not close at 40 s: %+v", d)
 		}
 	})
 	t.Run("rising service demand", func(t *testing.T) {
@@ -129,7 +129,7 @@
 			h.Arrive(h.now.Add(14*time.Second), 1)
 		}
 		if d := h.evaluate(3, s, fits); d.Gate != Rising {
-			t.Fatalf("rising demand did not pause the move: %+v", d)
+			t.Fatalf("rising demand did not block the move: %+v", d)
 		}
 	})
 }
@@ -137,7 +137,7 @@
 func TestMixedPressureMovesMachineWhileServiceStaysLoaded(t *testing.T) {
 	s := Split{Batch: 1, Service: 4, ServiceBooked: 2, BatchWork: 4 * tuning.RoleStartTarget.Seconds(), Complete: true}
 	if d := newHarness(config.DefaultOperator()).evaluate(8, s, fits); d.Move != ToBatch || d.Proposal.Rule != Mixed {
-		t.Fatalf("batch load 4 with services at 0.63: %+v", d)
+		t.Fatalf("no mixed-pressure move at batch load 4 and service load 0.63: %+v", d)
 	}
 }
 
@@ -148,20 +148,20 @@
 			t.Fatalf("the last batch machine moved: %+v", d)
 		}
 	})
-	t.Run("an empty role is restored at once", func(t *testing.T) {
+	t.Run("an empty role gets a machine immediately", func(t *testing.T) {
 		h := newHarness(config.DefaultOperator())
 		h.evaluate(6, Split{Batch: 1, Service: 2, ServiceBooked: 4, Complete: true}, fits)
 		s := Split{Batch: 3, Service: 0, ServiceBooked: 0.1, Complete: true}
 		if d := h.evaluate(1, s, fits); d.Move != ToService || d.Proposal.Rule != Floor {
-			t.Fatalf("an empty role was not restored: %+v", d)
+			t.Fatalf("the empty service role got no machine: %+v", d)
 		}
 	})
-	// A service machine was taken for the batch floor while the batch machine that
-	// had been scaled out for it was booting.
-	t.Run("a booting batch machine keeps the floor", func(t *testing.T) {
+	// A service machine was moved for the batch floor while a batch machine that had been scaled
+	// out for the floor was still booting.
+	t.Run("a booting batch machine counts toward the floor", func(t *testing.T) {
 		s := Split{Batch: 0, BatchComing: 1, Service: 3, ServiceBooked: 2.4, BatchWork: 10, Complete: true}
 		if d := newHarness(config.DefaultOperator()).evaluate(1, s, fits); d.Move != None || d.Proposal.Rule == Floor {
-			t.Fatalf("%+v", d)
+			t.Fatalf("a service machine was moved while a batch machine was booting: %+v", d)
 		}
 	})
 }
@@ -170,15 +170,15 @@
 	h := newHarness(config.DefaultOperator())
 	s := Split{Batch: 0, Spot: 1, Service: 3, ServiceBooked: 2.4, BatchWork: 1, Complete: true}
 	if d := h.evaluate(1, s, fits); d.Move != None {
-		t.Fatalf("a service machine was taken beside a spot machine: %+v", d)
+		t.Fatalf("a service machine was moved although a spot machine meets the batch floor: %+v", d)
 	}
 	s = Split{Batch: 1, Spot: 2, Service: 2, ServiceBooked: 2, Complete: true}
 	if d := h.evaluate(3, s, fits); d.Move != ToService {
-		t.Fatalf("the last on-demand batch machine beside spot ones stays: %+v", d)
+		t.Fatalf("the last on-demand batch machine did not move although spot machines meet the floor: %+v", d)
 	}
 	s = Split{Batch: 1, Service: 2, ServiceBooked: 2, Complete: true}
 	if d := h.evaluate(6, s, fits); d.Move != None || d.Gate != AtFloor {
-		t.Fatalf("the last batch machine of all moved: %+v", d)
+		t.Fatalf("the last batch machine moved without spot machines: %+v", d)
 	}
 }
 
@@ -187,6 +187,6 @@
 	settings.RoleAdvisory = true
 	d := newHarness(settings).evaluate(4, Split{Batch: 4, Service: 2, ServiceBooked: 2, Complete: true}, fits)
 	if d.Move != None || d.Gate != Advisory || d.Proposal.Direction != ToService {
-		t.Fatalf("%+v", d)
+		t.Fatalf("want a proposal to service blocked by advisory mode, got %+v", d)
 	}
 }
