--- a/internal/leader/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -1,5 +1,5 @@
-// This file reads the cloud's machine types and machine list, and reconciles the
-// list with the stored machines.
+// This file reads machine types and the machine list from the cloud, and reconciles the list with
+// the stored machine records.
 
 package leader
 
@@ -22,7 +22,8 @@
 	"wheatspur/wire"
 )
 
-// RunCloudSync reads the machine types and the machine list while leading.
+// RunCloudSync periodically reads the machine types and the machine list while this controller is
+// the leader. It returns when ctx ends.
 func (ld *Loop) RunCloudSync(ctx context.Context) error {
 	var typesReadAt time.Time
 	for ctx.Err() == nil {
@@ -48,16 +49,16 @@
 	return nil
 }
 
-// cloudSyncState reports whether this controller leads, and whether it knows any
-// machine types.
+// cloudSyncState reports whether this controller is the leader, and whether it knows any machine
+// types.
 func (ld *Loop) cloudSyncState() (isLeader, typesKnown bool) {
 	ld.Lock()
 	defer ld.Unlock()
 	return ld.IsLeader(), len(ld.MachineTypeList) > 0
 }
 
-// listInterval is the pause before the next read of the machine list: longer for a
-// list of many pages.
+// listInterval returns the pause before the next read of the machine list. It grows with the number
+// of pages of the list.
 func (ld *Loop) listInterval() time.Duration {
 	ld.Lock()
 	defer ld.Unlock()
@@ -65,7 +66,7 @@
 	return tuning.ListEvery * time.Duration(max(1, pages/tuning.ListPagesPerInterval))
 }
 
-// RefreshMachineTypes reads the machine types, and stores them if they have changed.
+// RefreshMachineTypes reads the machine types from the cloud, and stores them if they have changed.
 func (ld *Loop) RefreshMachineTypes(ctx context.Context) error {
 	types, err := ld.cloud.MachineTypes()
 	if err != nil {
@@ -79,8 +80,8 @@
 	return ld.StoreDecision(ctx, compares, []wire.Operation{{Put: cluster.MachineTypesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: types})}})
 }
 
-// compareMachineTypes reports whether machine types differ from the stored ones,
-// and returns the compares of the write that stores them.
+// compareMachineTypes reports whether the machine types differ from the stored ones, and returns
+// the version compares for the write that stores them.
 func (ld *Loop) compareMachineTypes(types []wire.MachineType) (compares []wire.Compare, changed bool) {
 	ld.Lock()
 	defer ld.Unlock()
@@ -91,23 +92,23 @@
 	return []wire.Compare{ld.Cache.Compare(membership.Key), ld.Cache.Compare(cluster.MachineTypesKey)}, changed
 }
 
-// equalExceptSpotPrice reports whether two machine types differ in nothing but the spot
-// price, which moves all the time. They are compared as printed: the numbers are the
-// cloud's and not checked, and one that is NaN, which no == finds equal, must not
-// have the types stored with every read.
+// equalExceptSpotPrice reports whether two machine types are equal apart from the spot price, which
+// changes all the time. It compares the printed values: the numbers come unchecked from the cloud,
+// and since NaN is never == NaN, comparing the values would store the types again after every read.
 func equalExceptSpotPrice(a, b wire.MachineType) bool {
 	a.SpotPrice = b.SpotPrice
 	return fmt.Sprint(a) == fmt.Sprint(b)
 }
 
-// ReconcileCloudList compares the cloud's list with the stored machines, and stores
-// what follows: machines that are new, and those that failed. Machines that are
-// missing from it are counted for the next plans.
+// ReconcileCloudList compares the cloud's machine list with the stored records, and stores records
+// for new machines and for machines that failed. It also counts in how many lists in a row a stored
+// machine is missing; the next plans use these counts.
 func (ld *Loop) ReconcileCloudList(ctx context.Context, list []wire.Machine) {
 	ld.StoreMachines(ctx, ld.reconcileList(list))
 }
 
-// reconcileList enters a list, and returns the record changes that follow from it.
+// reconcileList updates the leader's state from a machine list, and returns the record changes to
+// store.
 func (ld *Loop) reconcileList(list []wire.Machine) []inventory.RecordChange {
 	ld.Lock()
 	defer ld.Unlock()
@@ -127,17 +128,18 @@
 	return rc.changes
 }
 
-// listReconciliation is the reconciliation of one list of the cloud. It lives while
+// listReconciliation is the reconciliation of one machine list of the cloud. It is used only while
 // the lock is held.
 type listReconciliation struct {
 	loop    *Loop
 	state   *State
 	now     time.Time
-	listed  map[string]bool // machines on the list, but for those that were terminated
+	listed  map[string]bool // machines on the list, except those in terminatedAt
 	changes []inventory.RecordChange
 }
 
-// pruneTerminated forgets machines whose termination even late lists show by now.
+// pruneTerminated removes machines that were terminated so long ago that even a delayed list no
+// longer shows them.
 func (rc *listReconciliation) pruneTerminated() {
 	for machine, at := range rc.state.terminatedAt {
 		if rc.now.Sub(at) > tuning.TerminatedKept {
@@ -146,7 +148,7 @@
 	}
 }
 
-// add enters a machine on the list.
+// add processes one machine of the list.
 func (rc *listReconciliation) add(machine wire.Machine) {
 	rc.listed[machine.Name] = true
 	rc.recordFirstListed(machine.Name)
@@ -157,7 +159,7 @@
 	case machine.State == wire.MachineFailed && stored:
 		rc.addFailed(machine.Name, &record, record)
 	case machine.State == wire.MachineFailed:
-		// Its record is dropped already; it stays listed until it is deleted.
+		// The record has already been dropped; the cloud lists the machine until it is deleted.
 		rc.addFailed(machine.Name, nil, newRecord(machine, placement.Batch))
 	case !stored:
 		rc.addNew(machine)
@@ -165,20 +167,20 @@
 	rc.setInitialAddress(machine)
 }
 
-// recordFirstListed notes when a machine was first listed.
+// recordFirstListed records when a machine was first listed.
 func (rc *listReconciliation) recordFirstListed(machine string) {
 	if _, ok := rc.state.FirstListed[machine]; !ok {
 		rc.state.FirstListed[machine] = rc.now
 	}
 }
 
-// newRecord is the record of a listed machine, without a phase.
+// newRecord returns a record for a listed machine, without a phase.
 func newRecord(machine wire.Machine, role placement.Role) inventory.Record {
 	return inventory.Record{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot, Role: role}
 }
 
-// addFailed stores that a machine that is listed as failed is terminated. before is
-// its stored record, nil if there is none.
+// addFailed adds the record change that marks a machine listed as failed as terminated. before is
+// the stored record, or nil if there is none.
 func (rc *listReconciliation) addFailed(machine string, before *inventory.Record, record inventory.Record) {
 	next, err := record.Phase.Next(inventory.EventTerminated)
 	if err != nil || record.Phase == inventory.Terminated {
@@ -189,7 +191,7 @@
 	rc.loop.Log.Info(logging.EventMachineFailed, logging.KeyMachine, machine)
 }
 
-// addNew stores the record of a machine that has none.
+// addNew adds a record for a machine that has none.
 func (rc *listReconciliation) addNew(machine wire.Machine) {
 	record := newRecord(machine, rc.loop.initialRole(rc.state, machine, rc.changes))
 	record.Phase = inventory.Active
@@ -198,8 +200,8 @@
 		logging.KeyZone, machine.Zone, logging.KeySpot, machine.Spot, logging.KeyRole, string(record.Role))
 }
 
-// setInitialAddress enters the address of a machine of this controller that has sent no
-// heartbeat yet.
+// setInitialAddress sets the worker address of a running machine of this controller's shard that
+// has sent no heartbeat yet.
 func (rc *listReconciliation) setInitialAddress(machine wire.Machine) {
 	if rc.loop.ShardOwner(machine.Name) != rc.loop.Self.Label || machine.State != wire.MachineRunning {
 		return
@@ -209,10 +211,11 @@
 	}
 }
 
-// countMissing counts the stored machines that the list omits. Each was listed once,
-// perhaps to a former leader. A list may be older than that: a new machine may be
-// missing from it. Names come in the order of creation, so a list with a later name
-// is newer.
+// countMissing counts for each stored machine how many lists in a row have omitted it. Each stored
+// machine was listed at least once, possibly to a previous leader, but the cloud may return a list
+// that is older than that and lacks a new machine. Such a list is not counted, unless the machine
+// is already terminated. Machine names increase in the order of creation, so a list that contains a
+// later name is newer than the machine.
 func (rc *listReconciliation) countMissing(list []wire.Machine) {
 	newest := ""
 	for _, machine := range list {
@@ -231,7 +234,7 @@
 	}
 }
 
-// pruneScalingOut forgets the machines that were scaled out and are listed now.
+// pruneScalingOut removes the machines from ScalingOut that are now listed.
 func (rc *listReconciliation) pruneScalingOut() {
 	for machine := range rc.state.ScalingOut {
 		if rc.listed[machine] {
