--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -1,4 +1,4 @@
-// This file enters the tasks that need room in the input of the capacity plan.
+// This file adds the tasks that need capacity to the input of the capacity plan.
 
 package leader
 
@@ -12,10 +12,10 @@
 	"wheatspur/internal/placement"
 )
 
-// addNotScheduledYet enters the tasks that have a place that is not stored yet, and
-// those that had no turn in the pass: they take their room first. Guards against
-// scaling out only when the last free machine is taken: with hundreds of jobs that
-// took half a minute.
+// addNotScheduledYet adds the tasks whose placement is not stored yet and those that the scheduling
+// pass did not get to. The plan sets free capacity aside for them first. Without them, the plan
+// would scale out only once the last free machine is taken, which took half a minute with hundreds
+// of jobs.
 func (b *planBuilder) addNotScheduledYet() {
 	scheduler := b.loop.scheduler
 	for jobID, job := range b.loop.Table.Open {
@@ -31,11 +31,11 @@
 	slices.SortFunc(b.input.Demands, byJob)
 }
 
-// byJob orders demands by job; no two are of the same.
+// byJob orders demands by job ID. No two demands in a list have the same job.
 func byJob(x, y autoscale.Demand) int { return strings.Compare(x.Job.ID, y.Job.ID) }
 
-// addUnplaced enters the tasks that the pass found no room for, those that have
-// waited longest first.
+// addUnplaced adds the tasks that the scheduling pass found no room for, those that have waited
+// longest first.
 func (b *planBuilder) addUnplaced() {
 	scheduler := b.loop.scheduler
 	for _, jobID := range b.loop.unplacedByAge() {
@@ -45,7 +45,7 @@
 		}
 		count := scheduler.Unplaced[jobID]
 		if job.Service() {
-			// The headroom is for what will run too.
+			// These tasks will run, so the headroom is computed for them too.
 			b.input.Service.Tasks += float64(count)
 			b.input.Service.AwaitingBoot += float64(count)
 			b.input.Service.Need, b.input.Service.Spec = job.Need, job.Record.Spec
@@ -54,8 +54,8 @@
 	}
 }
 
-// unplacedByAge lists the jobs with tasks without a place, those that have waited
-// longest first. The caller holds the lock.
+// unplacedByAge returns the IDs of the jobs with unplaced tasks, those that have waited longest
+// first. The caller holds the lock.
 func (ld *Loop) unplacedByAge() []string {
 	jobIDs := make([]string, 0, len(ld.scheduler.Unplaced))
 	for jobID := range ld.scheduler.Unplaced {
@@ -67,12 +67,12 @@
 	return jobIDs
 }
 
-// tasksAtRisk lists the service tasks on machines that have fallen silent beside
-// others of their shard owner that are heard. Room for them is scaled out before
-// there is proof that they are gone, since a boot takes longer than that: after a
-// hundred machines had died, services waited for their replacements for 45 s. A
-// controller that hears hardly any of its machines has trouble of its own. sinceHeard
-// is how long ago each machine was heard by its owner. The caller holds the lock.
+// tasksAtRisk returns the service tasks on silent machines as demands, so that capacity for them is
+// scaled out before the machines are proven dead: booting a machine takes longer than the proof.
+// After a hundred machines had died, services waited 45 s for replacements. Silent machines count
+// only if their shard owner still hears from at least as many others; if it hears from fewer, the
+// cause is more likely the owner itself than its machines. sinceHeard is how long ago each machine
+// was heard by its owner. The caller holds the lock.
 func (ld *Loop) tasksAtRisk(machines *placement.Fleet, sinceHeard map[string]time.Duration, now time.Time) []autoscale.Demand {
 	heard, silent := map[string]int{}, map[string]int{} // machines by shard owner
 	var atRisk []*placement.Machine
