--- a/internal/leader/headroom.go
+++ b/internal/leader/headroom.go
@@ -1,5 +1,5 @@
-// This file enters what headroom is kept for in the input of the capacity plan: what
-// the roles hold, which of them are active, and what is typical of batch work.
+// This file adds the loads that determine the headroom to the input of the capacity plan: the tasks
+// that each role holds, which roles are active, and the typical batch task.
 
 package leader
 
@@ -13,7 +13,7 @@
 	"wheatspur/internal/tuning"
 )
 
-// addTaskLoads enters what the tasks on a machine hold, for the headroom.
+// addTaskLoads adds the tasks on a machine to the loads from which the headroom is computed.
 func (b *planBuilder) addTaskLoads(machine *placement.Machine) {
 	for _, task := range machine.Tasks {
 		spec := task.Job.Record.Spec
@@ -34,7 +34,7 @@
 	}
 }
 
-// addBatchLoads enters what batch work holds, for its headroom.
+// addBatchLoads adds the loads from which the headroom of batch work is computed.
 func (b *planBuilder) addBatchLoads() {
 	state := b.state
 	state.updateMeanBatchTasks(state.chooseTypicalBatch(b.batchClasses), b.now)
@@ -46,12 +46,13 @@
 	b.input.OnDemand = b.loop.updateOnDemandLoad(state, b.now)
 }
 
-// minHeadroomTasks is the least headroom of batch work, given the mean size of arrays.
+// minHeadroomTasks returns the minimum headroom for batch work in tasks, given the mean size of job
+// arrays.
 func minHeadroomTasks(meanArraySize float64) int {
 	return int(math.Ceil(meanArraySize * tuning.BatchHeadroomJobs))
 }
 
-// updateMeanBatchTasks moves the mean of the batch tasks held towards their present number.
+// updateMeanBatchTasks updates the moving average of the number of batch tasks on machines.
 func (ls *State) updateMeanBatchTasks(tasks float64, now time.Time) {
 	if ls.meanBatchUpdatedAt.IsZero() {
 		ls.meanBatchTasks = tasks
@@ -62,7 +63,7 @@
 	ls.meanBatchUpdatedAt = now
 }
 
-// addActiveRoles enters which roles have had work lately.
+// addActiveRoles adds which roles have had an open job within tuning.RoleLapse.
 func (b *planBuilder) addActiveRoles() {
 	activeAt := b.state.roleActiveAt
 	for _, job := range b.loop.Table.Open {
@@ -75,17 +76,18 @@
 	b.input.ActiveRoles = map[placement.Role]bool{}
 	for _, role := range []placement.Role{placement.Batch, placement.Service} {
 		if _, ok := activeAt[role]; !ok {
-			activeAt[role] = b.now // a new leader does not know
+			activeAt[role] = b.now // unknown to a new leader; assume that the role was active
 		}
 		b.input.ActiveRoles[role] = b.now.Sub(activeAt[role]) < tuning.RoleLapse
 	}
 }
 
-// updateOnDemandLoad notes the batch work that may not use spot machines. Room for
-// one and a half of its arrays is kept on on-demand machines while any of it is open
-// or waits for other jobs, and for a minute after. The caller holds the lock.
+// updateOnDemandLoad updates and returns the load of batch jobs that may not use spot machines.
+// While any such job is open or waits for other jobs, and for tuning.BatchHeadroomHold afterwards,
+// headroom for tuning.BatchHeadroomJobs arrays of their mean size is kept on on-demand machines.
+// The caller holds the lock.
 func (ld *Loop) updateOnDemandLoad(state *State, now time.Time) autoscale.Load {
-	var typical *jobs.Job // the one that needs the most processors
+	var typical *jobs.Job // the job whose tasks need the most CPUs
 	arrays, tasks := 0, 0.0
 	for _, table := range []map[string]*jobs.Job{ld.Table.Open, ld.Table.Waiting} {
 		for _, job := range table {
@@ -108,14 +110,14 @@
 	return state.onDemandLoad
 }
 
-// batchClassLoad is what the tasks of a class of batch work hold.
+// batchClassLoad is the load of the batch tasks of one class.
 type batchClassLoad struct {
-	share   float64 // of machines: the sum of the shares that the tasks take of theirs
+	share   float64 // sum over the tasks of the share that each takes of its machine
 	tasks   float64
-	typical *jobs.Job // the first of their jobs by id
+	typical *jobs.Job // the job with the lowest ID
 }
 
-// add enters a task on a machine with so much room in all.
+// add adds a task on a machine whose total resources are total.
 func (load *batchClassLoad) add(job *jobs.Job, total jobs.Resources) {
 	load.share += job.Need.Share(total)
 	load.tasks++
@@ -124,10 +126,10 @@
 	}
 }
 
-// chooseTypicalBatch takes the class that holds the most for typical, and returns
-// what all classes hold in tasks of its kind. Guards against headroom for hundreds
-// of tasks of a class that happens to be looked at last: small tasks that may not use
-// spot machines had a hundred on-demand machines scaled out ahead for them.
+// chooseTypicalBatch makes the class with the largest share of machines the typical one, and
+// returns the load of all classes, expressed in tasks of that class. When the class that was
+// visited last was the typical one, a class of small tasks that may not use spot machines caused
+// headroom for hundreds of tasks, that is, a hundred on-demand machines.
 func (ls *State) chooseTypicalBatch(loads map[string]*batchClassLoad) float64 {
 	var largest *batchClassLoad
 	total, class := 0.0, ""
