--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,7 +1,7 @@
-// Package leader does what the leader alone does: it reconciles the cloud's machine
-// list with the stored machines, scales out and in, moves machines between the
-// roles and stores the machine records. It owns what the leader remembers, which is
-// not stored. Packages autoscale and roles decide; who leads is package election's.
+// Package leader implements the duties of the leader: it reconciles the cloud's machine list with
+// the stored machine records, scales out and in, moves machines between the roles and stores
+// machine records. It owns the leader's in-memory state, which is never stored. Packages autoscale
+// and roles make the scaling and role decisions; package election determines who leads.
 package leader
 
 import (
@@ -20,48 +20,48 @@
 	"wheatspur/internal/tuning"
 )
 
-// Loop is the leader's loops. Every controller runs them; while it does not lead,
-// they do nothing.
+// Loop runs the leader's periodic loops. Every controller runs them; they do nothing while it is
+// not the leader.
 type Loop struct {
 	*cluster.State
 	*fleet.Fleet
 	scheduler *scheduler.Scheduler
 
 	cloud          cloud.Provider
-	Term           State      // see CurrentTerm; guarded by the state's lock
-	machineWriteMu sync.Mutex // held while machine records are stored; taken before the state's lock
+	Term           State      // see CurrentTerm; guarded by the lock of cluster.State
+	machineWriteMu sync.Mutex // held while machine records are stored; taken before the lock of cluster.State
 }
 
-// New returns the loops of a controller that does not lead yet.
+// New returns the loops of a controller that is not the leader yet.
 func New(state *cluster.State, fleet *fleet.Fleet, scheduler *scheduler.Scheduler, provider cloud.Provider) *Loop {
 	return &Loop{State: state, Fleet: fleet, scheduler: scheduler, cloud: provider}
 }
 
-// planRun is what RunPlanning carries over from one plan to the next.
+// planRun is the state that RunPlanning keeps between plans.
 type planRun struct {
 	rolesEvaluatedAt time.Time
-	storing          chan struct{} // holds an element while a plan is being stored
+	storing          chan struct{} // holds an element while the writes of a plan are being carried out
 	background       sync.WaitGroup
 }
 
-// plan is what one plan of the leader decides.
+// plan holds the decisions of one planning step.
 type plan struct {
 	scaleOut []autoscale.ScaleOut
-	writes   *planWrites // nil: the plan before is still being stored
+	writes   *planWrites // nil while the writes of an earlier plan are being carried out
 }
 
-// planWrites is the part of a plan that takes writes to the store.
+// planWrites is the part of a plan that requires writes to the store.
 type planWrites struct {
 	roleMoves   []inventory.RecordChange
-	terminate   []string                 // machines
-	changes     []inventory.RecordChange // drains, and records to drop
+	terminate   []string                 // machines to terminate
+	changes     []inventory.RecordChange // machines to drain and records to drop
 	splitGroups []string                 // keys of groups of machine records that are too large
 }
 
-// RunPlanning plans capacity and moves roles while leading. What a plan terminates
-// and stores goes beside the next plans, which meanwhile only scale out. Guards
-// against a wave of lost machines whose records took the budget of writes for half
-// a minute, while nothing was scaled out in their place.
+// RunPlanning plans capacity and role moves while this controller is the leader. The terminations
+// and writes of a plan run in the background; until they are done, further plans only scale out.
+// When plans waited for the writes, the loss of many machines used up the write budget for half a
+// minute, during which no replacements were scaled out.
 func (ld *Loop) RunPlanning(ctx context.Context) error {
 	run := planRun{storing: make(chan struct{}, 1)}
 	defer run.background.Wait()
@@ -75,14 +75,15 @@
 			ld.storeInBackground(ctx, &run, next.writes)
 		}
 		for _, request := range next.scaleOut {
-			ld.scaleOut(ctx, request) // does not wait for the budget of writes
+			ld.scaleOut(ctx, request) // does not wait for the write budget
 		}
 	}
 	return nil
 }
 
-// makePlan decides on one state of the cluster; false if this controller does not lead,
-// or does not know enough.
+// makePlan makes a plan from a consistent state of the cluster. ok is false if this controller is
+// not the leader or lacks data: no store, no machine types, or machines still unknown after a
+// recovery.
 func (ld *Loop) makePlan(run *planRun) (next plan, ok bool) {
 	ld.Lock()
 	defer ld.Unlock()
@@ -110,8 +111,8 @@
 	return next, true
 }
 
-// planStoreWrites decides what of a plan takes writes to the store, but for role moves.
-// The caller holds the lock.
+// planStoreWrites plans the terminations and writes of a plan, except for role moves. The caller
+// holds the lock.
 func (ld *Loop) planStoreWrites(state *State, scaleIn []autoscale.ScaleIn, now time.Time) *planWrites {
 	drains, dead := ld.PlanDrains(scaleIn)
 	drained, drops := ld.PlanTerminations(state, now)
@@ -125,8 +126,8 @@
 	return writes
 }
 
-// storeInBackground carries out the part of a plan that takes writes; plans that
-// are made until it has ended only scale out. RunPlanning waits for it.
+// storeInBackground carries out the terminations and writes of a plan in the background. Plans made
+// until it is done only scale out. RunPlanning waits for it before it returns.
 func (ld *Loop) storeInBackground(ctx context.Context, run *planRun, writes *planWrites) {
 	run.storing <- struct{}{}
 	run.background.Go(func() {
