--- a/internal/leader/planinput.go
+++ b/internal/leader/planinput.go
@@ -13,7 +13,7 @@
 	"wheatspur/wire"
 )
 
-// PlanInput builds the capacity plan's input. The caller holds the lock.
+// PlanInput builds the input of the capacity plan. The caller holds the lock.
 func (ld *Loop) PlanInput(state *State, machines *placement.Fleet, now time.Time) autoscale.Input {
 	b := ld.newPlanBuilder(state, machines, now)
 	state.LostWhileDraining = nil
@@ -31,21 +31,21 @@
 	return b.input
 }
 
-// planBuilder puts the input of one capacity plan together. It lives while the lock
-// is held, and all of its methods expect that.
+// planBuilder builds the input of one capacity plan. It is used only while the lock is held, and
+// all its methods require the lock.
 type planBuilder struct {
 	loop            *Loop
 	state           *State
 	now             time.Time
-	lease           time.Duration              // after which a worker's lease has expired for certain
+	lease           time.Duration              // time after which a worker's lease has certainly expired
 	sinceHeard      map[string]time.Duration   // how long ago each machine was heard by its owner
 	movable         map[string]bool            // service machines whose tasks have room elsewhere
-	batchClasses    map[string]*batchClassLoad // what batch tasks hold, by class
-	serviceMachines int                        // service machines that take tasks
+	batchClasses    map[string]*batchClassLoad // load of the batch tasks on machines, by class
+	serviceMachines int                        // number of schedulable service machines
 	input           autoscale.Input
 }
 
-// newPlanBuilder begins the input of a plan.
+// newPlanBuilder returns a builder for the input of a plan.
 func (ld *Loop) newPlanBuilder(state *State, machines *placement.Fleet, now time.Time) *planBuilder {
 	return &planBuilder{
 		loop:         ld,
@@ -65,8 +65,8 @@
 	}
 }
 
-// movableServiceMachines finds the service machines, the emptiest first, whose tasks
-// have room elsewhere; only a few are looked at.
+// movableServiceMachines returns the service machines whose tasks have room on other machines. It
+// checks only a limited number of candidates, those with the fewest tasks first.
 func movableServiceMachines(fleet *placement.Fleet) map[string]bool {
 	var candidates []*placement.Machine
 	for _, machine := range fleet.Machines {
@@ -85,8 +85,8 @@
 	return movable
 }
 
-// addMachine enters a machine that has a record: what its tasks hold, and itself if
-// it is neither draining nor terminated.
+// addMachine adds the tasks of a machine that has a record, and the machine itself if it is neither
+// draining nor terminated.
 func (b *planBuilder) addMachine(machine *placement.Machine) {
 	phase := b.loop.Inventory.Machines[machine.Name].Phase
 	b.updateLastHeard(machine)
@@ -107,7 +107,7 @@
 	}
 }
 
-// updateLastHeard notes when a machine was last heard.
+// updateLastHeard updates the time when a machine was last heard.
 func (b *planBuilder) updateLastHeard(machine *placement.Machine) {
 	if age, ok := b.sinceHeard[machine.Name]; ok {
 		b.state.updateLastHeard(machine.Name, b.now.Add(-age))
@@ -116,12 +116,13 @@
 	listed, isListed := b.state.listed[machine.Name]
 	running := len(machine.Tasks) > 0 || isListed && listed.State == wire.MachineRunning
 	if _, ok := b.state.LastHeard[machine.Name]; !ok && running {
-		// Up, but not heard under this leader yet: its time begins now.
+		// The machine is up, but this leader does not know when it was last heard. Its silence is
+		// measured from now.
 		b.state.updateLastHeard(machine.Name, b.now)
 	}
 }
 
-// describeMachine describes a machine to the plan, and notes since when it is idle or
+// describeMachine returns the plan's view of a machine, and records since when it is idle or
 // quarantined.
 func (b *planBuilder) describeMachine(machine *placement.Machine, phase inventory.Phase) autoscale.Machine {
 	_, wasUp := b.state.LastHeard[machine.Name]
@@ -147,12 +148,13 @@
 	return described
 }
 
-// silentFor is how long ago a machine was last heard by any controller.
+// silentFor returns how long ago a machine was last heard by any controller.
 func (b *planBuilder) silentFor(machine string) time.Duration {
 	return b.now.Sub(b.state.LastHeard[machine])
 }
 
-// age is how old a machine is by the cloud's last list; 0 if it is not on it.
+// age returns the age of a machine according to the cloud's last list, or 0 if the machine is not
+// listed.
 func (b *planBuilder) age(machine string) time.Duration {
 	listed, ok := b.state.listed[machine]
 	if !ok {
@@ -161,7 +163,7 @@
 	return time.Duration(listed.AgeS*float64(time.Second)) + b.now.Sub(b.state.ListedAt)
 }
 
-// idleFor is how long a machine has had no claims, and notes when that began.
+// idleFor returns how long a machine has had no tasks, and records since when.
 func (b *planBuilder) idleFor(machine *placement.Machine, phase inventory.Phase) time.Duration {
 	if len(machine.Tasks) > 0 || phase != inventory.Active {
 		delete(b.state.idleSince, machine.Name)
@@ -175,9 +177,9 @@
 	return b.now.Sub(since)
 }
 
-// quarantinedTooLong reports whether a machine has long sent heartbeats and taken no
-// tasks, for instance because it receives no commands: another takes its place. It
-// notes when that began.
+// quarantinedTooLong reports whether a machine has sent heartbeats for more than QuarantineLeases
+// lease times without being schedulable, for instance because it receives no commands. Such a
+// machine is replaced. The method records since when the machine is in this condition.
 func (b *planBuilder) quarantinedTooLong(machine *placement.Machine, phase inventory.Phase, booting bool) bool {
 	if machine.Schedulable || booting || phase != inventory.Active || b.silentFor(machine.Name) > b.loop.SilenceTimeout() {
 		delete(b.state.quarantinedSince, machine.Name)
@@ -191,14 +193,14 @@
 	return b.now.Sub(since) > tuning.QuarantineLeases*b.lease
 }
 
-// hasFailingTasks reports whether too many tasks failed lately on a machine of this
-// controller.
+// hasFailingTasks reports whether tasks of too many jobs have failed on a machine of this
+// controller since the last task that succeeded there.
 func (b *planBuilder) hasFailingTasks(machine *placement.Machine) bool {
 	w := b.loop.Workers.ByMachine[machine.Name]
 	return machine.Owner == b.loop.Self.Label && w != nil && len(w.FailedJobs) >= tuning.MachineFailuresMax
 }
 
-// addScalingOut enters the machines that were scaled out and have no record yet.
+// addScalingOut adds the machines that were scaled out and have no record yet.
 func (b *planBuilder) addScalingOut() {
 	for machine, request := range b.state.ScalingOut {
 		if _, stored := b.loop.Inventory.Machines[machine]; stored || b.now.Sub(request.requestedAt) > tuning.ScaleOutListedWithin {
