--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -15,15 +15,14 @@
 	"wheatspur/wire"
 )
 
-// StoreMachines stores changes of machine records, and splits the groups of records
-// with the given keys. Each write covers one group and compares the version of its
-// key. One call stores at a time, so that the leader's own writes don't race for a
-// group.
+// StoreMachines stores changes of machine records, and splits the groups of records with the given
+// keys. Each write covers one group and compares the version of its key. Calls are serialized, so
+// that the leader's own writes do not conflict on a group.
 func (ld *Loop) StoreMachines(ctx context.Context, changes []inventory.RecordChange, splitGroups ...string) {
 	ld.storeMachineGroups(ctx, changes, splitGroups, math.MaxInt)
 }
 
-// storeMachineGroups does what StoreMachines does, for at most so many groups.
+// storeMachineGroups does the same as StoreMachines, but writes at most maxGroups groups.
 func (ld *Loop) storeMachineGroups(ctx context.Context, changes []inventory.RecordChange, splitGroups []string, maxGroups int) {
 	if len(changes) == 0 && len(splitGroups) == 0 {
 		return
@@ -50,18 +49,18 @@
 	}
 }
 
-// groupWrite is the write of one group of machine records, with the versions of what
-// it was computed from. Guards against a controller that is fenced out, and perhaps
-// leads again, and stores over what another leader has changed meanwhile.
+// groupWrite is the write of one group of machine records, with the versions of the values from
+// which it was computed. The versions prevent a controller that has been fenced out, and may be the
+// leader again, from overwriting changes that another leader made in between.
 type groupWrite struct {
 	inventory.GroupWrite
 	membership wire.Compare
-	compares   []wire.Compare // the membership among them
+	compares   []wire.Compare // includes membership
 }
 
-// planGroupWrites turns record changes into writes of at most maxGroups groups;
-// false if this controller does not lead. Records of the earlier layout, of one
-// machine each, do not count as groups: with any of those, all are written.
+// planGroupWrites turns record changes into writes of at most maxGroups groups. It returns false if
+// this controller is not the leader. The limit does not apply if any of the writes is for a record
+// in the earlier layout, which has one key per machine; then all groups are written.
 func (ld *Loop) planGroupWrites(changes []inventory.RecordChange, splitGroups []string, maxGroups int) ([]groupWrite, bool) {
 	ld.Lock()
 	defer ld.Unlock()
@@ -84,13 +83,13 @@
 	return writes, true
 }
 
-// writesSingleMachineRecord reports whether a write is of a record of the earlier layout.
+// writesSingleMachineRecord reports whether a write is for a record in the earlier layout, which
+// has one key per machine.
 func writesSingleMachineRecord(write inventory.GroupWrite) bool {
 	return strings.HasPrefix(write.Key, inventory.SingleMachinePrefix)
 }
 
-// idleDrains lists the machines that are to be drained because they are idle, by
-// group.
+// idleDrains returns the machines that are to be drained because they are idle, by group key.
 func (ld *Loop) idleDrains(changes []inventory.RecordChange) map[string][]string {
 	idle := map[string][]string{}
 	for _, change := range changes {
@@ -102,10 +101,10 @@
 	return idle
 }
 
-// prepareGroupWrite returns the operations of a write whose turn has come; none if a
-// machine that was to go because it was idle has got work while the write waited.
-// fencedOut: the membership has changed, so that this write and the rest would fail,
-// and count as writes. left is how many writes there are, with this one.
+// prepareGroupWrite returns the operations of a write immediately before it is sent, or nil if a
+// machine that was to be drained as idle has received a task since the write was planned. fencedOut
+// is true if the membership has changed: this write and all later ones would fail, but still use up
+// the write budget. left is the number of writes left, including this one.
 func (ld *Loop) prepareGroupWrite(write groupWrite, idle []string, left int) (operations []wire.Operation, fencedOut bool) {
 	ld.Lock()
 	defer ld.Unlock()
@@ -127,7 +126,7 @@
 	return operations, false
 }
 
-// setMachineWritesLeft sets how many writes of machine records are yet to come.
+// setMachineWritesLeft sets the number of writes of machine records that are still to be made.
 func (ld *Loop) setMachineWritesLeft(left int) {
 	ld.Lock()
 	defer ld.Unlock()
