--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -1,4 +1,4 @@
-// This file chooses the roles of machines: the first one, and the moves.
+// This file chooses the initial role of a machine and the moves between roles.
 
 package leader
 
@@ -14,8 +14,8 @@
 	"wheatspur/wire"
 )
 
-// RecordArrivals enters new service jobs in the role controllers' demand, and new
-// batch jobs in that of the headroom. The caller holds the lock.
+// RecordArrivals records new service jobs with the role controllers, and new batch jobs for the
+// batch headroom. The caller holds the lock.
 func (ld *Loop) RecordArrivals(state *State, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if state.roleControllers[machineType.Label] == nil {
@@ -29,7 +29,7 @@
 		state.seenJobs[jobID] = true
 		if !job.Service() {
 			state.recordBatchArrival(job, now)
-		} else if now.Sub(job.FirstSeen) <= tuning.RoleStep { // else it was there before this term
+		} else if now.Sub(job.FirstSeen) <= tuning.RoleStep { // older jobs were open before this term
 			ld.recordServiceArrival(state, job, now)
 		}
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// recordBatchArrival enters a new job array in the mean size of those of the typical
-// class.
+// recordBatchArrival records the arrival of a job array, and updates the mean size of the arrays of
+// the typical class.
 func (ls *State) recordBatchArrival(job *jobs.Job, now time.Time) {
 	if ls.batchLoad.Spec == nil || ls.batchLoad.Spec.Class == job.Record.Spec.Class {
 		size := min(float64(job.Record.Tasks), tuning.TasksPerJob)
@@ -53,8 +53,8 @@
 	ls.lastArrayAt = now
 }
 
-// recordServiceArrival enters a new service job with the role controller of every
-// type that it may use. The caller holds the lock.
+// recordServiceArrival records the arrival of a service job with the role controller of every
+// machine type that the job may use. The caller holds the lock.
 func (ld *Loop) recordServiceArrival(state *State, job *jobs.Job, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if jobs.AllowsMachineType(job.Record.Spec, machineType.Label) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// MoveRoles evaluates every type's split and returns the moves that follow. The
-// caller holds the lock.
+// MoveRoles evaluates the role split of every machine type and returns the record changes of the
+// resulting moves. The caller holds the lock.
 func (ld *Loop) MoveRoles(state *State, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var moves []inventory.RecordChange
 	for _, machineType := range ld.MachineTypeList {
@@ -89,7 +89,7 @@
 	return moves
 }
 
-// movableMachines lists the on-demand machines of a type that are up, by role.
+// movableMachines returns the on-demand machines of a type that are up, by role.
 func (ld *Loop) movableMachines(machineType string, machines *placement.Fleet) (service, batch []*placement.Machine) {
 	for _, machine := range machines.Machines {
 		if machine.Type != machineType || machine.Spot || ld.Inventory.Machines[machine.Name].Phase != inventory.Active || !machine.Schedulable && len(machine.Tasks) == 0 {
@@ -104,14 +104,15 @@
 	return service, batch
 }
 
-// logRoleDecision logs an evaluation of a type's split.
+// logRoleDecision logs the evaluation of the split of a machine type.
 func (ld *Loop) logRoleDecision(machineType string, decision roles.Decision) {
 	ld.Log.Debug(logging.EventRoleSplitEvaluated, logging.KeyMachineType, machineType, logging.KeyBatchMachines, decision.Batch, logging.KeyServiceMachines, decision.Service, logging.KeyBatchLoad, decision.BatchLoad,
 		logging.KeyServiceLoad, decision.ServiceLoad, logging.KeyProposal, string(decision.Proposal.Direction), logging.KeyRule, string(decision.Proposal.Rule),
 		logging.KeyConfirmations, decision.Confirmations, logging.KeyGate, string(decision.Gate), logging.KeyEvidenceOpen, decision.EvidenceOpen)
 }
 
-// appendMove adds the move of a machine to a role; nil: there is none to move.
+// appendMove appends the record change that moves a machine to a role. It appends nothing if
+// machine is nil.
 func (ld *Loop) appendMove(moves []inventory.RecordChange, machine *placement.Machine, role placement.Role, decision roles.Decision) []inventory.RecordChange {
 	if machine == nil {
 		return moves
@@ -124,9 +125,9 @@
 	return append(moves, inventory.RecordChange{Machine: machine.Name, Before: &record, After: &moved})
 }
 
-// tasksFitElsewhere reports whether all service tasks of a machine have room on the
-// others at once; withImage: on machines that hold their images. It leaves the fleet
-// as it was.
+// tasksFitElsewhere reports whether all service tasks of a machine have room on the other machines
+// at the same time. With withImage, a task may only go to a machine that already has its image. The
+// fleet is unchanged afterwards.
 func tasksFitElsewhere(fleet *placement.Fleet, from *placement.Machine, withImage bool) bool {
 	type booking struct {
 		machine *placement.Machine
@@ -152,10 +153,10 @@
 	return true
 }
 
-// initialRole is the role of a machine that is new to the store: what it was scaled
-// out for; else what the role floors lack, then what waits, then services. added are
-// the record changes of the same list, which are not stored yet. The caller holds
-// the lock.
+// initialRole returns the role of a machine that has no record yet: the role for which it was
+// scaled out; else a role that is below its floor; else the batch role if only batch tasks are
+// unplaced and it has fewer machines; else the service role. added holds the record changes from
+// the same list, which are not stored yet. The caller holds the lock.
 func (ld *Loop) initialRole(state *State, machine wire.Machine, added []inventory.RecordChange) placement.Role {
 	if machine.Spot {
 		return placement.Batch
@@ -171,13 +172,12 @@
 	case counts[placement.Batch] < tuning.RoleFloor, batch && !services && counts[placement.Batch] < counts[placement.Service]:
 		return placement.Batch
 	}
-	// Services have on-demand machines only, and people wait for them; most batch
-	// work may use spot machines, which are scaled out when it comes.
+	// Services use only on-demand machines, and users wait for them. Most batch jobs may use spot
+	// machines, which are scaled out when the jobs arrive.
 	return placement.Service
 }
 
-// countRoles counts the active on-demand machines of a type by role, those that are
-// being added included.
+// countRoles counts the active on-demand machines of a type by role, including those in added.
 func (ld *Loop) countRoles(machineType string, added []inventory.RecordChange) map[placement.Role]int {
 	counts := map[placement.Role]int{}
 	add := func(record inventory.Record) {
@@ -194,8 +194,7 @@
 	return counts
 }
 
-// unplacedJobKinds reports whether service jobs, and whether others, have tasks without
-// a place.
+// unplacedJobKinds reports whether service jobs have unplaced tasks, and whether batch jobs have.
 func (ld *Loop) unplacedJobKinds() (services, batch bool) {
 	for jobID := range ld.scheduler.Unplaced {
 		if job := ld.Table.Open[jobID]; job != nil && job.Service() {
