--- a/internal/leader/rolesplit.go
+++ b/internal/leader/rolesplit.go
@@ -1,5 +1,5 @@
-// This file describes to the role controllers how a machine type is split between
-// the roles.
+// This file describes how the machines of a type are split between the roles, as input for the role
+// controllers.
 
 package leader
 
@@ -12,8 +12,8 @@
 	"wheatspur/wire"
 )
 
-// describeSplit describes one type's on-demand machines and the demand for them. The
-// caller holds the lock.
+// describeSplit describes the on-demand machines of one type and the demand for them. The caller
+// holds the lock.
 func (ld *Loop) describeSplit(machineType wire.MachineType, machines *placement.Fleet) roles.Split {
 	b := splitBuilder{
 		loop:        ld,
@@ -47,19 +47,19 @@
 	return true
 }
 
-// splitBuilder puts the description of one type's split together. It lives while the
+// splitBuilder builds the description of the split of one machine type. It is used only while the
 // lock is held.
 type splitBuilder struct {
 	loop             *Loop
 	machineType      wire.MachineType
 	split            roles.Split
-	upByType         map[string]int   // machines that take tasks, of any role, by type
-	bootingBatchRoom []jobs.Resources // room on the type's batch machines that still boot
+	upByType         map[string]int   // machines of any role that are up, by type
+	bootingBatchRoom []jobs.Resources // free resources of each batch machine of the type that is booting
 }
 
-// addMachine enters an active machine of any type. Only machines that are up count,
-// and only they move. Counting those that boot made queued work that waits for them
-// look like a lack of batch machines.
+// addMachine adds an active machine of any type. Only machines that are up count as machines of a
+// role and can be moved; when booting machines were counted, queued work that waited for them
+// looked like a lack of batch machines.
 func (b *splitBuilder) addMachine(machine *placement.Machine) {
 	matchesType := machine.Type == b.machineType.Label
 	if !machine.Schedulable && len(machine.Tasks) == 0 {
@@ -87,7 +87,7 @@
 	}
 }
 
-// addBooting enters a machine of the type that does not take tasks yet.
+// addBooting adds a machine of the type that does not take tasks yet.
 func (b *splitBuilder) addBooting(machine *placement.Machine) {
 	if machine.Role == placement.Batch {
 		b.bootingBatchRoom = append(b.bootingBatchRoom, machine.Free)
@@ -101,9 +101,9 @@
 	}
 }
 
-// addUnplaced enters the tasks without a place of a job that may use the type, but
-// for the batch tasks that wait for machines that boot. The type's part of them is
-// that of its machines among all that the job may use.
+// addUnplaced adds the demand of the unplaced tasks of a job that may use the type, except for
+// batch tasks that fit on booting machines. The demand is divided between the types that the job
+// may use in proportion to their machines that are up.
 func (b *splitBuilder) addUnplaced(job *jobs.Job, tasks int) {
 	if !job.Service() {
 		tasks = b.placeOnBooting(job, tasks)
@@ -125,8 +125,8 @@
 	}
 }
 
-// placeOnBooting gives tasks room on the machines that boot, and returns how many are
-// left.
+// placeOnBooting reserves room for tasks on the booting batch machines, and returns the number of
+// tasks left over.
 func (b *splitBuilder) placeOnBooting(job *jobs.Job, tasks int) int {
 	for i := range b.bootingBatchRoom {
 		for tasks > 0 && job.Need.Fits(b.bootingBatchRoom[i]) {
@@ -137,12 +137,12 @@
 	return tasks
 }
 
-// machineCapacity is the room on a machine of the type that holds no task.
+// machineCapacity returns the total resources of a machine of the type.
 func machineCapacity(machineType wire.MachineType) jobs.Resources {
 	return jobs.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAM: machineType.RAMGB}
 }
 
-// isOpenServiceTask reports whether a task belongs to a service that is to run on.
+// isOpenServiceTask reports whether a task belongs to a service job that is open.
 func isOpenServiceTask(task placement.ClaimedTask) bool {
 	return task.Job.Service() && task.Job.Phase == jobs.Open
 }
