--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -1,5 +1,5 @@
-// This file scales in and out: it drains and terminates machines, and asks the cloud
-// for more.
+// This file scales in and out: it drains and terminates machines, and requests new ones from the
+// cloud.
 
 package leader
 
@@ -21,10 +21,10 @@
 	"wheatspur/wire"
 )
 
-// PlanDrains returns the record changes by which machines that are to go take no
-// more tasks. Machines that are dead are returned by name, to be terminated at once:
-// there is nothing to drain, and their tasks wait for the proof that the termination
-// is. The caller holds the lock.
+// PlanDrains returns the record changes that start draining the machines that are scaled in. Dead
+// machines are returned by name instead, to be terminated immediately: there is nothing to drain,
+// and their tasks can be rescheduled only after the termination proves that they have ended. The
+// caller holds the lock.
 func (ld *Loop) PlanDrains(scaleIn []autoscale.ScaleIn) (changes []inventory.RecordChange, dead []string) {
 	for _, choice := range scaleIn {
 		record, ok := ld.Inventory.Machines[choice.Machine]
@@ -47,9 +47,9 @@
 	return changes, dead
 }
 
-// PlanTerminations lists the machines to terminate, which are those that are drained
-// and empty, and returns the changes that drop records of machines that are gone.
-// The caller holds the lock.
+// PlanTerminations returns the machines to terminate, which are those that are drained and those
+// that the cloud still lists as failed, and the changes that drop the records of terminated
+// machines that are no longer listed. The caller holds the lock.
 func (ld *Loop) PlanTerminations(state *State, _ time.Time) (terminate []string, drops []inventory.RecordChange) {
 	dropsByGroup := map[string][]inventory.RecordChange{} // by group
 	for machine, record := range ld.Inventory.Machines {
@@ -60,13 +60,13 @@
 			}
 		case inventory.Terminated:
 			if len(ld.Table.ClaimsByMachine[machine]) > 0 {
-				continue // its claims are released first
+				continue // its claims must be released first
 			}
 			if state.MissingLists[machine] >= tuning.MissingLists {
 				key := ld.Inventory.KeyOf(machine)
 				dropsByGroup[key] = append(dropsByGroup[key], inventory.RecordChange{Machine: machine, Before: &record})
 			} else if state.listed[machine].State == wire.MachineFailed && state.MissingLists[machine] == 0 {
-				terminate = append(terminate, machine) // stays listed until it is deleted
+				terminate = append(terminate, machine) // the cloud lists it as failed until it is deleted
 			}
 		}
 	}
@@ -74,8 +74,9 @@
 	return terminate, ld.chooseRecordDrops(state, dropsByGroup)
 }
 
-// isDrained reports whether a draining machine holds no more claims of open jobs. It
-// does not while claims that were stored before the drain may not be known here.
+// isDrained reports whether a draining machine has no claims of open jobs left. It returns false
+// while the cache is older than the stored drain, since claims stored before the drain may then be
+// unknown.
 func (ld *Loop) isDrained(machine string) bool {
 	if ld.Cache.Revision() < ld.Cache.Version(ld.Inventory.KeyOf(machine)) {
 		return false
@@ -88,10 +89,9 @@
 	return true
 }
 
-// chooseRecordDrops takes the drops of a few groups of machine records, those with the
-// most first: nothing waits for the end of a record. Guards against a wave of lost
-// machines taking the budget of writes twice, once for the proofs that they are gone
-// and once for this.
+// chooseRecordDrops returns the record drops for a limited number of groups, those with the most
+// drops first. Drops are not urgent. Without the limit, the loss of many machines would use the
+// write budget twice: once to store the terminations and once to drop the records.
 func (ld *Loop) chooseRecordDrops(state *State, dropsByGroup map[string][]inventory.RecordChange) []inventory.RecordChange {
 	var drops []inventory.RecordChange
 	keys := slices.SortedFunc(maps.Keys(dropsByGroup), func(a, b string) int {
@@ -106,19 +106,19 @@
 	return drops
 }
 
-// Terminate terminates machines at the cloud and stores that they are. The cloud's
-// answer is the proof that everything on them has ended. All calls go before the
-// writes: a wave of hundreds of lost machines once took a minute.
+// Terminate terminates machines through the cloud API and stores that they are terminated. The
+// cloud's answer proves that all tasks on them have ended. All calls are made before the writes:
+// with calls and writes in turn, the loss of hundreds of machines took a minute to process.
 func (ld *Loop) Terminate(ctx context.Context, machines []string) {
 	changes := ld.recordTerminated(ld.terminateAtCloud(machines))
-	// What is left over is terminated again by the next plan, which then has more
-	// for each group. Guards against a wave of lost machines whose groups were
-	// written three times over, while most of its tasks waited for the proof.
+	// Machines whose changes exceed the limit are terminated again by the next plan, which then has
+	// more changes per group. Without the limit, after the loss of many machines each group was
+	// written three times, while most of the lost tasks waited for their termination to be stored.
 	ld.storeMachineGroups(ctx, changes, nil, tuning.GroupsPerBatch)
 }
 
-// terminateAtCloud asks the cloud to terminate machines, and returns those of which
-// it says that they are.
+// terminateAtCloud requests the termination of machines from the cloud, and returns those whose
+// termination it confirmed. It stops at the first error.
 func (ld *Loop) terminateAtCloud(machines []string) []string {
 	var terminated []string
 	for batch := range slices.Chunk(machines, tuning.TerminateMax) {
@@ -132,7 +132,7 @@
 	return terminated
 }
 
-// recordTerminated returns the record changes of machines that are terminated.
+// recordTerminated returns the record changes for terminated machines.
 func (ld *Loop) recordTerminated(machines []string) []inventory.RecordChange {
 	ld.Lock()
 	defer ld.Unlock()
@@ -143,8 +143,9 @@
 			continue
 		}
 		if record.Phase == inventory.Draining && len(ld.Table.ClaimsByMachine[machine]) == 0 && ld.IsLeader() {
-			// Drained and empty: there is nothing that its end would prove. A
-			// machine that was not drained may yet get a claim that is in flight.
+			// The machine was drained and has no claims, so no task needs the proof of termination
+			// and the record is dropped. A machine that was not drained keeps its record, since a
+			// claim on it may still be in flight.
 			state := ld.CurrentTerm()
 			state.terminatedAt[machine] = ld.Now()
 			state.forgetMachine(machine)
@@ -160,7 +161,7 @@
 	return changes
 }
 
-// scaleOut asks the cloud for machines, while this controller leads.
+// scaleOut requests machines from the cloud if this controller is the leader.
 func (ld *Loop) scaleOut(ctx context.Context, request autoscale.ScaleOut) {
 	name, ok := ld.nextRequestName(ctx)
 	if !ok {
@@ -188,9 +189,9 @@
 	}
 }
 
-// nextRequestName names a scale-out request; false if this controller does not lead
-// or ctx has ended. The name holds the fencing token, which only one leader ever
-// has, and a counter: no name is used twice.
+// nextRequestName returns the name of the next scale-out request, or false if this controller is
+// not the leader or ctx has ended. The name contains the fencing token, which only one leader ever
+// has, and a counter, so no name is used twice.
 func (ld *Loop) nextRequestName(ctx context.Context) (string, bool) {
 	ld.Lock()
 	defer ld.Unlock()
@@ -202,8 +203,8 @@
 	return fmt.Sprintf("%s-%d-%d", ld.Self.Label, state.fencingToken, state.requestCounter), true
 }
 
-// groupWriteBudget is how many groups of machine records the leader may write now
-// for what can wait.
+// groupWriteBudget returns how many groups of machine records the leader may write now for changes
+// that are not urgent.
 func (ld *Loop) groupWriteBudget() int {
 	return min(int(ld.Limiter.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMax)
 }
