--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -1,4 +1,4 @@
-// This file holds what the leader remembers.
+// This file defines the leader's in-memory state.
 
 package leader
 
@@ -11,52 +11,52 @@
 	"wheatspur/wire"
 )
 
-// State is what the leader remembers of the cloud and of the load. None of it
-// is stored: it starts empty with each term, and a leader that stays keeps most of
-// it when the membership changes (inherit). Maps are by machine name unless they
-// say otherwise.
+// State is the leader's in-memory state about the cloud and the load. It is never stored and starts
+// empty with each term; a leader that stays the leader through a membership change keeps most of it
+// (see inheritFrom). Maps are keyed by machine name unless stated otherwise.
 type State struct {
-	fencingToken     uint64 // of the membership that it belongs to
-	nextFencingToken uint64 // the first token of the membership after that
-	requestCounter   int    // scale-out requests under this token
+	fencingToken     uint64 // of the membership under which the state was created
+	nextFencingToken uint64 // the first token of the next membership
+	requestCounter   int    // number of scale-out requests under fencingToken
 
-	listed       map[string]wire.Machine             // machines as the cloud last listed them
+	listed       map[string]wire.Machine             // machines as last listed by the cloud
 	ListedAt     time.Time                           // when the cloud's list was last read
-	FirstListed  map[string]time.Time                // when a machine was first listed, or found stored
-	MissingLists map[string]int                      // lists in a row that omitted a machine listed before
+	FirstListed  map[string]time.Time                // when a machine was first listed, or first found stored but not listed
+	MissingLists map[string]int                      // number of lists in a row that omitted a stored machine
 	ScalingOut   map[string]PendingMachine           // machines that were scaled out and are not listed yet
-	noCapacityAt map[autoscale.MachineKind]time.Time // when the cloud last had none of a kind
-	terminatedAt map[string]time.Time                // machines terminated while drained and empty, which late lists still show
+	noCapacityAt map[autoscale.MachineKind]time.Time // when the cloud last lacked machines of a kind, by kind
+	terminatedAt map[string]time.Time                // when a drained, empty machine was terminated; delayed lists may still show it
 
 	roleControllers map[string]*roles.Balancer   // by machine type
-	RoleDecisions   map[string]roles.Decision    // the last ones, by machine type
-	seenJobs        map[string]bool              // open jobs whose arrival is entered, by job
-	roleActiveAt    map[placement.Role]time.Time // when a role last had an open job
+	RoleDecisions   map[string]roles.Decision    // the last decision, by machine type
+	seenJobs        map[string]bool              // open jobs whose arrival has been recorded, by job ID
+	roleActiveAt    map[placement.Role]time.Time // when a role last had an open job, by role
 
-	idleSince         map[string]time.Time // since when a machine has no claims
+	idleSince         map[string]time.Time // since when a machine has had no claims
 	surplusSince      map[string]time.Time // see autoscale.Input
-	quarantinedSince  map[string]time.Time // since when a machine sends heartbeats but takes no tasks
+	quarantinedSince  map[string]time.Time // since when a machine has sent heartbeats but taken no tasks
 	LastHeard         map[string]time.Time // when a machine was last heard by any controller
-	LostWhileDraining []string             // machines that went away while they were drained, with claims on them
+	LostWhileDraining []string             // machines that were lost while draining with claims on them
 
-	meanBatchTasks     float64        // mean number of tasks that batch work holds, in typical tasks
-	meanBatchUpdatedAt time.Time      // when that was last updated
-	meanArraySize      float64        // mean number of tasks of arriving job arrays
-	lastArrayAt        time.Time      // when the last one arrived
-	batchLoad          autoscale.Load // of the class of batch work that holds the most
-	onDemandLoad       autoscale.Load // of batch work that may not use spot machines
-	onDemandSeenAt     time.Time      // when there last was any
+	meanBatchTasks     float64        // moving average of the batch load, in tasks of the typical class
+	meanBatchUpdatedAt time.Time      // when meanBatchTasks was last updated
+	meanArraySize      float64        // moving average of the number of tasks of arriving job arrays
+	lastArrayAt        time.Time      // when the last job array arrived
+	batchLoad          autoscale.Load // load of the batch class with the largest share of machines
+	onDemandLoad       autoscale.Load // load of batch jobs that may not use spot machines
+	onDemandSeenAt     time.Time      // when a job of onDemandLoad was last open or waiting
 }
 
 // PendingMachine is a machine that was scaled out and has no record yet.
 type PendingMachine struct {
 	kind        autoscale.MachineKind
-	Role        placement.Role // the role that it is to have
+	Role        placement.Role // the role for which it was scaled out
 	requestedAt time.Time
 }
 
-// CurrentTerm returns what the leader remembers under the present fencing
-// token, and begins anew if that has changed. The caller holds the lock.
+// CurrentTerm returns the state for the current fencing token. If the token has changed, it starts
+// with a new state, which inherits from the old one only if this controller was also the leader
+// under the previous membership. The caller holds the lock.
 func (ld *Loop) CurrentTerm() *State {
 	if ld.Term.fencingToken == ld.Membership.FencingToken {
 		return &ld.Term
@@ -69,7 +69,7 @@
 	return &ld.Term
 }
 
-// newState is what a leader remembers at the start of a term.
+// newState returns the empty state with which a term starts.
 func newState(token, nextToken uint64) State {
 	return State{
 		fencingToken:     token,
@@ -91,8 +91,8 @@
 	}
 }
 
-// inheritFrom takes over what the same leader knew of the cloud and of its load under
-// the membership before. Role controllers restart empty.
+// inheritFrom takes over the state of the cloud and the load from the same leader's previous term.
+// Role controllers start empty.
 func (ls *State) inheritFrom(old *State) {
 	ls.listed, ls.ListedAt, ls.MissingLists = old.listed, old.ListedAt, old.MissingLists
 	ls.ScalingOut, ls.noCapacityAt = old.ScalingOut, old.noCapacityAt
@@ -105,23 +105,23 @@
 	ls.onDemandLoad, ls.onDemandSeenAt = old.onDemandLoad, old.onDemandSeenAt
 }
 
-// updateLastHeard notes that a machine was up at a time.
+// updateLastHeard records that a machine was heard at a time, unless a later time is known.
 func (ls *State) updateLastHeard(machine string, at time.Time) {
 	if at.After(ls.LastHeard[machine]) {
 		ls.LastHeard[machine] = at
 	}
 }
 
-// RecordSilent notes when a machine that has fallen silent was last heard. The
-// caller holds the lock.
+// RecordSilent records when a machine that has become silent was last heard. The caller holds the
+// lock.
 func (ld *Loop) RecordSilent(machine string, heardAt time.Time) {
-	if ld.Term.LastHeard != nil { // nil: this controller has not led yet
+	if ld.Term.LastHeard != nil { // nil if this controller has never been the leader
 		ld.Term.updateLastHeard(machine, heardAt)
 	}
 }
 
-// forgetMachine drops what is remembered of a machine that is gone. terminatedAt stays:
-// late lists may still show the machine.
+// forgetMachine removes the state of a machine that no longer exists, except terminatedAt, since
+// delayed lists may still show the machine.
 func (ls *State) forgetMachine(machine string) {
 	delete(ls.listed, machine)
 	delete(ls.MissingLists, machine)
