--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,7 +1,7 @@
-// Package leader does what the leader alone does: it reconciles the cloud's machine
-// list with the stored machines, scales out and in, moves machines between the
-// roles and stores the machine records. It owns what the leader remembers, which is
-// not stored. Packages autoscale and roles decide; who leads is package election's.
+// Package leader implements the duties of the leader: it reconciles the cloud's machine list with
+// the stored machine records, scales out and in, moves machines between the roles and stores
+// machine records. It owns the leader's in-memory state, which is never stored. Packages autoscale
+// and roles make the scaling and role decisions; package election determines who leads.
 package leader
 
 import (
@@ -20,48 +20,48 @@
 	"wheatspur/internal/tuning"
 )
 
-// Loop is the leader's loops. Every controller runs them; while it does not lead,
-// they do nothing.
+// Loop runs the leader's periodic loops. Every controller runs them; they do nothing while it is
+// not the leader.
 type Loop struct {
 	*cluster.State
 	*fleet.Fleet
 	scheduler *scheduler.Scheduler
 
 	cloud          cloud.Provider
-	Term           State      // see CurrentTerm; guarded by the state's lock
-	machineWriteMu sync.Mutex // held while machine records are stored; taken before the state's lock
+	Term           State      // see CurrentTerm; guarded by the lock of cluster.State
+	machineWriteMu sync.Mutex // held while machine records are stored; taken before the lock of cluster.State
 }
 
-// New returns the loops of a controller that does not lead yet.
+// New returns the loops of a controller that is not the leader yet.
 func New(state *cluster.State, fleet *fleet.Fleet, scheduler *scheduler.Scheduler, provider cloud.Provider) *Loop {
 	return &Loop{State: state, Fleet: fleet, scheduler: scheduler, cloud: provider}
 }
 
-// planRun is what RunPlanning carries over from one plan to the next.
+// planRun is the state that RunPlanning keeps between plans.
 type planRun struct {
 	rolesEvaluatedAt time.Time
-	storing          chan struct{} // holds an element while a plan is being stored
+	storing          chan struct{} // holds an element while the writes of a plan are being carried out
 	background       sync.WaitGroup
 }
 
-// plan is what one plan of the leader decides.
+// plan holds the decisions of one planning step.
 type plan struct {
 	scaleOut []autoscale.ScaleOut
-	stored   *storedPlan // nil: the plan before is still being stored
+	writes   *planWrites // nil while the writes of an earlier plan are being carried out
 }
 
-// storedPlan is the part of a plan that takes writes to the store.
-type storedPlan struct {
+// planWrites is the part of a plan that requires writes to the store.
+type planWrites struct {
 	roleMoves   []inventory.RecordChange
-	terminate   []string                 // machines
-	changes     []inventory.RecordChange // drains, and records to drop
+	terminate   []string                 // machines to terminate
+	changes     []inventory.RecordChange // machines to drain and records to drop
 	splitGroups []string                 // keys of groups of machine records that are too large
 }
 
-// RunPlanning plans capacity and moves roles while leading. What a plan terminates
-// and stores goes beside the next plans, which meanwhile only scale out. Guards
-// against a wave of lost machines whose records took the budget of writes for half
-// a minute, while nothing was scaled out in their place.
+// RunPlanning plans capacity and role moves while this controller is the leader. The terminations
+// and writes of a plan run in the background; until they are done, further plans only scale out.
+// When plans waited for the writes, the loss of many machines used up the write budget for half a
+// minute, during which no replacements were scaled out.
 func (ld *Loop) RunPlanning(ctx context.Context) error {
 	run := planRun{storing: make(chan struct{}, 1)}
 	defer run.background.Wait()
@@ -71,18 +71,19 @@
 		if !ok {
 			continue
 		}
-		if next.stored != nil {
-			ld.storeInBackground(ctx, &run, next.stored)
+		if next.writes != nil {
+			ld.storeInBackground(ctx, &run, next.writes)
 		}
 		for _, request := range next.scaleOut {
-			ld.scaleOut(ctx, request) // does not wait for the budget of writes
+			ld.scaleOut(ctx, request) // does not wait for the write budget
 		}
 	}
 	return nil
 }
 
-// makePlan decides on one state of the cluster; false if this controller does not lead,
-// or does not know enough.
+// makePlan makes a plan from a consistent state of the cluster. ok is false if this controller is
+// not the leader or lacks data: no store, no machine types, or machines still unknown after a
+// recovery.
 func (ld *Loop) makePlan(run *planRun) (next plan, ok bool) {
 	ld.Lock()
 	defer ld.Unlock()
@@ -92,9 +93,9 @@
 	state, now := ld.CurrentTerm(), ld.Now()
 	machines := ld.MachineIndex.RefreshMachines(now)
 	ld.RecordArrivals(state, now)
-	mayStore := len(run.storing) == 0
+	canStore := len(run.storing) == 0
 	var roleMoves []inventory.RecordChange
-	if mayStore && now.Sub(run.rolesEvaluatedAt) >= tuning.RoleStep {
+	if canStore && now.Sub(run.rolesEvaluatedAt) >= tuning.RoleStep {
 		run.rolesEvaluatedAt = now
 		roleMoves = ld.MoveRoles(state, machines, now)
 	}
@@ -103,36 +104,36 @@
 		capacity = autoscale.Plan(ld.PlanInput(state, machines, now))
 	}
 	next.scaleOut = capacity.ScaleOut
-	if mayStore {
-		next.stored = ld.planStored(state, capacity.ScaleIn, now)
-		next.stored.roleMoves = roleMoves
+	if canStore {
+		next.writes = ld.planStoreWrites(state, capacity.ScaleIn, now)
+		next.writes.roleMoves = roleMoves
 	}
 	return next, true
 }
 
-// planStored decides what of a plan takes writes to the store, but for role moves.
-// The caller holds the lock.
-func (ld *Loop) planStored(state *State, scaleIn []autoscale.ScaleIn, now time.Time) *storedPlan {
+// planStoreWrites plans the terminations and writes of a plan, except for role moves. The caller
+// holds the lock.
+func (ld *Loop) planStoreWrites(state *State, scaleIn []autoscale.ScaleIn, now time.Time) *planWrites {
 	drains, dead := ld.PlanDrains(scaleIn)
 	drained, drops := ld.PlanTerminations(state, now)
-	stored := &storedPlan{
+	writes := &planWrites{
 		terminate: slices.Concat(dead, state.LostWhileDraining, drained),
 		changes:   append(drains, drops...),
 	}
 	if ld.Limiter.AvailableWrites(tuning.WriteReserve) >= tuning.GroupSplitWrites {
-		stored.splitGroups = ld.Inventory.OversizeGroups(ld.MaxGroupBytes(), tuning.GroupSplitsPerPlan)
+		writes.splitGroups = ld.Inventory.OversizeGroups(ld.MaxGroupBytes(), tuning.GroupSplitsPerPlan)
 	}
-	return stored
+	return writes
 }
 
-// storeInBackground carries out the part of a plan that takes writes; plans that
-// are made until it has ended only scale out. RunPlanning waits for it.
-func (ld *Loop) storeInBackground(ctx context.Context, run *planRun, stored *storedPlan) {
+// storeInBackground carries out the terminations and writes of a plan in the background. Plans made
+// until it is done only scale out. RunPlanning waits for it before it returns.
+func (ld *Loop) storeInBackground(ctx context.Context, run *planRun, writes *planWrites) {
 	run.storing <- struct{}{}
 	run.background.Go(func() {
-		ld.StoreMachines(ctx, stored.roleMoves)
-		ld.Terminate(ctx, stored.terminate)
-		ld.storeMachineGroups(ctx, stored.changes, stored.splitGroups, tuning.GroupsPerBatch)
+		ld.StoreMachines(ctx, writes.roleMoves)
+		ld.Terminate(ctx, writes.terminate)
+		ld.storeMachineGroups(ctx, writes.changes, writes.splitGroups, tuning.GroupsPerBatch)
 		<-run.storing
 	})
 }
--- a/internal/roles/propose.go
+++ b/internal/roles/propose.go
@@ -2,21 +2,22 @@
 
 import "wheatspur/internal/tuning"
 
-// endlessLoad is beyond every load of a role that has machines.
-const endlessLoad = 1e300
+// infiniteLoadThreshold is larger than any load of a role that has machines. The load of a role
+// with demand but no machines is infinite.
+const infiniteLoadThreshold = 1e300
 
-// propose finds the eligible adjacent split, or the gate that stops it: the one of
-// the move to batch if both directions have one.
-func (c *Balancer) propose(s Split) (Proposal, Gate) {
+// propose returns the adjacent split that is eligible, or the gate that blocks it. If both
+// directions are blocked, the gate of the move to batch is returned unless it is NoGain.
+func (b *Balancer) propose(s Split) (Proposal, Gate) {
 	if p := proposeFloor(s); p.Direction != None {
 		return p, Open
 	}
-	current := s.loads(c.settings, s.Batch, s.Service)
-	p, gate := c.proposeToService(s, current)
+	current := s.loads(b.settings, s.Batch, s.Service)
+	p, gate := b.proposeToService(s, current)
 	if p.Direction != None {
 		return p, Open
 	}
-	p, toBatchGate := c.proposeToBatch(s, current)
+	p, toBatchGate := b.proposeToBatch(s, current)
 	if p.Direction != None {
 		return p, Open
 	}
@@ -26,67 +27,68 @@
 	return Proposal{}, gate
 }
 
-// proposeFloor restores a role without a machine, if the other one has machines to
-// spare.
+// proposeFloor proposes to move a machine to a role that is below its floor, if the other role has
+// machines to spare. The batch role gets one only while batch work is queued.
 func proposeFloor(s Split) Proposal {
 	switch {
 	case s.Batch+s.Service < 2*tuning.RoleFloor:
 	case s.Service+s.ServiceComing < tuning.RoleFloor && s.Batch > tuning.RoleFloor:
-		return s.adjacent(ToService, Floor)
+		return s.adjacentProposal(ToService, Floor)
 	case s.Batch+s.BatchComing+s.Spot < tuning.RoleFloor && s.Service > tuning.RoleFloor && s.BatchWork > 0:
-		return s.adjacent(ToBatch, Floor)
+		return s.adjacentProposal(ToBatch, Floor)
 	}
 	return Proposal{}
 }
 
-// proposeToService moves a batch machine if the worst load falls by the margin, and
-// what is left of the batch role is lightly loaded.
-func (c *Balancer) proposeToService(s Split, current loads) (Proposal, Gate) {
+// proposeToService proposes to move a batch machine if this lowers the worse load of the two roles
+// by at least RoleMargin and leaves the batch role with a load of at most RoleShrink.
+func (b *Balancer) proposeToService(s Split, current loads) (Proposal, Gate) {
 	if s.Batch == 0 || s.Batch+s.Spot <= tuning.RoleFloor {
 		if current.service > current.batch {
 			return Proposal{}, AtFloor
 		}
 		return Proposal{}, NoGain
 	}
-	next := s.loads(c.settings, s.Batch-1, s.Service+1)
+	next := s.loads(b.settings, s.Batch-1, s.Service+1)
 	switch {
-	case worstLoadDrop(current, next) < c.settings.RoleMargin:
+	case worstLoadDrop(current, next) < b.settings.RoleMargin:
 		return Proposal{}, NoGain
-	case next.batch <= c.settings.RoleShrink:
-		return s.adjacent(ToService, Consolidate), Open
+	case next.batch <= b.settings.RoleShrink:
+		return s.adjacentProposal(ToService, Consolidate), Open
 	}
 	return Proposal{}, SourceBusy
 }
 
-// proposeToBatch moves a service machine if the worst load falls by the margin, and
-// what is left of the service role is lightly loaded or batch work waits too long.
-func (c *Balancer) proposeToBatch(s Split, current loads) (Proposal, Gate) {
+// proposeToBatch proposes to move a service machine if this lowers the worse load of the two roles
+// by at least RoleMargin and either leaves the service role with a load of at most RoleShrink or
+// the batch load is at least RoleExpand, that is, batch work waits too long.
+func (b *Balancer) proposeToBatch(s Split, current loads) (Proposal, Gate) {
 	if s.Service <= tuning.RoleFloor {
 		if current.batch > current.service {
 			return Proposal{}, AtFloor
 		}
 		return Proposal{}, NoGain
 	}
-	next := s.loads(c.settings, s.Batch+1, s.Service-1)
+	next := s.loads(b.settings, s.Batch+1, s.Service-1)
 	switch {
-	case worstLoadDrop(current, next) < c.settings.RoleMargin:
+	case worstLoadDrop(current, next) < b.settings.RoleMargin:
 		return Proposal{}, NoGain
-	case next.service <= c.settings.RoleShrink:
-		return s.adjacent(ToBatch, Consolidate), Open
-	case current.batch >= c.settings.RoleExpand:
-		return s.adjacent(ToBatch, Mixed), Open
+	case next.service <= b.settings.RoleShrink:
+		return s.adjacentProposal(ToBatch, Consolidate), Open
+	case current.batch >= b.settings.RoleExpand:
+		return s.adjacentProposal(ToBatch, Mixed), Open
 	}
 	return Proposal{}, SourceBusy
 }
 
-// worstLoadDrop is how much the worst load falls; a load without machines is
-// endless.
+// worstLoadDrop returns by how much the worse load of the two roles falls. A drop from an infinite
+// load counts as infiniteLoadThreshold.
 func worstLoadDrop(current, next loads) float64 {
 	switch {
-	case current.worst() > endlessLoad && next.worst() > endlessLoad:
+	case current.worst() > infiniteLoadThreshold && next.worst() > infiniteLoadThreshold:
 		return 0
-	case current.worst() > endlessLoad:
-		return endlessLoad
+	case current.worst() > infiniteLoadThreshold:
+		return infiniteLoadThreshold
 	}
 	return current.worst() - next.worst()
 }
