--- a/internal/scheduler/chunks.go
+++ b/internal/scheduler/chunks.go
@@ -1,4 +1,4 @@
-// This file changes the chunk records of jobs.
+// This file applies task events to the chunk records of jobs.
 
 package scheduler
 
@@ -6,46 +6,46 @@
 	"wheatspur/internal/jobs"
 )
 
-// Generous bounds of the JSON form of a chunk record, for the time before its
-// claims are known and it can be counted.
+// Upper bounds of the size of a chunk record as JSON. They reserve room in a write before the
+// claims are known, from which the size can be computed.
 const (
-	chunkTaskBytes = 56  // of a claimed task
-	chunkBytes     = 600 // of the rest
+	chunkBytesPerTask = 56  // for each claimed task
+	chunkBaseBytes    = 600 // for the rest of the record
 )
 
-// chunkChange is a number of task events in one chunk of a job, to be stored in
-// one write.
+// chunkChange is a set of task events in one chunk of a job, which are stored in one write.
 type chunkChange struct {
-	job    *jobs.Job
-	chunk  int
-	events map[int]jobs.TaskEvent // by task number
-	bytes  int                    // bounds the record's JSON with the claims added by addClaim; 0: not counted yet
+	job       *jobs.Job
+	chunk     int
+	events    map[int]jobs.TaskEvent // by task number
+	jsonBytes int                    // upper bound of the record's size as JSON, including the claims added by addClaim; 0: not computed yet
 }
 
-// newChunkChange returns a change without any event.
+// newChunkChange returns a change without events.
 func newChunkChange(job *jobs.Job, chunk int) *chunkChange {
 	return &chunkChange{job: job, chunk: chunk, events: map[int]jobs.TaskEvent{}}
 }
 
-// chunkOf is the chunk that holds a task of the job.
+// chunkOf returns the index of the chunk that holds a task of the job.
 func chunkOf(job *jobs.Job, task int) int { return task / job.Record.ChunkSize }
 
-// addClaim adds the claim of a task; false if the record would be larger than limit.
+// addClaim adds the claim of a task. It returns false, and adds nothing, if the record would
+// exceed limit bytes.
 func (c *chunkChange) addClaim(task int, claim jobs.TaskEvent, limit int) bool {
-	if c.bytes == 0 {
-		c.bytes = jobs.ChunkRecord{Tasks: c.job.ChunkCopy(c.chunk)}.Bytes()
+	if c.jsonBytes == 0 {
+		c.jsonBytes = jobs.ChunkRecord{Tasks: c.job.ChunkCopy(c.chunk)}.Bytes()
 	}
-	more := jobs.ClaimBytes(claim)
-	if c.bytes+more > limit {
+	claimBytes := jobs.ClaimBytes(claim)
+	if c.jsonBytes+claimBytes > limit {
 		return false
 	}
-	c.bytes += more
+	c.jsonBytes += claimBytes
 	c.events[task] = claim
 	return true
 }
 
-// apply returns the chunk's tasks after the events; false if one of them can't
-// follow on the task's state.
+// apply returns the chunk's tasks after the events. It returns false if an event is not a valid
+// transition from its task's state.
 func (c *chunkChange) apply() ([]jobs.Task, bool) {
 	tasks := c.job.ChunkCopy(c.chunk)
 	for task, event := range c.events {
@@ -59,14 +59,15 @@
 	return tasks, true
 }
 
-// maxChunkBytes bounds the JSON form of any chunk record of the job.
+// maxChunkBytes returns an upper bound of the size of any chunk record of the job as JSON.
 func (sc *Scheduler) maxChunkBytes(job *jobs.Job) int {
-	return min(job.Record.ChunkSize, job.Record.Tasks)*chunkTaskBytes + chunkBytes
+	return min(job.Record.ChunkSize, job.Record.Tasks)*chunkBytesPerTask + chunkBaseBytes
 }
 
-// putChunk stores a chunk's tasks after its change. The write that completes a
-// job's last task also ends the job and drops the chunk; the one that releases a
-// cancelled job's last claim in the chunk drops it. The caller holds the lock.
+// putChunk adds the operations that store a chunk's tasks after its change. The write that
+// completes a job's last task also stores the job's final record and deletes the chunk. The write
+// that releases a cancelled job's last claim in the chunk deletes the chunk. The caller holds the
+// lock.
 func (sc *Scheduler) putChunk(write *PendingWrite, change *chunkChange, key string, tasks []jobs.Task) {
 	job := change.job
 	newlyCompleted := countTasks(tasks, jobs.Completed) - countTasks(job.Chunks[change.chunk], jobs.Completed)
@@ -82,7 +83,7 @@
 	write.put(key, jobs.ChunkRecord{Tasks: tasks})
 }
 
-// countTasks is how many tasks are in a state.
+// countTasks returns how many tasks are in a state.
 func countTasks(tasks []jobs.Task, state jobs.TaskState) int {
 	count := 0
 	for _, task := range tasks {
