--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -1,4 +1,4 @@
-// This file turns the claims that a pass has placed into writes.
+// This file turns the claims that a pass has placed into store writes.
 
 package scheduler
 
@@ -10,14 +10,14 @@
 	"wheatspur/internal/tuning"
 )
 
-// Keys that a write of claims may name beside the chunks: hasRoom keeps room for
-// them.
+// Number of keys other than chunks that a write of claims may use. hasRoom is asked for room for
+// them as well.
 const (
-	claimRecords  = 2 // put: the job's record and the team's shares
-	claimCompares = 4 // compared: those two, the next machine's group, and one to spare
+	claimExtraPuts     = 2 // stored: the job's record and the team's shares
+	claimExtraCompares = 4 // compared: those two, the group record of the next machine, and one in reserve
 )
 
-// jobClaims are the claims of one job that a pass has placed.
+// jobClaims holds the claims of one job that a pass has placed.
 type jobClaims struct {
 	job    *jobs.Job
 	claims []placement.Claim
@@ -39,7 +39,7 @@
 	return groups
 }
 
-// countJobs is how many jobs the claims are of.
+// countJobs returns the number of jobs that the claims belong to.
 func countJobs(claims []placement.Claim) int {
 	seen := map[string]bool{}
 	for _, claim := range claims {
@@ -48,12 +48,12 @@
 	return len(seen)
 }
 
-// planClaims adds the writes of claims, one for each job: of its chunks, and for
-// constraints that span chunks of its record. One write a job: if one loses a
-// race, the others stand. Claims stay within this controller's share of the team's
-// limit. The leader, which also claims on others' machines, hands the part of the
-// limit that those claims take to the shard owners in the same write. The caller
-// holds the lock.
+// planClaims adds the writes of claims, one for each job. A write stores the job's chunks, and
+// also the job's record if a constraint spans several chunks. Each job has its own write, so that
+// a conflict on one job does not fail the claims of the others. Claims stay within this
+// controller's share of the team's limit. The leader, which also claims on other controllers'
+// machines, transfers the part of its share that those claims use to the shard owners in the same
+// write. The caller holds the lock.
 func (sc *Scheduler) planClaims(writes []*PendingWrite, claims []placement.Claim, budget *writeBudget) []*PendingWrite {
 	for _, group := range groupByJob(claims) {
 		if !budget.covers(1) {
@@ -69,7 +69,7 @@
 	return writes
 }
 
-// planJobClaims is the write of a job's claims; nil if there is none to make now.
+// planJobClaims returns the write of a job's claims, or nil if none can be made now.
 func (sc *Scheduler) planJobClaims(group *jobClaims) *PendingWrite {
 	job := group.job
 	write := sc.newWrite(writeClaims)
@@ -88,7 +88,7 @@
 		sc.logClaims(write, change)
 	}
 	gangIncomplete := job.Gang() && claimed < len(group.claims)
-	if claimed == 0 || gangIncomplete || !sc.admit(write, job.Record.Spec.Team, chosen.amount, chosen.onOthers) {
+	if claimed == 0 || gangIncomplete || !sc.admit(write, job.Record.Spec.Team, chosen.amount, chosen.onOtherShards) {
 		return nil
 	}
 	if job.SpansChunks() {
@@ -99,7 +99,7 @@
 	return write
 }
 
-// logClaims logs the claims of a chunk once they are stored.
+// logClaims makes the write log the claims of a chunk once they are stored.
 func (sc *Scheduler) logClaims(write *PendingWrite, change *chunkChange) {
 	for task, claim := range change.events {
 		write.logWhenStored(logging.EventTaskClaimed,
@@ -109,18 +109,18 @@
 	}
 }
 
-// chosenClaims are the claims of a job that go into one write.
+// chosenClaims describes the claims of a job that one write stores.
 type chosenClaims struct {
-	chunks   map[string]*chunkChange // by key of the chunk
-	amount   quota.Amount            // what they take in all
-	onOthers map[string]quota.Amount // the part of it on machines of other shard owners
+	chunks        map[string]*chunkChange // by chunk key
+	amount        quota.Amount            // total resources of the claims
+	onOtherShards map[string]quota.Amount // part of amount on other controllers' machines, by shard owner
 }
 
-// chooseClaims takes as many of a job's claims as one write may hold, and lets the
-// write compare the records of their machines.
+// chooseClaims selects as many of a job's claims as fit into one write, and adds compares of the
+// records of their machines to the write.
 func (sc *Scheduler) chooseClaims(write *PendingWrite, group *jobClaims) chosenClaims {
 	job, need := group.job, group.job.Need.Amount()
-	chosen := chosenClaims{chunks: map[string]*chunkChange{}, onOthers: map[string]quota.Amount{}}
+	chosen := chosenClaims{chunks: map[string]*chunkChange{}, onOtherShards: map[string]quota.Amount{}}
 	maxValueBytes := int(sc.Limits.ValueKB * tuning.BytesPerKB)
 	for _, claim := range group.claims {
 		chunk := chunkOf(job, claim.Task)
@@ -128,27 +128,27 @@
 		change := chosen.chunks[key]
 		if change == nil {
 			chunks := len(chosen.chunks) + 1
-			if !sc.hasRoom(write, chunks+claimRecords, chunks*sc.maxChunkBytes(job), chunks+claimCompares) {
+			if !sc.hasRoom(write, chunks+claimExtraPuts, chunks*sc.maxChunkBytes(job), chunks+claimExtraCompares) {
 				break
 			}
 			change = newChunkChange(job, chunk)
 			chosen.chunks[key] = change
 		}
-		if _, ok := write.Compares[machineKey]; !ok && !sc.hasRoom(write, 0, 0, len(chosen.chunks)+claimCompares) {
-			continue // more groups of machines than one write may compare
+		if _, ok := write.Compares[machineKey]; !ok && !sc.hasRoom(write, 0, 0, len(chosen.chunks)+claimExtraCompares) {
+			continue // the write can't compare another group of machine records
 		}
 		if !change.addClaim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Machine: claim.Machine, Incarnation: claim.Incarnation}, maxValueBytes) {
-			continue // its turn comes when others of the chunk have ended
+			continue // the record is full; this task can be claimed once others of the chunk have ended
 		}
 		sc.compareCurrent(write, machineKey)
 		chosen.amount = chosen.amount.Add(need)
 		if owner := sc.ShardOwner(claim.Machine); owner != sc.Self.Label {
-			chosen.onOthers[owner] = chosen.onOthers[owner].Add(need)
+			chosen.onOtherShards[owner] = chosen.onOtherShards[owner].Add(need)
 		}
 	}
 	for key, change := range chosen.chunks {
 		if len(change.events) == 0 {
-			delete(chosen.chunks, key) // no claim had room in its record
+			delete(chosen.chunks, key) // no claim fitted into the record
 		}
 	}
 	return chosen
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -90,12 +90,12 @@
 // on machines of other shard owners, the change that hands them that part of this
 // controller's share; false if the share does not cover the claims. The caller
 // holds the lock.
-func (sc *Scheduler) admit(write *PendingWrite, team string, amount quota.Amount, onOthers map[string]quota.Amount) bool {
+func (sc *Scheduler) admit(write *PendingWrite, team string, amount quota.Amount, onOtherShards map[string]quota.Amount) bool {
 	ledger := sc.Quota.Ledger(team)
 	if ledger == nil {
 		return false
 	}
-	admission, err := ledger.Admit(sc.QuotaView(), amount, onOthers)
+	admission, err := ledger.Admit(sc.QuotaView(), amount, onOtherShards)
 	if err != nil {
 		sc.Log.Debug(logging.EventClaimsNotAdmitted, logging.KeyTeam, team, logging.KeyJobs, write.inFlight, logging.KeyError, err)
 		return false
