--- a/internal/scheduler/finishedjobs.go
+++ b/internal/scheduler/finishedjobs.go
@@ -1,4 +1,4 @@
-// This file ends jobs, and drops the records that nothing needs any more.
+// This file stores the final records of jobs, and deletes intake records that are no longer needed.
 
 package scheduler
 
@@ -8,17 +8,16 @@
 	"wheatspur/internal/jobs"
 )
 
-// planFinishedJobs adds the writes that end jobs and drop intake records. One
-// controller does it for each: the one that ranks first for its key. The caller
-// holds the lock.
+// planFinishedJobs adds the writes that end jobs and delete intake records. For each job or
+// record, only the controller that ranks first for its key writes. The caller holds the lock.
 func (sc *Scheduler) planFinishedJobs(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
 	writes = sc.planCompletedJobs(writes, budget)
 	writes = sc.planCancelledJobs(writes, budget)
 	return sc.planIntakeRemovals(writes, budget)
 }
 
-// planCompletedJobs ends the jobs whose last chunks were completed by different
-// shard owners, none of which saw all of them completed.
+// planCompletedJobs adds the writes that end jobs whose last chunks were completed by different
+// shard owners at the same time, so that no owner's write saw all tasks completed.
 func (sc *Scheduler) planCompletedJobs(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
 	for jobID, job := range sc.Table.Open {
 		if !budget.covers(1) || !job.AllDone() || sc.WritesInFlight[jobID] || !sc.ranksFirst(jobID) {
@@ -29,10 +28,11 @@
 	return writes
 }
 
-// planCancelledJobs stores the final records of jobs that were cancelled with a job
-// that they depend on. These say nothing that does not follow from the other job's
-// record: they let intake records go, and tell versions that know no dependencies.
-// So they leave an operation of the budget to others.
+// planCancelledJobs adds the writes of final records for jobs that were cancelled because a job
+// they depend on was cancelled. These records only repeat what follows from the other job's
+// record: they allow intake records to be deleted, and inform members of older versions without
+// support for dependencies. They are not urgent, so they leave one operation of the budget to
+// other writes.
 func (sc *Scheduler) planCancelledJobs(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
 	for jobID, job := range sc.Table.Unrecorded {
 		if !budget.covers(2) || sc.WritesInFlight[jobID] || !sc.ranksFirst(jobID) {
@@ -43,8 +43,8 @@
 	return writes
 }
 
-// planIntakeRemovals drops the intake records of which every job has a final record
-// of its own. Guards against reading them for ever.
+// planIntakeRemovals adds the writes that delete intake records whose jobs all have a final record
+// of their own. Otherwise intake records would accumulate and be read forever.
 func (sc *Scheduler) planIntakeRemovals(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
 	for key := range sc.Table.JobsByIntake {
 		if !budget.covers(1) || sc.WritesInFlight[key] || !sc.Table.IntakeFinished(key) || !sc.ranksFirst(key) {
@@ -58,7 +58,7 @@
 	return writes
 }
 
-// planFinalRecord adds the write of a job's final record alone.
+// planFinalRecord adds a write that stores only a job's final record.
 func (sc *Scheduler) planFinalRecord(writes []*PendingWrite, kind writeKind, jobID string, record jobs.Record, budget *writeBudget) []*PendingWrite {
 	key := jobs.JobKey(jobID)
 	write := sc.newWrite(kind)
@@ -67,14 +67,14 @@
 	return sc.addWrite(writes, write, jobID, budget)
 }
 
-// ranksFirst reports whether this controller is the first of the members for a key
-// or a job, which does what any of them might. The caller holds the lock.
+// ranksFirst reports whether this controller ranks first among the members for a key or a job ID.
+// That member does the work that any member could do. The caller holds the lock.
 func (sc *Scheduler) ranksFirst(key string) bool {
 	return sc.Membership.RankNodes(key)[0] == sc.Self.Label
 }
 
-// completedRecord is the final record of a job whose tasks are all completed; its
-// present record if the job is not open.
+// completedRecord returns the final record of a job whose tasks are all completed, or its current
+// record if the job is not open.
 func completedRecord(job *jobs.Job, now time.Time) jobs.Record {
 	phase, err := job.Phase.Next(jobs.JobCompleted)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return finalRecord(job, phase, now)
 }
 
-// finalRecord is the short record of a job that has ended, which is kept for ever.
+// finalRecord returns the short record of a job that has ended, which is kept forever.
 func finalRecord(job *jobs.Job, phase jobs.Phase, now time.Time) jobs.Record {
 	return jobs.Record{
 		Phase:         phase,
