--- a/internal/scheduler/misplaced.go
+++ b/internal/scheduler/misplaced.go
@@ -1,4 +1,4 @@
-// This file evicts service tasks from machines that are to lose them.
+// This file evicts service tasks from machines that should no longer run them.
 
 package scheduler
 
@@ -10,23 +10,23 @@
 	"wheatspur/internal/tuning"
 )
 
-// evictMisplacedServices evicts a service task from a machine of this controller
-// that is to lose it, once another machine has room. One task at a time, and none
-// while service tasks wait for a place: those come first. The caller holds the lock.
+// evictMisplacedServices evicts a service task from a machine of this controller that should no
+// longer run it, once another machine has room. Tasks are evicted one at a time, and none while
+// service tasks are unplaced, since those have priority. The caller holds the lock.
 func (sc *Scheduler) evictMisplacedServices(fleet *placement.Fleet) {
-	if stoppingServiceTask(fleet) || sc.unplacedServices() {
+	if hasStoppingServiceTask(fleet) || sc.hasUnplacedServiceTasks() {
 		return
 	}
-	tries := 0
+	attempts := 0
 	for _, machine := range fleet.Machines {
-		if machine.Owner != sc.Self.Label || !sc.misplacesServices(machine) {
+		if machine.Owner != sc.Self.Label || !sc.mustLoseServiceTasks(machine) {
 			continue
 		}
 		for _, task := range machine.Tasks {
-			if !openService(task) || task.Stopping {
+			if !isOpenServiceTask(task) || task.Stopping {
 				continue
 			}
-			if tries++; tries > tuning.MaxEvictionTries {
+			if attempts++; attempts > tuning.MaxEvictionTries {
 				return
 			}
 			if placement.FitElsewhere(fleet, task.Job, task.ID.Task, machine.Name) != nil {
@@ -37,16 +37,16 @@
 	}
 }
 
-// openService reports whether a task belongs to a service that is to run on.
-func openService(task placement.ClaimedTask) bool {
+// isOpenServiceTask reports whether a task belongs to a service job that is open.
+func isOpenServiceTask(task placement.ClaimedTask) bool {
 	return task.Job.Service() && task.Job.Phase == jobs.Open
 }
 
-// stoppingServiceTask reports whether a service task is being stopped anywhere.
-func stoppingServiceTask(fleet *placement.Fleet) bool {
+// hasStoppingServiceTask reports whether a task of an open service is being stopped on any machine.
+func hasStoppingServiceTask(fleet *placement.Fleet) bool {
 	for _, machine := range fleet.Machines {
 		for _, task := range machine.Tasks {
-			if task.Stopping && openService(task) {
+			if task.Stopping && isOpenServiceTask(task) {
 				return true
 			}
 		}
@@ -54,8 +54,8 @@
 	return false
 }
 
-// unplacedServices reports whether the last pass left service tasks without a place.
-func (sc *Scheduler) unplacedServices() bool {
+// hasUnplacedServiceTasks reports whether the last pass left service tasks unplaced.
+func (sc *Scheduler) hasUnplacedServiceTasks() bool {
 	for jobID := range sc.Unplaced {
 		if job := sc.Table.Jobs[jobID]; job != nil && job.Service() {
 			return true
@@ -64,17 +64,17 @@
 	return false
 }
 
-// misplacesServices reports whether a machine of this controller is to lose its
-// service tasks: it is drained, of another role now, or about to be taken away.
-func (sc *Scheduler) misplacesServices(machine *placement.Machine) bool {
+// mustLoseServiceTasks reports whether a machine of this controller should no longer run service
+// tasks: it is not active, has another role now, or has been announced for termination.
+func (sc *Scheduler) mustLoseServiceTasks(machine *placement.Machine) bool {
 	w := sc.Workers.ByMachine[machine.Name]
 	if w == nil {
-		return false // not heard yet
+		return false // the worker has not sent a heartbeat yet
 	}
 	return machine.Role != placement.Service || sc.Inventory.Machines[machine.Name].Phase != inventory.Active || !w.TerminationAt.IsZero()
 }
 
-// evict stops a service task so that it is placed anew.
+// evict stops a service task, so that it is placed again.
 func (sc *Scheduler) evict(machine *placement.Machine, task placement.ClaimedTask) {
 	sc.Workers.StopTask(sc.Workers.ByMachine[machine.Name], task.ID)
 	sc.Log.Info(logging.EventServiceTaskEvicted, logging.KeyTask, task.ID, logging.KeyMachine, machine.Name,
