--- a/internal/scheduler/placementinput.go
+++ b/internal/scheduler/placementinput.go
@@ -1,4 +1,4 @@
-// This file builds the input of the placement.
+// This file builds the input of package placement.
 
 package scheduler
 
@@ -10,14 +10,14 @@
 	"wheatspur/internal/tuning"
 )
 
-// PlacementInput builds the input of a pass's placement on the given machines. The
-// caller holds the lock.
-func (sc *Scheduler) PlacementInput(machines *placement.Fleet, now time.Time) placement.Input {
+// PlacementInput builds the input of a pass's placement on the given fleet. The caller holds the
+// lock.
+func (sc *Scheduler) PlacementInput(fleet *placement.Fleet, now time.Time) placement.Input {
 	input := placement.Input{
 		Self:         sc.Self.Label,
 		Leader:       sc.Membership.Leader.Label,
 		RankNodes:    sc.Membership.RankNodes,
-		Fleet:        machines,
+		Fleet:        fleet,
 		Teams:        sc.Allowances(),
 		Now:          now,
 		MaxJobs:      tuning.JobsPerPass,
@@ -27,7 +27,7 @@
 	dependencies := sc.DependenciesSupported()
 	for jobID, job := range sc.Table.Open {
 		if job.Counts[jobs.Pending] == 0 || job.Record.Phase == jobs.Waiting && !dependencies {
-			continue // an old member would stop what starts on its machines
+			continue // a member of an older version would stop the tasks that start on its machines
 		}
 		if demand := sc.demandOf(job, avoid[jobID], now); len(demand.Tasks) > 0 {
 			input.Demands = append(input.Demands, demand)
@@ -36,7 +36,7 @@
 	return input
 }
 
-// machinesToAvoid lists, by job, the machines on which its tasks failed lately.
+// machinesToAvoid returns, by job, the machines on which its tasks failed recently.
 func (sc *Scheduler) machinesToAvoid() map[string]map[string]bool {
 	avoid := map[string]map[string]bool{}
 	for machine, w := range sc.Workers.Failing {
@@ -50,15 +50,15 @@
 	return avoid
 }
 
-// demandOf describes the pending tasks of an open job to the placement.
+// demandOf returns the demand of an open job's pending tasks for the placement.
 func (sc *Scheduler) demandOf(job *jobs.Job, avoid map[string]bool, now time.Time) *placement.Demand {
 	nothingStarted := job.Counts[jobs.Pending] == job.Record.Tasks
 	return &placement.Demand{
 		Job:   job,
 		Avoid: avoid,
 		Tasks: sc.pendingTasks(job, tuning.TasksPerJob, now),
-		// The cloud may still bring room for a guarantee; work that is stopped
-		// for it is lost.
+		// Work that is preempted for a guarantee is lost, and the cloud may still provide
+		// machines for it, so preemption waits.
 		MayReclaim:    sc.mayReclaim(job, now),
 		Starved:       nothingStarted && now.UnixMilli()-job.ReadyAtMs > tuning.StarvedAfter.Milliseconds(),
 		PreemptedFor:  now.Sub(sc.preemptedFor[job.ID]) < tuning.PreemptPause,
@@ -66,12 +66,12 @@
 	}
 }
 
-// pendingTasks lists up to limit pending tasks of a job that may be tried now.
+// pendingTasks returns up to limit pending tasks of a job that may be started now.
 func (sc *Scheduler) pendingTasks(job *jobs.Job, limit int, now time.Time) []int {
 	var pending []int
 	chunkSize := job.Record.ChunkSize
 	for chunk := 0; chunk*chunkSize < job.Record.Tasks && len(pending) < limit; chunk++ {
-		tasks := job.Chunks[chunk] // nil: never written, all pending
+		tasks := job.Chunks[chunk] // nil: the chunk was never written, so all tasks are pending
 		for i := 0; i < job.ChunkLen(chunk) && len(pending) < limit; i++ {
 			task := chunk*chunkSize + i
 			if tasks == nil || tasks[i].State == jobs.Pending && sc.retryDue(job, task, tasks[i].Failures, now) {
@@ -82,12 +82,12 @@
 	return pending
 }
 
-// retryDue reports whether a pending task may be tried now: each failure in a row
-// doubles the pause before the next try.
+// retryDue reports whether a pending task may be started now: each consecutive failure doubles the
+// delay before the next attempt, up to tuning.RetryCap.
 func (sc *Scheduler) retryDue(job *jobs.Job, task int, failures uint64, now time.Time) bool {
 	if failures == 0 {
 		return true
 	}
-	pause := min(tuning.RetryBase<<min(failures-1, tuning.MaxRetryDoublings), tuning.RetryCap)
-	return now.Sub(sc.Table.FailedAt[jobs.TaskID{Job: job.ID, Task: task}]) >= pause
+	delay := min(tuning.RetryBase<<min(failures-1, tuning.MaxRetryDoublings), tuning.RetryCap)
+	return now.Sub(sc.Table.FailedAt[jobs.TaskID{Job: job.ID, Task: task}]) >= delay
 }
