--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -88,7 +88,7 @@
 		sc.logClaims(write, change)
 	}
 	gangIncomplete := job.Gang() && claimed < len(group.claims)
-	if claimed == 0 || gangIncomplete || !sc.admit(write, job.Record.Spec.Team, chosen.amount, chosen.onOtherShards) {
+	if claimed == 0 || gangIncomplete || !sc.admitClaims(write, job.Record.Spec.Team, chosen.amount, chosen.onOtherShards) {
 		return nil
 	}
 	if job.SpansChunks() {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -1,5 +1,5 @@
-// This file carries out what package quota decides: it admits the writes of claims,
-// and plans the writes of shares and reservations.
+// This file applies the decisions of package quota: it admits the writes of claims, and plans the
+// writes of shares and reservations.
 
 package scheduler
 
@@ -17,7 +17,7 @@
 	"wheatspur/internal/tuning"
 )
 
-// QuotaView is what decisions about limits start from. The caller holds the lock.
+// QuotaView returns the cluster state that quota decisions are based on. The caller holds the lock.
 func (sc *Scheduler) QuotaView() quota.View {
 	return quota.View{
 		Self:         sc.Self.Label,
@@ -29,7 +29,7 @@
 	}
 }
 
-// Allowances are what a pass may still give to each team. The caller holds the lock.
+// Allowances returns what a pass may still allocate to each team. The caller holds the lock.
 func (sc *Scheduler) Allowances() map[string]*quota.Allowance {
 	view := sc.QuotaView()
 	scale := sc.Quota.Scale(sc.TotalCapacity, sc.Now())
@@ -42,8 +42,8 @@
 	return allowances
 }
 
-// TotalCapacity is what all machines that take tasks hold together. The caller
-// holds the lock.
+// TotalCapacity returns the total capacity of the machines that accept tasks. The caller holds the
+// lock.
 func (sc *Scheduler) TotalCapacity() quota.Amount {
 	var sum quota.Amount
 	for _, record := range sc.Inventory.Machines {
@@ -55,10 +55,10 @@
 	return sum
 }
 
-// mayReclaim reports whether a job within its team's guarantee has waited so long
-// for room that others' borrowed work is preempted for it. The team's wait is
-// stored, and so is the time since when the job could start, so all controllers
-// come to the same answer, also after a restart. The caller holds the lock.
+// mayReclaim reports whether a job within its team's guarantee has waited long enough for other
+// teams' borrowed work to be preempted for it. The start of the team's wait and the time at which
+// the job became ready are both stored, so all controllers come to the same result, even after a
+// restart. The caller holds the lock.
 func (sc *Scheduler) mayReclaim(job *jobs.Job, now time.Time) bool {
 	if since, ok := sc.UnplacedSince[job.ID]; ok && now.Sub(since) > tuning.GuaranteePreemptAfter {
 		return true
@@ -67,8 +67,9 @@
 		now.UnixMilli()-job.ReadyAtMs > tuning.GuaranteePreemptAfter.Milliseconds()
 }
 
-// planReservations lets the leader store which teams wait for room within their
-// guarantees: shortfall is what each lacks. The caller holds the lock.
+// planReservations returns the leader's write of the reservations, which record the teams that
+// wait for capacity within their guarantees. shortfall is the missing amount by team. The caller
+// holds the lock.
 func (sc *Scheduler) planReservations(shortfall map[string]quota.Amount, now time.Time, budget *writeBudget) []*PendingWrite {
 	if !sc.IsLeader() || !budget.covers(1) {
 		return nil
@@ -86,11 +87,11 @@
 	return []*PendingWrite{write}
 }
 
-// admit adds to a write of claims the compare of the team's shares and, for claims
-// on machines of other shard owners, the change that hands them that part of this
-// controller's share; false if the share does not cover the claims. The caller
-// holds the lock.
-func (sc *Scheduler) admit(write *PendingWrite, team string, amount quota.Amount, onOtherShards map[string]quota.Amount) bool {
+// admitClaims admits a write of claims under the team's limit. It adds the compare of the team's
+// shares and, for claims on other controllers' machines, the operation that transfers that part of
+// this controller's share to the shard owners. It returns false if the share does not cover the
+// claims. The caller holds the lock.
+func (sc *Scheduler) admitClaims(write *PendingWrite, team string, amount quota.Amount, onOtherShards map[string]quota.Amount) bool {
 	ledger := sc.Quota.Ledger(team)
 	if ledger == nil {
 		return false
@@ -112,7 +113,7 @@
 	return true
 }
 
-// ResolveQuota tells the team's ledger what became of a write. The caller holds the lock.
+// ResolveQuota reports the outcome of a write to the team's ledger. The caller holds the lock.
 func (sc *Scheduler) ResolveQuota(write *PendingWrite, err error) {
 	if write.shares != nil {
 		sc.Quota.Ledger(write.shares.Team).ResolveWrite(write.shares, outcomeOf(err), write.Compares)
@@ -125,7 +126,7 @@
 	}
 }
 
-// outcomeOf is what is known of a write by the error that it ended with.
+// outcomeOf returns the outcome of a write that ended with the given error.
 func outcomeOf(err error) quota.Outcome {
 	switch {
 	case err == nil:
@@ -136,7 +137,7 @@
 	return quota.Unknown
 }
 
-// planRebalances lets the leader divide the teams' limits among the members. The
+// planRebalances returns the leader's writes that divide the teams' limits among the members. The
 // caller holds the lock.
 func (sc *Scheduler) planRebalances(now time.Time, budget *writeBudget) []*PendingWrite {
 	if !sc.IsLeader() {
@@ -146,14 +147,14 @@
 	view := sc.QuotaView()
 	for _, ledger := range sc.Quota.Ledgers() {
 		team := ledger.Team().Name
-		urgent := ledger.Phase(view.FencingToken) == quota.Unshared
+		blocksClaims := ledger.Phase(view.FencingToken) == quota.Unshared
 		shares := ledger.Rebalance(now, view, sc.PendingAmounts(team), budget.covers(1))
 		if shares == nil {
 			continue
 		}
-		write := sc.shareWrite(shares)
-		if urgent {
-			write.Class = store.ClassCancel // all claims of the team wait for it
+		write := sc.newSharesWrite(shares)
+		if blocksClaims {
+			write.Class = store.ClassCancel // no claim of the team is admitted before this write
 		}
 		budget.spend(1)
 		writes = append(writes, write)
@@ -161,31 +162,32 @@
 	return writes
 }
 
-// planTransfers gives what this controller does not need of the teams' limits to
-// the leader, where that is short: teams are what the pass has left of each, and
-// shortfall is what the leader lacks. The caller holds the lock.
+// planTransfers returns the writes that transfer unused parts of this controller's shares to the
+// leader, for teams whose share at the leader is too small. teams holds what the pass has left of
+// each team's allowance, and shortfall what the leader is missing by team. The caller holds the
+// lock.
 func (sc *Scheduler) planTransfers(teams map[string]*quota.Allowance, shortfall map[string]quota.Amount, now time.Time, budget *writeBudget) []*PendingWrite {
 	if !sc.Settings.Operator.QuotaTransfers || sc.IsLeader() {
 		return nil
 	}
 	var writes []*PendingWrite
 	view := sc.QuotaView()
-	for team, lack := range shortfall {
+	for team, missing := range shortfall {
 		if !budget.covers(1) {
 			break
 		}
-		shares := sc.Quota.Ledger(team).Transfer(now, view, view.Leader, lack, teams[team].Left[view.Self])
+		shares := sc.Quota.Ledger(team).Transfer(now, view, view.Leader, missing, teams[team].Left[view.Self])
 		if shares == nil {
 			continue
 		}
 		budget.spend(1)
-		writes = append(writes, sc.shareWrite(shares))
+		writes = append(writes, sc.newSharesWrite(shares))
 	}
 	return writes
 }
 
-// shareWrite is the write of a team's shares. The caller holds the lock.
-func (sc *Scheduler) shareWrite(shares *quota.Write) *PendingWrite {
+// newSharesWrite returns the write of a team's shares. The caller holds the lock.
+func (sc *Scheduler) newSharesWrite(shares *quota.Write) *PendingWrite {
 	sc.Log.Info(logging.EventSharesChanged, logging.KeyTeam, shares.Team, logging.KeyEvent, string(shares.Event))
 	write := sc.newWrite(writeKind(shares.Event))
 	key := jobs.TeamKey(shares.Team)
@@ -195,8 +197,8 @@
 	return write
 }
 
-// PendingAmounts yields what the pending tasks of each job of a team take. The
-// caller holds the lock.
+// PendingAmounts yields, for each open job of a team, the resources that its pending tasks need.
+// The caller holds the lock.
 func (sc *Scheduler) PendingAmounts(team string) iter.Seq[quota.Amount] {
 	return func(yield func(quota.Amount) bool) {
 		for _, job := range sc.Table.Open {
@@ -211,11 +213,11 @@
 	}
 }
 
-// recordShortages notes which teams' tasks wait for other shares. The caller holds
-// the lock.
+// recordShortages records in each team's ledger whether the team's tasks wait for a larger share.
+// The caller holds the lock.
 func (sc *Scheduler) recordShortages(output placement.Output, now time.Time) {
 	for _, ledger := range sc.Quota.Ledgers() {
-		_, short := output.ShareShortfall[ledger.Team().Name]
-		ledger.RecordShortage(short, now, sc.Membership.FencingToken)
+		_, hasShortfall := output.ShareShortfall[ledger.Team().Name]
+		ledger.RecordShortage(hasShortfall, now, sc.Membership.FencingToken)
 	}
 }
