--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -1,4 +1,4 @@
-// This file releases claims whose attempts have surely ended.
+// This file releases claims whose attempts are known to have ended.
 
 package scheduler
 
@@ -14,10 +14,10 @@
 	"wheatspur/internal/worker"
 )
 
-// earlyReleaseBudget is the part of the budget that releases may take before
-// claims: half. If that is less than one operation each, they take turns: with
-// passes that come often, a single operation is due at a time, and releases took
-// every one. The caller holds the lock.
+// earlyReleaseBudget returns the part of the budget that releases may use before claims, which is
+// half. If the budget is below two operations, releases and claims alternate between passes: with
+// frequent passes the budget holds a single operation at a time, and releases used to take every
+// one. The caller holds the lock.
 func (sc *Scheduler) earlyReleaseBudget(budget writeBudget) writeBudget {
 	if budget < 2 && sc.claimsDeferred {
 		return 0
@@ -25,26 +25,26 @@
 	return (budget + 1) / 2
 }
 
-// pendingRelease is the change of one chunk by releases that may be stored now.
+// pendingRelease is a chunk change made of releases that may be stored now.
 type pendingRelease struct {
 	*chunkChange
-	key      string // of the chunk
+	key      string // chunk key
 	dueSince time.Time
 	priority releasePriority
 }
 
-// releasePriority orders releases.
+// releasePriority is the urgency of the releases of a chunk; lower values are written first.
 type releasePriority int
 
-// Priorities of releases, the most urgent first.
+// Priorities of releases, most urgent first.
 const (
-	releaseJobEnd  releasePriority = iota // the job ends: its user and the jobs that depend on it wait for that
-	releaseRestart                        // a task waits for a new start, or this controller's part of the job has ended
-	releaseRoutine                        // the release only frees room
+	releaseJobEnd  releasePriority = iota // the job ends; its user and dependent jobs wait for that
+	releaseRestart                        // a task waits to be restarted, or these are the last releases of the job on this controller
+	releaseRoutine                        // the release only frees capacity
 )
 
-// compare orders releases by priority; routine ones by how many there are of the
-// chunk; then by age. It is 0 only for releases of one chunk.
+// compare orders releases by priority, routine ones then by descending number of events, and all
+// then by age. It returns 0 only for releases of the same chunk.
 func (r *pendingRelease) compare(other *pendingRelease) int {
 	if c := cmp.Compare(r.priority, other.priority); c != 0 {
 		return c
@@ -58,11 +58,11 @@
 	return cmp.Compare(r.key, other.key)
 }
 
-// chunkChanges are changes of chunks by the keys of their records.
+// chunkChanges holds chunk changes by chunk key.
 type chunkChanges map[string]*chunkChange
 
-// add enters a task event.
-func (changes chunkChanges) add(job *jobs.Job, task int, event jobs.TaskEvent) {
+// addEvent adds a task event.
+func (changes chunkChanges) addEvent(job *jobs.Job, task int, event jobs.TaskEvent) {
 	chunk := chunkOf(job, task)
 	key := jobs.ChunkKey(job.ID, chunk)
 	if changes[key] == nil {
@@ -71,8 +71,8 @@
 	changes[key].events[task] = event
 }
 
-// has reports whether a task event is entered for the task.
-func (changes chunkChanges) has(job *jobs.Job, task int) bool {
+// hasEvent reports whether there is an event for the task.
+func (changes chunkChanges) hasEvent(job *jobs.Job, task int) bool {
 	change := changes[jobs.ChunkKey(job.ID, chunkOf(job, task))]
 	if change == nil {
 		return false
@@ -81,9 +81,8 @@
 	return ok
 }
 
-// dueReleases lists the releases that may be stored now, by chunk, the most urgent
-// first. workers are the workers of this controller that may have any. The caller
-// holds the lock.
+// dueReleases returns the releases that may be stored now, by chunk, most urgent first. workers
+// are the workers of this controller that may have releases. The caller holds the lock.
 func (sc *Scheduler) dueReleases(workers map[string]*worker.Worker, now time.Time) []pendingRelease {
 	changes := sc.provenEnds(workers, now)
 	for key := range sc.releaseDueSince {
@@ -106,21 +105,21 @@
 	return due
 }
 
-// provenEnds collects the claims whose attempts have surely ended, with what became
-// of them, by chunk: those on machines that were terminated, and those that the
-// workers of this controller prove.
+// provenEnds collects, by chunk, the claims whose attempts are known to have ended, with their
+// outcomes: claims on terminated machines, and claims whose end the workers of this controller
+// prove.
 func (sc *Scheduler) provenEnds(workers map[string]*worker.Worker, now time.Time) chunkChanges {
 	changes := chunkChanges{}
-	sc.addTerminatedMachines(changes)
-	sc.addWorkerEnds(changes, workers, now)
+	sc.addReleasesOnTerminatedMachines(changes)
+	sc.addEndsProvenByWorkers(changes, workers, now)
 	return changes
 }
 
-// addTerminatedMachines enters the claims on terminated machines. That a machine is
-// terminated is stored, so any controller may release its claims: the one that
-// ranks first for the job does, in one write for the machines of all shard owners.
-func (sc *Scheduler) addTerminatedMachines(changes chunkChanges) {
-	ranksFirst := map[string]bool{} // by job, since ranking the members is expensive
+// addReleasesOnTerminatedMachines adds the releases of claims on terminated machines. The
+// termination of a machine is stored, so any controller may release its claims. The controller
+// that ranks first for the job does, in one write for the machines of all shard owners.
+func (sc *Scheduler) addReleasesOnTerminatedMachines(changes chunkChanges) {
+	ranksFirst := map[string]bool{} // by job; cached, since ranking the members is expensive
 	for machine := range sc.MachineIndex.Terminated {
 		for id := range sc.Table.ClaimsByMachine[machine] {
 			first, known := ranksFirst[id.Job]
@@ -129,29 +128,30 @@
 				ranksFirst[id.Job] = first
 			}
 			if first {
-				changes.add(sc.Table.Jobs[id.Job], id.Task, jobs.TaskEvent{Kind: jobs.Release})
+				changes.addEvent(sc.Table.Jobs[id.Job], id.Task, jobs.TaskEvent{Kind: jobs.Release})
 			}
 		}
 	}
 }
 
-// addWorkerEnds enters the claims whose ends the workers prove, on machines that
+// addEndsProvenByWorkers adds the events of attempts whose end the workers prove, on machines that
 // this controller owns.
-func (sc *Scheduler) addWorkerEnds(changes chunkChanges, workers map[string]*worker.Worker, now time.Time) {
+func (sc *Scheduler) addEndsProvenByWorkers(changes chunkChanges, workers map[string]*worker.Worker, now time.Time) {
 	lease := sc.Settings.WorkerLease()
 	for machine, w := range workers {
 		if w.NothingToReconcile(now, lease) || sc.ShardOwner(machine) != sc.Self.Label || sc.Inventory.Machines[machine].Phase == inventory.Terminated {
 			continue
 		}
 		for _, end := range w.ProvenEnds(sc.Table.ClaimsByMachine[machine], now, lease) {
-			changes.add(sc.Table.Jobs[end.Task.Job], end.Task.Task, jobs.TaskEvent{Kind: end.Kind})
+			changes.addEvent(sc.Table.Jobs[end.Task.Job], end.Task.Task, jobs.TaskEvent{Kind: end.Kind})
 		}
 	}
 }
 
-// releasePriority says how urgent the releases of a chunk are that have been due
-// for so long; false if they are gathered, or can't be written, for now.
-func (sc *Scheduler) releasePriority(change *chunkChange, changes chunkChanges, waiting time.Duration) (releasePriority, bool) {
+// releasePriority returns the priority of a chunk's releases, which have been due for the time
+// waited. It returns false while further releases are collected for the same write, or while no
+// write about the job may be made.
+func (sc *Scheduler) releasePriority(change *chunkChange, changes chunkChanges, waited time.Duration) (releasePriority, bool) {
 	completed, restarts := 0, false
 	for _, event := range change.events {
 		if event.Kind == jobs.Complete {
@@ -162,37 +162,37 @@
 	}
 	job := change.job
 	endsJob := job.Counts[jobs.Completed]+completed == job.Record.Tasks
-	gather := !endsJob && len(change.events) < len(job.Claims) && waiting < tuning.ReleaseGather
-	if gather || sc.WritesInFlight[job.ID] || sc.Now().Before(sc.BackoffUntil[job.ID]) {
+	keepCollecting := !endsJob && len(change.events) < len(job.Claims) && waited < tuning.ReleaseGather
+	if keepCollecting || sc.WritesInFlight[job.ID] || sc.Now().Before(sc.BackoffUntil[job.ID]) {
 		return releaseRoutine, false
 	}
 	switch {
 	case endsJob:
 		return releaseJobEnd, true
-	case job.Service() || restarts || waiting > tuning.ReleaseOverdue || sc.endsShare(job, changes):
+	case job.Service() || restarts || waited > tuning.ReleaseOverdue || sc.releasesLastLocalClaims(job, changes):
 		return releaseRestart, true
 	}
 	return releaseRoutine, true
 }
 
-// endsShare reports whether the releases that are due leave no claim of the job on
-// this controller's machines, and no task is pending: the controller that stores
-// the job's end waits for these releases. Guards against jobs whose last release
-// came 12 s late because those of other controllers were thought to free room only.
-func (sc *Scheduler) endsShare(job *jobs.Job, due chunkChanges) bool {
+// releasesLastLocalClaims reports whether the due releases leave no claim of the job on this
+// controller's machines while no task of the job is pending. The controller that stores the job's
+// end then waits for these releases. Without this rule the job's end could be 12 s late, because a
+// controller took its last releases of the job for ones that only free capacity.
+func (sc *Scheduler) releasesLastLocalClaims(job *jobs.Job, due chunkChanges) bool {
 	if job.Counts[jobs.Pending] > 0 {
 		return false
 	}
 	for task, claim := range job.Claims {
-		if sc.ShardOwner(claim.Machine) == sc.Self.Label && !due.has(job, task) {
+		if sc.ShardOwner(claim.Machine) == sc.Self.Label && !due.hasEvent(job, task) {
 			return false
 		}
 	}
 	return true
 }
 
-// planRelease adds the write of one chunk's releases, if the budget has room for it.
-// The caller holds the lock.
+// planRelease adds the write of one chunk's releases, if the budget covers it. The caller holds the
+// lock.
 func (sc *Scheduler) planRelease(writes []*PendingWrite, release pendingRelease, budget *writeBudget) []*PendingWrite {
 	job := release.job
 	if !budget.covers(1) || sc.WritesInFlight[job.ID] {
