--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,9 +1,9 @@
-// Package scheduler runs the passes of a controller: it places pending tasks,
-// claims machines for them, releases claims whose attempts have surely ended, and
-// admits claims within the teams' quotas, each as compare-and-swaps in the store.
-// It owns what a pass carries over to the next. Packages placement and quota
-// decide; package cluster holds the state that passes start from, and package
-// fleet the workers.
+// Package scheduler runs the scheduling passes of a controller. A pass places pending tasks, claims
+// machines for them, releases claims whose attempts are known to have ended, and admits claims
+// within the teams' quotas. Each change is a compare-and-swap in the store. The package owns the
+// state that is carried over from one pass to the next. Packages placement and quota make the
+// decisions, package cluster holds the state that passes are based on, and package fleet manages
+// the workers.
 package scheduler
 
 import (
@@ -19,20 +19,20 @@
 	"wheatspur/internal/worker"
 )
 
-// Scheduler decides in passes. A pass is one critical section that returns writes;
-// each of them is then committed on its own. The state's lock guards all fields.
+// Scheduler makes decisions in passes. A pass is one critical section that returns writes, each of
+// which is then committed separately. The state's lock guards all fields.
 type Scheduler struct {
 	*cluster.State
 	*fleet.Fleet
 
-	WritesInFlight  map[string]bool      // jobs, and keys of intake records, that a write is in flight for
-	claimsDeferred  bool                 // the last pass wrote releases or shares, and no claims though some were due
-	releaseDueSince map[string]time.Time // since when there are releases to store, by key of the chunk
-	BackoffUntil    map[string]time.Time // until when a job waits after a write about it failed
-	preemptedFor    map[string]time.Time // when tasks were last preempted for a job
-	Unplaced        map[string]int       // tasks without a place in the last pass, by job
-	PendingReasons  map[string]string    // why they have none, by job
-	UnplacedSince   map[string]time.Time // since when a job has tasks without a place
+	WritesInFlight  map[string]bool      // jobs and intake record keys with a write in flight
+	claimsDeferred  bool                 // the last pass planned releases or shares, but no claims although some were due
+	releaseDueSince map[string]time.Time // since when a chunk has releases to store, by chunk key
+	BackoffUntil    map[string]time.Time // end of the backoff after a failed write, by job
+	preemptedFor    map[string]time.Time // time of the last preemption for a job, by job
+	Unplaced        map[string]int       // number of tasks that the last pass could not place, by job
+	PendingReasons  map[string]string    // why those tasks could not be placed, by job
+	UnplacedSince   map[string]time.Time // since when a job has unplaced tasks
 }
 
 // New returns a scheduler that has not run a pass yet.
@@ -50,12 +50,13 @@
 	}
 }
 
-// Run runs a pass whenever something has changed, until ctx ends.
+// Run runs a pass whenever something has changed, and at least every tuning.TickEvery, until ctx
+// ends.
 //
-// The commits of a pass's writes run beside the next passes, which leave alone
-// what WritesInFlight names. They are not waited for here: a clean stop waits for
-// WritesInFlight to empty before it ends ctx, and a forced one must not wait. Each
-// ends by itself within the bounds that Commit states.
+// The writes of a pass are committed concurrently with the next passes, which skip the jobs and
+// records in WritesInFlight. Run does not wait for the commits: a graceful stop waits for
+// WritesInFlight to be empty before it cancels ctx, and a forced stop must not wait. Each commit
+// ends within the time limits documented at Commit.
 func (sc *Scheduler) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
@@ -66,25 +67,25 @@
 		sc.RecordProgress(cluster.PassLoop)
 		start := time.Now()
 		writes := sc.runPass()
-		took := time.Since(start)
+		elapsed := time.Since(start)
 		for _, write := range writes {
 			go sc.Commit(ctx, write)
 		}
-		// Guards against passes that leave no processor for heartbeats and polls.
-		timing.Sleep(ctx, min(max(tuning.PassPause, tuning.PassRest*took), tuning.PassPauseMax))
+		// Without this pause, passes could leave no CPU time for heartbeats and polls.
+		timing.Sleep(ctx, min(max(tuning.PassPause, tuning.PassRest*elapsed), tuning.PassPauseMax))
 	}
 	return nil
 }
 
-// runPass takes the lock for a pass.
+// runPass runs a pass under the lock.
 func (sc *Scheduler) runPass() []*PendingWrite {
 	sc.Lock()
 	defer sc.Unlock()
 	return sc.Schedule()
 }
 
-// Schedule runs a pass: it returns the writes to commit, and sends workers the
-// commands that are due. The caller holds the lock.
+// Schedule runs a pass. It returns the writes to commit, and sends the due commands to workers.
+// The caller holds the lock.
 func (sc *Scheduler) Schedule() []*PendingWrite {
 	if !sc.IsMember() || !sc.HasStore() || sc.Draining() {
 		return nil
@@ -120,8 +121,9 @@
 	return writes
 }
 
-// pruneFinished forgets what no longer matters of tasks that were stopped, of
-// machines with failures, and of jobs that were preempted for or backed off.
+// pruneFinished drops obsolete state: stop requests of released tasks, entries of failing machines
+// whose failures are cleared or whose worker was replaced, and expired preemption pauses and
+// backoffs of jobs.
 func (sc *Scheduler) pruneFinished(workers map[string]*worker.Worker, now time.Time) {
 	for machine, w := range workers {
 		if len(w.Stopping) > 0 && w.PruneStopping(sc.Table.ClaimsByMachine[machine]) {
@@ -145,7 +147,7 @@
 	}
 }
 
-// preempt stops the victims of a placement. The caller holds the lock.
+// preempt stops the tasks that the placement chose to preempt. The caller holds the lock.
 func (sc *Scheduler) preempt(preemptions []placement.Preemption, now time.Time) {
 	for _, preemption := range preemptions {
 		w := sc.Workers.ByMachine[preemption.Job.Claims[preemption.ID.Task].Machine]
@@ -158,43 +160,42 @@
 	}
 }
 
-// planReleasesAndClaims adds the writes of releases and claims. Releases that end
-// jobs, or of tasks that are to start again, come first, but take no more than half
-// of the budget while tasks wait for their claims. The other releases only free
-// room, which is not short while there are claims. Guards against a half-empty
-// fleet beside a queue: the releases of hundreds of tasks took the budget from the
-// claims. The caller holds the lock.
+// planReleasesAndClaims adds the writes of releases and claims. Releases that end jobs or allow
+// tasks to be restarted come first, but use at most half of the budget while there are claims to
+// write. All other releases only free capacity, which is not short while tasks can be placed, so
+// they come last. Without this order, the releases of hundreds of tasks used up the budget and left
+// the fleet half empty while tasks were queued. The caller holds the lock.
 func (sc *Scheduler) planReleasesAndClaims(writes []*PendingWrite, due []pendingRelease, claims []placement.Claim, budget *writeBudget) []*PendingWrite {
-	early := *budget
+	earlyBudget := *budget
 	if len(claims) > 0 {
-		early = sc.earlyReleaseBudget(*budget)
+		earlyBudget = sc.earlyReleaseBudget(*budget)
 	}
-	*budget -= early
+	*budget -= earlyBudget
 	for _, release := range due {
 		if release.priority < releaseRoutine {
-			writes = sc.planRelease(writes, release, &early)
+			writes = sc.planRelease(writes, release, &earlyBudget)
 		}
 	}
-	*budget += early
+	*budget += earlyBudget
 	beforeClaims := len(writes)
 	writes = sc.planClaims(writes, claims, budget)
-	// Rebalances, which were planned before, count as releases here.
+	// The writes planned before the claims include rebalances, which count as releases here.
 	sc.claimsDeferred = len(claims) > 0 && len(writes) == beforeClaims && beforeClaims > 0
 	for _, release := range due {
-		writes = sc.planRelease(writes, release, budget) // those that were not written yet
+		writes = sc.planRelease(writes, release, budget) // skips jobs with a release planned above, which are in flight
 	}
 	return writes
 }
 
-// updateQueuedWrites enters how many writes were due and had no room in the budget
-// in the mean of what waits for it. The caller holds the lock.
-func (sc *Scheduler) updateQueuedWrites(left int) {
-	waiting := sc.Limiter.QueuedWrites() + float64(sc.MachineWritesLeft+max(0, left))
+// updateQueuedWrites updates the moving average of the writes that wait for the store's budget with
+// the number of due writes that this pass deferred. The caller holds the lock.
+func (sc *Scheduler) updateQueuedWrites(deferred int) {
+	waiting := sc.Limiter.QueuedWrites() + float64(sc.MachineWritesLeft+max(0, deferred))
 	sc.QueuedWrites += (waiting - sc.QueuedWrites) / 2
 }
 
-// recordUnplaced notes the tasks without a place, why they have none, and since
-// when. The caller holds the lock.
+// recordUnplaced records which tasks could not be placed, why, and since when. The caller holds the
+// lock.
 func (sc *Scheduler) recordUnplaced(output placement.Output, now time.Time) {
 	sc.Unplaced, sc.PendingReasons = output.Unplaced, output.Reasons
 	sc.recordShortages(output, now)
