--- a/internal/scheduler/write.go
+++ b/internal/scheduler/write.go
@@ -1,5 +1,5 @@
-// This file holds the writes of a pass: how they are put together, sent to the
-// store as one compare-and-swap each, and what their outcome changes.
+// This file defines the writes of a pass: how they are built, committed to the store as one
+// compare-and-swap each, and how their outcomes are applied.
 
 package scheduler
 
@@ -19,9 +19,8 @@
 	"wheatspur/wire"
 )
 
-// writeKind names what a write is for. It is the value of a metric's label and of
-// a log line's key, so the texts stay as they are. The writes of a team's shares
-// take the text of their quota.Event.
+// writeKind is the purpose of a write. Its values appear as a metric label and in log lines, so the
+// texts must not change. Writes of a team's shares use the text of their quota.Event instead.
 type writeKind string
 
 // Kinds of writes.
@@ -34,91 +33,90 @@
 	writeReservationsSet writeKind = "reserve"
 )
 
-// Bounds of the size of a write.
+// Bounds for estimating the size of a write.
 const (
-	// jsonPerCBORByte bounds the JSON form of a value, which the store counts, by
-	// its CBOR form.
+	// jsonPerCBORByte is an upper bound of the ratio between a value's size as JSON, which the
+	// store's limit applies to, and its size as CBOR.
 	jsonPerCBORByte = 2
-	// deleteBytes bounds the JSON form of a delete operation, all but its key.
+	// deleteBytes is an upper bound of the size of a delete operation as JSON, without its key.
 	deleteBytes = 16
 )
 
-// PendingWrite is a compare-and-swap in the making: a pass collects what it
-// compares and changes, and what is to follow when it is stored. It is not
-// changed any more once Schedule has returned it.
+// PendingWrite is a compare-and-swap that a pass builds up: its compares, its operations and the
+// actions to take once its outcome is known. It is immutable once Schedule has returned it.
 type PendingWrite struct {
-	Class      store.Class       // who goes first when the budget is short
+	Class      store.Class       // priority class in the queue for the write budget
 	Compares   map[string]uint64 // expected version by key
 	Operations []wire.Operation
-	Kind       string   // a writeKind; label of the metric of writes
-	bytes      int      // bounds the JSON form of the operations
-	inFlight   []string // what it is about in Scheduler.WritesInFlight
+	Kind       string   // a writeKind or quota.Event; label of the metric that counts writes
+	jsonBytes  int      // upper bound of the size of the operations as JSON
+	subjects   []string // its entries in Scheduler.WritesInFlight: jobs or intake record keys
 	logLines   []logLine
 
-	shares       *quota.Write     // the new shares of a team's limit that it stores; nil: none
-	Admission    *quota.Admission // the part of a team's limit that its claims take; nil: none to account for
-	reservations bool             // it stores the reservations
+	shares       *quota.Write     // the shares of a team's limit that it stores; nil: none
+	Admission    *quota.Admission // the admission of its claims under the team's limit; nil: nothing to account for
+	reservations bool             // whether it stores the reservations
 }
 
-// logLine is a line for the log that is written when a write is stored.
+// logLine is a log line that is written once a write is stored.
 type logLine struct {
 	event string
 	args  []any // keys and values, as log/slog takes them
 }
 
-// writeBudget is how many operations may still be written in this pass. What does
-// not fit is not decided: it would wait in the limiter's queue until its compares
-// are old, and fail.
+// writeBudget is the number of operations that may still be written in this pass. Writes beyond
+// the budget are not planned: they would wait in the limiter's queue until their compares are
+// stale, and then fail.
 type writeBudget float64
 
-// covers reports whether there is room for a number of operations.
+// covers reports whether the budget covers a number of operations.
 func (b *writeBudget) covers(operations float64) bool { return float64(*b) >= operations }
 
-// spend takes a number of operations.
+// spend deducts a number of operations.
 func (b *writeBudget) spend(operations float64) { *b -= writeBudget(operations) }
 
-// newWrite begins a write. Every write compares the membership: no controller that
-// was fenced out can store what it decided before.
+// newWrite returns a write without operations. Every write compares the membership record, so that
+// a controller that was fenced out can't store decisions it made before.
 func (sc *Scheduler) newWrite(kind writeKind) *PendingWrite {
 	write := &PendingWrite{Class: store.ClassClaim, Kind: string(kind), Compares: map[string]uint64{}}
 	sc.compareCurrent(write, membership.Key)
 	return write
 }
 
-// compareCurrent lets a write succeed only if the key's version is still the one
-// known here. The caller holds the lock.
+// compareCurrent adds a compare with the cached version of a key: the write succeeds only if the
+// key has not changed since. The caller holds the lock.
 func (sc *Scheduler) compareCurrent(write *PendingWrite, key string) {
 	write.Compares[key] = sc.Cache.Version(key)
 }
 
-// hasRoom reports whether more operations of the given size in all, and more
-// compares, fit the write.
-func (sc *Scheduler) hasRoom(write *PendingWrite, operations, bytes, compares int) bool {
-	most := sc.Limits.TxnOps
-	return len(write.Operations)+operations <= most &&
-		write.bytes+bytes <= tuning.TransactionBytes &&
-		len(write.Compares)+compares <= tuning.ComparesPerOperation*most
+// hasRoom reports whether the write has room for the given number of further operations, with the
+// given total size, and of further compares.
+func (sc *Scheduler) hasRoom(write *PendingWrite, operations, jsonBytes, compares int) bool {
+	maxOperations := sc.Limits.TxnOps
+	return len(write.Operations)+operations <= maxOperations &&
+		write.jsonBytes+jsonBytes <= tuning.TransactionBytes &&
+		len(write.Compares)+compares <= tuning.ComparesPerOperation*maxOperations
 }
 
-// put adds the operation that stores a value.
-func (write *PendingWrite) put(key string, v any) {
-	raw := wire.MustMarshal(v)
-	write.Operations = append(write.Operations, wire.Operation{Put: key, Value: raw})
-	write.bytes += jsonPerCBORByte*len(raw) + len(key)
+// put adds an operation that stores a value.
+func (write *PendingWrite) put(key string, value any) {
+	encoded := wire.MustMarshal(value)
+	write.Operations = append(write.Operations, wire.Operation{Put: key, Value: encoded})
+	write.jsonBytes += jsonPerCBORByte*len(encoded) + len(key)
 }
 
-// delete adds the operation that drops a key.
+// delete adds an operation that deletes a key.
 func (write *PendingWrite) delete(key string) {
 	write.Operations = append(write.Operations, wire.Operation{Delete: key})
-	write.bytes += len(key) + deleteBytes
+	write.jsonBytes += len(key) + deleteBytes
 }
 
-// logWhenStored adds a line for the log.
+// logWhenStored adds a log line that is written once the write is stored.
 func (write *PendingWrite) logWhenStored(event string, args ...any) {
 	write.logLines = append(write.logLines, logLine{event, args})
 }
 
-// sortedCompares lists the compares by key.
+// sortedCompares returns the compares, sorted by key.
 func (write *PendingWrite) sortedCompares() []wire.Compare {
 	compares := make([]wire.Compare, 0, len(write.Compares))
 	for key, version := range write.Compares {
@@ -128,26 +126,26 @@
 	return compares
 }
 
-// addWrite adds a complete write about a job or an intake record, and marks that
-// as having a write in flight. The caller holds the lock.
+// addWrite adds a complete write about a job or an intake record to the pass, deducts it from the
+// budget and marks its subject as having a write in flight. The caller holds the lock.
 func (sc *Scheduler) addWrite(writes []*PendingWrite, write *PendingWrite, subject string, budget *writeBudget) []*PendingWrite {
-	write.inFlight = append(write.inFlight, subject)
+	write.subjects = append(write.subjects, subject)
 	sc.WritesInFlight[subject] = true
 	budget.spend(float64(len(write.Operations)))
 	return append(writes, write)
 }
 
-// Commit sends a write to the store and enters its outcome. It takes the lock
-// itself. It waits for its turn in the budget for up to tuning.DecisionWait or
-// until ctx ends, then for the store's answer for up to tuning.StoreCallTimeout,
-// and after an answer that leaves open what is stored for up to tuning.BarrierWait.
+// Commit sends a write to the store and applies its outcome. It takes the lock itself. It waits for
+// the write budget for up to tuning.DecisionWait or until ctx ends, then for the store's response
+// for up to tuning.StoreCallTimeout. After a conflict or an unknown outcome it also waits up to
+// tuning.BarrierWait for a read of the store.
 func (sc *Scheduler) Commit(ctx context.Context, write *PendingWrite) {
 	revision, err := sc.compareAndSwap(ctx, write)
 	if err != nil {
-		sc.Log.Debug(logging.EventCompareAndSwapFailed, logging.KeyKind, write.Kind, logging.KeyJobs, write.inFlight, logging.KeyError, err)
+		sc.Log.Debug(logging.EventCompareAndSwapFailed, logging.KeyKind, write.Kind, logging.KeyJobs, write.subjects, logging.KeyError, err)
 		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
-			// What is stored now decides; read it before the next try. If that
-			// fails, a pass that starts from what is known here only loses again.
+			// Read the current records before the next attempt. An error can be ignored: a
+			// pass that uses the stale cache only causes another conflict.
 			_ = sc.Syncer.ReadBarrier(tuning.BarrierWait)
 		}
 	}
@@ -156,14 +154,13 @@
 
 // compareAndSwap sends a write to the store.
 func (sc *Scheduler) compareAndSwap(ctx context.Context, write *PendingWrite) (revision uint64, err error) {
-	ctx, stop := context.WithTimeout(ctx, tuning.DecisionWait)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, tuning.DecisionWait)
+	defer cancel()
 	return sc.Store.CompareAndSwap(ctx, write.Class, write.sortedCompares(), write.Operations)
 }
 
-// applyOutcome enters what became of a write, and wakes the scheduler. All of it
-// is one critical section: no pass sees a write that is neither in flight nor in
-// the cache.
+// applyOutcome applies the outcome of a write and wakes the scheduler. It is one critical section,
+// so that no pass sees a stored write that is neither in flight nor in the cache.
 func (sc *Scheduler) applyOutcome(write *PendingWrite, revision uint64, err error) {
 	sc.Lock()
 	defer sc.Unlock()
@@ -175,21 +172,21 @@
 		}
 	}
 	sc.ResolveQuota(write, err)
-	for _, subject := range write.inFlight {
+	for _, subject := range write.subjects {
 		delete(sc.WritesInFlight, subject)
 		sc.backOff(write, subject, err)
 	}
 	cluster.Wake(sc.PassWake)
 }
 
-// backOff sets when a job is tried again after a write about it; at once if the
-// write was stored. The caller holds the lock.
+// backOff sets how long a job waits after a write about it: not at all if the write was stored. The
+// caller holds the lock.
 func (sc *Scheduler) backOff(write *PendingWrite, jobID string, err error) {
 	switch {
 	case err == nil:
 		delete(sc.BackoffUntil, jobID)
 	case errors.Is(err, store.ErrMalformed):
-		// It would be refused again: guards against a write every pass.
+		// The store would reject it again, so don't repeat it in every pass.
 		sc.BackoffUntil[jobID] = sc.Now().Add(tuning.RetryCap)
 		sc.Log.Error(logging.EventCompareAndSwapMalformed, logging.KeyKind, write.Kind, logging.KeyJob, jobID, logging.KeyError, err)
 	default:
