--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -9,33 +9,33 @@
 	"wheatspur/wire"
 )
 
-// jobResponse is the answer to a request that was served: the status of a job.
+// jobResponse is the result of a request that succeeded: the status of a job.
 type jobResponse struct {
-	status int // of HTTP
+	status int // HTTP status code
 	job    wire.JobStatus
 }
 
-// apiError is the answer to a request that was not served.
+// apiError is the result of a request that failed.
 type apiError struct {
-	status int    // of HTTP
-	reason string // for the user
-	// retryable says that the reason may pass: the answer says when to come back.
-	// One that is not retryable is a verdict on the request itself.
+	status int    // HTTP status code
+	reason string // error text for the user
+	// retryable is true if the failure may be temporary; the response then has a Retry-After header.
+	// Otherwise the request itself is at fault.
 	retryable bool
-	// closesConnection says that another connection may reach a controller that
-	// can serve the request.
+	// closesConnection makes the response close the connection, since a new connection may reach
+	// another controller that can serve the request.
 	closesConnection bool
 }
 
-// Error returns the reason.
+// Error implements error; it returns the reason.
 func (e *apiError) Error() string { return e.reason }
 
-// rejected is the answer to a request that is wrong.
+// rejected returns the error for an invalid request.
 func rejected(status int, reason string) *apiError {
 	return &apiError{status: status, reason: reason}
 }
 
-// retryLater is the answer to a request that can't be served now.
+// retryLater returns the error for a request that can't be served now but may be retried.
 func retryLater(status int, reason string) *apiError {
 	return &apiError{status: status, reason: reason, retryable: true}
 }
@@ -50,58 +50,57 @@
 	return retryLater(fasthttp.StatusTooManyRequests, "too many submissions under way")
 }
 
-// answer is an answer as it goes to the user, or back to the sibling that
-// forwarded the request.
-type answer struct {
-	status           int    // of HTTP
-	retryAfter       string // header of this name; empty: none
+// httpResponse is the response that is sent to the user, or returned to the sibling that forwarded
+// the request.
+type httpResponse struct {
+	status           int    // HTTP status code
+	retryAfter       string // Retry-After header; empty: none
 	body             []byte // CBOR
 	closesConnection bool
-	forwarded        bool // it is a sibling's
+	forwarded        bool // whether a sibling served the request
 }
 
-// answerTo is the answer to a request that was decided here; err is nil if it
-// was served.
-func (api *UserAPI) answerTo(response jobResponse, err *apiError) answer {
+// newHTTPResponse returns the response to a request that was served by this controller. err is nil
+// if the request succeeded.
+func (api *UserAPI) newHTTPResponse(response jobResponse, err *apiError) httpResponse {
 	if err == nil {
-		return answer{status: response.status, body: wire.MustMarshal(response.job)}
+		return httpResponse{status: response.status, body: wire.MustMarshal(response.job)}
 	}
-	a := answer{
+	r := httpResponse{
 		status:           err.status,
 		body:             wire.MustMarshal(wire.ErrorResponse{Error: err.reason}),
 		closesConnection: err.closesConnection,
 	}
 	if err.retryable {
-		a.retryAfter = strconv.Itoa(api.Settings.Operator.RetryAfterSeconds)
+		r.retryAfter = strconv.Itoa(api.Settings.Operator.RetryAfterSeconds)
 	}
-	return a
+	return r
 }
 
-// forwardedAnswer is a sibling's answer as it goes to the user.
-func forwardedAnswer(r peer.ForwardResponse) answer {
-	return answer{status: r.Status, retryAfter: r.RetryAfter, body: r.Body, forwarded: true}
+// newForwardedResponse converts a sibling's response into the response to the user.
+func newForwardedResponse(r peer.ForwardResponse) httpResponse {
+	return httpResponse{status: r.Status, retryAfter: r.RetryAfter, body: r.Body, forwarded: true}
 }
 
-// forwardResponse is the answer as it goes back to the sibling that forwarded
-// the request.
-func (a answer) forwardResponse() peer.ForwardResponse {
-	return peer.ForwardResponse{Status: a.status, Body: a.body, RetryAfter: a.retryAfter}
+// forwardResponse converts the response into the one for the sibling that forwarded the request.
+func (r httpResponse) forwardResponse() peer.ForwardResponse {
+	return peer.ForwardResponse{Status: r.status, Body: r.body, RetryAfter: r.retryAfter}
 }
 
-// write sends the answer to the user.
-func (a answer) write(request *fasthttp.RequestCtx) {
-	if a.forwarded {
-		// This also drops what the server has preset, so that a forwarded answer
-		// has a Date header and one of this controller has none.
+// write writes the response to the user's request.
+func (r httpResponse) write(request *fasthttp.RequestCtx) {
+	if r.forwarded {
+		// Reset also clears the options that the server has preset. As a result, a forwarded
+		// response has a Date header and a response of this controller has none.
 		request.Response.Reset()
 	}
-	if a.retryAfter != "" {
-		request.Response.Header.Set(fasthttp.HeaderRetryAfter, a.retryAfter)
+	if r.retryAfter != "" {
+		request.Response.Header.Set(fasthttp.HeaderRetryAfter, r.retryAfter)
 	}
-	request.SetStatusCode(a.status)
+	request.SetStatusCode(r.status)
 	request.SetContentType(wire.ContentType)
-	request.SetBody(a.body)
-	if a.closesConnection {
+	request.SetBody(r.body)
+	if r.closesConnection {
 		request.SetConnectionClose()
 	}
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -58,16 +58,16 @@
 // RefuseForNow refuses at once what can't be taken now, and says when to come
 // back.
 func (api *UserAPI) RefuseForNow(request *fasthttp.RequestCtx, status int, reason string) {
-	api.answerTo(jobResponse{}, retryLater(status, reason)).write(request)
+	api.newHTTPResponse(jobResponse{}, retryLater(status, reason)).write(request)
 }
 
 // ServeJobs serves a user's request here, or forwards it to a sibling that
 // reads the store while this controller does not.
 func (api *UserAPI) ServeJobs(request *fasthttp.RequestCtx, path string) {
-	api.answerUser(request, path).write(request)
+	api.respond(request, path).write(request)
 }
 
-func (api *UserAPI) answerUser(request *fasthttp.RequestCtx, path string) answer {
+func (api *UserAPI) respond(request *fasthttp.RequestCtx, path string) httpResponse {
 	if !api.HasStore() {
 		if forwarded, ok := api.forward(request); ok {
 			return forwarded
@@ -81,7 +81,7 @@
 		// A new connection may reach a controller that can serve the request.
 		err.closesConnection = true
 	}
-	return api.answerTo(response, err)
+	return api.newHTTPResponse(response, err)
 }
 
 // serve serves a request here. The method was checked with the route.
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -13,18 +13,18 @@
 
 // forward sends a user's request to a sibling that reads the store; false if there
 // is none or it does not answer.
-func (api *UserAPI) forward(request *fasthttp.RequestCtx) (answer, bool) {
+func (api *UserAPI) forward(request *fasthttp.RequestCtx) (httpResponse, bool) {
 	target := api.siblingWithStore()
 	if target == nil {
-		return answer{}, false
+		return httpResponse{}, false
 	}
 	forwarded := peer.ForwardRequest{Method: string(request.Method()), Path: string(request.Path()), Body: request.PostBody()}
 	response, err := target.Client.Forward(forwarded, tuning.ForwardTimeout)
 	if err != nil {
 		api.Log.Debug(logging.EventForwardingFailed, logging.KeyTarget, target.Settings.Label, logging.KeyError, err)
-		return answer{}, false
+		return httpResponse{}, false
 	}
-	return forwardedAnswer(response), true
+	return newForwardedResponse(response), true
 }
 
 // siblingWithStore is the sibling, by its label the first, that lately said that
@@ -45,11 +45,11 @@
 func (api *UserAPI) ServeForwarded(request *fasthttp.RequestCtx) {
 	forwarded, err := peer.DecodeForwardRequest(request.PostBody())
 	if err != nil || forwarded.Path != SubmissionPath && !strings.HasPrefix(forwarded.Path, JobPathPrefix) {
-		api.answerTo(jobResponse{}, rejected(fasthttp.StatusBadRequest, "malformed request")).write(request)
+		api.newHTTPResponse(jobResponse{}, rejected(fasthttp.StatusBadRequest, "malformed request")).write(request)
 		return
 	}
-	answered := api.answerTo(api.serve(forwarded.Path, forwarded.Body)).forwardResponse()
-	request.SetBody(answered.Encode())
+	response := api.newHTTPResponse(api.serve(forwarded.Path, forwarded.Body)).forwardResponse()
+	request.SetBody(response.Encode())
 }
 
 // storeSeemsLost reports whether this controller seems to have lost the store.
