--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -15,22 +15,22 @@
 	"wheatspur/wire"
 )
 
-// cancelJob cancels a job, and answers with its status once that can't change any
-// more: a job that has ended is left as it is.
+// cancelJob cancels a job and returns its final status. A job that has already ended is left
+// unchanged.
 func (api *UserAPI) cancelJob(jobID string) (jobResponse, *apiError) {
 	if !wire.ValidJobID(jobID) {
 		return jobResponse{}, noSuchJob()
 	}
-	// Not the request's context: that one ends with the server alone, and a
-	// cancellation that is under way at a clean stop is let end (Drain).
-	ctx, stop := context.WithTimeout(context.Background(), tuning.DecisionWait)
-	defer stop()
-	for try := 0; ctx.Err() == nil; try++ {
+	// The request's context is not used, since it is only cancelled when the server stops, and a
+	// graceful stop (Drain) lets cancellations in progress complete.
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.DecisionWait)
+	defer cancel()
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		status, known, final := api.LookupJob(jobID)
 		if final {
 			return jobResponse{fasthttp.StatusOK, status}, nil
 		}
-		if !known || try > 0 {
+		if !known || attempt > 0 {
 			// The cache may be behind the store.
 			current, known, err := api.readJob(jobID)
 			if err != nil {
@@ -43,24 +43,24 @@
 				continue
 			}
 		}
-		if err := api.storeCancellation(ctx, jobID); err != nil && !worthRetrying(err) {
+		if err := api.storeCancellation(ctx, jobID); err != nil && !shouldRetryCancellation(err) {
 			break
 		}
 	}
 	return jobResponse{}, retryLater(fasthttp.StatusServiceUnavailable, "the cancellation can't be stored now")
 }
 
-// errNotCancellable says that a job's record can't be changed to cancelled.
+// errNotCancellable is returned if a job's record does not allow a transition to cancelled.
 var errNotCancellable = errors.New("job can't be cancelled")
 
-// worthRetrying reports whether a cancellation that failed may be decided again
-// on what is stored now: the record had changed, or the write's outcome is unknown.
-func worthRetrying(err error) bool {
+// shouldRetryCancellation reports whether a failed cancellation should be retried with the current
+// record: the record had changed, or the outcome of the write is unknown.
+func shouldRetryCancellation(err error) bool {
 	return errors.Is(err, errNotCancellable) || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown)
 }
 
-// storeCancellation writes the cancelled record of a job that is known, on
-// condition that neither the record nor the membership has changed.
+// storeCancellation stores the cancelled record of a job in the cache, on condition that neither the
+// job's record nor the membership record has changed.
 func (api *UserAPI) storeCancellation(ctx context.Context, jobID string) error {
 	compares, operations, err := api.planCancellation(jobID)
 	if err != nil {
