--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -11,8 +11,8 @@
 	"wheatspur/internal/tuning"
 )
 
-// forward sends a user's request to a sibling that reads the store; false if there
-// is none or it does not answer.
+// forward sends a user's request to a sibling that can read the store. It returns false if there is
+// none or if it does not respond.
 func (api *UserAPI) forward(request *fasthttp.RequestCtx) (httpResponse, bool) {
 	target := api.siblingWithStore()
 	if target == nil {
@@ -27,21 +27,21 @@
 	return newForwardedResponse(response), true
 }
 
-// siblingWithStore is the sibling, by its label the first, that lately said that
-// it reads the store; nil if none did.
+// siblingWithStore returns the sibling that recently reported that it can read the store, the one
+// with the lowest label if there are several, or nil if there is none.
 func (api *UserAPI) siblingWithStore() *fleet.Sibling {
 	api.Lock()
 	defer api.Unlock()
-	var first *fleet.Sibling
+	var lowest *fleet.Sibling
 	for _, sibling := range api.peers.Siblings {
-		if api.peers.IsFresh(sibling) && sibling.Status.HasStore && (first == nil || sibling.Settings.Label < first.Settings.Label) {
-			first = sibling
+		if api.peers.IsFresh(sibling) && sibling.Status.HasStore && (lowest == nil || sibling.Settings.Label < lowest.Settings.Label) {
+			lowest = sibling
 		}
 	}
-	return first
+	return lowest
 }
 
-// ServeForwarded serves a request that a sibling forwarded; it goes no further.
+// ServeForwarded serves a request that a sibling forwarded. It never forwards the request again.
 func (api *UserAPI) ServeForwarded(request *fasthttp.RequestCtx) {
 	forwarded, err := peer.DecodeForwardRequest(request.PostBody())
 	if err != nil || forwarded.Path != SubmissionPath && !strings.HasPrefix(forwarded.Path, JobPathPrefix) {
@@ -52,7 +52,8 @@
 	request.SetBody(response.Encode())
 }
 
-// storeSeemsLost reports whether this controller seems to have lost the store.
+// storeSeemsLost reports whether this controller has not been able to read the store for
+// tuning.StoreLostAfter.
 func (api *UserAPI) storeSeemsLost() bool {
 	return api.Now().Sub(api.Syncer.LastReadAt()) > tuning.StoreLostAfter
 }
