--- a/internal/api/groupcommit.go
+++ b/internal/api/groupcommit.go
@@ -1,5 +1,5 @@
-// This file is the group commit of the intake: submissions that wait together are
-// stored in one write.
+// This file implements the group commit of submissions: submissions that are queued at the same time
+// are stored in one write.
 
 package api
 
@@ -15,34 +15,33 @@
 	"wheatspur/wire"
 )
 
-// Submission is a new job that waits for its durable write. The handler that
-// serves its user creates it, sends it to UserAPI.Intake and waits for Done;
-// RunIntake stores it. Nothing in it changes after it was sent.
+// Submission is a new job that waits to be stored. The request handler creates it, sends it to
+// UserAPI.Intake and waits for Done. RunIntake stores it. It is immutable once it has been sent.
 type Submission struct {
-	// Spec is the job as its user described it.
+	// Spec is the user's description of the job.
 	Spec *wire.JobSpec
-	// Record is what is stored of the job.
+	// Record is the job record to store.
 	Record jobs.Record
-	// Deadline is when the user is answered at the latest; nothing is written for a
-	// submission that is past it.
+	// Deadline is the latest time of the response to the user. A submission that is past its
+	// deadline is not written.
 	Deadline time.Time
-	// Done receives the outcome of the write, once. It has room for it, so that the
-	// intake never waits for a handler that has given up.
+	// Done receives the outcome of the write, once. It is buffered, so that the intake never blocks
+	// on a handler that has timed out.
 	Done chan error
 }
 
-// expired reports whether the user has been told to come back.
+// expired reports whether the deadline has passed, so that the user has been told to retry.
 func (s *Submission) expired() bool { return !time.Now().Before(s.Deadline) }
 
-// ErrStoreAlone says that a submission was not stored together with others, and may
-// be by itself.
-var ErrStoreAlone = errors.New("not stored with the others")
+// ErrStoreAlone is the outcome of a submission that was not stored with its group and can be stored
+// on its own.
+var ErrStoreAlone = errors.New("submission was not stored with its group and must be stored on its own")
 
-// RunIntake stores submissions. Those that come while the budget of writes is
-// short go together in one: hundreds of jobs at once, when a fleet starts or a
-// store is back, took half a minute one by one.
+// RunIntake stores submissions until ctx ends. Submissions that arrive while a write waits for the
+// write budget are stored together in the next one. Stored one by one, the hundreds of jobs that
+// arrive at once when a fleet starts or the store recovers took half a minute.
 func (api *UserAPI) RunIntake(ctx context.Context) error {
-	var first *Submission // of the next group
+	var first *Submission // first submission of the next group
 	for ctx.Err() == nil {
 		if first == nil {
 			select {
@@ -58,24 +57,24 @@
 	return nil
 }
 
-// commitGroup stores a group and hands each of its submissions the outcome. One that
-// is alone gets a record of its own.
+// commitGroup stores a group and sends each of its submissions the outcome. A group of one is stored
+// as the job's own record instead of an intake record.
 func (api *UserAPI) commitGroup(ctx context.Context, group []*Submission) {
 	switch len(group) {
-	case 0: // all were past their deadlines
+	case 0: // all submissions were past their deadlines
 	case 1:
 		submission := group[0]
-		storeCtx, stop := context.WithDeadline(ctx, submission.Deadline)
-		defer stop()
+		storeCtx, cancel := context.WithDeadline(ctx, submission.Deadline)
+		defer cancel()
 		submission.Done <- api.storeOne(storeCtx, submission)
 	default:
 		api.StoreGroup(ctx, group)
 	}
 }
 
-// BatchSubmissions takes submissions that wait, as many as one record holds and one
-// write can compare; the one that does not fit goes first in the next group. Those
-// past their deadlines are left out.
+// BatchSubmissions takes queued submissions, as many as fit into one record and one write. next is a
+// submission that did not fit or has the job ID of one in the group; it starts the next group, and
+// is nil if there is none. Submissions past their deadlines are dropped.
 func (api *UserAPI) BatchSubmissions(first *Submission) (group []*Submission, next *Submission) {
 	bytesLeft := api.MaxGroupBytes()
 	limit := api.groupLimit()
@@ -100,28 +99,28 @@
 	}
 }
 
-// groupLimit is how many submissions one write may store: each takes a compare, and
-// the intake record one more.
+// groupLimit returns the maximum number of submissions in one write. Each submission needs a
+// compare, and the intake record needs one more.
 func (api *UserAPI) groupLimit() int {
 	return min(tuning.IntakeGroup, tuning.ComparesPerOperation*api.Limits.TxnOps-1)
 }
 
-// storeOne stores a job's own record.
+// storeOne stores a submission as the job's own record.
 func (api *UserAPI) storeOne(ctx context.Context, submission *Submission) error {
 	key := jobs.JobKey(submission.Spec.ID)
 	put := wire.Operation{Put: key, Value: wire.MustMarshal(submission.Record)}
-	return api.storeNew(ctx, []wire.Compare{{Key: key}}, put)
+	return api.storeNewJobs(ctx, []wire.Compare{{Key: key}}, put)
 }
 
-// StoreGroup stores several jobs in one intake record, on condition that none of them
-// has a record of its own.
+// StoreGroup stores several jobs in one intake record, on condition that none of them has a record
+// of its own, and sends each submission the outcome.
 func (api *UserAPI) StoreGroup(ctx context.Context, group []*Submission) {
 	compares, put := groupWrite(api.nextIntakeKey(), group)
-	storeCtx, stop := context.WithDeadline(ctx, latestDeadline(group))
-	defer stop()
-	err := api.storeNew(storeCtx, compares, put)
+	storeCtx, cancel := context.WithDeadline(ctx, latestDeadline(group))
+	defer cancel()
+	err := api.storeNewJobs(storeCtx, compares, put)
 	if errors.Is(err, store.ErrConflict) {
-		// One of them is known; which, each finds out by itself.
+		// At least one of the jobs is already stored. Storing each on its own finds out which.
 		err = ErrStoreAlone
 	}
 	for _, submission := range group {
@@ -129,15 +128,15 @@
 	}
 }
 
-// nextIntakeKey is the key of a new intake record. It is never used again, by any
-// incarnation of any controller.
+// nextIntakeKey returns a key for a new intake record. The key is unique across controllers and
+// their incarnations, and never reused.
 func (api *UserAPI) nextIntakeKey() string {
 	api.Lock()
 	defer api.Unlock()
 	return fmt.Sprintf("%s%s.%d.%d", jobs.IntakePrefix, api.Self.Label, api.Self.Incarnation, api.intakeCounter.Add(1))
 }
 
-// groupWrite is the write of a group's intake record.
+// groupWrite returns the compares and the operation that store a group's intake record.
 func groupWrite(key string, group []*Submission) ([]wire.Compare, wire.Operation) {
 	compares := make([]wire.Compare, 0, len(group)+1)
 	compares = append(compares, wire.Compare{Key: key})
@@ -159,8 +158,8 @@
 	return latest
 }
 
-// storeNew writes the record of new jobs and enters it here.
-func (api *UserAPI) storeNew(ctx context.Context, compares []wire.Compare, put wire.Operation) error {
+// storeNewJobs stores a record of new jobs and applies it to the cache.
+func (api *UserAPI) storeNewJobs(ctx context.Context, compares []wire.Compare, put wire.Operation) error {
 	operations := []wire.Operation{put}
 	revision, err := api.Store.CompareAndSwap(ctx, store.ClassIntake, compares, operations)
 	if err != nil {
