--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -15,13 +15,13 @@
 	"wheatspur/wire"
 )
 
-// submitJob serves a submission. It is an idempotent request: an id that was accepted
-// is answered with its job, whatever else the submission says. Any other is
-// checked, admitted and stored.
+// submitJob serves a submission. Submissions are idempotent: if a job with the same ID was already
+// accepted, the response is that job's status, whatever else the submission contains. All other
+// submissions are checked, admitted and stored.
 func (api *UserAPI) submitJob(body []byte) (jobResponse, *apiError) {
 	jobID := peekJobID(body)
 	if jobID != "" {
-		// A known job is answered before any check.
+		// The response for a known job does not depend on any check.
 		if _, known, _ := api.LookupJob(jobID); known {
 			return api.knownJob(jobID)
 		}
@@ -52,7 +52,8 @@
 	return api.storeSubmission(&spec, phase)
 }
 
-// peekJobID finds the job id of a submission that may be malformed otherwise.
+// peekJobID returns the job ID of a submission that may otherwise be malformed, or "" if it has no
+// valid one.
 func peekJobID(body []byte) string {
 	var submission struct {
 		ID string `cbor:"ref"`
@@ -63,7 +64,7 @@
 	return submission.ID
 }
 
-// knownJob answers with a job that was accepted.
+// knownJob returns the status of a job that was already accepted.
 func (api *UserAPI) knownJob(jobID string) (jobResponse, *apiError) {
 	status, known, err := api.readJob(jobID)
 	if err != nil || !known {
@@ -72,7 +73,7 @@
 	return jobResponse{fasthttp.StatusOK, status}, nil
 }
 
-// checkSubmission decodes a submission and checks what it says of itself.
+// checkSubmission decodes a submission and validates it, apart from its dependencies.
 func (api *UserAPI) checkSubmission(body []byte) (wire.JobSpec, *apiError) {
 	spec, err := wire.DecodeJobSpec(body)
 	if err != nil {
@@ -99,8 +100,8 @@
 	return api.MachineTypeList
 }
 
-// rejectUnlessAccepted rejects a submission that is wrong, unless another controller
-// has accepted its id: an accepted job is never answered by 400 or 422.
+// rejectUnlessAccepted rejects an invalid submission, unless another controller has accepted a job
+// with its ID: a request for an accepted job never gets a 400 or 422 response.
 func (api *UserAPI) rejectUnlessAccepted(jobID string, rejection *apiError) (jobResponse, *apiError) {
 	if jobID == "" {
 		return jobResponse{}, rejection
@@ -115,14 +116,14 @@
 	return jobResponse{}, rejection
 }
 
-// admitDependencies decides whether a submission may depend on the jobs that it names,
-// and the phase in which it is stored. known tells that the submission itself has
-// been accepted already. It leaves the dependencies sorted, each once.
+// admitDependencies decides whether a submission may depend on the jobs that it names, and returns
+// the phase in which the job is stored. known reports whether the submitted job itself has already
+// been accepted. It sorts the dependencies and removes duplicates.
 func (api *UserAPI) admitDependencies(spec *wire.JobSpec) (phase jobs.Phase, known bool, refusal *apiError) {
 	slices.Sort(spec.DependsOn)
 	spec.DependsOn = slices.Compact(spec.DependsOn)
-	// Whether the dependencies were accepted is known behind a read that was sent
-	// now; it also tells whether another controller has accepted this job.
+	// After this linearizable read the cache contains all dependencies that have been accepted. It
+	// also shows whether another controller has accepted this job.
 	_, known, err := api.readJob(spec.ID)
 	if err != nil {
 		return "", false, storeUnreadable()
@@ -135,8 +136,8 @@
 	case err != nil:
 		return "", false, rejected(fasthttp.StatusUnprocessableEntity, err.Error())
 	case !supported:
-		// Guards against a controller of an older version that takes the job for one
-		// that may start.
+		// A controller of an older version would start the job without waiting for its
+		// dependencies.
 		return "", false, retryLater(fasthttp.StatusServiceUnavailable, "not every node takes jobs that await others yet")
 	case allDone:
 		return jobs.Open, false, nil
@@ -144,8 +145,8 @@
 	return jobs.Waiting, false, nil
 }
 
-// checkDependencies reports whether every member supports dependencies, and whether
-// all those of a submission are done; err says which may not be depended on.
+// checkDependencies reports whether every member supports dependencies, and whether all dependencies
+// of a submission are done. err names a dependency that is not allowed.
 func (api *UserAPI) checkDependencies(spec *wire.JobSpec) (supported, allDone bool, err error) {
 	api.Lock()
 	defer api.Unlock()
@@ -161,7 +162,7 @@
 	return api.DependenciesSupported(), allDone, err
 }
 
-// acquireSubmissionSlot takes a slot without waiting; ok is false if all are taken.
+// acquireSubmissionSlot acquires a slot without blocking; ok is false if all slots are in use.
 func (api *UserAPI) acquireSubmissionSlot() (release func(), ok bool) {
 	select {
 	case api.SubmissionSlots <- struct{}{}:
@@ -171,17 +172,17 @@
 	}
 }
 
-// storeSubmission has a new job stored, and answers once it is durable.
+// storeSubmission queues a new job for storage, and returns once it is durable or can't be stored.
 func (api *UserAPI) storeSubmission(spec *wire.JobSpec, phase jobs.Phase) (jobResponse, *apiError) {
-	begun := api.Now()
-	// Not the request's context: that one ends with the server alone, and a submission
-	// that is under way at a clean stop is let end (Drain).
-	ctx, stop := context.WithTimeout(context.Background(), tuning.DecisionWait)
-	defer stop()
+	start := api.Now()
+	// The request's context is not used, since it is only cancelled when the server stops, and a
+	// graceful stop (Drain) lets submissions in progress complete.
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.DecisionWait)
+	defer cancel()
 	submission := api.newSubmission(spec, phase)
 	select {
 	case api.Intake <- submission:
-	default: // those whose users have been told to come back are still in it
+	default: // the queue still holds submissions whose users have been told to retry
 		return jobResponse{}, tooManySubmissions()
 	}
 	err := api.awaitStored(ctx, submission)
@@ -189,17 +190,17 @@
 	case err == nil:
 		api.Log.Debug(logging.EventJobAccepted, logging.KeyJob, spec.ID, logging.KeyClass, spec.Class, logging.KeyTasks, spec.Tasks,
 			logging.KeyImage, spec.Image, logging.KeyImageGB, spec.ImageGB, logging.KeyEstimateS, spec.EstimateS,
-			logging.KeyDeadlineS, deadlineSeconds(spec), logging.KeyDependencies, len(spec.DependsOn), logging.KeyDuration, api.Now().Sub(begun))
+			logging.KeyDeadlineS, deadlineSeconds(spec), logging.KeyDependencies, len(spec.DependsOn), logging.KeyDuration, api.Now().Sub(start))
 		return jobResponse{fasthttp.StatusCreated, wire.JobStatus{ID: spec.ID, State: wire.StateQueued}}, nil
 	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrOutcomeUnknown):
-		// Another controller has accepted the id, or the outcome of the write is
-		// unknown: a read tells.
+		// Another controller has accepted the ID, or the outcome of the write is unknown. A
+		// read shows whether the job is stored.
 		return api.knownJob(spec.ID)
 	}
 	return jobResponse{}, retryLater(fasthttp.StatusServiceUnavailable, "the job can't be stored now")
 }
 
-// newSubmission is a submission with the record that is stored of it.
+// newSubmission returns a submission with the job record to store.
 func (api *UserAPI) newSubmission(spec *wire.JobSpec, phase jobs.Phase) *Submission {
 	return &Submission{
 		Spec: spec,
@@ -210,13 +211,13 @@
 			ChunkSize:    jobs.ChunkSize(api.Limits.ValueKB),
 			Spec:         spec,
 		},
-		Deadline: time.Now().Add(tuning.DecisionWait), // of contexts, which run by this clock
+		Deadline: time.Now().Add(tuning.DecisionWait), // real time, as contexts use, not api.Now
 		Done:     make(chan error, 1),
 	}
 }
 
-// awaitStored waits for the outcome of a submission that is in the queue, and stores it
-// by itself if it could not be stored with others.
+// awaitStored waits for the outcome of a queued submission, and stores it on its own if it could not
+// be stored with its group.
 func (api *UserAPI) awaitStored(ctx context.Context, submission *Submission) error {
 	var err error
 	select {
@@ -230,7 +231,7 @@
 	return err
 }
 
-// deadlineSeconds is a job's deadline for the log, 0 if it has none.
+// deadlineSeconds returns a job's deadline for the log, or 0 if it has none.
 func deadlineSeconds(spec *wire.JobSpec) float64 {
 	if spec.DeadlineS == nil {
 		return 0
