--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Run runs a pass whenever something has changed, and at least every tuning.TickEvery, until ctx
-// ends.
+// Run runs a pass whenever something has changed, or after tuning.TickEvery without a change, until
+// ctx ends.
 //
 // The writes of a pass are committed concurrently with the next passes, which skip the jobs and
 // records in WritesInFlight. Run does not wait for the commits: a graceful stop waits for
