--- a/internal/worker/commands_test.go
+++ b/internal/worker/commands_test.go
@@ -27,7 +27,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := NewWorker(testMachine)
 			w.ApplyHeartbeat(newHeartbeat(1, 1, 5, c.tasks...), 5, t0)
-			if got := verbsOf(answerTo(w, c.claims, c.allowStarts)); got != c.want {
+			if got := verbsOf(heartbeatCommands(w, c.claims, c.allowStarts)); got != c.want {
 				t.Errorf("commands %q, want %q", got, c.want)
 			}
 		})
@@ -38,17 +38,17 @@
 	claims := storedClaim(t, 1, 1, jobs.Open)
 	w := NewWorker(testMachine)
 	w.ApplyHeartbeat(newHeartbeat(1, 1, 5, exited(1, wire.ExitCauseError)), 5, t0)
-	if verbs := verbsOf(answerTo(w, claims, true)); verbs != "" {
+	if verbs := verbsOf(heartbeatCommands(w, claims, true)); verbs != "" {
 		t.Fatalf("with the claim stored: %s", verbs)
 	}
 	w.StartsSent([]Attempt{{testTask, 1}}, 5)
-	if verbs := verbsOf(answerTo(w, nil, true)); verbs != "" {
+	if verbs := verbsOf(heartbeatCommands(w, nil, true)); verbs != "" {
 		t.Fatalf("reaped while a start may still arrive: %s", verbs)
 	}
 	// Once the worker carries a higher token it refuses the late start.
 	w.RequireAcknowledgement()
 	w.ApplyHeartbeat(newHeartbeat(1, 2, 6, exited(1, wire.ExitCauseError)), 6, t0)
-	if verbs := verbsOf(answerTo(w, nil, true)); verbs != "reap " {
+	if verbs := verbsOf(heartbeatCommands(w, nil, true)); verbs != "reap " {
 		t.Fatalf("after the release: %q", verbs)
 	}
 }
--- a/internal/worker/helpers_test.go
+++ b/internal/worker/helpers_test.go
@@ -57,8 +57,8 @@
 	return wire.TaskStatus{Task: testTask.String(), Attempt: attempt, State: wire.TaskExited, ExitCause: cause}
 }
 
-// answerTo is the commands of the answer to a heartbeat.
-func answerTo(w *Worker, claims map[jobs.TaskID]*jobs.Job, allowStarts bool) []wire.Command {
+// heartbeatCommands is the commands of the answer to a heartbeat.
+func heartbeatCommands(w *Worker, claims map[jobs.TaskID]*jobs.Job, allowStarts bool) []wire.Command {
 	commands, _ := w.Commands(claims, CommandOptions{Channel: HeartbeatAnswer, AllowStarts: allowStarts})
 	return commands
 }
--- a/internal/worker/lease_test.go
+++ b/internal/worker/lease_test.go
@@ -24,7 +24,7 @@
 	if ends := w.ProvenEnds(claims, at, lease); len(ends) != 1 || w.State != LeaseExpired {
 		t.Fatalf("an expired lease released %v in state %s", ends, w.State)
 	}
-	if commands := answerTo(w, claims, true); len(commands) != 0 {
+	if commands := heartbeatCommands(w, claims, true); len(commands) != 0 {
 		t.Fatalf("an expired incarnation got commands: %v", commands)
 	}
 	// A late heartbeat of the expired incarnation must not revive it.
--- a/internal/worker/reconcile_test.go
+++ b/internal/worker/reconcile_test.go
@@ -16,7 +16,7 @@
 	if ends := w.ProvenEnds(claims, t0, lease); len(ends) != 0 {
 		t.Fatalf("released at an old token: %v", ends)
 	}
-	if commands := answerTo(w, nil, true); len(commands) != 0 {
+	if commands := heartbeatCommands(w, nil, true); len(commands) != 0 {
 		t.Fatalf("reaped at an old token: %v", commands)
 	}
 	w.ApplyHeartbeat(newHeartbeat(1, 2, 5, exited(1, wire.ExitCauseDone)), 5, t0)
--- a/internal/worker/starts_test.go
+++ b/internal/worker/starts_test.go
@@ -15,11 +15,11 @@
 	w.ApplyHeartbeat(newHeartbeat(1, 1, 5, exited(1, wire.ExitCauseStopped)), 6, t0)
 	w.StartsSent(starts, 6)
 	w.ApplyHeartbeat(newHeartbeat(1, 2, 6, exited(1, wire.ExitCauseStopped)), 6, t0)
-	if verbs := verbsOf(answerTo(w, nil, true)); w.State != TokenAcknowledged || verbs != "" {
+	if verbs := verbsOf(heartbeatCommands(w, nil, true)); w.State != TokenAcknowledged || verbs != "" {
 		t.Fatalf("state %s, commands %q", w.State, verbs)
 	}
 	w.StartsAnswered(starts, 6, 1, 2)
-	if verbs := verbsOf(answerTo(w, nil, true)); verbs != "reap " {
+	if verbs := verbsOf(heartbeatCommands(w, nil, true)); verbs != "reap " {
 		t.Fatalf("after the answer: %q", verbs)
 	}
 }
