--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,14 +1,14 @@
-// Package worker holds what the owner of a machine knows of the machine's
-// worker: the incarnation that it talks to and whether that has acknowledged
-// the owner's fencing token, the tasks of the newest heartbeat, the lease, the
-// direct starts that may yet arrive, and the images on its disk. From this and
-// the stored claims it derives the commands that are due and the claims whose
-// attempts have surely ended.
+// Package worker keeps the view that the controller owning a machine has of the machine's worker:
+// its current incarnation and whether that has acknowledged the controller's fencing token, the
+// tasks in its newest message, its lease, the direct start commands that may still arrive, and the
+// images on its disk. From this view and the stored claims the package derives the commands to send
+// and the claims whose attempts are proven to have ended.
 //
-// It does no I/O and has no lock: the caller sends the commands, stores the
-// ends of claims, and serializes access. What becomes of a single task is
-// decided in package recovery; the stored record of a machine is in package
-// inventory.
+// It does no I/O and takes no locks: the caller sends the commands, stores the ends of claims, and
+// serializes access. Package recovery decides what happens to a single task; package inventory holds
+// the stored record of a machine.
+//
+// In this package, "our" refers to the controller that owns the machine.
 package worker
 
 import (
@@ -18,64 +18,63 @@
 	"wheatspur/wire"
 )
 
-// Worker is the owner's view of one machine's worker.
+// Worker is the owning controller's view of the worker on one machine.
 type Worker struct {
 	Machine     string // name of the machine
-	Address     string // where the worker takes direct calls
+	Address     string // where the worker accepts direct calls
 	MachineType string
 	Zone        string
 	Spot        bool
 
 	State       TokenState
 	Incarnation uint64
-	// Sequence is that of the newest message: a heartbeat, or the answer to a
+	// Sequence is the sequence number of the newest message: a heartbeat, or the answer to a
 	// direct call.
 	Sequence uint64
-	// HeartbeatSequence is that of the newest heartbeat that was answered;
-	// answers to direct calls may have larger ones.
+	// HeartbeatSequence is the sequence number of the newest heartbeat that was answered. Answers
+	// to direct calls may carry larger ones.
 	HeartbeatSequence uint64
-	// AcknowledgedToken is the highest fencing token that a message of the worker
-	// has carried.
+	// AcknowledgedToken is the highest fencing token carried by any message of the worker.
 	AcknowledgedToken uint64
-	// FencingToken is the one of our commands to this worker: the membership's, or
-	// a higher one once pending starts had to be fenced (FencePendingStarts).
+	// FencingToken is the token sent with our commands to this worker: that of our membership, or a
+	// higher one after FencePendingStarts has raised it.
 	FencingToken uint64
 
-	Tasks        map[jobs.TaskID]wire.TaskStatus // in the newest message
+	Tasks        map[jobs.TaskID]wire.TaskStatus // as listed in the newest message
 	RunningSince map[jobs.TaskID]time.Time       // arrival of the first message that showed the task running
-	Stopping     map[jobs.TaskID]bool            // tasks that are to leave this machine
+	Stopping     map[jobs.TaskID]bool            // tasks that must leave this machine
 
 	FirstHeard     time.Time // arrival of the first message
 	LastHeard      time.Time // arrival of the newest message
 	LastAnswered   time.Time // arrival of the last heartbeat that we answered with 200
 	AcknowledgedAt time.Time // arrival of the message that acknowledged our token
-	TerminationAt  time.Time // when the cloud terminates the machine; zero: no notice
+	TerminationAt  time.Time // when the cloud provider terminates the machine; zero: no notice
 
-	Images      []string        // used here, the last used at the end
-	FailedJobs  map[string]bool // jobs whose tasks failed here since the last success
-	LastRefusal time.Time       // when the worker last refused a task for lack of room
+	Images      []string        // images used here and not known to be deleted, the most recently used last
+	FailedJobs  map[string]bool // jobs with tasks that failed here since the last success of any task
+	LastRefusal time.Time       // when the worker last refused a task for lack of capacity
 
-	SentCommands map[CommandKey]time.Time // direct starts and kills, by when they were sent
+	SentCommands map[CommandKey]time.Time // when each direct start and kill was last sent
 	LastCall     time.Time                // start of the last direct call
-	CallInFlight bool                     // a direct call has not ended
-	Unresponsive bool                     // heartbeats arrive, but show no effect of our commands
+	CallInFlight bool                     // a direct call has not returned yet
+	Unresponsive bool                     // heartbeats arrive but show no effect of our commands
 
-	// NoPendingCommands: nothing has changed since there were last no commands
-	// to send.
+	// NoPendingCommands is set while there are no commands to send and nothing has changed since
+	// that was determined.
 	NoPendingCommands bool
-	// nothingToReconcile: nothing has changed since no claim was proven to have
-	// ended.
+	// nothingToReconcile is set while no claim is proven to have ended and nothing has changed
+	// since that was determined.
 	nothingToReconcile bool
 
-	// pendingStarts counts the direct starts to this incarnation that were sent
-	// and not answered. They may yet be carried out.
+	// pendingStarts counts the direct starts sent to this incarnation and not answered. They may
+	// still be carried out.
 	pendingStarts map[pendingStart]int
-	// answeredStarts holds starts to this incarnation whose call or heartbeat is
-	// answered, by the sequence of that message: any heartbeat with a larger one
-	// shows their effect.
+	// answeredStarts holds the starts sent to this incarnation in direct calls that it answered and in
+	// our answers to its heartbeats, with the sequence number of the worker's message: its answer to
+	// the call, or the heartbeat. Any heartbeat with a larger sequence number shows their effect.
 	answeredStarts map[Attempt]uint64
-	// unconfirmedCommands holds commands in answers to heartbeats whose effect no
-	// heartbeat has shown, by when the first of those answers was sent.
+	// unconfirmedCommands holds the commands sent in answers to heartbeats whose effect no
+	// heartbeat has shown yet, with the time of the first such answer.
 	unconfirmedCommands map[CommandKey]time.Time
 }
 
@@ -94,26 +93,26 @@
 	}
 }
 
-// MarkChanged notes a change of what commands and ends of claims follow from:
-// the claims on the machine, their jobs, or what is known of its worker.
+// MarkChanged records that an input of Commands or ProvenEnds has changed: the claims on the
+// machine, their jobs, or what is known about its worker.
 func (w *Worker) MarkChanged() { w.NoPendingCommands, w.nothingToReconcile = false, false }
 
-// Quiescent reports whether nothing is due for the machine until something
-// changes or time passes: no command, no end of a claim, no pending start.
+// Quiescent reports whether the machine needs no work until something changes or time passes: it
+// has no command to send, no proven end of a claim, no requested stop and no pending start.
 func (w *Worker) Quiescent() bool {
 	return w.NoPendingCommands && w.nothingToReconcile && len(w.Stopping) == 0 && len(w.pendingStarts) == 0
 }
 
-// RequestStop notes that a task is to leave the machine.
+// RequestStop records that a task must leave the machine.
 func (w *Worker) RequestStop(id jobs.TaskID) {
 	w.Stopping[id] = true
 	w.MarkChanged()
 }
 
-// PruneStopping drops the requests to stop tasks whose claims are released, and
-// reports whether it dropped any. Until its release a request stands, also for
-// an exited task: its room is about to be free, and without the request other
-// tasks would be stopped for the same room.
+// PruneStopping drops the stop requests of tasks whose claims have been released, and reports
+// whether it dropped any. A request is kept until the release, also for a task that has exited:
+// the request marks the task's resources as about to become free, and without it further tasks
+// would be stopped to free the same amount.
 func (w *Worker) PruneStopping(claims map[jobs.TaskID]*jobs.Job) bool {
 	before := len(w.Stopping)
 	for id := range w.Stopping {
@@ -124,7 +123,8 @@
 	return len(w.Stopping) < before
 }
 
-// IsLeaving reports whether a claimed task is about to leave the machine.
+// IsLeaving reports whether a claimed task is about to leave the machine: it was asked to stop, or it
+// has exited.
 func (w *Worker) IsLeaving(id jobs.TaskID) bool {
 	status, listed := w.Tasks[id]
 	return w.Stopping[id] || listed && status.State == wire.TaskExited
