--- a/internal/worker/starts.go
+++ b/internal/worker/starts.go
@@ -12,13 +12,13 @@
 	Number uint64
 }
 
-// pendingStart is a direct start under a fencing token.
+// pendingStart is a start command sent in a direct call with a fencing token.
 type pendingStart struct {
 	Attempt
 	token uint64
 }
 
-// StartedAttempts lists the attempts that a list of commands starts.
+// StartedAttempts returns the attempts that commands start.
 func StartedAttempts(commands []wire.Command) []Attempt {
 	var started []Attempt
 	for _, command := range commands {
@@ -32,15 +32,15 @@
 	return started
 }
 
-// StartsSent notes direct starts that are about to be sent.
+// StartsSent records that a direct call with these starts is about to be sent.
 func (w *Worker) StartsSent(starts []Attempt, token uint64) {
 	for _, attempt := range starts {
 		w.pendingStarts[pendingStart{attempt, token}]++
 	}
 }
 
-// StartsAnswered notes that a direct call with these starts was answered by a
-// message with this incarnation and sequence.
+// StartsAnswered records that a direct call with these starts and this fencing token was answered by
+// a message with the given incarnation and sequence number.
 func (w *Worker) StartsAnswered(starts []Attempt, token, incarnation, sequence uint64) {
 	w.nothingToReconcile = false
 	for _, attempt := range starts {
@@ -54,7 +54,7 @@
 	}
 }
 
-// isStartPending reports whether a direct start of the attempt may yet arrive.
+// isStartPending reports whether a direct start of the attempt may still arrive.
 func (w *Worker) isStartPending(attempt Attempt) bool {
 	for start := range w.pendingStarts {
 		if start.Attempt == attempt {
@@ -64,18 +64,18 @@
 	return false
 }
 
-// neverRan reports whether an attempt of this incarnation that the newest
-// message does not list has not begun, and can't any more unless it is started
-// anew: the worker has acknowledged our token, so that it refuses former owners'
-// starts; none of ours is pending; and a heartbeat has come since the last that
-// was answered.
+// neverRan reports whether an attempt that is claimed for this incarnation, and that the newest
+// message does not list, is proven not to have started and can start only by a new command. The
+// worker must have acknowledged our token, so that it refuses starts of former owners; none of our
+// direct starts of the attempt may be pending; and if a start of it was answered, a newer heartbeat
+// must have followed.
 func (w *Worker) neverRan(attempt Attempt) bool {
 	_, answered := w.answeredStarts[attempt]
 	return w.State == TokenAcknowledged && !answered && !w.isStartPending(attempt)
 }
 
-// ClaimsBlockedByStarts lists, in no order, the claims of cancelled jobs that
-// can't be released because a pending start may yet arrive.
+// ClaimsBlockedByStarts returns, in no particular order, the claims of cancelled jobs that can't be
+// released because a pending start may still arrive.
 func (w *Worker) ClaimsBlockedByStarts(claims map[jobs.TaskID]*jobs.Job) []Attempt {
 	if len(w.pendingStarts) == 0 {
 		return nil
@@ -92,11 +92,10 @@
 	return blocked
 }
 
-// FencePendingStarts raises the fencing token of our commands to this worker
-// above that of every pending start, so that the starts are void once a message
-// of the worker carries the new token. It returns false if the tokens of the
-// present membership, which end at maxToken, are used up. A token that is raised
-// already and not yet acknowledged serves.
+// FencePendingStarts raises the fencing token of our commands to this worker above that of every
+// pending start: once a message of the worker carries the new token, the worker refuses those
+// starts. It changes nothing if the token already is above them. It returns false if the tokens of
+// the current membership, of which maxToken is the last, are used up.
 func (w *Worker) FencePendingStarts(maxToken uint64) bool {
 	pending := uint64(0) // the highest token of a pending start
 	for start := range w.pendingStarts {
