--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -11,53 +11,52 @@
 	"wheatspur/wire"
 )
 
-// CommandKey is one command about one attempt. It was carried out once a
-// heartbeat shows its effect.
-type CommandKey struct{ verb, task string }
+// CommandKey identifies a command to a worker by its verb and the attempt that it is about. The
+// command counts as carried out once a heartbeat shows its effect.
+type CommandKey struct{ verb, attempt string }
 
 // CommandKeyOf returns the key of a command.
 func CommandKeyOf(command wire.Command) CommandKey {
-	return CommandKey{command.Verb, commandTask(command.Task, command.Attempt)}
+	return CommandKey{command.Verb, attemptKey(command.Task, command.Attempt)}
 }
 
-// commandTask names an attempt of a task in a command's key.
-func commandTask(task string, attempt uint64) string {
+// attemptKey returns the form of an attempt of a task in a CommandKey.
+func attemptKey(task string, attempt uint64) string {
 	return task + "#" + strconv.FormatUint(attempt, 10)
 }
 
-// Channel is a way to send commands to a worker.
+// Channel is the means by which commands are sent to a worker.
 type Channel int
 
-// Channels to a worker.
+// Channels by which commands reach a worker.
 const (
 	HeartbeatAnswer Channel = iota // the answer to a heartbeat
-	DirectCall                     // a call of ours
+	DirectCall                     // a request from this controller to the worker
 )
 
-// CommandOptions say how commands are about to be sent, and which starts may be.
+// CommandOptions say how commands are about to be sent and which starts may be among them.
 type CommandOptions struct {
 	Channel     Channel
-	AllowStarts bool // the key-value store can be read
+	AllowStarts bool // whether tasks may be started, which requires a readable key-value store
 	Now         time.Time
-	// AwaitCall keeps a start out of an answer while a direct call that holds it
-	// has just been sent.
+	// AwaitCall omits a start from the answer to a heartbeat while a direct call that contains it
+	// is in flight and has just been sent.
 	AwaitCall bool
-	// ResendAfterCall is how long a start that was sent by a direct call is not sent
-	// so again.
+	// ResendAfterCall is how long after a direct call a start from it is not sent in another direct
+	// call.
 	ResendAfterCall time.Duration
-	// RestartAfterAnswer is how long a start that was sent in an answer to a heartbeat is
-	// not sent again by a direct call: until the next heartbeat shows its effect.
+	// RestartAfterAnswer is how long after the answer to a heartbeat a start from it is not sent in
+	// a direct call: until the next heartbeat shows its effect.
 	RestartAfterAnswer time.Duration
-	// AdmitStart takes a start that is due from the rate of starts; false if it has to
-	// wait. nil: there is no bound.
+	// AdmitStart reports whether the limit on the rate of starts admits a due start of a job now, and
+	// counts it if so. If nil, the rate is not limited.
 	AdmitStart func(job *jobs.Job) bool
 }
 
-// Commands returns the commands that the stored claims call for, in the order of
-// their tasks. postponed says that there are starts which have to wait or are in
-// flight. Reaps may be sent in answers to heartbeats only: a start in the answer
-// to an earlier heartbeat is then surely over, while a reap in a direct call
-// could overtake it.
+// Commands returns the commands that the stored claims require, ordered by task. postponed reports
+// whether any starts were left out because they have to wait or are in flight. Reaps may be sent only
+// in answers to heartbeats: by then the worker has carried out or dropped any start in the answer to
+// an earlier heartbeat, while a reap in a direct call could overtake that start.
 func (w *Worker) Commands(claims map[jobs.TaskID]*jobs.Job, options CommandOptions) (commands []wire.Command, postponed bool) {
 	if w.State == LeaseExpired {
 		return nil, false
@@ -66,7 +65,7 @@
 	observed.AllowStarts = options.AllowStarts
 	for _, id := range w.taskIDs(claims) {
 		if len(commands) >= tuning.TasksPerMachine {
-			break // the next answer holds the rest
+			break // the next answer contains the rest
 		}
 		job := claims[id]
 		var task jobs.Task
@@ -92,12 +91,12 @@
 	return commands, postponed
 }
 
-// noGrace is the grace period of every kill that grants none. All of them share it,
-// and nothing writes to it: one for each kill costs an allocation on every heartbeat.
+// noGrace is the grace period of every kill that grants none. All of them share it, and nothing writes
+// to it: a separate value for each kill would cost an allocation on every heartbeat.
 var noGrace = new(float64)
 
-// stopCommand is the command that ends a listed task, if one is due. job is that
-// of the task's claim, nil if there is none.
+// stopCommand returns the command that kills or reaps a listed task, if one is due. job is the
+// job of the task's claim, or nil if the task is not claimed.
 func stopCommand(stop recovery.Stop, job *jobs.Job, status wire.TaskStatus) (command wire.Command, due bool) {
 	command = wire.Command{Task: status.Task, Attempt: status.Attempt}
 	switch stop {
@@ -117,27 +116,26 @@
 	return command, true
 }
 
-// isStartInFlight reports whether a start of the attempt was sent to the worker,
-// and its effect will show by itself: a direct call that has not ended, or the
-// answer to a heartbeat that no later one has followed. Guards against sending
-// workers twice what they are about to do: after an outage of all controllers, a
-// fifth of the starts were.
+// isStartInFlight reports whether a start of the attempt was sent recently and its effect is still
+// expected to show: in a direct call, or in the answer to a heartbeat that no later one has followed.
+// Such a start is not sent again; without this check, a fifth of the starts after an outage of all
+// controllers were sent twice.
 func (w *Worker) isStartInFlight(attempt Attempt, options CommandOptions) bool {
 	if options.Channel == HeartbeatAnswer {
-		// The heartbeat is newer than any answer before it. A call that takes long
-		// may never arrive, while answers do.
+		// The heartbeat being answered already shows the effect of earlier answers. A direct call
+		// that takes longer than StartCallGrace may never arrive, while answers to heartbeats do.
 		return options.AwaitCall && w.CallInFlight && w.isStartPending(attempt) && options.Now.Sub(w.LastCall) < tuning.StartCallGrace
 	}
-	start := CommandKey{wire.VerbStart, commandTask(attempt.ID.String(), attempt.Number)}
-	if sent, ok := w.SentCommands[start]; ok && options.Now.Sub(sent) <= options.ResendAfterCall {
+	key := CommandKey{wire.VerbStart, attemptKey(attempt.ID.String(), attempt.Number)}
+	if sent, ok := w.SentCommands[key]; ok && options.Now.Sub(sent) <= options.ResendAfterCall {
 		return true
 	}
 	_, answered := w.answeredStarts[attempt]
 	return answered && options.Now.Sub(w.LastAnswered) < options.RestartAfterAnswer
 }
 
-// taskIDs lists the tasks that are claimed for the machine or listed by it, in
-// order.
+// taskIDs returns, in order, the tasks that are claimed for the machine or listed in the newest
+// message of its worker.
 func (w *Worker) taskIDs(claims map[jobs.TaskID]*jobs.Job) []jobs.TaskID {
 	ids := make([]jobs.TaskID, 0, len(claims)+len(w.Tasks))
 	for id := range claims {
