--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -8,25 +8,24 @@
 	"wheatspur/wire"
 )
 
-// IsStale reports whether a heartbeat is a late copy of one that this controller
-// has answered, or older than it: the network may deliver such copies minutes
-// late. It guards against a dead machine that looks alive and a lease that seems
-// renewed.
+// IsStale reports whether a heartbeat is the newest one that this controller has answered, or older:
+// the network may deliver copies of heartbeats minutes late. Accepting one would make a dead machine
+// look alive and its lease look renewed.
 func (w *Worker) IsStale(heartbeat *wire.Heartbeat) bool {
 	return w.isNotNewer(heartbeat, w.HeartbeatSequence)
 }
 
-// isNotNewer reports whether a message is of an earlier incarnation, or of this one
-// with at most the given sequence.
+// isNotNewer reports whether a message is from an earlier incarnation, or from the current one with a
+// sequence number of at most sequence.
 func (w *Worker) isNotNewer(message *wire.Heartbeat, sequence uint64) bool {
 	return message.Incarnation < w.Incarnation || message.Incarnation == w.Incarnation && message.Sequence <= sequence
 }
 
-// ApplyHeartbeat takes in a message that arrived now, a heartbeat or the answer
-// to a direct call, and reports whether it is newer than what is known. token is
-// the fencing token of our membership: a worker that carries it, or a higher one
-// that was raised for this worker alone (FencePendingStarts), has acknowledged us.
-func (w *Worker) ApplyHeartbeat(heartbeat *wire.Heartbeat, token uint64, now time.Time) bool {
+// ApplyHeartbeat updates the view from a message that arrived now, a heartbeat or the answer to a
+// direct call, unless one as new has been applied before, and reports whether it did. membershipToken
+// is the fencing token of our membership: a message that carries it, or a higher one that was raised
+// for this worker alone (FencePendingStarts), acknowledges it.
+func (w *Worker) ApplyHeartbeat(heartbeat *wire.Heartbeat, membershipToken uint64, now time.Time) bool {
 	if w.FirstHeard.IsZero() {
 		w.FirstHeard = now
 	}
@@ -40,16 +39,15 @@
 	w.Zone, w.Spot = heartbeat.Zone, heartbeat.Spot
 	w.Incarnation, w.Sequence, w.LastHeard = heartbeat.Incarnation, heartbeat.Sequence, now
 	w.MarkChanged()
-	w.applyToken(heartbeat.FencingToken, token, now)
+	w.applyToken(heartbeat.FencingToken, membershipToken, now)
 	w.applyTerminationNotice(heartbeat.TerminationNoticeS, now)
 	w.applyTasks(heartbeat.Tasks)
 	w.updateRunningSince(now)
 	return true
 }
 
-// beginIncarnation drops what held for the former incarnation. Guards against
-// taking its acknowledgement for the new one's, and against waiting for starts
-// that the worker now refuses.
+// beginIncarnation discards the state of the former incarnation: its acknowledgement says nothing
+// about the new one, and the worker refuses starts that were sent to the former one.
 func (w *Worker) beginIncarnation() {
 	w.State = w.State.Next(EventNewIncarnation)
 	clear(w.pendingStarts)
@@ -60,20 +58,19 @@
 	w.HeartbeatSequence = 0
 }
 
-// applyToken takes in the fencing token that a message carries, shown; token is
-// that of our membership.
-func (w *Worker) applyToken(shown, token uint64, now time.Time) {
-	w.AcknowledgedToken = max(w.AcknowledgedToken, shown)
-	w.FencingToken = max(w.FencingToken, token)
-	if token > 0 && shown >= token && w.State == TokenUnacknowledged {
+// applyToken applies the fencing token of a message; membershipToken is that of our membership.
+func (w *Worker) applyToken(workerToken, membershipToken uint64, now time.Time) {
+	w.AcknowledgedToken = max(w.AcknowledgedToken, workerToken)
+	w.FencingToken = max(w.FencingToken, membershipToken)
+	if membershipToken > 0 && workerToken >= membershipToken && w.State == TokenUnacknowledged {
 		w.State = w.State.Next(EventTokenAcknowledged)
 		w.AcknowledgedAt = now
 	}
-	// The worker refuses starts under lower tokens from here on, and this message
-	// shows the effect of those that arrived. Those under the same token may
-	// still arrive: one sent before the acknowledgement may be delayed.
+	// From now on the worker refuses starts with lower tokens, and this message shows the effect of
+	// those that arrived before. A start with the same token may still arrive: it may have been sent
+	// before the acknowledgement and be delayed.
 	for start := range w.pendingStarts {
-		if start.token < shown {
+		if start.token < workerToken {
 			delete(w.pendingStarts, start)
 		}
 	}
@@ -87,7 +84,7 @@
 	w.TerminationAt = now.Add(time.Duration(*noticeS * float64(time.Second)))
 }
 
-// applyTasks replaces the listed tasks.
+// applyTasks replaces the listed tasks by those of a message.
 func (w *Worker) applyTasks(tasks []wire.TaskStatus) {
 	clear(w.Tasks)
 	for _, status := range tasks {
@@ -96,8 +93,8 @@
 			continue
 		}
 		id := jobs.TaskID{Job: jobID, Task: task}
-		// The task may be listed with an older, exited attempt too: the newest
-		// attempt counts, and an older one is still to be reaped.
+		// A message may also list an older attempt of the task that has exited and is yet to be
+		// reaped. Only the newest attempt is kept.
 		if other, listed := w.Tasks[id]; listed && other.Attempt > status.Attempt {
 			continue
 		}
@@ -105,7 +102,8 @@
 	}
 }
 
-// updateRunningSince notes since when the listed tasks have run.
+// updateRunningSince records when each listed task was first seen running, and drops tasks that no
+// longer run.
 func (w *Worker) updateRunningSince(now time.Time) {
 	for id := range w.RunningSince {
 		if w.Tasks[id].State != wire.TaskRunning {
@@ -119,14 +117,13 @@
 	}
 }
 
-// HeartbeatAnswered notes that a heartbeat was answered with 200 and these
-// commands.
+// HeartbeatAnswered records that a heartbeat was answered with status 200 and these commands.
 func (w *Worker) HeartbeatAnswered(heartbeat *wire.Heartbeat, commands []wire.Command, now time.Time) {
 	w.LastAnswered, w.HeartbeatSequence = now, heartbeat.Sequence
-	w.nothingToReconcile = false // answeredStarts changes, and neverRan follows from it
+	w.nothingToReconcile = false // neverRan depends on answeredStarts, which changes here
 	for attempt, sequence := range w.answeredStarts {
 		if sequence < heartbeat.Sequence {
-			delete(w.answeredStarts, attempt) // this heartbeat shows its effect
+			delete(w.answeredStarts, attempt) // this heartbeat shows the effect of the start
 		}
 	}
 	for _, attempt := range StartedAttempts(commands) {
@@ -135,9 +132,9 @@
 	w.updateUnconfirmed(commands, now)
 }
 
-// updateUnconfirmed follows which commands in answers to heartbeats had an
-// effect. One that stays due does not arrive: the machine's heartbeats get
-// through to us and our answers not to it.
+// updateUnconfirmed tracks which commands in answers to heartbeats have had no effect yet. If one is
+// still due after tuning.ConfirmAfter, our answers do not reach the worker although its heartbeats
+// reach us, and the worker is marked as unresponsive.
 func (w *Worker) updateUnconfirmed(commands []wire.Command, now time.Time) {
 	unconfirmed := make(map[CommandKey]time.Time, len(commands))
 	overdue := false
@@ -154,12 +151,12 @@
 	case overdue:
 		w.Unresponsive = true
 	case len(unconfirmed) < len(w.unconfirmedCommands):
-		w.Unresponsive = false // something was carried out
+		w.Unresponsive = false // at least one command was carried out
 	}
 	w.unconfirmedCommands = unconfirmed
 }
 
-// CallAnswered notes that the worker answered a direct call.
+// CallAnswered records that the worker answered a direct call: it is responsive.
 func (w *Worker) CallAnswered() {
 	w.Unresponsive = false
 	clear(w.unconfirmedCommands)
