--- a/internal/worker/reconcile.go
+++ b/internal/worker/reconcile.go
@@ -10,20 +10,20 @@
 	"wheatspur/wire"
 )
 
-// ProvenEnd is a claim whose attempt has surely ended.
+// ProvenEnd is a claim whose attempt is proven to have ended.
 type ProvenEnd struct {
 	Task  jobs.TaskID
-	Kind  jobs.TaskEventKind // what the end means for the task
-	Cause string             // the worker's exit cause, or the reason of package recovery
+	Kind  jobs.TaskEventKind // the event that the end causes for the task
+	Cause string             // the exit cause reported by the worker, or the reason given by package recovery
 }
 
-// endEvents are the events of a claim's task that proven updates lead to.
+// endEvents maps an update proven by a worker to the event that it causes for the claimed task.
 var endEvents = map[recovery.TaskUpdate]jobs.TaskEventKind{
 	recovery.UpdateDone: jobs.Complete, recovery.UpdateFailed: jobs.Fail, recovery.UpdateReleased: jobs.Release,
 }
 
-// ProvenEnds returns the claims on the machine whose attempts have surely ended,
-// in the order of their tasks. claims are those stored for this machine.
+// ProvenEnds returns the claims on the machine whose attempts are proven to have ended, ordered by
+// task. claims are those stored for this machine.
 func (w *Worker) ProvenEnds(claims map[jobs.TaskID]*jobs.Job, now time.Time, lease time.Duration) []ProvenEnd {
 	w.ExpireLease(now, lease)
 	observed := w.observedWorker()
@@ -47,14 +47,14 @@
 	return ends
 }
 
-// NothingToReconcile reports whether ProvenEnds would return nothing: it did,
-// and since then nothing has changed, nor has the lease expired.
+// NothingToReconcile reports whether ProvenEnds is known to return nothing: its last call did, and
+// since then nothing has changed and the lease has not expired.
 func (w *Worker) NothingToReconcile(now time.Time, lease time.Duration) bool {
 	return w.nothingToReconcile && !w.ExpireLease(now, lease)
 }
 
-// desiredTask is a claim on the machine in the form of package recovery; job is
-// nil if there is none.
+// desiredTask converts a claim on the machine to the input of package recovery. job is nil if the
+// task is not claimed.
 func desiredTask(job *jobs.Job, task jobs.Task) recovery.DesiredTask {
 	if job == nil {
 		return recovery.DesiredTask{}
@@ -68,7 +68,7 @@
 	}
 }
 
-// observedTask is a task of a message in the form of package recovery.
+// observedTask converts the status of a task in a message to the input of package recovery.
 func observedTask(status wire.TaskStatus, listed bool) recovery.ObservedTask {
 	if !listed {
 		return recovery.ObservedTask{}
@@ -91,7 +91,7 @@
 	return observed
 }
 
-// observedWorker is the worker's incarnation in the form of package recovery.
+// observedWorker converts the state of the worker's incarnation to the input of package recovery.
 func (w *Worker) observedWorker() recovery.Worker {
 	observed := recovery.Worker{Incarnation: w.Incarnation, State: recovery.TokenUnacknowledged}
 	switch w.State {
