--- a/internal/worker/helpers_test.go
+++ b/internal/worker/helpers_test.go
@@ -12,14 +12,13 @@
 
 var t0 = time.Unix(1000, 0)
 
-// testMachine is the machine that claims and heartbeats in tests are of.
+// testMachine is the machine of all claims and heartbeats in these tests.
 const testMachine = "m1"
 
 // testTask is the task that storedClaim claims.
 var testTask = jobs.TaskID{Job: "wk-1", Task: 0}
 
-// storedClaim returns the claims on the test machine: its one job's testTask,
-// claimed for an incarnation.
+// storedClaim returns the claims on testMachine: one of testTask for the given incarnation.
 func storedClaim(t *testing.T, incarnation, attempt uint64, phase jobs.Phase) map[jobs.TaskID]*jobs.Job {
 	t.Helper()
 	table := jobs.NewTable(func() time.Time { return t0 })
@@ -47,23 +46,23 @@
 	}
 }
 
-// running is testTask, running.
+// running returns the status of testTask while it runs.
 func running(attempt uint64) wire.TaskStatus {
 	return wire.TaskStatus{Task: testTask.String(), Attempt: attempt, State: wire.TaskRunning}
 }
 
-// exited is testTask, exited.
+// exited returns the status of testTask after it has exited.
 func exited(attempt uint64, cause string) wire.TaskStatus {
 	return wire.TaskStatus{Task: testTask.String(), Attempt: attempt, State: wire.TaskExited, ExitCause: cause}
 }
 
-// heartbeatCommands is the commands of the answer to a heartbeat.
+// heartbeatCommands returns the commands that are sent in the answer to a heartbeat.
 func heartbeatCommands(w *Worker, claims map[jobs.TaskID]*jobs.Job, allowStarts bool) []wire.Command {
 	commands, _ := w.Commands(claims, CommandOptions{Channel: HeartbeatAnswer, AllowStarts: allowStarts})
 	return commands
 }
 
-// verbsOf is the verbs of commands, with a space after each.
+// verbsOf returns the verbs of commands, each followed by a space.
 func verbsOf(commands []wire.Command) string {
 	verbs := ""
 	for _, command := range commands {
