--- a/internal/worker/commands_test.go
+++ b/internal/worker/commands_test.go
@@ -19,7 +19,7 @@
 		{"nothing starts without the store", storedClaim(t, 1, 1, jobs.Open), nil, false, ""},
 		{"a claim of another incarnation is not started", storedClaim(t, 2, 1, jobs.Open), nil, true, ""},
 		{"a cancelled job is not started", storedClaim(t, 1, 1, jobs.Cancelled), nil, true, ""},
-		{"a cancelled job is killed", storedClaim(t, 1, 1, jobs.Cancelled), []wire.TaskStatus{running(1)}, true, "kill "},
+		{"a running task of a cancelled job is killed", storedClaim(t, 1, 1, jobs.Cancelled), []wire.TaskStatus{running(1)}, true, "kill "},
 		{"a running claim is left alone", storedClaim(t, 1, 1, jobs.Open), []wire.TaskStatus{running(1)}, true, ""},
 		{"a task without a claim is killed", nil, []wire.TaskStatus{running(1)}, true, "kill "},
 		{"an older attempt is killed first", storedClaim(t, 1, 2, jobs.Open), []wire.TaskStatus{running(1)}, true, "kill start "},
@@ -39,22 +39,22 @@
 	w := NewWorker(testMachine)
 	w.ApplyHeartbeat(newHeartbeat(1, 1, 5, exited(1, wire.ExitCauseError)), 5, t0)
 	if verbs := verbsOf(heartbeatCommands(w, claims, true)); verbs != "" {
-		t.Fatalf("with the claim stored: %s", verbs)
+		t.Fatalf("commands %q while the claim is stored, want none", verbs)
 	}
 	w.StartsSent([]Attempt{{testTask, 1}}, 5)
 	if verbs := verbsOf(heartbeatCommands(w, nil, true)); verbs != "" {
-		t.Fatalf("reaped while a start may still arrive: %s", verbs)
+		t.Fatalf("commands %q while a start may still arrive, want none", verbs)
 	}
-	// Once the worker carries a higher token it refuses the late start.
+	// Once the worker carries a higher token, it refuses the late start.
 	w.RequireAcknowledgement()
 	w.ApplyHeartbeat(newHeartbeat(1, 2, 6, exited(1, wire.ExitCauseError)), 6, t0)
 	if verbs := verbsOf(heartbeatCommands(w, nil, true)); verbs != "reap " {
-		t.Fatalf("after the release: %q", verbs)
+		t.Fatalf("commands %q after the release, want a reap", verbs)
 	}
 }
 
-// Stopped tasks that had exited no longer counted as leaving, so that others
-// were stopped for the same room again and again.
+// Guards against stopping further tasks to free the same capacity: stopped tasks no longer counted as
+// leaving once they had exited, although their claims were not released yet.
 func TestExitedTaskIsLeavingUntilReleaseIsStored(t *testing.T) {
 	claims := storedClaim(t, 1, 1, jobs.Open)
 	w := NewWorker(testMachine)
@@ -62,10 +62,10 @@
 	w.ApplyHeartbeat(newHeartbeat(1, 1, 5, exited(1, wire.ExitCauseStopped)), 5, t0)
 	w.PruneStopping(claims)
 	if !w.IsLeaving(testTask) {
-		t.Fatal("the task no longer leaves")
+		t.Fatal("the exited task no longer counts as leaving")
 	}
 	w.PruneStopping(nil)
 	if w.Stopping[testTask] {
-		t.Fatal("the request outlived the claim")
+		t.Fatal("the stop request is kept after the claim was released")
 	}
 }
