--- a/internal/worker/heartbeat_test.go
+++ b/internal/worker/heartbeat_test.go
@@ -15,14 +15,14 @@
 	}
 }
 
-// A late copy of a heartbeat once counted as an answered heartbeat: the lease of
-// a machine that was gone seemed renewed for as long as copies came.
+// Guards against late copies of an answered heartbeat: they were answered again, so that the lease of a
+// dead machine looked renewed for as long as copies arrived.
 func TestLateCopyOfHeartbeatIsStale(t *testing.T) {
 	first := newHeartbeat(2, 5, 7)
 	answered := func() *Worker {
 		w := NewWorker(testMachine)
 		if w.IsStale(first) {
-			t.Fatal("the first heartbeat is no copy")
+			t.Fatal("the first heartbeat is taken for a copy")
 		}
 		w.ApplyHeartbeat(first, 7, t0)
 		w.HeartbeatAnswered(first, nil, t0)
@@ -33,24 +33,24 @@
 		incarnation, sequence uint64
 		want                  bool
 	}{
-		{"a copy", 2, 5, true},
-		{"an older one", 2, 4, true},
-		{"one of an older incarnation", 1, 99, true},
-		{"a newer one", 2, 6, false},
-		{"one of a newer incarnation", 3, 1, false},
+		{"copy of the answered heartbeat", 2, 5, true},
+		{"older heartbeat", 2, 4, true},
+		{"heartbeat of an older incarnation", 1, 99, true},
+		{"newer heartbeat", 2, 6, false},
+		{"heartbeat of a newer incarnation", 3, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := answered().IsStale(newHeartbeat(c.incarnation, c.sequence, 0)); got != c.want {
-				t.Errorf("incarnation %d sequence %d: stale %v", c.incarnation, c.sequence, got)
+				t.Errorf("incarnation %d, sequence %d: stale %v, want %v", c.incarnation, c.sequence, got, c.want)
 			}
 		})
 	}
-	// The answer to a direct call overtook a heartbeat that is still in flight:
-	// that heartbeat is answered, and its answer renews the lease.
+	// The answer to a direct call has overtaken a heartbeat: that heartbeat must still be answered,
+	// and its answer renews the lease.
 	w := answered()
 	w.ApplyHeartbeat(newHeartbeat(2, 9, 7), 7, t0)
 	if w.IsStale(newHeartbeat(2, 8, 0)) {
-		t.Fatal("an overtaken heartbeat is taken for a copy")
+		t.Fatal("a heartbeat overtaken by the answer to a direct call is taken for a copy")
 	}
 }
 
@@ -68,22 +68,22 @@
 	now = now.Add(tuning.ConfirmAfter / 2)
 	answer(start) // the first answer may still be in flight
 	if w.Unresponsive {
-		t.Fatal("unresponsive before an effect could show")
+		t.Fatal("unresponsive before the effect of the start could show")
 	}
 	now = now.Add(tuning.ConfirmAfter)
 	answer(start)
 	if !w.Unresponsive {
-		t.Fatal("a start that never has an effect is not noticed")
+		t.Fatal("still responsive although the start has had no effect for too long")
 	}
-	answer() // the effect shows now: no command is due
+	answer() // the effect shows now, so that no command is due
 	if w.Unresponsive {
-		t.Fatal("unresponsive though the start was carried out")
+		t.Fatal("unresponsive although the start was carried out")
 	}
 	answer(start)
 	now = now.Add(2 * tuning.ConfirmAfter)
 	answer(start)
 	if w.CallAnswered(); w.Unresponsive {
-		t.Fatal("unresponsive though it answered a direct call")
+		t.Fatal("unresponsive although the worker answered a direct call")
 	}
 	answer(start)
 	now = now.Add(2 * tuning.ConfirmAfter)
