--- a/internal/worker/images_test.go
+++ b/internal/worker/images_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An image that is forgotten too early is pulled by another machine although
-// this one has it; one that is remembered too long is waited for here.
+// Guards against dropping an image too early, so that another machine pulls it although this one has
+// it, and against keeping it too long, so that tasks wait for a machine that has deleted it.
 func TestImagesAreRememberedWithinDiskSize(t *testing.T) {
 	size := map[string]float64{"a": 30, "b": 30, "c": 30, "big": 90}
 	sizeGB := func(image string) float64 { return size[image] }
@@ -15,12 +15,12 @@
 		w.RecordImage(image, sizeGB, 100)
 	}
 	if got := strings.Join(w.Images, " "); got != "b c a" {
-		t.Fatalf("holds %q", got)
+		t.Fatalf(`images %q, want "b c a"`, got)
 	}
 	if w.RecordImage("big", sizeGB, 100); strings.Join(w.Images, " ") != "big" {
-		t.Fatalf("holds %q beside an image that leaves no room", w.Images)
+		t.Fatalf("images %q, want only the one that fills the disk", w.Images)
 	}
 	if w.RecordImage("a", sizeGB, 0); strings.Join(w.Images, " ") != "big a" {
-		t.Fatalf("holds %q though the disk is not known", w.Images)
+		t.Fatalf("images %q, want all while the size of the disk is not known", w.Images)
 	}
 }
