--- a/internal/worker/starts_test.go
+++ b/internal/worker/starts_test.go
@@ -7,20 +7,20 @@
 	"wheatspur/wire"
 )
 
-// A start sent under our token before the worker has acknowledged it may be
-// delayed and arrive later: the acknowledgement must not make it forgotten.
-func TestPendingStartUnderOurTokenOutlivesAcknowledgement(t *testing.T) {
+// Guards against treating a pending start as void when the worker acknowledges the token it was sent
+// with: it may have been sent before the acknowledgement and arrive after it.
+func TestAcknowledgementKeepsPendingStartUnderOurToken(t *testing.T) {
 	w := NewWorker(testMachine)
 	starts := []Attempt{{testTask, 1}}
 	w.ApplyHeartbeat(newHeartbeat(1, 1, 5, exited(1, wire.ExitCauseStopped)), 6, t0)
 	w.StartsSent(starts, 6)
 	w.ApplyHeartbeat(newHeartbeat(1, 2, 6, exited(1, wire.ExitCauseStopped)), 6, t0)
 	if verbs := verbsOf(heartbeatCommands(w, nil, true)); w.State != TokenAcknowledged || verbs != "" {
-		t.Fatalf("state %s, commands %q", w.State, verbs)
+		t.Fatalf("state %s, commands %q, want an acknowledged token and no commands", w.State, verbs)
 	}
 	w.StartsAnswered(starts, 6, 1, 2)
 	if verbs := verbsOf(heartbeatCommands(w, nil, true)); verbs != "reap " {
-		t.Fatalf("after the answer: %q", verbs)
+		t.Fatalf("commands %q after the start was answered, want a reap", verbs)
 	}
 }
 
@@ -35,6 +35,6 @@
 		}
 	}
 	if w.FencePendingStarts(maxToken) {
-		t.Fatal("raised beyond the membership")
+		t.Fatal("reports a token above the last one of the membership")
 	}
 }
