--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -2,7 +2,8 @@
 // its current incarnation and whether that has acknowledged the controller's fencing token, the
 // tasks in its newest message, its lease, the direct start commands that may still arrive, and the
 // images on its disk. From this view and the stored claims the package derives the commands to send
-// and the claims whose attempts are proven to have ended.
+// and the claims whose attempts are proven to have ended. Commands reach a worker in the answers to
+// its heartbeats and in direct calls, which are requests from the controller to the worker.
 //
 // It does no I/O and takes no locks: the caller sends the commands, stores the ends of claims, and
 // serializes access. Package recovery decides what happens to a single task; package inventory holds
