--- a/internal/jobs/doc.go
+++ b/internal/jobs/doc.go
@@ -1,9 +1,8 @@
-// Package jobs owns jobs and tasks: their state machines, the records and keys
-// under which they are stored with the bounds on the records' sizes, the checks
-// of a submission at intake, and the Table, which holds all jobs as stored with
-// indexes, and derives from the DAG of dependencies which job may run.
+// Package jobs holds jobs and tasks: their state machines; their stored records and keys, with
+// bounds on the records' sizes; the validation of submissions at intake; and the Table, which
+// indexes all stored jobs and derives from the DAG of dependencies which of them may run.
 //
-// It does no input or output: package store feeds the Table, and callers write
-// the records. It doesn't decide where a task runs (package placement), what a
-// team may use (package quota) or what a worker is told (package worker).
+// The package does no I/O: package store passes stored records to the Table, and callers write the
+// records. Where a task runs is decided in package placement, what a team may use in package quota,
+// and what a worker is told in package worker.
 package jobs
