--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -6,38 +6,38 @@
 	"wheatspur/wire"
 )
 
-// Job is a job as the Table holds it: its record, its tasks, and what follows from
-// the jobs that it depends on and that depend on it. Only the Table changes it.
+// Job is a job as the Table holds it: its record, its tasks, and the state that is derived from the
+// jobs it depends on and the jobs that depend on it. Only the Table changes it.
 type Job struct {
 	ID        string
 	Record    Record
-	Need      Resources      // what one task takes
-	Team      string         // whose quota its claims count against
-	Chunks    map[int][]Task // tasks of the chunks that were ever written, by chunk
-	Counts    [numStates]int // tasks per state
-	Claims    map[int]Task   // claimed tasks by number
-	FirstSeen time.Time      // when this controller first saw it
+	Need      Resources      // resources that one task takes
+	Team      string         // team whose quota its claims count against
+	Chunks    map[int][]Task // tasks by chunk number, of the chunks that have a record
+	Counts    [numStates]int // number of tasks per state
+	Claims    map[int]Task   // claimed tasks by task number
+	FirstSeen time.Time      // when this controller first saw the job
 
-	// What is derived from the DAG of dependencies (dependencies.go). Phase is Open,
-	// for a job that is stored Waiting, once all that it depends on is stored Done,
-	// and Cancelled with any of it.
+	// Fields derived from the DAG of dependencies (dependencies.go). The Phase of a job that is stored
+	// as Waiting becomes Open once all its dependencies are stored as Done, and Cancelled once any
+	// of them is cancelled.
 	Phase         Phase
-	CancelledWith string // the job with which it is cancelled
-	ReadyAtMs     int64  // the earliest time at which it may have started, Unix milliseconds
-	Priority      int    // the highest of its own and of those that depend on it; see PriorityOrder
-	DeadlineMs    int64  // when it should be done, for itself and those that depend on it, Unix milliseconds; 0: no deadline
+	CancelledWith string // the dependency whose cancellation cancelled the job
+	ReadyAtMs     int64  // earliest time at which it may have started, Unix milliseconds
+	Priority      int    // highest of its own and those of its unfinished dependents, as PriorityOrder
+	DeadlineMs    int64  // earliest deadline that it or its unfinished dependents impose, Unix milliseconds; 0: none
 
-	ownRecord     bool   // its own record is stored
-	intakeVersion uint64 // else the version of the intake record that holds it
+	hasOwnRecord  bool   // whether the job has a record of its own
+	intakeVersion uint64 // otherwise: version of the intake record that holds the job
 }
 
-// Service reports whether the job's tasks run until it is cancelled.
+// Service reports whether the job is a service: its tasks run until it is cancelled.
 func (j *Job) Service() bool {
 	return j.Record.Spec != nil && j.Record.Spec.Kind == wire.KindService
 }
 
-// Gang reports whether the job needs gang scheduling: its tasks run all at once
-// or not at all.
+// Gang reports whether the job needs gang scheduling: either all its tasks run at once or none
+// does.
 func (j *Job) Gang() bool {
 	return j.Record.Spec != nil && j.Record.Spec.Kind == wire.KindGang
 }
@@ -50,30 +50,30 @@
 	return Task{}
 }
 
-// ChunkLen is the number of tasks in a chunk; the last one may be shorter.
+// ChunkLen returns the number of tasks in a chunk; the last chunk may be shorter than the others.
 func (j *Job) ChunkLen(chunk int) int {
 	return min(j.Record.ChunkSize, j.Record.Tasks-chunk*j.Record.ChunkSize)
 }
 
-// ChunkCopy returns a copy of the tasks of a chunk, for a write that changes some.
+// ChunkCopy returns a copy of the tasks of a chunk, for a write that changes some of them.
 func (j *Job) ChunkCopy(chunk int) []Task {
 	tasks := make([]Task, j.ChunkLen(chunk))
 	copy(tasks, j.Chunks[chunk])
 	return tasks
 }
 
-// SpansChunks reports whether a constraint on the job's zones covers tasks of
-// more than one chunk: then every claim also writes the job's record, so that
-// a claim which compares its version has seen all others.
+// SpansChunks reports whether a constraint on the job's zones covers tasks of more than one chunk.
+// In that case every claim also writes the job's record, so that a claim that compares the record's
+// version takes all earlier claims into account.
 func (j *Job) SpansChunks() bool {
 	spec := j.Record.Spec
 	return spec != nil && (spec.SameZone || spec.SpreadZones) && j.Record.Tasks > j.Record.ChunkSize
 }
 
-// AllDone reports whether every task is stored completed.
+// AllDone reports whether all tasks are stored as completed.
 func (j *Job) AllDone() bool { return j.Counts[Completed] == j.Record.Tasks }
 
-// Status is the job's status as its user sees it.
+// Status returns the job's status as reported to its user.
 func (j *Job) Status() wire.JobStatus {
 	status := wire.JobStatus{ID: j.ID, Done: j.Counts[Completed], Running: j.Counts[Claimed]}
 	switch {
@@ -89,8 +89,7 @@
 	return status
 }
 
-// PriorityOrder is the place of a priority in their order, the most important
-// first: 0.
+// PriorityOrder returns the rank of a priority; 0 is the highest.
 func PriorityOrder(priority string) int {
 	switch priority {
 	case wire.PriorityCritical:
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -63,7 +63,7 @@
 	if err := wire.Unmarshal(raw, &record); err != nil {
 		return err
 	}
-	t.putRecord(jobID, record).ownRecord = true
+	t.putRecord(jobID, record).hasOwnRecord = true
 	return nil
 }
 
@@ -83,7 +83,7 @@
 	jobIDs := make([]string, 0, len(intake.Jobs))
 	for jobID, record := range intake.Jobs {
 		jobIDs = append(jobIDs, jobID)
-		if j := t.Jobs[jobID]; j == nil || !j.ownRecord && version < j.intakeVersion {
+		if j := t.Jobs[jobID]; j == nil || !j.hasOwnRecord && version < j.intakeVersion {
 			t.putRecord(jobID, record).intakeVersion = version
 		}
 	}
@@ -95,7 +95,7 @@
 // own, so that nothing needs the intake record any more.
 func (t *Table) IntakeFinished(key string) bool {
 	for _, jobID := range t.JobsByIntake[key] {
-		if j := t.Jobs[jobID]; j == nil || !j.ownRecord || !j.Record.Phase.Final() {
+		if j := t.Jobs[jobID]; j == nil || !j.hasOwnRecord || !j.Record.Phase.Final() {
 			return false
 		}
 	}
