--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -9,22 +9,21 @@
 // TaskState is the stored state of a task. Its transitions, all made by Task.Next:
 //
 //	from     event     to         when
-//	Pending  Claim     Claimed    a controller chose a machine; before any start command
-//	Claimed  Complete  Completed  the attempt has ended with a result
-//	Claimed  Release   Pending    the attempt has ended, or never ran, without fault of the task
-//	Claimed  Fail      Pending    the attempt has ended with an error
+//	Pending  Claim     Claimed    a controller has chosen a machine; stored before any start command
+//	Claimed  Complete  Completed  the attempt ended with a result
+//	Claimed  Release   Pending    the attempt ended or never ran, and the task is not at fault
+//	Claimed  Fail      Pending    the attempt ended with an error
 //
-// Every claim is a new attempt. A claim counts against the machine and the quota
-// of the team until it is released, so all events but Claim need proof that the
-// attempt has ended: else two attempts of a task could run at once. Completed
-// is final.
+// Every claim is a new attempt. A claim counts against the machine's resources and the team's quota
+// until it is released. All events but Claim therefore need proof that the attempt has ended:
+// otherwise two attempts of a task could run at once. Completed is final.
 type TaskState uint8
 
 // States of a task. The values are stored.
 const (
-	Pending   TaskState = 0 // runs nowhere
-	Claimed   TaskState = 1 // may run on its machine, and counts against every limit
-	Completed TaskState = 2 // its result is kept
+	Pending   TaskState = 0 // not assigned to a machine
+	Claimed   TaskState = 1 // may be running on its machine; counts against all limits
+	Completed TaskState = 2 // ended with a result
 
 	numStates = 3
 )
@@ -37,14 +36,14 @@
 // TaskEvent changes a task's state.
 type TaskEvent struct {
 	Kind        TaskEventKind
-	Machine     string // of a claim
-	Incarnation uint64 // of the machine's worker, of a claim
+	Machine     string // the claimed machine; of a Claim only
+	Incarnation uint64 // incarnation of that machine's worker; of a Claim only
 }
 
-// TaskEventKind names the events of a task.
+// TaskEventKind is the kind of an event of a task.
 type TaskEventKind string
 
-// Events of a task; State says what they do.
+// Events of a task. TaskState lists the transitions that they make.
 const (
 	Claim    TaskEventKind = "claim"
 	Complete TaskEventKind = "complete"
@@ -52,11 +51,11 @@
 	Fail     TaskEventKind = "fail"
 )
 
-// maxFailures keeps the stored count of failures short.
+// maxFailures caps the stored number of failures, which bounds its length in the chunk record.
 const maxFailures = 20
 
-// Task is the stored form of one task. Machine and Incarnation are those of the
-// last attempt, while it is claimed.
+// Task is the stored form of a task. Machine and Incarnation belong to the current attempt and are
+// set only while the task is claimed.
 type Task struct {
 	_           struct{} `cbor:",toarray"`
 	State       TaskState
@@ -66,8 +65,7 @@
 	Failures    uint64
 }
 
-// Next returns the task after an event. It is the one function that changes a
-// task's state.
+// Next returns the task after an event. All changes of a task's state go through it.
 func (t Task) Next(event TaskEvent) (Task, error) {
 	switch {
 	case t.State == Pending && event.Kind == Claim:
@@ -79,13 +77,13 @@
 	case t.State == Claimed && event.Kind == Fail:
 		return Task{State: Pending, Attempt: t.Attempt, Failures: min(t.Failures+1, maxFailures)}, nil
 	}
-	return t, fmt.Errorf("task: no %s in state %s", event.Kind, t.State)
+	return t, fmt.Errorf("task: event %s is not allowed in state %s", event.Kind, t.State)
 }
 
-// TaskName names a task the way workers do.
+// TaskName returns the name of a task in the worker protocol.
 func TaskName(jobID string, task int) string { return jobID + "/" + strconv.Itoa(task) }
 
-// ParseTaskName splits a worker's name of a task.
+// ParseTaskName splits a task name of the worker protocol into the job id and the task number.
 func ParseTaskName(name string) (jobID string, task int, ok bool) {
 	jobID, number, ok := strings.Cut(name, "/")
 	if !ok {
@@ -95,13 +93,13 @@
 	return jobID, task, err == nil && task >= 0
 }
 
-// TaskID identifies a task by its job and its number in the job.
+// TaskID identifies a task by its job and its number within the job.
 type TaskID struct {
 	Job  string
 	Task int
 }
 
-// Less orders tasks by job and number.
+// Less orders tasks by job, then by number.
 func (id TaskID) Less(other TaskID) bool {
 	if id.Job != other.Job {
 		return id.Job < other.Job
@@ -109,5 +107,5 @@
 	return id.Task < other.Task
 }
 
-// String returns the name that workers use.
+// String returns the name of the task in the worker protocol.
 func (id TaskID) String() string { return TaskName(id.Job, id.Task) }
