--- a/internal/jobs/phase.go
+++ b/internal/jobs/phase.go
@@ -5,22 +5,22 @@
 // Phase is the stored state of a job. Its transitions, all made by Phase.Next:
 //
 //	from     event         to         when
-//	Waiting  JobReleased   Open       all jobs that it depends on are stored done
-//	Waiting  JobCancel     Cancelled  its user asked, or a dependency is cancelled
-//	Open     JobCancel     Cancelled  its user asked
-//	Open     JobCompleted  Done       all of its tasks are stored completed
+//	Waiting  JobReleased   Open       all its dependencies are stored as done
+//	Waiting  JobCancel     Cancelled  its user cancelled it, or a dependency is cancelled
+//	Open     JobCancel     Cancelled  its user cancelled it
+//	Open     JobCompleted  Done       all its tasks are stored as completed
 //
-// A job starts Waiting if it depends on others, else Open. Done and Cancelled
-// are final. JobReleased is never stored: see Waiting.
+// A job starts as Waiting if it depends on other jobs, otherwise as Open. Done and Cancelled are
+// final. The result of JobReleased is never stored: see Waiting.
 type Phase string
 
 // Phases of a job.
 const (
 	Open Phase = "open"
-	// Waiting is the phase of a job that depends on others. It stays stored until
-	// the job ends: whether the job may start, or is cancelled with one that it
-	// depends on, follows from the records of those (Table). Versions that do not
-	// know the phase answer "queued" and never place such a job.
+	// Waiting is the phase of a job that depends on others. It stays stored until the job ends: whether
+	// the job may start, or is cancelled along with a dependency, is derived from the records of its
+	// dependencies (Table). Versions that don't know this phase report such a job as "queued" and
+	// never place it.
 	Waiting   Phase = "waiting"
 	Done      Phase = "done"
 	Cancelled Phase = "cancelled"
@@ -32,15 +32,14 @@
 // JobEvent changes a job's phase.
 type JobEvent string
 
-// Events of a job; Phase says what they do.
+// Events of a job. Phase lists the transitions that they make.
 const (
 	JobCompleted JobEvent = "completed"
 	JobCancel    JobEvent = "cancel"
 	JobReleased  JobEvent = "released"
 )
 
-// Next returns the phase after an event. It is the one function that changes a
-// job's phase.
+// Next returns the phase after an event. All changes of a job's phase go through it.
 func (p Phase) Next(event JobEvent) (Phase, error) {
 	switch {
 	case p == Open && event == JobCompleted:
@@ -50,5 +49,5 @@
 	case p == Waiting && event == JobReleased:
 		return Open, nil
 	}
-	return p, fmt.Errorf("job: no %s in phase %s", event, p)
+	return p, fmt.Errorf("job: event %s is not allowed in phase %s", event, p)
 }
