--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -7,30 +7,30 @@
 
 // Key prefixes in the key-value store.
 const (
-	// Root starts every key of wheatspur.
+	// Root is the prefix of all keys of wheatspur.
 	Root = "w/"
-	// JobPrefix starts the keys of job records.
+	// JobPrefix is the prefix of the keys of job records.
 	JobPrefix = Root + "job/"
-	// ChunkPrefix starts the keys of chunk records.
+	// ChunkPrefix is the prefix of the keys of chunk records.
 	ChunkPrefix = Root + "task/"
-	// TeamPrefix starts the keys of teams' quota shares.
+	// TeamPrefix is the prefix of the keys of teams' quota shares.
 	TeamPrefix = Root + "team/"
-	// IntakePrefix starts the keys of records that hold several new jobs.
+	// IntakePrefix is the prefix of the keys of intake records, which hold several new jobs each.
 	IntakePrefix = Root + "intake/"
 )
 
-// JobKey is the key of a job's record.
+// JobKey returns the key of a job's record.
 func JobKey(jobID string) string { return JobPrefix + jobID }
 
-// ChunkKey is the key of one chunk of a job's tasks.
+// ChunkKey returns the key of one chunk of a job's tasks.
 func ChunkKey(jobID string, chunk int) string {
 	return ChunkPrefix + jobID + "/" + strconv.Itoa(chunk)
 }
 
-// TeamKey is the key of a team's quota shares (package quota).
+// TeamKey returns the key of a team's quota shares (package quota).
 func TeamKey(team string) string { return TeamPrefix + team }
 
-// ParseChunkKey splits a chunk key.
+// ParseChunkKey splits a chunk key into the job id and the chunk number.
 func ParseChunkKey(key string) (jobID string, chunk int, ok bool) {
 	jobID, number, ok := strings.Cut(strings.TrimPrefix(key, ChunkPrefix), "/")
 	if !ok {
