--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -6,23 +6,22 @@
 	"wheatspur/wire"
 )
 
-// Record is the stored form of a job. Final records drop what is no longer
-// needed and are kept forever, so that a repeated submission is answered with
-// the outcome of the first.
+// Record is the stored form of a job. A final record omits what is no longer needed and is kept
+// forever, so that a repeated submission is answered with the outcome of the first.
 type Record struct {
 	Phase         Phase         `cbor:"p"`
 	AcceptedAtMs  int64         `cbor:"at"` // time of acceptance, Unix milliseconds
 	Tasks         int           `cbor:"n"`
 	ChunkSize     int           `cbor:"cs"`          // tasks per chunk, fixed at acceptance
-	ClaimSerial   uint64        `cbor:"s,omitempty"` // raised by every claim of a job that SpansChunks, so that concurrent claims conflict
+	ClaimSerial   uint64        `cbor:"s,omitempty"` // incremented by every claim of a job that SpansChunks, so that concurrent claims conflict
 	Spec          *wire.JobSpec `cbor:"w,omitempty"`
-	EndedAtMs     int64         `cbor:"e,omitempty"` // of a final record: time of the end, Unix milliseconds
-	CancelledWith string        `cbor:"v,omitempty"` // the job with which it was cancelled
+	EndedAtMs     int64         `cbor:"e,omitempty"` // time at which the job ended, Unix milliseconds; of a final record only
+	CancelledWith string        `cbor:"v,omitempty"` // the dependency whose cancellation cancelled the job
 }
 
-// Cancel returns the record of the job after its user has cancelled it. Of
-// the description only what its claims still need stays: the whole of an old
-// one may be larger than the value limit of the key-value store is now.
+// Cancel returns the job's record after a cancellation by its user. It keeps only the part of the
+// spec that the job's claims still need: an old spec as a whole may exceed the current value limit
+// of the key-value store.
 func (r Record) Cancel(now time.Time) (Record, error) {
 	phase, err := r.Phase.Next(JobCancel)
 	if err != nil {
@@ -36,15 +35,14 @@
 	return r, nil
 }
 
-// IntakeRecord is the stored form of several jobs that were accepted in one
-// write. It is never changed: the first change of a job writes a record of its
-// own, which takes precedence.
+// IntakeRecord is the stored form of several jobs that were accepted in one write. It is never
+// modified: the first change of a job writes a record of the job's own, which takes precedence.
 type IntakeRecord struct {
 	Jobs map[string]Record `cbor:"j"`
 }
 
-// ChunkRecord is the stored form of a chunk: ChunkSize tasks of a job with
-// consecutive numbers. A chunk without a record holds new tasks.
+// ChunkRecord is the stored form of a chunk: ChunkSize tasks of a job with consecutive numbers. The
+// tasks of a chunk without a record are new.
 type ChunkRecord struct {
 	Tasks []Task `cbor:"t"`
 }
