--- a/internal/jobs/sizes.go
+++ b/internal/jobs/sizes.go
@@ -7,58 +7,58 @@
 	"wheatspur/wire"
 )
 
-// The key-value store limits the size of a value in its JSON form. What is stored
-// under such a limit was measured by these functions, so their results never
-// change for the same input.
+// The key-value store limits the size of a value in its JSON form. Values that are already stored
+// were sized with these functions, so their results must never change for the same input.
 
-// recordBytes bounds the JSON form of a job's record, all but its description.
-const recordBytes = 90
+// recordOverheadBytes bounds the JSON form of a job's record without its spec.
+const recordOverheadBytes = 90
 
-// Bytes of the JSON form of a chunk record.
+// Sizes of parts of a chunk record in JSON form.
 const (
-	chunkBase        = 16 // all but its tasks
-	taskBase         = 13 // of a task all but its numbers and its machine's name, with a space after each comma
-	taskBytes        = 31 // a task on a machine with a name of the protocol's form
-	compactTaskBytes = 28 // the same, without spaces
+	chunkOverheadBytes = 16 // the record without its tasks
+	taskOverheadBytes  = 13 // a task without its numbers and its machine's name, with a space after each comma
+	taskBytes          = 31 // a task on a machine whose name has the protocol's form
+	compactTaskBytes   = 28 // the same, without spaces
 )
 
-// JSONSize is the size of a submission as the key-value store counts it.
+// JSONSize returns the size of a submission as the key-value store counts it.
 func JSONSize(spec *wire.JobSpec) int {
 	b, err := json.Marshal(spec)
 	if err != nil {
-		return wire.MaxBody + 1 // what can't be encoded is too large for every limit
+		return wire.MaxBody + 1 // a submission that can't be encoded exceeds every limit
 	}
 	return len(b)
 }
 
 // IntakeBytes bounds the JSON form of a job in an intake record.
-func IntakeBytes(spec *wire.JobSpec) int { return JSONSize(spec) + recordBytes }
+func IntakeBytes(spec *wire.JobSpec) int { return JSONSize(spec) + recordOverheadBytes }
 
-// ChunkSize returns the number of tasks per chunk record: as many as fit the
-// value limit when all are claimed, and few enough that several chunks fit one
-// transaction. Claims that would make a chunk too large for other reasons, such
-// as long names, are left out (Bytes).
+// ChunkSize returns the number of tasks per chunk record: as many as fit the value limit when all of
+// them are claimed, and few enough that several chunks fit in one transaction. Claims that would
+// make a chunk too large for other reasons, such as long names, are left out (Bytes).
 func ChunkSize(valueKB float64) int {
-	return min(max(1, int(valueKB*tuning.BytesPerKB-chunkBase)/taskBytes), tuning.ChunkMax)
+	return min(max(1, int(valueKB*tuning.BytesPerKB-chunkOverheadBytes)/taskBytes), tuning.ChunkMax)
 }
 
-// MinValueBytes is the value limit, in bytes, that full chunk records need which
-// were written under a limit, with names of the protocol's form.
-func MinValueBytes(valueKB float64) int { return ChunkSize(valueKB)*compactTaskBytes + chunkBase }
+// MinValueBytes returns the value limit, in bytes, that is needed to store full chunk records that
+// were sized for a limit of valueKB, with machine names of the protocol's form.
+func MinValueBytes(valueKB float64) int {
+	return ChunkSize(valueKB)*compactTaskBytes + chunkOverheadBytes
+}
 
-// Bytes bounds the JSON form of the record.
+// Bytes bounds the size of the record in JSON form.
 func (c ChunkRecord) Bytes() int {
-	size := chunkBase
+	size := chunkOverheadBytes
 	for _, t := range c.Tasks {
-		size += taskBase + len(t.Machine) + digits(t.Attempt) + digits(t.Incarnation) + digits(t.Failures)
+		size += taskOverheadBytes + len(t.Machine) + digits(t.Attempt) + digits(t.Incarnation) + digits(t.Failures)
 	}
 	return size
 }
 
-// ClaimBytes bounds what a claim adds to the JSON form of its chunk's record.
+// ClaimBytes bounds the number of bytes that a claim adds to the JSON form of its chunk record.
 func ClaimBytes(claim TaskEvent) int { return len(claim.Machine) + digits(claim.Incarnation) + 1 }
 
-// digits is the length of a number in decimal form.
+// digits returns the number of decimal digits of v.
 func digits(v uint64) int {
 	n := 1
 	for ; v > 9; v /= 10 {
