--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -6,31 +6,32 @@
 	"wheatspur/wire"
 )
 
-// Table is the set of all jobs as stored, with indexes. The cache feeds it, through
-// the Apply methods, and nothing else changes it; records may come in any order.
-// It has no lock of its own: its owner's guards it.
+// Table holds all stored jobs and the indexes over them. It is changed only by its Apply methods,
+// which receive the stored records in any order. It has no lock of its own: its owner's lock
+// guards it.
 type Table struct {
 	Jobs map[string]*Job
 
-	// Jobs by the phase that is derived for them.
+	// Jobs by their derived phase.
 	Open       map[string]*Job // jobs whose tasks may run
-	Waiting    map[string]*Job // jobs whose dependencies are not done
-	Unrecorded map[string]*Job // jobs that are cancelled with others, without a final record
+	Waiting    map[string]*Job // jobs with unfinished dependencies
+	Unrecorded map[string]*Job // jobs that are cancelled along with a dependency and have no final record yet
 
-	// What claims take. They count until they are released, also those of ended jobs.
+	// Claims and the resources that they take. A claim counts until it is released, even if its job
+	// has ended.
 	ResourcesByTeam    map[string]Resources
 	ResourcesByMachine map[string]Resources
 	ClaimsByMachine    map[string]map[TaskID]*Job
 
-	JobsByIntake map[string][]string  // jobs of each intake record
-	FailedAt     map[TaskID]time.Time // when a task's count of failures last rose
+	JobsByIntake map[string][]string  // ids of the jobs in each intake record
+	FailedAt     map[TaskID]time.Time // when a task's number of failures last increased
 
-	// OnMachineChange is called with every machine whose claims, or whose claims'
-	// jobs, have changed.
+	// OnMachineChange is called with every machine whose claims, or the jobs of whose claims, have
+	// changed.
 	OnMachineChange func(machine string)
 
-	orphanChunks map[string]map[int][]Task  // chunks whose job is not known yet, by job
-	dependents   map[string]map[string]bool // jobs that depend on each job
+	orphanChunks map[string]map[int][]Task  // chunks of jobs that are not known yet, by job id and chunk number
+	dependents   map[string]map[string]bool // ids of the jobs that depend on each job
 	now          func() time.Time
 }
 
@@ -53,8 +54,8 @@
 	}
 }
 
-// ApplyJob enters a job's own record. Its absence changes nothing: job records are
-// never deleted.
+// ApplyJob applies a job's own record. A missing record (nil) changes nothing: job records are never
+// deleted.
 func (t *Table) ApplyJob(jobID string, raw wire.Raw) error {
 	if raw == nil {
 		return nil
@@ -67,10 +68,10 @@
 	return nil
 }
 
-// ApplyIntake enters a record of several new jobs, or its absence. A job's own
-// record takes precedence over it; of two intake records that hold the same job,
-// after a user's repeat, the older counts, whatever the order in which they are
-// read. So every controller comes to the same job.
+// ApplyIntake applies an intake record; nil means that it was deleted. A job's own record takes
+// precedence over an intake record. If a user's repeated submission put a job in two intake
+// records, the older one counts, whatever the order in which they are read, so that all
+// controllers hold the same job.
 func (t *Table) ApplyIntake(key string, raw wire.Raw, version uint64) error {
 	if raw == nil {
 		delete(t.JobsByIntake, key)
@@ -91,8 +92,8 @@
 	return nil
 }
 
-// IntakeFinished reports whether every job of an intake record has a final record of its
-// own, so that nothing needs the intake record any more.
+// IntakeFinished reports whether every job of an intake record has a final record of its own, so
+// that the intake record is no longer needed.
 func (t *Table) IntakeFinished(key string) bool {
 	for _, jobID := range t.JobsByIntake[key] {
 		if j := t.Jobs[jobID]; j == nil || !j.hasOwnRecord || !j.Record.Phase.Final() {
@@ -102,7 +103,7 @@
 	return true
 }
 
-// putRecord enters a job's record.
+// putRecord sets a job's record and updates everything that is derived from it.
 func (t *Table) putRecord(jobID string, record Record) *Job {
 	j := t.Jobs[jobID]
 	if j == nil {
@@ -115,8 +116,8 @@
 	j.Record = record
 	t.addDependencies(j)
 	if record.Spec != nil {
-		// Final records carry no description; what is needed to account for
-		// claims that are released later stays.
+		// A final record may have no spec. Need and Team then keep their values, to account for claims
+		// that are released later.
 		j.Need, j.Team = ResourcesPerTask(record.Spec), record.Spec.Team
 	}
 	t.propagate(jobID, formerDependencies)
@@ -127,7 +128,7 @@
 	return j
 }
 
-// ApplyChunk enters a chunk record, or its absence.
+// ApplyChunk applies a chunk record; nil means that it was deleted.
 func (t *Table) ApplyChunk(key string, raw wire.Raw) error {
 	jobID, chunk, ok := ParseChunkKey(key)
 	if !ok {
@@ -151,9 +152,9 @@
 	return nil
 }
 
-// replaceChunk enters the tasks of a chunk; none means that it has no record. Only
-// the tasks that differ are entered anew: a write changes a few tasks of a chunk,
-// and OnMachineChange would be called for the machine of every other one.
+// replaceChunk replaces the tasks of a chunk; no tasks means that it has no record. It updates only
+// the tasks that differ: a write changes few tasks of a chunk, and otherwise OnMachineChange would
+// be called for the machine of every other one too.
 func (t *Table) replaceChunk(j *Job, chunk int, tasks []Task) {
 	old, first := j.Chunks[chunk], chunk*j.Record.ChunkSize
 	unchanged := func(i int) bool { return i < len(old) && i < len(tasks) && old[i] == tasks[i] }
@@ -183,8 +184,8 @@
 	}
 }
 
-// removeTask takes a task out of the counts and the indexes. A claim is no longer
-// counted against its team and its machine.
+// removeTask removes a task from the counts and indexes. If it was claimed, its resources no longer
+// count against its team and its machine.
 func (t *Table) removeTask(j *Job, number int, task Task) {
 	j.Counts[task.State]--
 	if task.State != Claimed {
@@ -202,8 +203,7 @@
 	}
 }
 
-// addTask enters a task in the counts and the indexes; before is the task as it
-// was until now.
+// addTask adds a task to the counts and indexes; before is its previous form.
 func (t *Table) addTask(j *Job, number int, before, task Task) {
 	j.Counts[task.State]++
 	id, machine := TaskID{j.ID, number}, task.Machine
