--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -6,17 +6,16 @@
 	"wheatspur/internal/tuning"
 )
 
-// The DAG of dependencies. Whether a waiting job may run, or is cancelled, is never
-// stored: it follows from the records of the jobs that it depends on, and is
-// derived again whenever one of them changes. Done and Cancelled are final, so
-// what is derived from them stands for ever, and every controller derives the
-// same whatever the order in which it reads the records.
+// The DAG of dependencies. Whether a waiting job may run or is cancelled is never stored: it is
+// derived from the records of its dependencies, again whenever one of them changes. Done and
+// Cancelled are final, so a phase derived from them never changes, and every controller derives the
+// same one, whatever the order in which it reads the records.
 //
-// Phases travel from a job to its dependents (propagate), priority and deadline
-// the other way (updateUrgency). Both use queues instead of recursion, so that a
-// deep chain can't exhaust the stack, and follow only what changes.
+// Phases propagate from a job to its dependents (propagate), priorities and deadlines from a job to
+// its dependencies (updateUrgency). Both use queues instead of recursion, so that a deep chain
+// can't exhaust the stack, and go on only from jobs whose values have changed.
 
-// dependencies lists the jobs that a job still depends on by its own record.
+// dependencies returns the jobs that a job still depends on according to its own record.
 func (j *Job) dependencies() []string {
 	if j.Record.Spec == nil || j.Record.Phase.Final() {
 		return nil
@@ -24,7 +23,7 @@
 	return j.Record.Spec.DependsOn
 }
 
-// Unfinished lists the jobs that a waiting job waits for, as they were named.
+// Unfinished returns the unfinished dependencies of a waiting job, in the order of its submission.
 func (t *Table) Unfinished(j *Job) []string {
 	return slices.DeleteFunc(slices.Clone(j.dependencies()), func(jobID string) bool {
 		dependency := t.Jobs[jobID]
@@ -50,9 +49,9 @@
 	}
 }
 
-// propagate brings up to date what is derived from a job's record, for itself and
-// for all that it reaches; formerDependencies are those of its former record,
-// whose urgency may fall.
+// propagate updates what is derived from a job's record, for the job itself and for all jobs that
+// are affected. formerDependencies are the dependencies by its former record; their urgency may
+// decrease.
 func (t *Table) propagate(jobID string, formerDependencies []string) {
 	urgencyMayChange := append([]string{jobID}, formerDependencies...)
 	for queue := []string{jobID}; len(queue) > 0; {
@@ -63,7 +62,7 @@
 		if j.Phase == formerPhase && j.ID != jobID {
 			continue
 		}
-		t.index(j)
+		t.indexByPhase(j)
 		for dependent := range t.dependents[j.ID] {
 			if t.Jobs[dependent] != nil {
 				queue = append(queue, dependent)
@@ -76,9 +75,9 @@
 	t.updateUrgency(urgencyMayChange)
 }
 
-// derivePhase is a job's phase as it follows from its own record and the phases of
-// its dependencies, and the job with which it is cancelled, if it is. A dependency
-// that is not known, or whose record can't be read, is not done.
+// derivePhase returns a job's phase as it follows from its own record and the phases of its
+// dependencies and, for a cancelled job, the dependency whose cancellation cancelled it. A
+// dependency that is unknown, or whose record can't be read, counts as not done.
 func (t *Table) derivePhase(j *Job) (phase Phase, cancelledWith string) {
 	if j.Record.Phase != Waiting {
 		return j.Record.Phase, j.Record.CancelledWith
@@ -87,7 +86,7 @@
 	for _, jobID := range j.dependencies() {
 		dependency := t.Jobs[jobID]
 		if dependency != nil && dependency.Phase == Cancelled {
-			phase, _ = j.Record.Phase.Next(JobCancel) // which Waiting takes
+			phase, _ = j.Record.Phase.Next(JobCancel) // always allowed in Waiting
 			return phase, jobID
 		}
 		if dependency == nil || dependency.Phase != Done {
@@ -97,13 +96,13 @@
 	if !allDone {
 		return Waiting, ""
 	}
-	phase, _ = j.Record.Phase.Next(JobReleased) // which Waiting takes
+	phase, _ = j.Record.Phase.Next(JobReleased) // always allowed in Waiting
 	return phase, ""
 }
 
-// index enters a job in the index of its phase. A job that leaves the open ones
-// has claims that must now be stopped, so their machines are announced.
-func (t *Table) index(j *Job) {
+// indexByPhase adds a job to the indexByPhase of its phase. The claims of a job that is not open must be
+// stopped, so it calls OnMachineChange for their machines.
+func (t *Table) indexByPhase(j *Job) {
 	delete(t.Open, j.ID)
 	delete(t.Waiting, j.ID)
 	delete(t.Unrecorded, j.ID)
@@ -122,18 +121,18 @@
 	case !j.Record.Phase.Final():
 		t.Unrecorded[j.ID] = j
 	}
-	t.announceMachines(j)
+	t.notifyMachines(j)
 }
 
-// announceMachines calls OnMachineChange for the machines of a job's claims.
-func (t *Table) announceMachines(j *Job) {
+// notifyMachines calls OnMachineChange for the machines of a job's claims.
+func (t *Table) notifyMachines(j *Job) {
 	for _, task := range j.Claims {
 		t.OnMachineChange(task.Machine)
 	}
 }
 
-// updateUrgency derives the priority and the deadline of jobs again, and of those
-// that they depend on as far as that changes them.
+// updateUrgency recomputes the priority and the deadline of the jobs in queue, and of the
+// dependencies of those whose values change.
 func (t *Table) updateUrgency(queue []string) {
 	for len(queue) > 0 {
 		j := t.Jobs[queue[0]]
@@ -146,14 +145,13 @@
 			continue
 		}
 		j.Priority, j.DeadlineMs = priority, deadlineMs
-		t.announceMachines(j)
+		t.notifyMachines(j)
 		queue = append(queue, j.dependencies()...)
 	}
 }
 
-// deriveUrgency is a job's priority and deadline (0: none), by its own record and
-// those of the unfinished jobs that depend on it: a job that holds up an urgent
-// one is as urgent.
+// deriveUrgency returns a job's priority and deadline (0: none), derived from its own record and its
+// unfinished dependents: a job that delays an urgent job is equally urgent.
 func (t *Table) deriveUrgency(j *Job) (priority int, deadlineMs int64) {
 	spec := j.Record.Spec
 	priority = PriorityOrder(spec.Priority)
@@ -169,8 +167,8 @@
 		if dependent.DeadlineMs <= 0 {
 			continue
 		}
-		if startMs := dependent.latestStartMs(); deadlineMs == 0 || startMs < deadlineMs {
-			deadlineMs = startMs
+		if neededByMs := dependent.dependencyDeadlineMs(); deadlineMs == 0 || neededByMs < deadlineMs {
+			deadlineMs = neededByMs
 		}
 	}
 	return priority, deadlineMs
@@ -178,9 +176,10 @@
 
 const millisPerSecond = 1000
 
-// latestStartMs is when the dependencies of a job with a deadline must end, Unix
-// milliseconds: early enough for the job to run as long as its user estimates.
-func (j *Job) latestStartMs() int64 {
+// dependencyDeadlineMs returns the time by which the dependencies of a job with a deadline must end,
+// in Unix milliseconds. It leaves the job the run time that its user estimates and
+// DependencyStartDelay before its own start.
+func (j *Job) dependencyDeadlineMs() int64 {
 	estimateMs := int64(j.Record.Spec.EstimateS * millisPerSecond)
 	return j.DeadlineMs - estimateMs - tuning.DependencyStartDelay.Milliseconds()
 }
