--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,11 +1,10 @@
-// Package inventory holds the stored records of all machines: their form and
-// phases, the groups in which they are kept under few keys, and the plan of the
-// writes that store a list of changes.
+// Package inventory holds the stored records of all machines: their form and phases, the groups
+// that keep several records under one key, and the plan of the writes that store a list of changes.
 //
-// An Inventory is fed by the watch-fed cache of the key-value store and does no
-// I/O itself: the caller makes the planned writes, each a compare-and-swap, and
-// serializes access. What a machine's worker last sent is in package worker;
-// which machines to add or terminate is decided in package autoscale.
+// An Inventory is updated by the cache that watches the key-value store and does no I/O itself: the
+// caller makes the planned writes, each a compare-and-swap, and serializes access. The last
+// heartbeat of a machine's worker is in package worker; which machines to add or terminate is
+// decided in package autoscale.
 package inventory
 
 import (
@@ -14,14 +13,14 @@
 	"wheatspur/wire"
 )
 
-// Inventory is what is stored of all machines, with the key of each. It is fed
-// by the cache and changed by nothing else.
+// Inventory holds the stored records of all machines and the key of each. It is changed only by
+// Apply.
 type Inventory struct {
-	Machines  map[string]Record          // by name
-	groupKeys map[string]string          // the key that holds each machine
-	groups    map[string]map[string]bool // the machines that each key holds
+	Machines  map[string]Record          // records by machine name
+	groupKeys map[string]string          // key that holds the record of each machine
+	groups    map[string]map[string]bool // machines whose records each key holds
 
-	// OnChange is called with each machine whose record is new, changed or gone.
+	// OnChange is called with each machine whose record was added, changed or removed.
 	OnChange func(machine string)
 }
 
@@ -35,10 +34,10 @@
 	}
 }
 
-// KeyOf is the key that holds the machine's record, "" if it has none.
+// KeyOf returns the key that holds the machine's record, "" if it has none.
 func (inv *Inventory) KeyOf(machine string) string { return inv.groupKeys[machine] }
 
-// Apply takes in a stored value, nil if the key is gone.
+// Apply applies a stored value; nil means that the key was deleted.
 func (inv *Inventory) Apply(key string, raw wire.Raw) error {
 	records, err := decodeRecords(key, raw)
 	if err != nil {
@@ -49,7 +48,7 @@
 	return nil
 }
 
-// decodeRecords reads the records of a key, of either layout.
+// decodeRecords decodes the value of a key of either layout.
 func decodeRecords(key string, raw wire.Raw) (map[string]Record, error) {
 	if raw == nil {
 		return nil, nil
@@ -76,14 +75,14 @@
 	delete(inv.groups, key)
 }
 
-// add takes in the machines that a key holds.
+// add adds or updates the machines that a key holds.
 func (inv *Inventory) add(key string, records map[string]Record) {
 	if len(records) > 0 {
 		inv.groups[key] = make(map[string]bool, len(records))
 	}
 	for machine, record := range records {
 		if strings.HasPrefix(key, SingleMachinePrefix) && strings.HasPrefix(inv.groupKeys[machine], GroupPrefix) {
-			continue // it has moved to a group; its former key is about to be deleted
+			continue // it has moved to a group, and its single-machine key is about to be deleted
 		}
 		former, known := inv.Machines[machine]
 		inv.Machines[machine], inv.groupKeys[machine] = record, key
