--- a/internal/inventory/groupwrites.go
+++ b/internal/inventory/groupwrites.go
@@ -134,7 +134,7 @@
 		key = e.groupFor(change.Machine, *change.After)
 	}
 	record := *change.After
-	record.Reason = record.Reason[:min(len(record.Reason), reasonMaxBytes)]
+	record.Reason = record.Reason[:min(len(record.Reason), maxReasonBytes)]
 	e.open(key)[change.Machine] = record
 	e.changes[key]++
 }
@@ -223,7 +223,7 @@
 	for machine, record := range records {
 		size += record.maxBytes(machine)
 		if record.Reason != "" {
-			size += len(record.Reason) + reasonOverhead
+			size += len(record.Reason) + reasonOverheadBytes
 		}
 	}
 	return size
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -55,7 +55,7 @@
 	for machine, record := range inv.Machines {
 		drained := record
 		drained.Phase, drained.Role = Terminated, placement.Service
-		for len(drained.Reason) < 3*reasonMaxBytes {
+		for len(drained.Reason) < 3*maxReasonBytes {
 			drained.Reason += "because "
 		}
 		drains = append(drains, RecordChange{Machine: machine, Before: &record, After: &drained})
--- a/internal/inventory/record.go
+++ b/internal/inventory/record.go
@@ -9,16 +9,15 @@
 
 // Key prefixes of machine records.
 const (
-	// GroupPrefix starts the keys of groups of machine records: a record for
-	// each machine would take the whole budget of writes for a minute when a
-	// cluster starts.
+	// GroupPrefix is the prefix of the keys of groups of machine records. With one record per
+	// machine, the start of a cluster would use the whole write budget for a minute.
 	GroupPrefix = jobs.Root + "fleet/"
-	// SingleMachinePrefix starts the keys of an earlier layout, one record a machine.
-	// Such a record is read, and moves into a group with its next change.
+	// SingleMachinePrefix is the prefix of the keys of an earlier layout with one record per
+	// machine. Such a record is read, and moves into a group with its next change.
 	SingleMachinePrefix = jobs.Root + "host/"
 )
 
-// GroupKey is the key of a group of machine records.
+// GroupKey returns the key of a group of machine records.
 func GroupKey(n int) string { return fmt.Sprintf("%s%06d", GroupPrefix, n) }
 
 // Phase is the stored state of a machine.
@@ -28,7 +27,7 @@
 const (
 	Active     Phase = "in"       // takes tasks
 	Draining   Phase = "draining" // takes no new tasks; terminated once it is empty
-	Terminated Phase = "returned" // surely gone: every claim on it has ended
+	Terminated Phase = "returned" // confirmed gone: every claim on it has ended
 )
 
 // PhaseEvent changes a machine's phase.
@@ -40,7 +39,7 @@
 	EventTerminated PhaseEvent = "gone" // the cloud answered the termination, or lists the machine as failed
 )
 
-// Next is the one function that changes a machine's phase.
+// Next returns the phase after an event. All changes of a machine's phase go through it.
 func (p Phase) Next(event PhaseEvent) (Phase, error) {
 	switch {
 	case p == Active && event == EventDrain:
@@ -48,7 +47,7 @@
 	case event == EventTerminated:
 		return Terminated, nil
 	}
-	return p, fmt.Errorf("machine: no %s in phase %s", event, p)
+	return p, fmt.Errorf("machine: event %s is not allowed in phase %s", event, p)
 }
 
 // Record is the stored form of a machine.
@@ -58,20 +57,20 @@
 	Spot        bool           `cbor:"s,omitempty"`
 	Role        placement.Role `cbor:"o"`
 	Phase       Phase          `cbor:"p"`
-	Reason      string         `cbor:"w,omitempty"` // of the last change, for operators
+	Reason      string         `cbor:"w,omitempty"` // reason for the last change, for operators
 }
 
-// Bounds of the JSON form of a record in its group.
+// Bounds on the sizes, in JSON form, of parts of a group.
 const (
-	recordBytes    = 68 // all but the machine's name, type, zone and the reason
-	reasonMaxBytes = 60 // of a reason, the part that is kept
-	reasonOverhead = 10 // around a reason
+	recordOverheadBytes = 68 // a record without the machine's name, type and zone and the reason
+	maxReasonBytes      = 60 // the part of a reason that is kept
+	reasonOverheadBytes = 10 // what is added around a reason
 )
 
-// maxBytes bounds the JSON form of the record in its group, whatever its role
-// and phase become. The reason is not counted: it is kept where there is room.
+// maxBytes bounds the size of the record in its group in JSON form, whatever its role and phase
+// become. The reason is not counted: it is kept only where there is room.
 func (r Record) maxBytes(machine string) int {
-	return len(machine) + len(r.MachineType) + len(r.Zone) + recordBytes
+	return len(machine) + len(r.MachineType) + len(r.Zone) + recordOverheadBytes
 }
 
 // Group is the stored form of several machines.
