--- a/internal/inventory/groupwrites.go
+++ b/internal/inventory/groupwrites.go
@@ -10,26 +10,26 @@
 	"wheatspur/internal/tuning"
 )
 
-// RecordChange is one change of a machine's record.
+// RecordChange is a change of a machine's record.
 type RecordChange struct {
 	Machine string
 	Before  *Record // the record that the change was decided on; nil: none was stored
 	After   *Record // nil: delete
 }
 
-// GroupWrite is one transaction that stores several changes of machines.
+// GroupWrite is a transaction that stores the changes to the machines of one group.
 type GroupWrite struct {
 	Key     string
-	Changes int    // machines of the group that change
+	Changes int    // number of machines in the group that change
 	Group   *Group // nil: delete
-	// SplitOff holds the new keys of machines that leave the group in the same
-	// transaction, because it is larger than the store takes.
+	// SplitOff holds, by their new keys, the groups for machines that leave the group in the same
+	// transaction because the group is too large for the store.
 	SplitOff map[string]*Group
 }
 
-// OversizeGroups lists keys whose groups are larger than limit bytes, in order
-// and at most so many: an earlier version, or earlier settings, wrote them.
-func (inv *Inventory) OversizeGroups(limit, most int) []string {
+// OversizeGroups returns the keys of groups that are larger than limit bytes, sorted, and at most
+// maxGroups of them. An earlier version, or earlier settings, wrote such groups.
+func (inv *Inventory) OversizeGroups(limit, maxGroups int) []string {
 	var oversize []string
 	for key, machines := range inv.groups {
 		size := 0
@@ -41,42 +41,41 @@
 		}
 	}
 	slices.Sort(oversize)
-	return oversize[:min(len(oversize), most)]
+	return oversize[:min(len(oversize), maxGroups)]
 }
 
-// PlanWrites turns changes of machines into writes of keys. A change that was
-// decided on a record that has changed since is left out. A new machine goes to
-// a group that stays below limit bytes of JSON. A group that is larger, whether
-// one of its machines changes or it is named in oversize, is split in one
-// transaction of at most maxKeys keys, so that each machine is in exactly one
-// group at any time. Writes with the most changes come first.
+// PlanWrites turns changes of machines into writes of keys. It drops a change if the record has
+// changed since the decision. A new machine is added to a group that stays below limit bytes of
+// JSON. A group that is larger, if one of its machines changes or it is listed in oversize, is split
+// in one transaction of at most maxKeys keys, so that each machine is in exactly one group at any
+// time. Writes with the most changes come first.
 func (inv *Inventory) PlanWrites(changes []RecordChange, oversize []string, limit, maxKeys int) []GroupWrite {
 	edit := inv.newGroupEdit(limit, maxKeys)
 	for _, change := range changes {
 		edit.apply(change)
 	}
 	for _, key := range oversize {
-		edit.open(key)
+		edit.openGroup(key)
 	}
 	writes := edit.writes()
 	sortWrites(writes)
 	return writes
 }
 
-// groupEdit collects changes of machines by the group that they are made in.
+// groupEdit collects the changes of machines, by the group that each is made in.
 type groupEdit struct {
 	inventory *Inventory
-	limit     int // bytes of JSON in a group
-	maxKeys   int // in a transaction
+	limit     int // JSON bytes in a group
+	maxKeys   int // keys in a transaction
 
-	edited     map[string]map[string]Record // groups as they will be
-	changes    map[string]int               // machines of each that change
+	edited     map[string]map[string]Record // edited records of groups, by key
+	changes    map[string]int               // number of machines that change, by key
 	nextNumber int                          // number of the next new group
-	newest     string                       // key of the group that takes new machines, "" at first
+	newestKey  string                       // key of the group that takes new machines, "" if there is none yet
 }
 
-// newGroupEdit starts an edit. New machines go to the group with the highest
-// number while it has room.
+// newGroupEdit starts an edit. New machines go to the group with the highest number as long as it
+// has room.
 func (inv *Inventory) newGroupEdit(limit, maxKeys int) *groupEdit {
 	e := &groupEdit{
 		inventory: inv,
@@ -87,22 +86,22 @@
 	}
 	for key := range inv.groups {
 		number, err := strconv.Atoi(strings.TrimPrefix(key, GroupPrefix))
-		if err == nil && number >= e.nextNumber { // a key of the earlier layout has no number
-			e.nextNumber, e.newest = number+1, key
+		if err == nil && number >= e.nextNumber { // the keys of the earlier layout have no number
+			e.nextNumber, e.newestKey = number+1, key
 		}
 	}
 	return e
 }
 
-// newKey is the key of a new group.
+// newKey returns the key of a new group.
 func (e *groupEdit) newKey() string {
 	key := GroupKey(e.nextNumber)
 	e.nextNumber++
 	return key
 }
 
-// open returns the records of a group, to be changed.
-func (e *groupEdit) open(key string) map[string]Record {
+// openGroup returns the records of a group, for changes.
+func (e *groupEdit) openGroup(key string) map[string]Record {
 	records := e.edited[key]
 	if records == nil {
 		stored := e.inventory.groups[key]
@@ -115,7 +114,7 @@
 	return records
 }
 
-// apply makes one change, unless the record has changed since it was decided.
+// apply makes one change, unless the record has changed since the decision.
 func (e *groupEdit) apply(change RecordChange) {
 	stored, known := e.inventory.Machines[change.Machine]
 	if known != (change.Before != nil) || known && stored != *change.Before {
@@ -123,48 +122,48 @@
 	}
 	key := e.inventory.groupKeys[change.Machine]
 	if change.After == nil {
-		delete(e.open(key), change.Machine)
+		delete(e.openGroup(key), change.Machine)
 		e.changes[key]++
 		return
 	}
 	if grouped := known && strings.HasPrefix(key, GroupPrefix); !grouped {
 		if known {
-			delete(e.open(key), change.Machine)
+			delete(e.openGroup(key), change.Machine)
 		}
 		key = e.groupFor(change.Machine, *change.After)
 	}
 	record := *change.After
 	record.Reason = record.Reason[:min(len(record.Reason), maxReasonBytes)]
-	e.open(key)[change.Machine] = record
+	e.openGroup(key)[change.Machine] = record
 	e.changes[key]++
 }
 
-// groupFor is the key of a group with room for a machine that is in none.
+// groupFor returns the key of a group with room for a machine that is in no group.
 func (e *groupEdit) groupFor(machine string, record Record) string {
-	if e.newest == "" || !hasRoom(e.open(e.newest), machine, record, e.limit) {
-		e.newest = e.newKey()
+	if e.newestKey == "" || !hasRoom(e.openGroup(e.newestKey), machine, record, e.limit) {
+		e.newestKey = e.newKey()
 	}
-	return e.newest
+	return e.newestKey
 }
 
-// writes lists a transaction for each group that was opened.
+// writes returns a transaction for each group that was opened.
 func (e *groupEdit) writes() []GroupWrite {
 	writes := make([]GroupWrite, 0, len(e.edited))
 	for key, records := range e.edited {
 		if len(records) == 0 && len(e.inventory.groups[key]) == 0 {
-			continue // it is not stored
+			continue // an empty group that was never stored
 		}
-		writes = append(writes, e.write(key, records))
+		writes = append(writes, e.groupWrite(key, records))
 	}
 	return writes
 }
 
-func (e *groupEdit) write(key string, records map[string]Record) GroupWrite {
+func (e *groupEdit) groupWrite(key string, records map[string]Record) GroupWrite {
 	write := GroupWrite{Key: key, Changes: e.changes[key]}
 	if len(records) == 0 {
 		return write
 	}
-	parts := split(records, e.limit, e.maxKeys)
+	parts := splitGroup(records, e.limit, e.maxKeys)
 	write.Group = &Group{Machines: parts[0]}
 	if len(parts) > 1 {
 		write.SplitOff = make(map[string]*Group, len(parts)-1)
@@ -175,9 +174,9 @@
 	return write
 }
 
-// sortWrites puts the groups with the most changes first. If machines move
-// from the earlier layout, deleted keys come last: a machine that moves is
-// stored under its new key before the old one is deleted.
+// sortWrites puts the groups with the most changes first. While machines migrate from the earlier
+// layout, deletions come last: a machine's record is stored under its new key before its old key is
+// deleted.
 func sortWrites(writes []GroupWrite) {
 	migrating := slices.ContainsFunc(writes, func(write GroupWrite) bool {
 		return strings.HasPrefix(write.Key, SingleMachinePrefix)
@@ -193,9 +192,9 @@
 	})
 }
 
-// split divides a group's records into at most maxParts parts that stay below
-// limit bytes, and drops their reasons if there is no room for them.
-func split(records map[string]Record, limit, maxParts int) []map[string]Record {
+// splitGroup divides a group's records into at most maxParts parts of up to limit bytes, of which the
+// last takes all that remain, and drops their reasons if there is no room for them.
+func splitGroup(records map[string]Record, limit, maxParts int) []map[string]Record {
 	if bytesWithReasons(records) <= limit {
 		return []map[string]Record{records}
 	}
@@ -217,7 +216,7 @@
 	return parts
 }
 
-// bytesWithReasons bounds the JSON form of a group's records.
+// bytesWithReasons bounds the size of a group's records in JSON form, with their reasons.
 func bytesWithReasons(records map[string]Record) int {
 	size := 0
 	for machine, record := range records {
@@ -229,7 +228,7 @@
 	return size
 }
 
-// hasRoom reports whether a group can take one machine more.
+// hasRoom reports whether a group can take another machine.
 func hasRoom(records map[string]Record, machine string, added Record, limit int) bool {
 	size := added.maxBytes(machine)
 	for other, record := range records {
