--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// What a controller has stored must stay readable to every later version, and to
-// the version that works beside it.
+// Stored records must stay readable to every later version, and to the version that runs alongside
+// this one.
 func TestGoldenRecords(t *testing.T) {
 	record := Record{Phase: Waiting, AcceptedAtMs: 1_700_000_000_001, Tasks: 17, ChunkSize: 64, ClaimSerial: 71,
 		Spec: goldenSpec(), EndedAtMs: 1_700_000_000_002, CancelledWith: "wk-000397"}
@@ -33,7 +33,7 @@
 	}, *update)
 }
 
-// The values of the stored phases, states and key prefixes.
+// The stored phases, states and key prefixes must never change.
 func TestStoredConstantsKeepTheirValues(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{string(Open), "open"}, {string(Waiting), "waiting"}, {string(Done), "done"}, {string(Cancelled), "cancelled"},
@@ -49,9 +49,9 @@
 	}
 }
 
-// The size of a submission decides which submissions are taken and how many
-// go into one intake record.
-func TestIntakeBytesOfASubmission(t *testing.T) {
+// The computed size of a submission decides whether it is accepted and how many submissions share
+// an intake record.
+func TestIntakeBytes(t *testing.T) {
 	if got, want := IntakeBytes(goldenSpec()), 426; got != want {
 		t.Errorf("%d bytes, want %d", got, want)
 	}
