--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// applyChunk enters a chunk of wk-1; without tasks its record is deleted.
+// applyChunk applies a chunk record of wk-1; no tasks means that it was deleted.
 func applyChunk(t *testing.T, table *Table, chunk int, tasks ...Task) {
 	t.Helper()
 	var raw wire.Raw
@@ -42,36 +42,36 @@
 	job := table.Jobs["wk-1"]
 	applyChunk(t, table, 1, Task{State: Claimed, Attempt: 1, Machine: "h"}, Task{State: Completed, Attempt: 1})
 	if job.Counts != [3]int{4, 1, 1} || table.ResourcesByTeam["x"].GPUs != 2 || len(table.ClaimsByMachine["h"]) != 1 {
-		t.Fatalf("counts %v used %v", job.Counts, table.ResourcesByTeam["x"])
+		t.Fatalf("counts %v, team uses %v", job.Counts, table.ResourcesByTeam["x"])
 	}
 	applyChunk(t, table, 1, Task{State: Completed, Attempt: 1}, Task{State: Completed, Attempt: 1})
 	if table.ResourcesByTeam["x"].GPUs != 0 || len(table.ClaimsByMachine) != 0 || job.AllDone() {
-		t.Fatalf("used %v after the release", table.ResourcesByTeam["x"])
+		t.Fatalf("team uses %v after the claim was released", table.ResourcesByTeam["x"])
 	}
 	completed := Task{State: Completed, Attempt: 1}
 	applyChunk(t, table, 0, completed, completed, completed, completed)
 	if !job.AllDone() {
-		t.Fatal("all tasks are done")
+		t.Fatal("AllDone is false although all tasks are completed")
 	}
 }
 
-// The final record carries no description any more, and the chunk goes in the
-// same write: the claims must still be released for the job's own team.
+// Guards against claims that still count against the team after the job has ended: the final record
+// has no spec, and the chunk record is deleted in the same write.
 func TestClaimsAreReleasedWhenTheJobEndsInTheSameWrite(t *testing.T) {
 	table := newTestTable(t, 1)
 	applyChunk(t, table, 0, Task{State: Claimed, Attempt: 1, Machine: "h"})
 	applyJob(t, table, "wk-1", Record{Phase: Done, Tasks: 1, ChunkSize: 4})
 	applyChunk(t, table, 0)
 	if table.ResourcesByTeam["x"].GPUs != 0 || len(table.ClaimsByMachine) != 0 || len(table.Open) != 0 {
-		t.Fatalf("used %v machines %v", table.ResourcesByTeam, table.ClaimsByMachine)
+		t.Fatalf("teams use %v, claims by machine %v", table.ResourcesByTeam, table.ClaimsByMachine)
 	}
 	if status := table.Jobs["wk-1"].Status(); status.State != wire.StateDone || status.Done != 1 {
-		t.Fatalf("%+v", status)
+		t.Fatalf("status %+v, want done with one task", status)
 	}
 }
 
-// A user's repeat may end up in another intake record; a job's own record may
-// be read before or after both. The outcome is the same for every controller.
+// A repeated submission may be stored in another intake record, and a job's own record may be read
+// before or after both. Every controller must end up with the same jobs.
 func TestIntakeRecordsApplyTheSameInAnyOrder(t *testing.T) {
 	job := func(tasks int, phase Phase) Record {
 		return Record{Phase: phase, Tasks: tasks, ChunkSize: 4, Spec: &wire.JobSpec{Team: "x"}}
@@ -94,17 +94,17 @@
 				}
 			}
 			if phase := table.Jobs["wk-1"].Record.Phase; phase != Cancelled || table.Open["wk-1"] != nil {
-				t.Errorf("the cancelled job is %s", phase)
+				t.Errorf("wk-1 is in phase %s, want cancelled", phase)
 			}
 			if j := table.Jobs["wk-2"]; j.Record.Tasks != 2 || j.Counts[Pending] != 2 {
-				t.Errorf("%d tasks, %d pending: not those accepted first", j.Record.Tasks, j.Counts[Pending])
+				t.Errorf("wk-2 has %d tasks, %d pending; want those of the older intake record", j.Record.Tasks, j.Counts[Pending])
 			}
 			if table.IntakeFinished("w/intake/a") {
-				t.Error("finished though a job of it is open")
+				t.Error("IntakeFinished is true although a job is open")
 			}
 			applyJob(t, table, "wk-2", job(2, Done))
 			if !table.IntakeFinished("w/intake/a") {
-				t.Error("not finished though all jobs are")
+				t.Error("IntakeFinished is false although all jobs are final")
 			}
 		})
 	}
