--- a/internal/jobs/task_test.go
+++ b/internal/jobs/task_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestFailuresAreCountedUpToABound(t *testing.T) {
+func TestFailureCountIsCapped(t *testing.T) {
 	task := Task{State: Claimed, Attempt: 1, Failures: maxFailures}
 	if got, err := task.Next(TaskEvent{Kind: Fail}); err != nil || got.Failures != maxFailures {
 		t.Errorf("%+v %v", got, err)
@@ -77,11 +77,11 @@
 		}
 	}
 	if got, want := (TaskID{Job: "wk-7", Task: 12}).String(), TaskName("wk-7", 12); got != want {
-		t.Errorf("task id %q, workers' name %q", got, want)
+		t.Errorf("TaskID.String is %q, TaskName %q", got, want)
 	}
 }
 
-func TestMalformedTaskNamesAreRefused(t *testing.T) {
+func TestMalformedTaskNamesAreRejected(t *testing.T) {
 	for _, name := range []string{"", "wk-7", "wk-7/", "wk-7/-1", "wk-7/x"} {
 		t.Run(name, func(t *testing.T) {
 			if _, _, ok := ParseTaskName(name); ok {
