--- a/internal/jobs/validation_test.go
+++ b/internal/jobs/validation_test.go
@@ -8,22 +8,22 @@
 	"wheatspur/wire"
 )
 
-// checkValidation compares an error with the text that the user should get; an
-// empty one means that the job is accepted.
-func checkValidation(t *testing.T, err error, want string) {
+// wantValidationError compares an error with the text that the user should get; an empty text means
+// that the job is accepted.
+func wantValidationError(t *testing.T, err error, want string) {
 	t.Helper()
-	var refusal ValidationError
+	var validationErr ValidationError
 	switch {
 	case want == "" && err != nil:
 		t.Errorf("got %q, want no error", err)
-	case want != "" && !errors.As(err, &refusal):
+	case want != "" && !errors.As(err, &validationErr):
 		t.Errorf("got %v, want the validation error %q", err, want)
-	case want != "" && refusal.Error() != want:
-		t.Errorf("got %q, want %q", refusal, want)
+	case want != "" && validationErr.Error() != want:
+		t.Errorf("got %q, want %q", validationErr, want)
 	}
 }
 
-func TestValidateRefusesWhatCanNeverRun(t *testing.T) {
+func TestValidateRejectsJobsThatCanNeverRun(t *testing.T) {
 	const (
 		noMachineType = "no allowed machine type fits a task"
 		overLimit     = "more than the team's limit"
@@ -50,12 +50,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			spec := &wire.JobSpec{Kind: wire.KindArray, Tasks: 2, CPUs: 1, GPUs: 1, RAMGB: 1}
 			c.edit(spec)
-			checkValidation(t, Validate(spec, TeamLimits{GPUsMax: 3}, c.knownTeam, types, 64), c.want)
+			wantValidationError(t, Validate(spec, TeamLimits{GPUsMax: 3}, c.knownTeam, types, 64), c.want)
 		})
 	}
 }
 
-func TestValidateDependenciesRefusesWhatIsNeverDone(t *testing.T) {
+func TestValidateDependenciesRejectsThoseNeverDone(t *testing.T) {
 	accepted := func(jobID string) (known, service bool) { return jobID != "wk-404", jobID == "wk-9" }
 	for _, c := range []struct{ name, dependency, want string }{
 		{"accepted job", "wk-2", ""},
@@ -68,7 +68,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			spec := &wire.JobSpec{ID: "wk-1", DependsOn: []string{c.dependency}}
-			checkValidation(t, ValidateDependencies(spec, accepted), c.want)
+			wantValidationError(t, ValidateDependencies(spec, accepted), c.want)
 		})
 	}
 }
