--- a/internal/inventory/golden_test.go
+++ b/internal/inventory/golden_test.go
@@ -10,8 +10,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden bytes")
 
-// What a controller has stored must stay readable to every later version, and to the
-// version that runs beside it.
+// Stored records must stay readable to every later version, and to the version that runs alongside
+// this one.
 func TestGoldenRecords(t *testing.T) {
 	record := Record{MachineType: "g8", Zone: "zone-1", Spot: true, Role: placement.Batch, Phase: Draining, Reason: "no work"}
 	golden.Check(t, []golden.Sample{
@@ -20,8 +20,8 @@
 	}, *update)
 }
 
-// The values of the stored phases and key prefixes.
-func TestStoredConstants(t *testing.T) {
+// The stored phases and key prefixes must never change.
+func TestStoredConstantsKeepTheirValues(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{string(Active), "in"}, {string(Draining), "draining"}, {string(Terminated), "returned"},
 		{GroupKey(7), "w/fleet/000007"}, {SingleMachinePrefix, "w/host/"},
