--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	testLimit   = 4096 // bytes of a value
-	testMaxKeys = 12   // in a transaction
+	testLimit   = 4096 // bytes in a value
+	testMaxKeys = 12   // keys in a transaction
 )
 
-// applyWrites takes in writes as the store's watch would deliver them.
+// applyWrites applies writes as the store's watch would deliver them.
 func applyWrites(t *testing.T, inv *Inventory, writes []GroupWrite) {
 	t.Helper()
 	for _, write := range writes {
@@ -37,37 +37,37 @@
 	limit := testLimit
 	fill := int(float64(limit) * tuning.GroupFillShare)
 	inv := NewInventory()
-	var joins []RecordChange
+	var additions []RecordChange
 	for i := range 2500 {
 		record := newRecord("a-type")
-		joins = append(joins, RecordChange{Machine: fmt.Sprintf("host-%06d", i), After: &record})
+		additions = append(additions, RecordChange{Machine: fmt.Sprintf("host-%06d", i), After: &record})
 	}
-	writes := inv.PlanWrites(joins, nil, fill, testMaxKeys)
+	writes := inv.PlanWrites(additions, nil, fill, testMaxKeys)
 	if len(writes) > 2500/16 {
 		t.Fatalf("%d writes for 2500 machines", len(writes))
 	}
 	applyWrites(t, inv, writes)
 	if len(inv.Machines) != 2500 {
-		t.Fatalf("%d machines are known", len(inv.Machines))
+		t.Fatalf("%d machines in the inventory, want 2500", len(inv.Machines))
 	}
-	// All get the longest reason that there may be.
-	var drains []RecordChange
+	// Every machine gets a reason longer than the limit.
+	var terminations []RecordChange
 	for machine, record := range inv.Machines {
-		drained := record
-		drained.Phase, drained.Role = Terminated, placement.Service
-		for len(drained.Reason) < 3*maxReasonBytes {
-			drained.Reason += "because "
+		terminated := record
+		terminated.Phase, terminated.Role = Terminated, placement.Service
+		for len(terminated.Reason) < 3*maxReasonBytes {
+			terminated.Reason += "because "
 		}
-		drains = append(drains, RecordChange{Machine: machine, Before: &record, After: &drained})
+		terminations = append(terminations, RecordChange{Machine: machine, Before: &record, After: &terminated})
 	}
 	keys := map[string]string{}
 	for machine := range inv.Machines {
 		keys[machine] = inv.KeyOf(machine)
 	}
-	applyWrites(t, inv, inv.PlanWrites(drains, nil, fill, testMaxKeys))
+	applyWrites(t, inv, inv.PlanWrites(terminations, nil, fill, testMaxKeys))
 	for machine, key := range keys {
 		if inv.KeyOf(machine) != key || inv.Machines[machine].Phase != Terminated {
-			t.Fatalf("%s left its key or was not changed", machine)
+			t.Fatalf("%s moved to another key or its change was lost", machine)
 		}
 	}
 	for key := range inv.groups {
@@ -81,7 +81,7 @@
 			t.Fatal(err)
 		}
 		if len(encoded) > limit {
-			t.Fatalf("%s holds %d bytes", key, len(encoded))
+			t.Fatalf("%s holds %d bytes, more than the value limit", key, len(encoded))
 		}
 	}
 	var deletions []RecordChange
@@ -90,14 +90,14 @@
 	}
 	for _, write := range inv.PlanWrites(deletions, nil, fill, testMaxKeys) {
 		if write.Group != nil {
-			t.Fatalf("%s stays with %d machines", write.Key, len(write.Group.Machines))
+			t.Fatalf("%s still holds %d machines, want it deleted", write.Key, len(write.Group.Machines))
 		}
 	}
 }
 
-// Two parts of the leader decide on the same machine; what was decided on an
-// older record must not undo what was stored since.
-func TestChangeDecidedOnStaleRecordIsLeftOut(t *testing.T) {
+// Guards against lost updates: two parts of the leader may decide on the same machine, and a decision
+// on an older record must not overwrite what was stored since.
+func TestChangeDecidedOnStaleRecordIsDropped(t *testing.T) {
 	inv := NewInventory()
 	record := newRecord("g")
 	applyWrites(t, inv, inv.PlanWrites([]RecordChange{{Machine: "m1", After: &record}}, nil, testLimit, testMaxKeys))
@@ -106,7 +106,7 @@
 	applyWrites(t, inv, inv.PlanWrites([]RecordChange{{Machine: "m1", Before: &record, After: &terminated}}, nil, testLimit, testMaxKeys))
 	stale := []RecordChange{{Machine: "m1", Before: &record, After: &moved}, {Machine: "m1", After: &record}}
 	if writes := inv.PlanWrites(stale, nil, testLimit, testMaxKeys); len(writes) != 0 {
-		t.Fatalf("an old decision is written: %+v", writes)
+		t.Fatalf("a change decided on a stale record is written: %+v", writes)
 	}
 }
 
@@ -124,15 +124,15 @@
 		t.Fatalf("%+v: the new key must be written before the old one is deleted", writes)
 	}
 	applyWrites(t, inv, writes[:1])
-	// A controller that reads both, in any order, takes the newer.
+	// A controller that reads both records, in either order, keeps the newer one.
 	if err := inv.Apply(singleKey, wire.MustMarshal(record)); err != nil || inv.Machines["m1"].Phase != Draining {
-		t.Fatal("the former key hides the new one")
+		t.Fatal("the single-machine record replaced the newer one in the group")
 	}
 	applyWrites(t, inv, writes[1:])
 	if inv.Machines["m1"].Phase != Draining || inv.KeyOf("m1") != GroupKey(0) {
 		t.Fatalf("%v at %s", inv.Machines, inv.KeyOf("m1"))
 	}
 	if err := inv.Apply(GroupKey(1), wire.Raw{0xff}); err == nil {
-		t.Fatal("an undecodable value was accepted")
+		t.Fatal("an undecodable value was applied without an error")
 	}
 }
