--- a/internal/inventory/groupwrites.go
+++ b/internal/inventory/groupwrites.go
@@ -151,7 +151,7 @@
 	writes := make([]GroupWrite, 0, len(e.edited))
 	for key, records := range e.edited {
 		if len(records) == 0 && len(e.inventory.groups[key]) == 0 {
-			continue // an empty group that was never stored
+			continue // an empty group without a stored key
 		}
 		writes = append(writes, e.groupWrite(key, records))
 	}
