--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -100,7 +100,7 @@
 	return phase, ""
 }
 
-// indexByPhase adds a job to the indexByPhase of its phase. The claims of a job that is not open must be
+// indexByPhase adds a job to the index of its phase. The claims of a job that is not open must be
 // stopped, so it calls OnMachineChange for their machines.
 func (t *Table) indexByPhase(j *Job) {
 	delete(t.Open, j.ID)
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -25,7 +25,7 @@
 	applyJob(d.t, d.table, jobID, record)
 }
 
-// newJobRecord returns the newJobRecord of a new job whose spec was changed by edit.
+// newJobRecord returns the record of a new job whose spec was changed by edit.
 func newJobRecord(jobID string, edit func(*wire.JobSpec), dependsOn ...string) Record {
 	spec := &wire.JobSpec{ID: jobID, Team: "x", Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 1, EstimateS: 10, DependsOn: dependsOn}
 	if edit != nil {
