--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,9 +1,10 @@
-// Package httpclient is how this program calls others over HTTP: IPv4 only, a
-// deadline on every call, bounded connections, and no retries by the library: a
-// retry must be a decision of the caller, who knows what a lost answer means.
+// Package httpclient configures the HTTP clients of this program: IPv4 only, a
+// timeout for every call, a bounded number of connections, and no retries by the
+// library. Whether to retry is up to the caller, which knows what a lost response
+// means for its request.
 //
-// It knows no protocol but HTTP: the callers encode requests, read statuses and
-// decode answers.
+// It knows no protocol above HTTP: callers encode requests, interpret statuses and
+// decode responses.
 package httpclient
 
 import (
@@ -16,9 +17,9 @@
 	"wheatspur/wire"
 )
 
-// Doer sends a request and waits for its answer for at most a time.
+// Doer sends a request and waits for its response up to a timeout.
 type Doer interface {
-	// DoTimeout sends req and reads its answer into resp.
+	// DoTimeout sends req and reads its response into resp.
 	DoTimeout(req *fasthttp.Request, resp *fasthttp.Response, timeout time.Duration) error
 }
 
@@ -26,19 +27,20 @@
 	return net.DialTimeout("tcp4", addr, tuning.DialTimeout)
 }
 
-// noRetry refuses every retry, whatever the bound on attempts allows.
+// noRetry prevents every retry by the library, whatever its limit on attempts.
 func noRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// maxAttempts is the library's bound on attempts; unset, it is five for
+// maxAttempts is the library's limit on attempts. If unset, it is five for
 // idempotent methods.
 const maxAttempts = 1
 
-// NewHostClient returns a client of one address with at most so many connections.
-func NewHostClient(addr string, conns int) *fasthttp.HostClient {
+// NewHostClient returns a client of the server at addr with at most maxConns
+// connections.
+func NewHostClient(addr string, maxConns int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      addr,
 		Dial:                      dial,
-		MaxConns:                  conns,
+		MaxConns:                  maxConns,
 		MaxIdleConnDuration:       tuning.IdleTimeout,
 		RetryIfErr:                noRetry,
 		MaxIdemponentCallAttempts: maxAttempts,
@@ -47,11 +49,12 @@
 	}
 }
 
-// NewClient returns a client of many addresses with at most so many connections to each.
-func NewClient(conns int) *fasthttp.Client {
+// NewClient returns a client of any number of servers with at most maxConns
+// connections to each.
+func NewClient(maxConns int) *fasthttp.Client {
 	return &fasthttp.Client{
 		Dial:                      dial,
-		MaxConnsPerHost:           conns,
+		MaxConnsPerHost:           maxConns,
 		MaxIdleConnDuration:       tuning.WorkerIdle,
 		RetryIfErr:                noRetry,
 		MaxIdemponentCallAttempts: maxAttempts,
@@ -60,9 +63,9 @@
 	}
 }
 
-// Do sends one request, with a body unless that is nil, and returns the
-// answer's status and a copy of its body. The error is the library's, as it is.
-func Do(client Doer, method, addr, path string, body []byte, timeout time.Duration) (status int, answer []byte, err error) {
+// Do sends one request, with a body unless body is nil, and returns the status and
+// a copy of the body of the response. It returns the library's errors unwrapped.
+func Do(client Doer, method, addr, path string, body []byte, timeout time.Duration) (status int, responseBody []byte, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -15,12 +15,12 @@
 
 const timeout = 5 * time.Second
 
-// clients returns a client of each kind, by name.
+// clients returns one client of each type, by name.
 func clients(addr string) map[string]Doer {
-	return map[string]Doer{"host": NewHostClient(addr, 2), "many": NewClient(2)}
+	return map[string]Doer{"single-host": NewHostClient(addr, 2), "multi-host": NewClient(2)}
 }
 
-func TestDoSendsBodyAndReturnsAnswer(t *testing.T) {
+func TestDoSendsBodyAndReturnsResponse(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -43,16 +43,16 @@
 			{"without a body", http.MethodGet, nil, "GET /path  "},
 		} {
 			t.Run(name+" "+c.name, func(t *testing.T) {
-				status, answer, err := Do(client, c.method, addr, "/path", c.body, timeout)
-				if err != nil || status != http.StatusTeapot || string(answer) != c.want {
-					t.Fatalf("status %d answer %q error %v", status, answer, err)
+				status, responseBody, err := Do(client, c.method, addr, "/path", c.body, timeout)
+				if err != nil || status != http.StatusTeapot || string(responseBody) != c.want {
+					t.Fatalf("status %d, body %q, error %v", status, responseBody, err)
 				}
 			})
 		}
 	}
 }
 
-// The library retries idempotent requests by itself unless it is told not to.
+// By default the library retries idempotent requests.
 func TestFailedRequestIsNotRetried(t *testing.T) {
 	for name := range clients("") {
 		t.Run(name, func(t *testing.T) {
@@ -80,14 +80,14 @@
 			}()
 			addr := listener.Addr().String()
 			if _, _, err := Do(clients(addr)[name], http.MethodGet, addr, "/", nil, timeout); err == nil {
-				t.Error("a connection that was closed without an answer is no error")
+				t.Error("no error after the server closed the connection without a response")
 			}
 			if err := listener.Close(); err != nil {
 				t.Error(err)
 			}
 			<-done
 			if n := connections.Load(); n != 1 {
-				t.Errorf("%d connections for one request", n)
+				t.Errorf("%d connections for one request, want 1", n)
 			}
 		})
 	}
