--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,10 +1,10 @@
 // Package cloud is the HTTP client of the cloud: it reads the machine types and
 // the list of machines, adds machines and terminates them. It keeps to this
-// controller's share of the cloud's call rate, and repeats nothing.
+// controller's share of the cloud's rate limit and never retries a call.
 //
-// It keeps no list of machines, and decides nothing: stored records are in
-// package inventory, and what to ask the cloud for is planned in package
-// autoscale.
+// It keeps no list of machines and makes no decisions: package inventory holds the
+// stored machine records, and package autoscale plans what to request from the
+// cloud.
 package cloud
 
 import (
@@ -23,27 +23,27 @@
 	"wheatspur/wire"
 )
 
-// Errors of a call to the cloud that callers tell apart.
+// Errors of a call to the cloud, for errors.Is.
 var (
-	// ErrNoCapacity is returned when the cloud has no machine of this type, zone
-	// and kind.
+	// ErrNoCapacity is returned when the cloud has no machine of the requested type,
+	// zone and kind (spot or ordinary).
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrUnavailable is returned when the call was refused, failed or was not
-	// answered, or was not made because the call budget is spent.
-	ErrUnavailable = errors.New("cloud does not answer")
+	// ErrUnavailable is returned when the cloud rejected the call or sent no valid
+	// response, or when the client's rate limit did not allow the call.
+	ErrUnavailable = errors.New("cloud call failed")
 )
 
-// noCapacityMessage is the cloud's error text that means ErrNoCapacity.
+// noCapacityMessage is the cloud's error text that maps to ErrNoCapacity.
 const noCapacityMessage = "no capacity"
 
-// Provider is what the leader needs of the cloud.
+// Provider is the cloud API that the leader uses.
 type Provider interface {
 	// MachineTypes reads the machine types.
 	MachineTypes() ([]wire.MachineType, error)
 	// ScaleOut adds machines and returns their names, which may be fewer than
-	// were asked for.
+	// requested.
 	ScaleOut(request wire.ScaleOutRequest) ([]string, error)
-	// Terminate terminates machines; when it succeeds they are gone.
+	// Terminate terminates machines; once it succeeds, they no longer exist.
 	Terminate(machines []string) error
 	// ListMachines reads the whole list of machines.
 	ListMachines() ([]wire.Machine, error)
@@ -57,53 +57,55 @@
 	now            func() time.Time
 
 	mu         sync.Mutex
-	budget     float64 // calls that may be made now, at most a second's
+	tokens     float64 // calls that may be made now, at most one second's worth
 	refilledAt time.Time
 }
 
-// NewClient returns a client that makes at most so many calls a second.
+// NewClient returns a client of the cloud at addr, limited to callsPerSecond by a
+// token bucket that holds one second's worth of calls.
 func NewClient(addr string, callsPerSecond float64, now func() time.Time) *Client {
 	return &Client{
 		addr:           addr,
 		http:           httpclient.NewHostClient(addr, tuning.CloudConns),
 		callsPerSecond: callsPerSecond,
 		now:            now,
-		budget:         callsPerSecond,
+		tokens:         callsPerSecond,
 		refilledAt:     now(),
 	}
 }
 
-// takeCall takes one call from the budget, or refuses at once.
-func (c *Client) takeCall() bool {
+// takeToken takes one call from the token bucket and reports whether there was one.
+// It does not wait.
+func (c *Client) takeToken() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	c.budget = min(c.budget+now.Sub(c.refilledAt).Seconds()*c.callsPerSecond, c.callsPerSecond)
+	c.tokens = min(c.tokens+now.Sub(c.refilledAt).Seconds()*c.callsPerSecond, c.callsPerSecond)
 	c.refilledAt = now
-	if c.budget < 1 {
+	if c.tokens < 1 {
 		return false
 	}
-	c.budget--
+	c.tokens--
 	return true
 }
 
-// call makes one call with request as its body, none if it is nil, and decodes
-// the answer into response unless that is nil.
+// call makes one call with request as its body, or without a body if request is
+// nil, and decodes the response body into response unless response is nil.
 func (c *Client) call(method, path string, request, response any) error {
-	if !c.takeCall() {
-		return fmt.Errorf("%w: call budget is spent", ErrUnavailable)
+	if !c.takeToken() {
+		return fmt.Errorf("%w: client-side rate limit exceeded", ErrUnavailable)
 	}
 	var body []byte
 	if request != nil {
 		body = wire.MustMarshal(request)
 	}
-	status, answer, err := httpclient.Do(c.http, method, c.addr, path, body, tuning.CloudCallTimeout)
+	status, responseBody, err := httpclient.Do(c.http, method, c.addr, path, body, tuning.CloudCallTimeout)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	if status != http.StatusOK {
 		var failure wire.ErrorResponse
-		if wire.Unmarshal(answer, &failure) == nil && failure.Error == noCapacityMessage {
+		if wire.Unmarshal(responseBody, &failure) == nil && failure.Error == noCapacityMessage {
 			return ErrNoCapacity
 		}
 		return fmt.Errorf("%w: status %d %s", ErrUnavailable, status, failure.Error)
@@ -111,7 +113,7 @@
 	if response == nil {
 		return nil
 	}
-	if err := wire.Unmarshal(answer, response); err != nil {
+	if err := wire.Unmarshal(responseBody, response); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	return nil
@@ -124,24 +126,24 @@
 	return response.Types, err
 }
 
-// ScaleOut adds machines and returns their names, which may be fewer than were
-// asked for.
+// ScaleOut adds machines and returns their names, which may be fewer than
+// requested.
 func (c *Client) ScaleOut(request wire.ScaleOutRequest) ([]string, error) {
 	var response wire.MachineNames
 	err := c.call(http.MethodPost, "/hosts", request, &response)
 	return response.Machines, err
 }
 
-// Terminate terminates machines; when it succeeds they are gone.
+// Terminate terminates machines; once it succeeds, they no longer exist.
 func (c *Client) Terminate(machines []string) error {
 	return c.call(http.MethodPost, "/hosts/return", wire.MachineNames{Machines: machines}, nil)
 }
 
-// ListPageSize is the number of machines on a page of the list, the most that
+// ListPageSize is the number of machines per page of the list, the maximum that
 // the cloud allows.
 const ListPageSize = 500
 
-// ListMachines reads the whole list of machines, each page a call.
+// ListMachines reads the whole list of machines, with one call per page.
 func (c *Client) ListMachines() ([]wire.Machine, error) {
 	var all []wire.Machine
 	after := ""
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -16,7 +16,7 @@
 
 var t0 = time.Unix(1000, 0)
 
-// newTestClient returns a client of a cloud that answers by handler.
+// newTestClient returns a client of a test server that serves handler.
 func newTestClient(t *testing.T, callsPerSecond float64, now func() time.Time, handler http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -24,8 +24,7 @@
 	return NewClient(strings.TrimPrefix(server.URL, "http://"), callsPerSecond, now)
 }
 
-// answer writes a status and a body.
-func answer(t *testing.T, w http.ResponseWriter, status int, body []byte) {
+func respond(t *testing.T, w http.ResponseWriter, status int, body []byte) {
 	t.Helper()
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil {
@@ -33,7 +32,7 @@
 	}
 }
 
-func TestErrorsTellNoCapacityFromUnavailable(t *testing.T) {
+func TestErrorsDistinguishNoCapacityFromUnavailable(t *testing.T) {
 	names := wire.MustMarshal(wire.MachineNames{Machines: []string{"m1"}})
 	for _, c := range []struct {
 		name   string
@@ -42,15 +41,15 @@
 		want   error
 		text   string
 	}{
-		{"answered", http.StatusOK, names, nil, ""},
+		{"success", http.StatusOK, names, nil, ""},
 		{"no capacity", http.StatusConflict, wire.MustMarshal(wire.ErrorResponse{Error: "no capacity"}), ErrNoCapacity, "no capacity"},
-		{"refused", http.StatusTooManyRequests, wire.MustMarshal(wire.ErrorResponse{Error: "slow down"}), ErrUnavailable, "cloud does not answer: status 429 slow down"},
-		{"failed without a text", http.StatusServiceUnavailable, nil, ErrUnavailable, "cloud does not answer: status 503 "},
+		{"rate limit exceeded", http.StatusTooManyRequests, wire.MustMarshal(wire.ErrorResponse{Error: "slow down"}), ErrUnavailable, "cloud call failed: status 429 slow down"},
+		{"error without a text", http.StatusServiceUnavailable, nil, ErrUnavailable, "cloud call failed: status 503 "},
 		{"undecodable", http.StatusOK, []byte{0xff}, ErrUnavailable, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			client := newTestClient(t, 10, func() time.Time { return t0 }, func(w http.ResponseWriter, _ *http.Request) {
-				answer(t, w, c.status, c.body)
+				respond(t, w, c.status, c.body)
 			})
 			machines, err := client.ScaleOut(wire.ScaleOutRequest{Name: "r", Count: 1})
 			if !errors.Is(err, c.want) {
@@ -60,20 +59,20 @@
 				t.Errorf("text %q, want %q", err, c.text)
 			}
 			if c.want == nil && (len(machines) != 1 || machines[0] != "m1") {
-				t.Errorf("machines %v", machines)
+				t.Errorf("machines %v, want [m1]", machines)
 			}
 		})
 	}
 }
 
-func TestCallBudgetHoldsOneSecondOfCalls(t *testing.T) {
+func TestRateLimitAllowsBurstOfOneSecond(t *testing.T) {
 	now := t0
 	var calls atomic.Int32
 	client := newTestClient(t, 2, func() time.Time { return now }, func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
-		answer(t, w, http.StatusOK, wire.MustMarshal(wire.MachineNames{}))
+		respond(t, w, http.StatusOK, wire.MustMarshal(wire.MachineNames{}))
 	})
-	callUntilRefused := func() int32 {
+	callUntilRateLimited := func() int32 {
 		t.Helper()
 		before := calls.Load()
 		for range 10 {
@@ -84,7 +83,7 @@
 				return calls.Load() - before
 			}
 		}
-		t.Fatal("no call was refused")
+		t.Fatal("the rate limit rejected none of 10 calls")
 		return 0
 	}
 	for _, c := range []struct {
@@ -92,7 +91,7 @@
 		want int32
 	}{{0, 2}, {0, 0}, {500 * time.Millisecond, 1}, {time.Hour, 2}} {
 		now = now.Add(c.wait)
-		if got := callUntilRefused(); got != c.want {
+		if got := callUntilRateLimited(); got != c.want {
 			t.Fatalf("%d calls after %s, want %d", got, c.wait, c.want)
 		}
 	}
@@ -111,29 +110,29 @@
 			t.Errorf("page size %q", query.Get("page"))
 		}
 		if failing.Load() && query.Get("after") == "m 2" {
-			answer(t, w, http.StatusInternalServerError, nil)
+			respond(t, w, http.StatusInternalServerError, nil)
 			return
 		}
-		answer(t, w, http.StatusOK, wire.MustMarshal(pages[query.Get("after")]))
+		respond(t, w, http.StatusOK, wire.MustMarshal(pages[query.Get("after")]))
 	})
 	machines, err := client.ListMachines()
 	if err != nil || len(machines) != 3 || machines[2].Name != "m3" {
-		t.Fatalf("%v %v", machines, err)
+		t.Fatalf("machines %v, error %v", machines, err)
 	}
-	// A part of the list must not be taken for the whole: what it lacks would
-	// seem to be gone.
+	// A partial list must not be returned: the machines missing from it would seem to
+	// be gone.
 	failing.Store(true)
 	if machines, err := client.ListMachines(); !errors.Is(err, ErrUnavailable) || machines != nil {
-		t.Fatalf("a page failed: %v %v", machines, err)
+		t.Fatalf("after a failed page: machines %v, error %v", machines, err)
 	}
 }
 
-func TestFailedCallKeepsItsCause(t *testing.T) {
+func TestFailedCallWrapsItsCause(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	addr := strings.TrimPrefix(server.URL, "http://")
 	server.Close()
 	client := NewClient(addr, 10, func() time.Time { return t0 })
 	if _, err := client.MachineTypes(); !errors.Is(err, ErrUnavailable) || !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want ErrUnavailable that wraps ECONNREFUSED", err)
 	}
 }
