--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -5,31 +5,34 @@
 	"fmt"
 )
 
-// Classes of errors; errors.Is tells them apart. Only ErrOutcomeUnknown leaves open
-// whether the store has executed, or will yet execute, the request.
+// Errors of calls to the store, for errors.Is. Only ErrOutcomeUnknown leaves it open
+// whether the store has executed the request or may still execute it.
 var (
-	// ErrRejected says that the store did not execute the request: it is over a
-	// limit (429), unavailable (503), or all connections to it are in use.
-	ErrRejected = errors.New("state service refused")
-	// ErrOutcomeUnknown says that no answer came: the request may have been executed,
-	// or may yet be.
-	ErrOutcomeUnknown = errors.New("state service did not answer")
-	// ErrConflict says that a compare of a transaction failed; nothing was written.
-	ErrConflict = errors.New("guard failed")
-	// ErrLeaseExpired says that the lease of the request has expired or was revoked.
-	ErrLeaseExpired = errors.New("lease has ended")
-	// ErrCompacted says that the store no longer keeps the events after the revision
-	// that a watch starts from; a full read has to come first.
-	ErrCompacted = errors.New("watch position is too old")
-	// ErrMalformed says that the store does not accept the request as it is, or that
-	// it can't be encoded: repeating it is of no use.
-	ErrMalformed = errors.New("state service holds the request malformed")
-	// ErrQueueFull says that as many calls wait already as may: calls of the same
-	// class for the limiter's budget, or callers for a read barrier.
-	ErrQueueFull = errors.New("budget buffer is full")
+	// ErrRejected is returned when the store did not execute the request: a rate limit
+	// was exceeded (429), the store is unavailable (503), or all connections to it are
+	// in use.
+	ErrRejected = errors.New("state service request rejected")
+	// ErrOutcomeUnknown is returned when no valid response arrived: the request may
+	// have been executed, or may still be.
+	ErrOutcomeUnknown = errors.New("state service request outcome unknown")
+	// ErrConflict is returned when a compare of a transaction failed; nothing was
+	// written.
+	ErrConflict = errors.New("transaction compare failed")
+	// ErrLeaseExpired is returned when the lease of the request has expired or was
+	// revoked.
+	ErrLeaseExpired = errors.New("lease expired or revoked")
+	// ErrCompacted is returned when the store no longer keeps the events after the
+	// revision that a watch starts from; a full read is needed before the next watch.
+	ErrCompacted = errors.New("watch revision compacted")
+	// ErrMalformed is returned when the store does not accept the request in its
+	// present form, or when the request cannot be encoded: a retry would fail again.
+	ErrMalformed = errors.New("malformed state service request")
+	// ErrQueueFull is returned when the limit of waiting calls is reached: calls of one
+	// class that wait for the limiter's budget, or callers of a read barrier.
+	ErrQueueFull = errors.New("request queue full")
 )
 
-// ConflictError is an ErrConflict with the keys whose compares failed.
+// ConflictError is an ErrConflict that lists the keys whose compares failed.
 type ConflictError struct {
 	FailedCompares []string
 }
@@ -40,11 +43,11 @@
 // Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// StatusError is an ErrMalformed: an answer with a status that has no meaning of
-// its own for the call.
+// StatusError is an ErrMalformed that holds the status of the response, for statuses
+// that the call does not map to another error.
 type StatusError struct {
-	Call   string // what was asked for, for people
-	Status int    // the HTTP status
+	Call   string // description of the call
+	Status int    // HTTP status
 }
 
 // Error implements error.
