--- a/internal/store/cache.go
+++ b/internal/store/cache.go
@@ -2,58 +2,58 @@
 
 import "wheatspur/wire"
 
-// Cache holds the version of every stored key and hands changed values to its
-// update function, which keeps them. It does no I/O and no locking: a Syncer feeds
+// Cache holds the version of every stored key and passes changed values to its
+// update function, which stores them. It does no I/O and no locking: a Syncer feeds
 // it, and the Syncer's lock guards it.
 //
-// The cache holds every change up to Revision. Single keys may be ahead of it, as the
-// controller's own writes are entered once they are answered. A compare on a key
-// at the cache's version then still implies that the cache holds every earlier
-// write of that key.
+// The cache holds every change up to Revision. Single keys may be ahead of it, because
+// the controller's own writes are applied as soon as the store has answered them. A
+// compare on a key at the cache's version still implies that the cache holds every
+// earlier write of that key.
 type Cache struct {
 	revision       uint64 // every change up to it is in the cache
-	newestOwnWrite uint64 // revision of the newest of the controller's own writes
-	consistentFrom uint64 // the contents are of one revision once revision has reached it
+	newestOwnWrite uint64 // revision of the controller's own latest write
+	consistentFrom uint64 // the contents are a snapshot once revision has reached it
 	loaded         bool
 	versions       map[string]uint64
-	deletedAhead   map[string]uint64 // versions of the deletions that are ahead of revision, by key
+	deletedAhead   map[string]uint64 // versions of deletions that are ahead of revision, by key
 	onUpdate       UpdateFunc
 }
 
-// UpdateFunc takes a changed value; it is nil if the key was deleted.
+// UpdateFunc receives a changed value, which is nil if the key was deleted.
 type UpdateFunc func(key string, value wire.Raw, version uint64)
 
-// NewCache returns an empty cache, which calls onUpdate for every change.
+// NewCache returns an empty cache that calls onUpdate for every change.
 func NewCache(onUpdate UpdateFunc) *Cache {
 	return &Cache{versions: map[string]uint64{}, deletedAhead: map[string]uint64{}, onUpdate: onUpdate}
 }
 
-// Revision is the revision up to which the cache is complete.
+// Revision returns the revision up to which the cache holds every change.
 func (c *Cache) Revision() uint64 { return c.revision }
 
-// NewestRevision is the latest revision of which the cache holds anything: the revision
-// up to which it is complete, or that of a later write of the controller's own.
+// NewestRevision returns the latest revision of which the cache holds any change:
+// Revision, or the revision of a later write by the controller itself.
 func (c *Cache) NewestRevision() uint64 { return max(c.revision, c.newestOwnWrite) }
 
-// Consistent reports whether the cache is a snapshot of some revision, apart from the
-// controller's own later writes. Decisions wait until it is.
+// Consistent reports whether the cache is a snapshot of some revision, apart from
+// later writes by the controller itself. Decisions wait until it is.
 func (c *Cache) Consistent() bool { return c.loaded && c.revision >= c.consistentFrom }
 
-// Version returns the version of a key, 0 if it does not exist.
+// Version returns the version of a key, or 0 if the key does not exist.
 func (c *Cache) Version(key string) uint64 { return c.versions[key] }
 
-// Compare returns a compare on the key at the cache's version.
+// Compare returns a transaction compare that requires the cache's version of the key.
 func (c *Cache) Compare(key string) wire.Compare {
 	return wire.Compare{Key: key, Version: c.versions[key]}
 }
 
-// isNew reports whether a change of a key is later than all that the cache holds of it.
-func (c *Cache) isNew(key string, version uint64) bool {
+// isNewer reports whether a version of a key is newer than any that the cache has seen.
+func (c *Cache) isNewer(key string, version uint64) bool {
 	return version > c.versions[key] && version > c.deletedAhead[key]
 }
 
 func (c *Cache) put(key string, value wire.Raw, version uint64) {
-	if !c.isNew(key, version) {
+	if !c.isNewer(key, version) {
 		return
 	}
 	delete(c.deletedAhead, key)
@@ -62,11 +62,11 @@
 }
 
 func (c *Cache) delete(key string, version uint64) {
-	if !c.isNew(key, version) {
+	if !c.isNewer(key, version) {
 		return
 	}
 	if version > c.revision {
-		// Events of the watch that are older than the deletion may yet come.
+		// The watch may still deliver events that are older than the deletion.
 		c.deletedAhead[key] = version
 	}
 	if _, ok := c.versions[key]; ok {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Apply enters a watch response and reports whether it held anything new. Before the
-// first Load it enters nothing.
+// Apply applies a watch response and reports whether it contained anything new. Before
+// the first Load it applies nothing.
 func (c *Cache) Apply(response wire.WatchResponse) bool {
 	if !c.loaded || response.Revision <= c.revision {
 		return false
@@ -106,10 +106,11 @@
 	return changed
 }
 
-// ApplyOwnWrite enters a transaction of the controller's own, answered with the given
-// revision. An answer that the watch has overtaken brings nothing new. Guards
-// against the return of a key that another controller has deleted since: it came
-// back, with claims that nothing ever released, and every write about it failed.
+// ApplyOwnWrite applies a transaction of this controller, to which the store assigned
+// the given revision. It ignores a transaction that the watch has already delivered:
+// another controller may have deleted a key since. Applied late, the transaction
+// restored such a key, with claims that were never released, and every write that
+// involved the key failed.
 func (c *Cache) ApplyOwnWrite(operations []wire.Operation, revision uint64) {
 	if revision <= c.revision {
 		return
@@ -120,9 +121,9 @@
 	}
 }
 
-// Load replaces the contents by a full read whose first page showed the revision base
-// and whose last page showed last. Pages read later may hold changes after base:
-// the cache is consistent once the watch has reached last.
+// Load replaces the contents with a full read whose first page was read at the revision
+// base and whose last page at the revision last. Pages after the first may include
+// changes after base, so the cache is consistent once the watch has reached last.
 func (c *Cache) Load(pairs []wire.KeyValue, base, last uint64) {
 	listed := make(map[string]bool, len(pairs))
 	for _, pair := range pairs {
