--- a/internal/store/limiter.go
+++ b/internal/store/limiter.go
@@ -7,72 +7,72 @@
 	"time"
 )
 
-// Class orders calls that compete for the store's budget.
+// Class is the priority class of a call that competes for the store's budget.
 type Class int
 
 // Classes, most urgent first.
 const (
-	ClassLease   Class = iota // sessions, leader, membership: never wait
+	ClassLease   Class = iota // sessions, leader election, membership: never wait
 	ClassCancel               // users' cancellations
 	ClassClaim                // claims and releases
 	ClassIntake               // submissions
-	ClassRecords              // machine records and types, by the leader
+	ClassRecords              // machine records and types, written by the leader
 	ClassRead                 // read barriers, watches, full reads
 	classCount
 )
 
-// grantInterval is the pause between two looks at the budget while calls wait.
+// grantInterval is the pause between two checks of the budget while calls wait.
 const grantInterval = 10 * time.Millisecond
 
-// submissionBacklog is the number of waiting submissions from which claims no longer
-// leave them the reserve.
+// submissionBacklog is the number of waiting submissions from which claims may use
+// claimReserve, instead of only what the reserve for submissions leaves.
 const submissionBacklog = 3
 
-// budget is a number of requests and of writes: a rate, what the bucket holds, or the
-// cost of a call.
+// budget is a number of requests and of writes. It is used for a rate, the tokens in
+// the bucket, or the cost of a call.
 type budget struct {
 	requests, writes float64
 }
 
-// burst is the most that the bucket holds if the budget is its rate: one second's worth, and enough
-// for one request with one write.
+// burst returns the capacity of a bucket whose rate is b: one second's worth, but at
+// least enough for one request with one write.
 func (b budget) burst() budget {
 	return budget{requests: max(b.requests, 1), writes: max(b.writes, 1)}
 }
 
 // Limiter shares a budget of requests and writes per second between the classes of
-// calls. It is a token bucket with a short queue for each class; a call that finds
-// its queue full is refused at once.
+// calls. It is a token bucket with a bounded queue for each class; a call that finds
+// its queue full is rejected at once.
 type Limiter struct {
-	mu         sync.Mutex // guards all below
+	mu         sync.Mutex // guards all fields below
 	now        func() time.Time
 	rate       budget // per second
-	tokens     budget // what the bucket holds; below 0 after calls that may not wait
+	tokens     budget // in the bucket; below 0 after calls that do not wait for budget
 	refilledAt time.Time
-	// claimReserve is the number of writes that claims and releases may make though
+	// claimReserve is the number of writes that claims and releases may make even while
 	// submissions or machine records wait; it grows at half the rate of writes.
-	claimReserve float64
-	queues       [classCount][]*waiter
-	queueLimit   int
-	pumping      bool // the goroutine of pump runs
+	claimReserve     float64
+	queues           [classCount][]*waiter
+	queueLimit       int
+	grantLoopRunning bool // the goroutine of grantLoop runs
 }
 
-// waiter is a call in a queue. Its call has left it behind once it is abandoned; it
-// stays in the queue until grant comes to it.
+// waiter is a call in a queue. It is abandoned when its call stops waiting, and stays
+// in the queue until grant removes it.
 type waiter struct {
 	cost      budget
-	granted   chan struct{} // closed when the call may go
+	granted   chan struct{} // closed when the call may proceed
 	abandoned bool
 }
 
-// NewLimiter returns a limiter with a full bucket of one second's worth. queueLimit
-// bounds the calls that wait in each class.
+// NewLimiter returns a limiter whose bucket holds one second's worth of tokens.
+// queueLimit bounds the calls that wait in each class.
 func NewLimiter(requestsPerSecond, writesPerSecond float64, queueLimit int, now func() time.Time) *Limiter {
 	rate := budget{requests: requestsPerSecond, writes: writesPerSecond}
 	return &Limiter{now: now, rate: rate, tokens: rate, refilledAt: now(), queueLimit: queueLimit}
 }
 
-// SetRate changes the budget, for example when the number of controllers changes.
+// SetRate changes the rates, for example when the number of controllers changes.
 func (l *Limiter) SetRate(requestsPerSecond, writesPerSecond float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,8 @@
 	l.rate = budget{requests: requestsPerSecond, writes: writesPerSecond}
 }
 
-// EmptyBucket empties the bucket, after the store has rejected a call for its rate.
+// EmptyBucket removes all tokens, after the store has rejected a call because of its
+// rate limit.
 func (l *Limiter) EmptyBucket() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +90,7 @@
 	l.tokens.writes = min(l.tokens.writes, 0)
 }
 
-// refill adds what the rate has brought since the last refill; mu is held.
+// refill adds the tokens that have accrued since the last refill. The caller holds mu.
 func (l *Limiter) refill() {
 	now := l.now()
 	elapsed := now.Sub(l.refilledAt).Seconds()
@@ -100,31 +101,33 @@
 	l.claimReserve = min(l.claimReserve+elapsed*l.rate.writes/2, max(l.rate.writes/2, 1))
 }
 
-// affordable reports whether the bucket covers the cost; mu is held.
+// affordable reports whether the bucket covers the cost. The caller holds mu.
 func (l *Limiter) affordable(cost budget) bool {
 	burst := l.rate.burst()
 	return covers(l.tokens.requests, cost.requests, burst.requests) && covers(l.tokens.writes, cost.writes, burst.writes)
 }
 
-// covers reports whether tokens cover a cost. A call larger than the burst goes when the
-// bucket is full.
+// covers reports whether the tokens cover a cost. A cost larger than the burst is
+// covered by a full bucket.
 func covers(tokens, cost, burst float64) bool {
 	return cost <= 0 || tokens >= min(cost, burst)
 }
 
-// take removes the cost from the bucket; mu is held.
+// take removes the cost from the bucket. The caller holds mu.
 func (l *Limiter) take(cost budget) {
 	l.tokens.requests -= cost.requests
 	l.tokens.writes -= cost.writes
 }
 
-// AvailableWrites is the number of writes that claims and releases may make now with
-// little wait. Who decides on the stored state asks before deciding, so that the
-// decision is not stale when it is written. A reserve is left to submissions, which
-// then never wait behind claims; but while several submissions wait all the same,
-// half of the budget is there for claims, or what is accepted would not run. So
-// it is while machine records wait: hundreds in a row, after many machines were
-// lost at once, kept the leader from storing a job's end for 15 s.
+// AvailableWrites returns the number of writes that claims and releases may make now
+// with little wait. Code that decides on the stored state calls it before deciding, so
+// that the decision is not stale when it is written.
+//
+// The reserve is left to submissions, so that they do not wait behind claims. If
+// several submissions wait nevertheless, claims get half of the write rate, or accepted
+// jobs would not run. Claims also get it while machine records wait: hundreds of these
+// in a row, after many machines were lost at once, kept the leader from storing the
+// end of a job for 15 s.
 func (l *Limiter) AvailableWrites(reserve float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +142,7 @@
 	return available
 }
 
-// QueuedWrites is the number of writes that wait for the budget.
+// QueuedWrites returns the number of writes that wait for budget.
 func (l *Limiter) QueuedWrites() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,9 +157,9 @@
 	return queued
 }
 
-// Acquire waits for the budget of one request with the given writes. It returns
-// ErrQueueFull at once if too many calls of the class wait, and the context's error
-// if that ends first.
+// Acquire waits for the budget of one request with the given number of writes. It
+// returns ErrQueueFull at once if too many calls of the class wait, and the context's
+// error if the context ends first.
 func (l *Limiter) Acquire(ctx context.Context, class Class, writes int) error {
 	w, err := l.takeOrQueue(class, budget{requests: 1, writes: float64(writes)})
 	if w == nil {
@@ -171,8 +174,8 @@
 	}
 }
 
-// takeOrQueue takes the cost of a call if it may go now; else it returns the waiter
-// that it has queued for it.
+// takeOrQueue takes the cost of a call if the call may proceed now. Otherwise it queues
+// a waiter for the call and returns it.
 func (l *Limiter) takeOrQueue(class Class, cost budget) (*waiter, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,7 +183,7 @@
 	if class == ClassClaim {
 		l.claimReserve = max(l.claimReserve-cost.writes, 0)
 	}
-	// A session whose renewal waits is a session that expires: leases run into debt.
+	// A session expires if its renewal waits, so lease calls may overdraw the bucket.
 	if class == ClassLease || l.isNext(class, cost) && l.affordable(cost) {
 		l.take(cost)
 		return nil, nil
@@ -190,15 +193,15 @@
 	}
 	w := &waiter{cost: cost, granted: make(chan struct{})}
 	l.queues[class] = append(l.queues[class], w)
-	if !l.pumping {
-		l.pumping = true
-		go l.pump()
+	if !l.grantLoopRunning {
+		l.grantLoopRunning = true
+		go l.grantLoop()
 	}
 	return w, nil
 }
 
-// isNext reports whether no call waits that goes before a new one. What only reads goes
-// before the writes that wait; see grant. mu is held.
+// isNext reports whether no waiting call has priority over a new one. Calls without
+// writes have priority over waiting writes; see grant. The caller holds mu.
 func (l *Limiter) isNext(class Class, cost budget) bool {
 	if cost.writes == 0 {
 		return len(l.queues[class]) == 0
@@ -212,8 +215,8 @@
 	w.abandoned = true
 }
 
-// queuedUpTo is the number of calls that wait in the class and in more urgent ones; mu
-// is held.
+// queuedUpTo returns the number of waiters in the queues of the class and of more
+// urgent ones. The caller holds mu.
 func (l *Limiter) queuedUpTo(class Class) int {
 	queued := 0
 	for _, queue := range l.queues[:class+1] {
@@ -222,34 +225,35 @@
 	return queued
 }
 
-// pump grants waiters until none is left. It is the limiter's one goroutine, which
-// nobody waits for: it ends by itself, at most one grantInterval after the last
-// waiter has left, and holds nothing but the limiter meanwhile. There is never more
-// than one, and never a waiter without one: takeOrQueue starts it and grantQueued
-// ends it in the critical sections that add the first waiter and see the last one
-// gone. It can't leak, as no waiter stays for good: the bucket fills up to what each
-// of them costs, and one whose context has ended leaves without any budget. The
-// contexts of all callers end with the controller or within tuning.DecisionWait.
-func (l *Limiter) pump() {
+// grantLoop grants budget to waiters until none is left. It runs in the limiter's only
+// goroutine, which is not joined: it ends by itself, at most one grantInterval after
+// the last waiter has left, and refers only to the limiter. At most one runs at a time,
+// and one runs whenever there are waiters: takeOrQueue starts it in the critical
+// section that adds the first waiter, and grantQueued ends it in the one that finds the
+// queues empty. It cannot leak, because no waiter stays forever: the bucket fills up to
+// the cost of each, and an abandoned waiter is removed without any budget. The contexts
+// of all callers end with the controller or within tuning.DecisionWait.
+func (l *Limiter) grantLoop() {
 	for l.grantQueued() {
 		time.Sleep(grantInterval)
 	}
 }
 
-// grantQueued grants what the budget covers now, and reports whether any waiter is left.
-// If none is, the pump counts as ended.
+// grantQueued grants the waiters that the budget covers now and reports whether any is
+// left. If none is, it marks grantLoop as ended.
 func (l *Limiter) grantQueued() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refill()
 	l.grant()
-	l.pumping = l.queuedUpTo(classCount-1) > 0
-	return l.pumping
+	l.grantLoopRunning = l.queuedUpTo(classCount-1) > 0
+	return l.grantLoopRunning
 }
 
-// grant lets waiters go in order of class, and drops those that are abandoned; mu is
-// held. What only reads does not wait for writes that wait for their budget. Guards
-// against a controller that takes the store for lost because many submissions wait.
+// grant grants budget to waiters in order of class and removes abandoned ones. The
+// caller holds mu. Calls without writes do not wait behind writes that lack budget;
+// otherwise a controller with many waiting submissions would not read, and would
+// consider the store lost.
 func (l *Limiter) grant() {
 	writesSpent := false
 	for class := range l.queues {
@@ -261,7 +265,7 @@
 				}
 				if !l.affordable(w.cost) {
 					if w.cost.writes == 0 || !l.affordable(budget{requests: w.cost.requests}) {
-						return // no request can go
+						return // the request budget is spent
 					}
 					writesSpent = true
 					break
--- a/internal/store/limiter_test.go
+++ b/internal/store/limiter_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// manualClock stands still but for advance. In a synctest bubble the pump does not run
-// while the test does, so the test may advance it without a lock.
+// manualClock only moves by advance. In a synctest bubble the grant loop does not run
+// while the test does, so the test may advance the clock without a lock.
 type manualClock struct{ t time.Time }
 
 func newManualClock() *manualClock { return &manualClock{t: time.Unix(1000, 0)} }
@@ -18,7 +18,7 @@
 func (c *manualClock) now() time.Time          { return c.t }
 func (c *manualClock) advance(d time.Duration) { c.t = c.t.Add(d) }
 
-// acquire takes the budget of a call that must not wait.
+// acquire acquires budget and fails the test if the call has to wait.
 func acquire(t *testing.T, l *Limiter, class Class, writes int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
@@ -28,8 +28,8 @@
 	}
 }
 
-// waitContext returns a context for calls that wait. It ends with the test, which then
-// gives the pump time to end: a bubble's clock stops with its test.
+// waitContext returns a context for calls that wait. A cleanup cancels it and gives the
+// grant loop time to end, because the bubble's clock stops with the test.
 func waitContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -40,8 +40,8 @@
 	return ctx
 }
 
-// startWaiting starts a call that has to wait; once it is granted, its name goes to
-// granted.
+// startWaiting starts a call that has to wait. It sends the call's name to granted once
+// the call has its budget.
 func startWaiting(ctx context.Context, t *testing.T, l *Limiter, class Class, writes int, name string, granted chan<- string) {
 	t.Helper()
 	before := queued(l)
@@ -51,26 +51,25 @@
 		}
 	}()
 	synctest.Wait()
-	if now := queued(l); now != before+1 {
-		t.Fatalf("%d calls wait after the %s, want %d", now, name, before+1)
+	if after := queued(l); after != before+1 {
+		t.Fatalf("%d calls wait after the %s, want %d", after, name, before+1)
 	}
 }
 
-// queued is the number of calls that wait.
+// queued returns the number of waiters in all queues.
 func queued(l *Limiter) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.queuedUpTo(classCount - 1)
 }
 
-// isPumping reports whether the limiter's goroutine runs.
-func isPumping(l *Limiter) bool {
+func isGrantLoopRunning(l *Limiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.pumping
+	return l.grantLoopRunning
 }
 
-// received returns what the channel holds now.
+// received empties the channel and returns what it held.
 func received(granted <-chan string) []string {
 	synctest.Wait()
 	var names []string
@@ -89,7 +88,7 @@
 		ctx, granted := waitContext(t), make(chan string, 2)
 		startWaiting(ctx, t, l, ClassRead, 0, "read", granted)
 		startWaiting(ctx, t, l, ClassClaim, 1, "claim", granted)
-		// Two requests per second: one each 500 ms, and the pump's interval later.
+		// Two requests per second: one every 500 ms, granted up to grantInterval later.
 		for _, step := range []struct {
 			sleep time.Duration
 			want  []string
@@ -115,13 +114,13 @@
 		}
 		startWaiting(waitContext(t), t, l, ClassIntake, 1, "submission", make(chan string, 1))
 		if err := l.Acquire(t.Context(), ClassIntake, 1); !errors.Is(err, ErrQueueFull) {
-			t.Fatalf("a full queue answered %v", err)
+			t.Fatalf("error %v with a full queue, want ErrQueueFull", err)
 		}
 	})
 }
 
-// While submissions waited for their writes, no read went: the controller took the
-// store for lost and decided nothing.
+// If reads wait behind submissions that lack write budget, the controller considers
+// the store lost and makes no decisions.
 func TestLimiterReadsDoNotWaitForWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := newManualClock()
@@ -135,29 +134,29 @@
 			acquire(t, l, ClassRead, 0)
 		}
 		if l.AvailableWrites(1) != 0 {
-			t.Fatalf("%v writes are available though submissions wait", l.AvailableWrites(1))
+			t.Fatalf("%v writes are available while submissions wait, want 0", l.AvailableWrites(1))
 		}
 		clock.advance(10 * time.Second)
 		if l.AvailableWrites(1) < 1 {
-			t.Fatal("claims have no part of the writes while submissions wait")
+			t.Fatal("claims get no share of the writes while submissions wait")
 		}
 	})
 }
 
-// enqueue lets a call with one write wait, without a pump.
+// enqueue adds a waiter for a call with one write, without starting the grant loop.
 func enqueue(l *Limiter, class Class) {
 	l.queues[class] = append(l.queues[class], &waiter{cost: budget{requests: 1, writes: 1}, granted: make(chan struct{})})
 }
 
-// Machine records in a row, one waiting at any time, took all writes of the leader: it
-// stored no claim and no end of a job meanwhile.
+// With a machine record always waiting, machine records used up the leader's write
+// budget: it stored neither claims nor the ends of jobs.
 func TestLimiterMachineRecordsLeaveHalfOfWritesToClaims(t *testing.T) {
 	clock := newManualClock()
 	l := NewLimiter(100, 4, 8, clock.now)
 	l.take(budget{writes: 4})
 	l.claimReserve = 0
 	records, claims := 0, 0.0
-	for range 40 { // ten seconds
+	for range 40 { // 10 s
 		if len(l.queues[ClassRecords]) == 0 {
 			enqueue(l, ClassRecords)
 			records++
@@ -174,7 +173,7 @@
 		l.grant()
 	}
 	if claims < 15 || records < 15 {
-		t.Fatalf("in 40 writes: %v claims, %d machine records", claims, records)
+		t.Fatalf("of 40 writes: %v claims, %d machine records; want at least 15 of each", claims, records)
 	}
 }
 
@@ -196,18 +195,19 @@
 	clock := newManualClock()
 	l := NewLimiter(100, 4, 8, clock.now)
 	if !l.affordable(budget{requests: 1, writes: 9}) {
-		t.Fatal("a call larger than the burst never goes")
+		t.Fatal("a full bucket does not cover a call larger than the burst")
 	}
 	l.take(budget{requests: 1, writes: 9})
-	clock.advance(time.Second) // 4 of the 5 writes that are owed
+	clock.advance(time.Second) // refills 4 of the 5 writes overdrawn
 	l.refill()
 	if l.affordable(budget{requests: 1, writes: 1}) {
-		t.Fatal("the writes beyond the burst were not paid for")
+		t.Fatal("the writes beyond the burst were not charged")
 	}
 }
 
-// A synctest bubble fails if a goroutine is left in it that never ends.
-func TestLimiterPumpEndsWithLastWaiter(t *testing.T) {
+// A leaked grant loop would fail the test: a synctest bubble panics if one of its
+// goroutines never ends.
+func TestLimiterGrantLoopEndsWithLastWaiter(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		clock func() time.Time
@@ -227,8 +227,8 @@
 				for range 2 {
 					startWaiting(ctx, t, l, ClassIntake, 1, "submission", granted)
 				}
-				if !isPumping(l) {
-					t.Fatal("calls wait and no pump runs")
+				if !isGrantLoopRunning(l) {
+					t.Fatal("calls wait and the grant loop does not run")
 				}
 				c.leave(cancel)
 				if got := received(granted); !slices.Equal(got, c.want) {
@@ -236,8 +236,8 @@
 				}
 				time.Sleep(grantInterval)
 				synctest.Wait()
-				if isPumping(l) || queued(l) != 0 {
-					t.Fatalf("pump runs: %v; %d calls wait", isPumping(l), queued(l))
+				if isGrantLoopRunning(l) || queued(l) != 0 {
+					t.Fatalf("grant loop runs: %v; %d calls wait", isGrantLoopRunning(l), queued(l))
 				}
 			})
 		})
