--- a/internal/store/syncer.go
+++ b/internal/store/syncer.go
@@ -13,36 +13,36 @@
 	"wheatspur/wire"
 )
 
-// Syncer keeps a cache current by a watch and serves read barriers. Run and
+// Syncer keeps a cache current by watching the store, and serves read barriers. Run and
 // ServeBarriers are its two loops; the controller runs both and waits for them.
 type Syncer struct {
 	store     KeyValueStore
 	prefix    string
 	cacheLock sync.Locker // guards the cache
 	cache     *Cache
-	onChange  func() // called with cacheLock held after each read
+	onChange  func() // called with cacheLock held after each applied read
 	now       func() time.Time
 	log       *slog.Logger
 
 	barrierMu      sync.Mutex
-	barrierWaiters []chan error  // each has room for its one answer
-	barrierWake    chan struct{} // holds one signal that callers wait
-	barrierLimit   int           // of callers that wait
+	barrierWaiters []chan error  // each has a buffer for its one result
+	barrierWake    chan struct{} // buffers one signal that callers wait
+	barrierLimit   int           // maximum number of callers that wait
 
 	readMu     sync.Mutex
 	lastReadAt time.Time
 }
 
 // NewSyncer returns a syncer for the keys with the prefix. cacheLock guards the
-// cache; onChange is called with it held after each read that was entered.
+// cache; onChange is called with it held after each applied read.
 // barrierLimit bounds the callers that wait for a read barrier.
 func NewSyncer(store KeyValueStore, prefix string, cacheLock sync.Locker, cache *Cache, onChange func(), barrierLimit int, now func() time.Time, log *slog.Logger) *Syncer {
 	return &Syncer{store: store, prefix: prefix, cacheLock: cacheLock, cache: cache, onChange: onChange, now: now, log: log,
 		barrierWake: make(chan struct{}, 1), barrierLimit: barrierLimit}
 }
 
-// LastReadAt is the send time of the last answered watch: all that was stored before
-// it is in the cache.
+// LastReadAt returns the send time of the latest answered watch: the cache holds
+// everything that was stored before it.
 func (s *Syncer) LastReadAt() time.Time {
 	s.readMu.Lock()
 	defer s.readMu.Unlock()
@@ -58,8 +58,8 @@
 }
 
 // Run keeps the cache current until ctx ends: a full read, then one watch after the
-// other, and a full read again when the store no longer keeps the events that
-// the next watch needs.
+// other, and another full read when the store no longer keeps the events that the
+// next watch needs.
 func (s *Syncer) Run(ctx context.Context) error {
 	loaded := false
 	for ctx.Err() == nil {
@@ -108,7 +108,7 @@
 }
 
 // ReadBarrier returns nil once the cache holds everything that was stored before
-// the call, which makes a following read of the cache linearizable. All callers
+// the call, which makes a subsequent read of the cache linearizable. All callers
 // that wait at the same time share one request.
 func (s *Syncer) ReadBarrier(timeout time.Duration) error {
 	waiter := make(chan error, 1)
@@ -129,7 +129,8 @@
 	}
 }
 
-// addBarrierWaiter reports whether there was room for one more.
+// addBarrierWaiter adds a waiter unless barrierLimit is reached, and reports whether it
+// did.
 func (s *Syncer) addBarrierWaiter(waiter chan error) bool {
 	s.barrierMu.Lock()
 	defer s.barrierMu.Unlock()
@@ -160,7 +161,7 @@
 	return s.cache.Revision()
 }
 
-// update changes the cache and calls onChange, in one critical section.
+// update applies change to the cache and calls onChange, in one critical section.
 func (s *Syncer) update(change func(*Cache)) {
 	s.cacheLock.Lock()
 	defer s.cacheLock.Unlock()
@@ -168,7 +169,7 @@
 	s.onChange()
 }
 
-// Refresh reads all changes up to now.
+// Refresh reads all changes up to now and applies them, without waiting for new ones.
 func (s *Syncer) Refresh(ctx context.Context) error { return s.watch(ctx, 0) }
 
 func (s *Syncer) watch(ctx context.Context, hold time.Duration) error {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// Load reads all keys and enters them.
+// Load reads all keys and replaces the contents of the cache with them.
 func (s *Syncer) Load(ctx context.Context) error {
 	pairs, base, last, err := s.list(ctx)
 	if err != nil {
@@ -193,8 +194,8 @@
 	return nil
 }
 
-// list reads all pages of keys, and returns the revisions that the first and the
-// last of them showed.
+// list reads all pages of keys, and also returns the revisions of the first and the
+// last page.
 func (s *Syncer) list(ctx context.Context) (pairs []wire.KeyValue, base, last uint64, err error) {
 	after := ""
 	for {
--- a/internal/store/syncer_test.go
+++ b/internal/store/syncer_test.go
@@ -13,37 +13,37 @@
 	"wheatspur/wire"
 )
 
-// scriptedStore answers reads by its functions; other calls are not expected.
-type scriptedStore struct {
+// stubStore answers reads by its functions; other calls panic.
+type stubStore struct {
 	KeyValueStore
 	list  func(after string) (wire.ListResponse, error)
 	watch func(after uint64, hold time.Duration) (wire.WatchResponse, error)
 }
 
-func (s *scriptedStore) List(_ context.Context, _, after string) (wire.ListResponse, error) {
+func (s *stubStore) List(_ context.Context, _, after string) (wire.ListResponse, error) {
 	return s.list(after)
 }
 
-func (s *scriptedStore) Watch(_ context.Context, _ string, after uint64, hold time.Duration) (wire.WatchResponse, error) {
+func (s *stubStore) Watch(_ context.Context, _ string, after uint64, hold time.Duration) (wire.WatchResponse, error) {
 	return s.watch(after, hold)
 }
 
-// newTestSyncer returns a syncer with room for two callers of a barrier, its cache, and
-// the values that the cache hands out.
+// newTestSyncer returns a syncer on which at most two callers can wait for a read
+// barrier, its cache, and the values that the cache has passed to its update function.
 func newTestSyncer(store KeyValueStore) (*Syncer, *Cache, cachedValues) {
 	values := cachedValues{}
 	cache := NewCache(values.update)
 	return NewSyncer(store, "w/", &sync.Mutex{}, cache, func() {}, 2, time.Now, slog.New(slog.DiscardHandler)), cache, values
 }
 
-// onePage answers a full read by the key "a" at revision 10.
+// onePage answers a full read with the key "a" at revision 10.
 func onePage(string) (wire.ListResponse, error) {
 	return wire.ListResponse{Revision: 10, KeyValues: []wire.KeyValue{{Key: "a", Value: encoded("1"), Version: 5}}}, nil
 }
 
 func TestSyncerLoadReadsAllPages(t *testing.T) {
 	var afters []string
-	store := &scriptedStore{list: func(after string) (wire.ListResponse, error) {
+	store := &stubStore{list: func(after string) (wire.ListResponse, error) {
 		afters = append(afters, after)
 		if after == "" {
 			return wire.ListResponse{Revision: 10, Truncated: true, KeyValues: []wire.KeyValue{{Key: "a", Value: encoded("1"), Version: 5}}}, nil
@@ -58,12 +58,12 @@
 		t.Fatalf("pages read after %q, values %v", afters, values)
 	}
 	if cache.Revision() != 10 || cache.Consistent() {
-		t.Fatalf("revision %d, consistent %v; want the first page's 10, and to wait for the last page's", cache.Revision(), cache.Consistent())
+		t.Fatalf("revision %d, consistent %v; want the first page's revision 10, and inconsistent until the last page's", cache.Revision(), cache.Consistent())
 	}
 }
 
-func TestSyncerLoadEntersNothingIfAPageFails(t *testing.T) {
-	store := &scriptedStore{list: func(after string) (wire.ListResponse, error) {
+func TestSyncerLoadAppliesNothingIfPageFails(t *testing.T) {
+	store := &stubStore{list: func(after string) (wire.ListResponse, error) {
 		if after != "" {
 			return wire.ListResponse{}, ErrRejected
 		}
@@ -79,7 +79,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var calls []string
-		store := &scriptedStore{
+		store := &stubStore{
 			list: func(after string) (wire.ListResponse, error) {
 				calls = append(calls, "list")
 				return onePage(after)
@@ -106,7 +106,7 @@
 	})
 }
 
-// serveBarriers runs the barriers' loop until the test ends.
+// serveBarriers runs ServeBarriers until the test ends.
 func serveBarriers(t *testing.T, syncer *Syncer) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -124,10 +124,10 @@
 func TestReadBarrierIsSharedAndBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		watches := 0
-		store := &scriptedStore{list: onePage, watch: func(_ uint64, hold time.Duration) (wire.WatchResponse, error) {
+		store := &stubStore{list: onePage, watch: func(_ uint64, hold time.Duration) (wire.WatchResponse, error) {
 			watches++
 			if hold != 0 {
-				t.Errorf("a barrier waits %v for events", hold)
+				t.Errorf("the watch of a barrier has hold time %v, want 0", hold)
 			}
 			time.Sleep(time.Millisecond)
 			return wire.WatchResponse{Revision: 11, Events: []wire.WatchEvent{{Put: "a", Value: encoded("2"), Version: 11}}}, nil
@@ -142,7 +142,7 @@
 		}
 		synctest.Wait()
 		if len(errs) != 1 || !errors.Is(<-errs, ErrQueueFull) {
-			t.Fatal("a third caller was not refused, with room for two")
+			t.Fatal("the third caller was not rejected, with a limit of two")
 		}
 		sent := time.Now()
 		serveBarriers(t, syncer)
@@ -152,7 +152,7 @@
 			}
 		}
 		if watches != 1 || values["a"] != "2" || !syncer.LastReadAt().Equal(sent) {
-			t.Fatalf("%d reads, values %v, last read at %v, want one read sent at %v", watches, values, syncer.LastReadAt(), sent)
+			t.Fatalf("%d reads, values %v, last read at %v; want one read sent at %v", watches, values, syncer.LastReadAt(), sent)
 		}
 	})
 }
@@ -165,11 +165,11 @@
 	}{
 		{"cache not loaded yet", false, true, ErrRejected},
 		{"read fails", true, true, ErrCompacted},
-		{"nobody serves it in time", true, false, ErrOutcomeUnknown},
+		{"not served before the timeout", true, false, ErrOutcomeUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				syncer, _, _ := newTestSyncer(&scriptedStore{list: onePage, watch: func(uint64, time.Duration) (wire.WatchResponse, error) {
+				syncer, _, _ := newTestSyncer(&stubStore{list: onePage, watch: func(uint64, time.Duration) (wire.WatchResponse, error) {
 					return wire.WatchResponse{}, ErrCompacted
 				}})
 				if c.load {
