--- a/internal/autoscale/types.go
+++ b/internal/autoscale/types.go
@@ -9,8 +9,8 @@
 	"wheatspur/wire"
 )
 
-// Reasons for terminating a machine. For the first three it holds nothing any
-// more, or never came up (Terminated).
+// Reasons for terminating a machine. With one of the first three, the machine holds
+// no tasks any more or never came up (see ScaleIn.HoldsNothing).
 const (
 	ReasonSlowBoot    = "slow boot"
 	ReasonNotListed   = "gone from the cloud's list"
@@ -26,50 +26,50 @@
 	reasonHeadroom = "headroom"
 )
 
-// MachineKind is what one request to the cloud asks for.
+// MachineKind is the kind of machine that one request to the cloud asks for.
 type MachineKind struct {
 	MachineType string
 	Zone        string
 	Spot        bool
 }
 
-// Machine is a machine in the plan.
+// Machine describes an existing or requested machine to the plan.
 type Machine struct {
 	Name             string
 	Kind             MachineKind
 	Role             placement.Role
-	Schedulable      bool          // takes tasks now
-	Booting          bool          // not up yet
-	Age              time.Duration // since it was requested or first listed
-	Idle             time.Duration // without claims
-	Movable          bool          // its service tasks have room on machines that hold their images
+	Schedulable      bool          // accepts tasks now
+	Booting          bool          // has not sent a heartbeat yet
+	Age              time.Duration // since its request, or as listed by the cloud
+	Idle             time.Duration // how long it has had no claims
+	Movable          bool          // its service tasks fit on other machines that hold their images
 	Claims           int
 	Free             jobs.Resources
-	Quarantined      bool   // its tasks fail, or commands to it have no effect
-	Silent           bool   // was up, and no heartbeat for longer than a lease
-	Missing          bool   // was in the cloud's list, is no more
+	Quarantined      bool   // its tasks fail, or it has accepted none for too long
+	Silent           bool   // was up, and its lease has long expired without a heartbeat
+	Missing          bool   // was in the cloud's list and no longer is
 	HeartbeatOverdue bool   // was up, and its next heartbeat is late
-	Group            string // key of its record: machines of one key are changed by one write
+	Group            string // store key of its record; machines with the same key are changed in one write
 }
 
-// Demand is a number of like tasks without a place.
+// Demand is a number of identical unplaced tasks of a job.
 type Demand struct {
 	Job             *jobs.Job
 	Count           int
 	Waiting         time.Duration
-	NotScheduledYet bool // no pass has tried to place them yet: schedulable machines may have room
+	NotScheduledYet bool // no scheduling pass has tried to place them: schedulable machines may have room
 }
 
-// Load is what a role holds now, for its headroom.
+// Load describes the tasks of a role, from which its headroom is derived.
 type Load struct {
-	Tasks        float64        // tasks held, a mean over time for batch
-	MinTasks     int            // tasks that the headroom holds at least
+	Tasks        float64        // tasks on machines now; for batch, the mean over time
+	MinTasks     int            // least number of tasks that the headroom has room for
 	AwaitingBoot float64        // tasks that wait for machines to boot
-	Need         jobs.Resources // of a typical task
-	Spec         *wire.JobSpec  // a typical job; nil: none is known
+	Need         jobs.Resources // resources of a typical task
+	Spec         *wire.JobSpec  // a typical job; nil if none is known
 }
 
-// Input is what the capacity plan is made from.
+// Input is the input of the capacity plan.
 type Input struct {
 	Now      time.Time
 	Operator config.Operator
@@ -78,23 +78,23 @@
 	Demands  []Demand
 	Service  Load
 	Batch    Load
-	// OnDemand is the batch work that may not use spot machines; no Spec: none
-	// is open, waits for others, or was lately.
+	// OnDemand is the batch work that may not use spot machines. Its Spec is nil if no
+	// such job is open, waits for other jobs, or was present recently.
 	OnDemand Load
-	// LastNoCapacity says when the cloud last had no machine of a kind.
+	// LastNoCapacity is when the cloud last had no capacity for a kind of machine.
 	LastNoCapacity map[MachineKind]time.Time
-	// SurplusSince says since when the plan could do without a machine, by name;
-	// Plan keeps it up to date.
+	// SurplusSince is the time since which the plan has not needed a machine, by
+	// machine name. Plan updates it.
 	SurplusSince map[string]time.Time
-	Draining     int // machines that are being drained of service tasks
-	MaxDraining  int // how many may be at once
-	MaxGroups    int // groups of records that may be changed to terminate idle machines
-	// ActiveRoles says which roles have had work lately; the others need neither
-	// floor nor headroom.
+	Draining     int // service machines that are draining
+	MaxDraining  int // how many service machines may drain at once
+	MaxGroups    int // groups of machine records that may be written to terminate idle machines
+	// ActiveRoles holds the roles that have had work recently. The others need neither
+	// a floor nor headroom.
 	ActiveRoles map[placement.Role]bool
 }
 
-// ScaleOut is a number of machines to add for a role.
+// ScaleOut is a number of machines of one kind to add for a role.
 type ScaleOut struct {
 	Kind   MachineKind
 	Role   placement.Role
@@ -102,18 +102,18 @@
 	Reason string
 }
 
-// ScaleIn is a machine to terminate once it is empty.
+// ScaleIn is a machine to terminate once it holds no tasks.
 type ScaleIn struct {
 	Machine string
 	Reason  string
 }
 
-// HoldsNothing reports whether the machine holds nothing any more, or never came up.
+// HoldsNothing reports whether the machine holds no tasks any more, or never came up.
 func (s ScaleIn) HoldsNothing() bool {
 	return s.Reason == ReasonNotListed || s.Reason == ReasonSilent || s.Reason == ReasonSlowBoot
 }
 
-// Output is what to add and what to terminate.
+// Output lists the machines to add and to terminate.
 type Output struct {
 	ScaleOut []ScaleOut
 	ScaleIn  []ScaleIn
