--- a/internal/autoscale/headroom.go
+++ b/internal/autoscale/headroom.go
@@ -7,7 +7,7 @@
 	"wheatspur/internal/placement"
 )
 
-// headroomTasks is the number of typical tasks that a role's headroom holds.
+// headroomTasks returns the number of typical tasks that a role's headroom has room for.
 func headroomTasks(load Load, share float64) int {
 	if load.Spec == nil || share <= 0 {
 		return 0
@@ -15,38 +15,38 @@
 	return max(int(math.Ceil(load.Tasks*share)), load.MinTasks)
 }
 
-// typicalJob makes a job that stands for a load, in any zone.
+// typicalJob returns a job that represents a load and may run in any zone.
 func typicalJob(load Load) *jobs.Job {
 	spec := *load.Spec
 	spec.Zone = nil
 	return &jobs.Job{Record: jobs.Record{Phase: jobs.Open, Spec: &spec}, Need: load.Need}
 }
 
-// coverHeadroom plans room for tasks that are yet to come, and for some of the
-// machines that are booting to be late.
-func (p *planner) coverHeadroom(role placement.Role, load Load, share float64) {
+// provisionHeadroom plans capacity for future tasks, and for tasks whose booting machines
+// may be late.
+func (p *planner) provisionHeadroom(role placement.Role, load Load, share float64) {
 	if !p.input.ActiveRoles[role] {
 		return
 	}
 	tasks := headroomTasks(load, share)
 	if load.Spec != nil && load.AwaitingBoot > 0 {
-		tasks += p.lateBootHedge(typicalJob(load), load.AwaitingBoot)
+		tasks += p.lateBootReserve(typicalJob(load), load.AwaitingBoot)
 	}
 	if tasks > 0 {
-		p.cover(typicalJob(load), tasks, false, 0, reasonHeadroom)
+		p.provision(typicalJob(load), tasks, false, 0, reasonHeadroom)
 	}
 }
 
-// maxSlots bounds the count of tiny tasks on one machine.
+// maxSlots bounds the slots counted on one machine, for tasks that need next to nothing.
 const maxSlots = 1000
 
-// slots is the room of a role's machines, counted in typical tasks, against what
-// its headroom must hold.
+// slots counts the free capacity of the machines that typical tasks may use, in typical
+// tasks, and how much of it the headroom needs.
 type slots struct {
-	job       *jobs.Job // typical; nil: none is known
+	job       *jobs.Job // typical; nil if none is known
 	needed    int
 	total     int
-	ofMachine map[string]int // by name
+	ofMachine map[string]int // by machine name
 }
 
 func (p *planner) newSlots(load Load, share float64) *slots {
@@ -70,9 +70,9 @@
 	return s
 }
 
-// canSpare reports whether the role's headroom stands without the machine, with
-// the service tasks that would have to move. Batch tasks end where they are.
-func (s *slots) canSpare(m Machine) bool {
+// canRemove reports whether enough slots are left without the machine for the headroom and
+// for the service tasks that would have to move. Batch tasks finish on the machine.
+func (s *slots) canRemove(m Machine) bool {
 	needed := s.needed
 	if m.Role == placement.Service {
 		needed += m.Claims
@@ -83,7 +83,7 @@
 	return s.job != nil && s.total-s.ofMachine[m.Name] >= needed
 }
 
-// remove takes a machine that is to be terminated out of the count.
+// remove excludes a machine that is to be terminated from the count.
 func (s *slots) remove(m Machine) {
 	s.total -= s.ofMachine[m.Name]
 	if m.Role == placement.Service {
--- a/internal/autoscale/lateboot.go
+++ b/internal/autoscale/lateboot.go
@@ -7,23 +7,23 @@
 	"wheatspur/internal/tuning"
 )
 
-// lateBootHedge is the number of tasks to plan room for beside the waiting ones,
-// since some of the machines take much longer to boot than usual: their expected
-// number and a little over a deviation, which is most of a machine for one, and a
-// sixth of the machines for a hundred.
-func (p *planner) lateBootHedge(job *jobs.Job, waiting float64) int {
-	tasksPerMachine := 0.0 // of the type that holds the fewest
+// lateBootReserve returns the number of tasks to plan capacity for in addition to the
+// waiting ones, because some machines take much longer to boot than usual. It covers the
+// expected number of late machines plus tuning.LateBootSpread standard deviations: about
+// half a machine for one booting machine, and 14 machines for a hundred.
+func (p *planner) lateBootReserve(job *jobs.Job, waiting float64) int {
+	fewestTasks := 0.0 // per machine, of the eligible type that holds the fewest
 	for _, machineType := range p.input.Types {
 		if !jobs.AllowsMachineType(job.Record.Spec, machineType.Label) || !job.Need.Fits(capacity(machineType)) {
 			continue
 		}
-		if held := tasksHeld(job, machineType); tasksPerMachine == 0 || held < tasksPerMachine {
-			tasksPerMachine = held
+		if held := tasksPerMachine(job, machineType); fewestTasks == 0 || held < fewestTasks {
+			fewestTasks = held
 		}
 	}
-	if tasksPerMachine == 0 {
+	if fewestTasks == 0 {
 		return 0
 	}
-	late := tuning.LateBootShare * waiting / tasksPerMachine
-	return int(math.Ceil(tasksPerMachine * (late + tuning.LateBootSpread*math.Sqrt(late))))
+	late := tuning.LateBootShare * waiting / fewestTasks
+	return int(math.Ceil(fewestTasks * (late + tuning.LateBootSpread*math.Sqrt(late))))
 }
--- a/internal/autoscale/lateboot_test.go
+++ b/internal/autoscale/lateboot_test.go
@@ -6,13 +6,13 @@
 	"wheatspur/wire"
 )
 
-// A few machines in ten boot late. One spare machine a few is much for a small
-// scale-out and little for a large one.
-func TestLateBootHedgeGrowsSlowerThanScaleOut(t *testing.T) {
+// Some machines boot late. A reserve proportional to the scale-out would be too large for a
+// small scale-out or too small for a large one.
+func TestLateBootReserveGrowsSlowerThanScaleOut(t *testing.T) {
 	job := newDemand(wire.KindService, 8).Job
 	p := &planner{input: newInput()}
-	few, many := p.lateBootHedge(job, 8), p.lateBootHedge(job, 800)
+	few, many := p.lateBootReserve(job, 8), p.lateBootReserve(job, 800)
 	if few < 2 || few > 8 || many < 80 || many > 200 {
-		t.Fatalf("%d tasks beside 8, %d beside 800", few, many)
+		t.Fatalf("reserve of %d tasks for 8 waiting tasks, and of %d for 800", few, many)
 	}
 }
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -1,11 +1,11 @@
-// Package autoscale decides which machines to add and which to terminate, from
-// the demand without a place, the load of each role and the machines that there
-// are: scale out for demand and headroom, scale in of what is of no use or idle.
+// Package autoscale decides which machines to add and which to terminate, given the
+// unplaced tasks, the load of each role and the existing machines. It scales out for
+// unplaced tasks and headroom, and scales in machines that are unusable or idle.
 //
-// Plan is pure but for Input.SurplusSince: the caller collects the input, calls
-// the cloud (package cloud), stores records (package inventory) and drains
-// machines. Which tasks go to which machine is decided in package placement, and
-// moves of machines between roles in package roles.
+// Plan has no side effects other than updating Input.SurplusSince. The caller collects
+// the input, calls the cloud (package cloud), stores records (package inventory) and
+// drains machines. Package placement assigns tasks to machines, and package roles moves
+// machines between roles.
 package autoscale
 
 import (
@@ -13,29 +13,29 @@
 	"wheatspur/wire"
 )
 
-// Plan decides what to add and what to terminate. It is pure, but for
-// SurplusSince.
+// Plan decides which machines to add and which to terminate. Its only side effect is
+// that it updates in.SurplusSince.
 func Plan(in Input) Output {
 	p := newPlanner(in)
-	unplaced := p.coverDemands()
-	p.coverHeadroom(placement.Service, in.Service, in.Operator.ServiceHeadroom)
-	p.coverHeadroom(placement.Batch, in.Batch, in.Operator.BatchHeadroom)
-	p.coverHeadroom(placement.Batch, in.OnDemand, in.Operator.BatchHeadroom)
+	unplaced := p.provisionDemands()
+	p.provisionHeadroom(placement.Service, in.Service, in.Operator.ServiceHeadroom)
+	p.provisionHeadroom(placement.Batch, in.Batch, in.Operator.BatchHeadroom)
+	p.provisionHeadroom(placement.Batch, in.OnDemand, in.Operator.BatchHeadroom)
 	return Output{
 		ScaleOut: p.sortedScaleOut(),
 		ScaleIn:  p.scaleIn(unplaced),
 	}
 }
 
-// planner is a plan in the making.
+// planner holds the state of one plan while it is computed.
 type planner struct {
 	input            Input
 	types            map[string]wire.MachineType // by label
 	bins             []*bin
-	zoneCounts       map[zoneRole]int    // bins by zone and role
-	unreachableZones map[string]bool     // see the function
-	scaleOut         map[ScaleOut]int    // machines planned, by kind and role: Count and Reason are not set
-	reasons          map[ScaleOut]string // why the first of them was planned
+	zoneCounts       map[zoneRole]int    // number of bins by zone and role
+	unreachableZones map[string]bool     // see function unreachableZones
+	scaleOut         map[ScaleOut]int    // machines to add, by kind and role; keys have no Count or Reason
+	reasons          map[ScaleOut]string // why the first machine of each entry of scaleOut was planned
 }
 
 func newPlanner(in Input) *planner {
--- a/internal/autoscale/scalein.go
+++ b/internal/autoscale/scalein.go
@@ -10,37 +10,37 @@
 	"wheatspur/internal/tuning"
 )
 
-// scaleIn chooses machines to terminate: those that are of no use, and those
-// whose loss leaves the headroom and the role floors. unplaced are the roles of
-// tasks that a pass could not place.
+// scaleIn selects the machines to terminate: those that are unusable, and those that neither
+// the headroom nor the role floors need. unplaced holds the roles of tasks that a
+// scheduling pass could not place.
 func (p *planner) scaleIn(unplaced map[placement.Role]bool) []ScaleIn {
-	useless, candidates := p.scaleInCandidates()
+	unusable, candidates := p.scaleInCandidates()
 	p.sortCandidates(candidates)
-	choice := p.newScaleInChoice(unplaced)
+	selector := p.newScaleInSelector(unplaced)
 	for _, m := range candidates {
-		choice.consider(m)
+		selector.consider(m)
 	}
-	p.pruneSurplus(choice.surplus)
-	out := append(useless, choice.busy...)
-	return append(out, choice.idleMachines()...)
+	p.pruneSurplus(selector.surplus)
+	out := append(unusable, selector.busy...)
+	return append(out, selector.idleMachines()...)
 }
 
-// scaleInCandidates lists the machines that are of no use, with the reason, and
-// those that might be spared.
-func (p *planner) scaleInCandidates() (useless []ScaleIn, candidates []Machine) {
+// scaleInCandidates lists the unusable machines, with the reason, and the machines that
+// could be drained or are idle.
+func (p *planner) scaleInCandidates() (unusable []ScaleIn, candidates []Machine) {
 	for _, m := range p.input.Machines {
-		if reason := p.uselessReason(m); reason != "" {
-			useless = append(useless, ScaleIn{m.Name, reason})
-		} else if m.Schedulable && p.canBeEmptied(m) {
+		if reason := p.terminationReason(m); reason != "" {
+			unusable = append(unusable, ScaleIn{m.Name, reason})
+		} else if m.Schedulable && p.isDrainable(m) {
 			candidates = append(candidates, m)
 		}
 	}
-	return useless, candidates
+	return unusable, candidates
 }
 
-// uselessReason is the reason for terminating a machine whatever the demand is,
+// terminationReason returns the reason for terminating a machine regardless of demand, or
 // "" if there is none.
-func (p *planner) uselessReason(m Machine) string {
+func (p *planner) terminationReason(m Machine) string {
 	slowBoot := max(time.Duration(tuning.SlowBootFactor*float64(p.bootTime(m))), tuning.MinSlowBoot)
 	switch {
 	case m.Booting && m.Age > slowBoot:
@@ -55,10 +55,10 @@
 	return ""
 }
 
-// canBeEmptied reports whether a schedulable machine is idle, or could be
-// emptied: an on-demand one of batch work, whose tasks end by themselves, or one
-// whose service tasks can move.
-func (p *planner) canBeEmptied(m Machine) bool {
+// isDrainable reports whether a schedulable machine is idle or can be drained. An on-demand
+// batch machine can, since its tasks end by themselves, and so can a service machine whose
+// tasks fit elsewhere, unless too many machines are draining already.
+func (p *planner) isDrainable(m Machine) bool {
 	if m.Claims == 0 {
 		return true
 	}
@@ -68,8 +68,8 @@
 	return m.Role == placement.Service && m.Movable && p.input.Draining < max(p.input.MaxDraining, 1)
 }
 
-// sortCandidates puts idle machines first, then the dearest, then those with the
-// fewest claims.
+// sortCandidates sorts idle machines first, then by descending price, then by ascending
+// number of claims.
 func (p *planner) sortCandidates(candidates []Machine) {
 	slices.SortFunc(candidates, func(a, b Machine) int {
 		if aIdle, bIdle := a.Claims == 0, b.Claims == 0; aIdle != bIdle {
@@ -86,12 +86,13 @@
 	})
 }
 
-// pruneSurplus ends the surplus of the machines that are not in it any more.
+// pruneSurplus deletes the machines that are no longer surplus from Input.SurplusSince.
 func (p *planner) pruneSurplus(surplus map[string]bool) {
 	maps.DeleteFunc(p.input.SurplusSince, func(machine string, _ time.Time) bool { return !surplus[machine] })
 }
 
-// typeRole is what a role's floor is kept of: machines of one type.
+// typeRole is the key by which machines are counted for the role floors: each role keeps
+// its floor of every machine type.
 type typeRole struct {
 	machineType string
 	role        placement.Role
@@ -101,22 +102,22 @@
 	return typeRole{m.Kind.MachineType, m.Role}
 }
 
-// scaleInChoice is the choice among the machines that might be spared, given
-// those that were chosen before.
-type scaleInChoice struct {
+// scaleInSelector selects the machines to terminate one by one, taking into account those
+// selected before.
+type scaleInSelector struct {
 	planner       *planner
-	unplaced      map[placement.Role]bool   // roles with tasks without a place
-	counts        map[typeRole]int          // machines that keep a role's floor
+	unplaced      map[placement.Role]bool   // roles with unplaced tasks
+	counts        map[typeRole]int          // machines that count towards a role's floor
 	slots         map[placement.Role]*slots // for the headroom of each role
 	onDemandSlots *slots                    // for the headroom of batch work that may not use spot machines
-	surplus       map[string]bool           // machines that the plan could do without, by name
-	busyChosen    map[placement.Role]bool   // roles of which a busy machine was chosen
-	busy          []ScaleIn                 // chosen, to be emptied
-	idle          map[string][]Machine      // chosen, empty, by group
+	surplus       map[string]bool           // names of machines that the plan does not need
+	busySelected  map[placement.Role]bool   // roles of which a busy machine was selected
+	busy          []ScaleIn                 // selected machines with claims, to be drained
+	idle          map[string][]Machine      // selected idle machines, by group
 }
 
-func (p *planner) newScaleInChoice(unplaced map[placement.Role]bool) *scaleInChoice {
-	c := &scaleInChoice{
+func (p *planner) newScaleInSelector(unplaced map[placement.Role]bool) *scaleInSelector {
+	s := &scaleInSelector{
 		planner:  p,
 		unplaced: unplaced,
 		counts:   map[typeRole]int{},
@@ -126,65 +127,64 @@
 		},
 		onDemandSlots: p.newSlots(p.input.OnDemand, p.input.Operator.BatchHeadroom),
 		surplus:       map[string]bool{},
-		busyChosen:    map[placement.Role]bool{},
+		busySelected:  map[placement.Role]bool{},
 		idle:          map[string][]Machine{},
 	}
 	for _, m := range p.input.Machines {
 		if m.Schedulable && m.isHealthy() {
-			c.counts[m.typeRole()]++
+			s.counts[m.typeRole()]++
 		}
 	}
-	return c
+	return s
 }
 
-// consider chooses the machine if it can be spared now, and notes it as
-// surplus if it could be.
-func (c *scaleInChoice) consider(m Machine) {
-	if c.isNeeded(m) {
+// consider marks the machine as surplus if it is not needed, and selects it if it may be
+// terminated now.
+func (s *scaleInSelector) consider(m Machine) {
+	if s.isNeeded(m) {
 		return
 	}
-	c.surplus[m.Name] = true
-	if !c.isSurplusForLong(m) || c.unplaced[m.Role] || len(c.planner.scaleOut) > 0 {
+	s.surplus[m.Name] = true
+	if !s.isPastIdleLimit(m) || s.unplaced[m.Role] || len(s.planner.scaleOut) > 0 {
 		return
 	}
-	if m.Claims > 0 && c.busyChosen[m.Role] {
-		return // a plan empties one busy machine of each role
+	if m.Claims > 0 && s.busySelected[m.Role] {
+		return // a plan drains at most one busy machine per role
 	}
-	c.choose(m)
+	s.selectMachine(m)
 }
 
-// isNeeded reports whether the role floors or the headroom need the machine.
-func (c *scaleInChoice) isNeeded(m Machine) bool {
-	// Guards against short work that may not use spot machines waiting for a
-	// boot each time, since spot machines hold the role's floor.
-	if m.Role == placement.Batch && !m.Kind.Spot && !c.onDemandSlots.canSpare(m) {
+// isNeeded reports whether a role floor or the headroom needs the machine.
+func (s *scaleInSelector) isNeeded(m Machine) bool {
+	// Spot machines can satisfy the role's floor. Without this check, short batch work
+	// that may not use them would wait for a machine to boot each time.
+	if m.Role == placement.Batch && !m.Kind.Spot && !s.onDemandSlots.canRemove(m) {
 		return true
 	}
-	active := c.planner.input.ActiveRoles[m.Role]
-	if active && c.counts[m.typeRole()] <= tuning.RoleFloor {
+	active := s.planner.input.ActiveRoles[m.Role]
+	if active && s.counts[m.typeRole()] <= tuning.RoleFloor {
 		return true
 	}
-	// A machine that would not be added for headroom is not kept for it. Guards
-	// against idle on-demand machines, several times as dear, that stand in for
-	// the spot machines of which the cloud has no more.
-	if c.replacesSpot(m) {
+	// A machine that would not be added for headroom is not kept for it. Otherwise idle
+	// on-demand machines, which are several times as expensive, would be kept in place of
+	// spot machines while the cloud has no spot capacity.
+	if s.substitutesForSpot(m) {
 		return false
 	}
-	return (active || m.Claims > 0) && !c.slots[m.Role].canSpare(m)
+	return (active || m.Claims > 0) && !s.slots[m.Role].canRemove(m)
 }
 
-// replacesSpot reports whether the machine is an idle on-demand one, though
-// the typical batch work may use spot machines.
-func (c *scaleInChoice) replacesSpot(m Machine) bool {
-	typical := c.planner.input.Batch.Spec
+// substitutesForSpot reports whether the machine is an idle on-demand batch machine while
+// typical batch work may use spot machines.
+func (s *scaleInSelector) substitutesForSpot(m Machine) bool {
+	typical := s.planner.input.Batch.Spec
 	return m.Claims == 0 && m.Role == placement.Batch && !m.Kind.Spot && typical != nil && typical.Spot
 }
 
-// isSurplusForLong reports whether an idle machine has been idle for long
-// enough to be terminated. A busy one must be surplus for as long as an idle one
-// must be idle. It notes since when the machine is surplus.
-func (c *scaleInChoice) isSurplusForLong(m Machine) bool {
-	in := &c.planner.input
+// isPastIdleLimit reports whether an idle machine has been idle, or a busy one surplus, for
+// long enough to be terminated. It records since when the machine has been surplus.
+func (s *scaleInSelector) isPastIdleLimit(m Machine) bool {
+	in := &s.planner.input
 	since, known := in.SurplusSince[m.Name]
 	if !known {
 		since = in.Now
@@ -194,37 +194,37 @@
 	if m.Kind.Spot {
 		limit = in.Operator.IdleSpot
 	}
-	rest := m.Idle
+	elapsed := m.Idle
 	if m.Claims > 0 {
-		rest = in.Now.Sub(since)
+		elapsed = in.Now.Sub(since)
 	}
-	return rest >= limit
+	return elapsed >= limit
 }
 
-// choose lists the machine to be terminated, and takes it out of what is left.
-func (c *scaleInChoice) choose(m Machine) {
-	c.counts[m.typeRole()]--
-	c.slots[m.Role].remove(m)
-	c.onDemandSlots.remove(m)
+// selectMachine selects the machine for termination, and excludes it from the counts.
+func (s *scaleInSelector) selectMachine(m Machine) {
+	s.counts[m.typeRole()]--
+	s.slots[m.Role].remove(m)
+	s.onDemandSlots.remove(m)
 	if m.Claims > 0 {
-		c.busyChosen[m.Role] = true
-		c.busy = append(c.busy, ScaleIn{m.Name, ReasonSurplus})
+		s.busySelected[m.Role] = true
+		s.busy = append(s.busy, ScaleIn{m.Name, ReasonSurplus})
 		return
 	}
-	c.idle[m.Group] = append(c.idle[m.Group], m)
+	s.idle[m.Group] = append(s.idle[m.Group], m)
 }
 
-// idleMachines lists the idle machines that were chosen. The groups with the
-// most of them go first, a few a plan: each group costs a write, however many of
-// its machines change.
-func (c *scaleInChoice) idleMachines() []ScaleIn {
-	groups := slices.SortedFunc(maps.Keys(c.idle), func(a, b string) int {
-		return cmp.Or(cmp.Compare(len(c.idle[b]), len(c.idle[a])), cmp.Compare(a, b))
+// idleMachines lists the selected idle machines of a few groups, those with the most such
+// machines first. A plan is limited to a few groups because each costs one write, no
+// matter how many of its machines change.
+func (s *scaleInSelector) idleMachines() []ScaleIn {
+	groups := slices.SortedFunc(maps.Keys(s.idle), func(a, b string) int {
+		return cmp.Or(cmp.Compare(len(s.idle[b]), len(s.idle[a])), cmp.Compare(a, b))
 	})
-	most := max(c.planner.input.MaxGroups, tuning.DrainGroups)
+	maxGroups := max(s.planner.input.MaxGroups, tuning.DrainGroups)
 	var out []ScaleIn
-	for _, group := range groups[:min(len(groups), most)] {
-		for _, m := range c.idle[group] {
+	for _, group := range groups[:min(len(groups), maxGroups)] {
+		for _, m := range s.idle[group] {
 			out = append(out, ScaleIn{m.Name, ReasonIdle})
 		}
 	}
--- a/internal/autoscale/scaleout.go
+++ b/internal/autoscale/scaleout.go
@@ -12,12 +12,12 @@
 	"wheatspur/wire"
 )
 
-// coverDemands plans room for the tasks without a place, and returns the roles
-// of those that a pass has tried to place.
-func (p *planner) coverDemands() map[placement.Role]bool {
+// provisionDemands plans capacity for the unplaced tasks. It returns the roles of the tasks
+// that a scheduling pass has tried to place.
+func (p *planner) provisionDemands() map[placement.Role]bool {
 	unplaced := map[placement.Role]bool{}
 	for _, demand := range p.input.Demands {
-		p.cover(demand.Job, demand.Count, !demand.NotScheduledYet, demand.Waiting, reasonUnplaced)
+		p.provision(demand.Job, demand.Count, !demand.NotScheduledYet, demand.Waiting, reasonUnplaced)
 		if !demand.NotScheduledYet {
 			unplaced[roleOf(demand.Job)] = true
 		}
@@ -25,10 +25,10 @@
 	return unplaced
 }
 
-// cover finds room for a number of like tasks in the bins, those with the fewest
-// free GPUs first, and plans machines for the rest. With skipSchedulable, bins
-// that take tasks now are left out: a pass has tried them.
-func (p *planner) cover(job *jobs.Job, count int, skipSchedulable bool, waiting time.Duration, reason string) {
+// provision places count identical tasks in the bins, those with the fewest free GPUs
+// first, and plans new machines for the rest. With skipSchedulable it ignores the bins
+// that accept tasks now, since a scheduling pass has already tried them.
+func (p *planner) provision(job *jobs.Job, count int, skipSchedulable bool, waiting time.Duration, reason string) {
 	var fitting []*bin
 	for _, b := range p.bins {
 		if !(skipSchedulable && b.schedulable) && job.Need.Fits(b.free) && isEligible(job, b.kind, b.role) {
@@ -48,11 +48,11 @@
 	}
 }
 
-// scaleOutFor plans one more machine for a task, the best that the cloud offers; nil
-// if none is to be had.
+// scaleOutFor plans one more machine for a task and returns its bin; nil if no kind of
+// machine may be added.
 func (p *planner) scaleOutFor(job *jobs.Job, waiting time.Duration, reason string) *bin {
 	best := p.bestOffer(job, waiting)
-	if math.IsInf(best.taskPrice, 1) {
+	if math.IsInf(best.pricePerTask, 1) {
 		return nil
 	}
 	role := roleOf(job)
@@ -66,9 +66,9 @@
 	return b
 }
 
-// sortedScaleOut lists what was planned: for services first, then by zone and
-// type. The order of a spot and an on-demand entry that are alike in all of these
-// is not determined.
+// sortedScaleOut lists the machines to add: those for services first, then by zone and
+// type. The order of a spot and an on-demand entry with equal role, zone and type is
+// undefined.
 func (p *planner) sortedScaleOut() []ScaleOut {
 	var sorted []ScaleOut
 	for planned, count := range p.scaleOut {
@@ -87,59 +87,59 @@
 	return sorted
 }
 
-// unreachableZones finds the zones of which most machines are late with their
-// heartbeats: machines added there would not be reached either. Guards against
-// replacing machines behind a network partition by others behind it, in the zone
-// that seems to have the fewest.
+// unreachableZones returns the zones in which more machines are late with their heartbeats
+// than are schedulable. Machines added there would probably be unreachable as well. Without
+// this check, machines behind a network partition would be replaced by others behind the
+// same partition, because their zone appears to have the fewest machines.
 func unreachableZones(machines []Machine) map[string]bool {
-	overdue := map[string]int{} // less those that are schedulable
+	overdueExcess := map[string]int{} // overdue machines minus schedulable ones, by zone
 	for _, m := range machines {
 		if m.HeartbeatOverdue {
-			overdue[m.Kind.Zone]++
+			overdueExcess[m.Kind.Zone]++
 		} else if m.Schedulable {
-			overdue[m.Kind.Zone]--
+			overdueExcess[m.Kind.Zone]--
 		}
 	}
 	unreachable := map[string]bool{}
-	for zone, balance := range overdue {
-		unreachable[zone] = balance > 0
+	for zone, excess := range overdueExcess {
+		unreachable[zone] = excess > 0
 	}
 	return unreachable
 }
 
-// offer is a kind of machine that could be added for a task.
+// offer is a kind of machine that may be added for a task.
 type offer struct {
-	kind        MachineKind
-	taskPrice   float64 // for each task that the machine holds
-	zoneCount   int     // machines of the role in the zone
-	unreachable bool    // the zone is
+	kind         MachineKind
+	pricePerTask float64 // price of the machine divided by the tasks that it has room for
+	zoneCount    int     // see planner.zoneCount
+	unreachable  bool    // whether the zone is unreachable
 }
 
-// priceTolerance is below any difference of prices that counts.
+// priceTolerance is the difference below which prices count as equal.
 const priceTolerance = 1e-9
 
-// isBetter orders offers: those outside unreachable zones, the cheapest for each
-// task, the zone with the fewest machines of the role.
-func (o offer) isBetter(than offer) bool {
-	if o.unreachable != than.unreachable {
-		return than.unreachable
+// isBetter reports whether o is preferred: reachable zones come first, then the lowest
+// price per task, then the zone with the fewest machines of the role.
+func (o offer) isBetter(other offer) bool {
+	if o.unreachable != other.unreachable {
+		return other.unreachable
 	}
-	if o.taskPrice < than.taskPrice-priceTolerance {
+	if o.pricePerTask < other.pricePerTask-priceTolerance {
 		return true
 	}
-	return o.taskPrice < than.taskPrice+priceTolerance && o.zoneCount < than.zoneCount
+	return o.pricePerTask < other.pricePerTask+priceTolerance && o.zoneCount < other.zoneCount
 }
 
-// bestOffer finds the machine to add for a task; its price is infinite if there
-// is none. Of equal offers the first stands, in the order of the cloud's types
+// bestOffer returns the best kind of machine to add for a task; its price is infinite if
+// there is none. Of equal offers it returns the first, in the order of the cloud's types
 // and zones, on-demand before spot.
 func (p *planner) bestOffer(job *jobs.Job, waiting time.Duration) offer {
-	best := offer{taskPrice: math.Inf(1), unreachable: true}
+	best := offer{pricePerTask: math.Inf(1), unreachable: true}
 	for _, machineType := range p.input.Types {
 		if !job.Need.Fits(capacity(machineType)) {
 			continue
 		}
-		tasks := tasksHeld(job, machineType)
+		tasks := tasksPerMachine(job, machineType)
 		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{false, true} {
 				kind := MachineKind{machineType.Label, zone, spot}
@@ -147,10 +147,10 @@
 					continue
 				}
 				o := offer{
-					kind:        kind,
-					taskPrice:   priceOf(machineType, spot) / tasks,
-					zoneCount:   p.zoneCount(kind, roleOf(job)),
-					unreachable: p.unreachableZones[zone],
+					kind:         kind,
+					pricePerTask: machinePrice(machineType, spot) / tasks,
+					zoneCount:    p.zoneCount(kind, roleOf(job)),
+					unreachable:  p.unreachableZones[zone],
 				}
 				if o.isBetter(best) {
 					best = o
@@ -174,9 +174,9 @@
 	return kind.Spot || !spotFirst
 }
 
-// zoneCount is the number of machines of the role in the kind's zone, by which
-// they are spread. For batch work a request to the cloud that is not full yet
-// counts as less than any: it is filled before another begins.
+// zoneCount returns the number of machines of the role in the kind's zone, used to spread
+// machines over zones. For batch work it returns -1 if a planned request for this kind has
+// room for more machines, so that one request is filled before another begins.
 func (p *planner) zoneCount(kind MachineKind, role placement.Role) int {
 	planned := p.scaleOut[ScaleOut{Kind: kind, Role: role}]
 	if role == placement.Batch && planned%tuning.ScaleOutMax > 0 {
@@ -185,27 +185,28 @@
 	return p.zoneCounts[zoneRole{kind.Zone, role}]
 }
 
-// price is what a machine of the kind costs.
+// price returns the price of a machine of the kind.
 func (p *planner) price(kind MachineKind) float64 {
-	return priceOf(p.types[kind.MachineType], kind.Spot)
+	return machinePrice(p.types[kind.MachineType], kind.Spot)
 }
 
-func priceOf(machineType wire.MachineType, spot bool) float64 {
+func machinePrice(machineType wire.MachineType, spot bool) float64 {
 	if spot {
 		return machineType.SpotPrice
 	}
 	return machineType.Price
 }
 
-// Bounds of tasksHeld against a job that needs next to nothing, and against
-// the rounding of shares that are whole fractions.
 const (
-	shareMin       = 1e-9
+	// minShare bounds tasksPerMachine for a job that needs next to nothing.
+	minShare = 1e-9
+	// shareTolerance keeps a rounding error from lowering tasksPerMachine by one when a
+	// whole number of tasks fills the machine exactly.
 	shareTolerance = 1e-6
 )
 
-// tasksHeld is the number of the job's tasks that an empty machine holds.
-func tasksHeld(job *jobs.Job, machineType wire.MachineType) float64 {
-	share := max(job.Need.Share(capacity(machineType)), shareMin)
+// tasksPerMachine returns the number of the job's tasks that fit on an empty machine.
+func tasksPerMachine(job *jobs.Job, machineType wire.MachineType) float64 {
+	share := max(job.Need.Share(capacity(machineType)), minShare)
 	return math.Floor(1/share + shareTolerance)
 }
