--- a/internal/autoscale/helpers_test.go
+++ b/internal/autoscale/helpers_test.go
@@ -12,14 +12,14 @@
 
 var t0 = time.Unix(1000, 0)
 
-// testTypes are types of eight GPUs, so of eight tasks of newDemand.
+// testTypes have eight GPUs each, room for eight tasks of newDemand.
 var testTypes = []wire.MachineType{
 	{Label: "big", CPUs: 16, GPUs: 8, RAMGB: 128, Price: 8, SpotPrice: 2, StartupS: 40, Zones: []string{"z1", "z2"}},
-	{Label: "dear", CPUs: 16, GPUs: 8, RAMGB: 128, Price: 16, SpotPrice: 6, StartupS: 40, Zones: []string{"z1"}},
+	{Label: "expensive", CPUs: 16, GPUs: 8, RAMGB: 128, Price: 16, SpotPrice: 6, StartupS: 40, Zones: []string{"z1"}},
 }
 
-// newDemand is the demand of a job of the kind for count tasks with a GPU each;
-// arrays may use spot machines.
+// newDemand returns the demand of a job of the kind for count tasks with one GPU each. Arrays
+// may use spot machines.
 func newDemand(kind string, count int) Demand {
 	spec := &wire.JobSpec{
 		ID:       "wk-1",
@@ -36,13 +36,13 @@
 	return Demand{Job: &jobs.Job{ID: spec.ID, Record: record, Need: jobs.ResourcesPerTask(spec)}, Count: count}
 }
 
-// newLoad is the load of a number of tasks of such a job.
+// newLoad returns a load of tasks of the kind, as newDemand makes them.
 func newLoad(kind string, tasks float64) Load {
 	job := newDemand(kind, 1).Job
 	return Load{Tasks: tasks, Need: job.Need, Spec: job.Record.Spec}
 }
 
-// newInput has both roles active and no headroom.
+// newInput returns an input with both roles active and no headroom.
 func newInput(machines ...Machine) Input {
 	operator := config.DefaultOperator()
 	operator.ServiceHeadroom, operator.BatchHeadroom = 0, 0
@@ -57,7 +57,7 @@
 	}
 }
 
-// newMachine is an empty schedulable machine of type big in zone z1, idle for an hour.
+// newMachine returns an empty schedulable machine of type big in zone z1, idle for an hour.
 func newMachine(name string, role placement.Role, spot bool) Machine {
 	return Machine{
 		Name:        name,
@@ -69,9 +69,9 @@
 	}
 }
 
-// refuse notes that the cloud has just had no machine of any type, spot or
-// on-demand.
-func refuse(in Input, spot bool) {
+// markNoCapacity records that the cloud has just had no capacity for any type of spot machines,
+// or of on-demand machines if spot is false.
+func markNoCapacity(in Input, spot bool) {
 	for _, machineType := range testTypes {
 		for _, zone := range machineType.Zones {
 			in.LastNoCapacity[MachineKind{machineType.Label, zone, spot}] = t0
@@ -79,7 +79,7 @@
 	}
 }
 
-// totalCount is the number of machines to add.
+// totalCount returns the number of machines to add.
 func totalCount(scaleOuts []ScaleOut) int {
 	total := 0
 	for _, s := range scaleOuts {
@@ -88,7 +88,8 @@
 	return total
 }
 
-// wantScaleIn checks that one machine is terminated, for the reason; none if it is "".
+// wantScaleIn checks that exactly one machine is terminated, for the given reason, or none if
+// reason is "".
 func wantScaleIn(t *testing.T, in Input, reason, when string) {
 	t.Helper()
 	got := Plan(in).ScaleIn
--- a/internal/autoscale/scalein_test.go
+++ b/internal/autoscale/scalein_test.go
@@ -8,7 +8,7 @@
 	"wheatspur/wire"
 )
 
-func TestScaleInTakesUselessMachinesAndKeepsFloors(t *testing.T) {
+func TestScaleInTerminatesUnusableMachinesAndKeepsFloors(t *testing.T) {
 	slow := newMachine("slow", placement.Batch, true)
 	slow.Schedulable, slow.Booting, slow.Age = false, true, 101*time.Second
 	missing := newMachine("missing", placement.Batch, true)
@@ -23,19 +23,20 @@
 		reasons[s.Machine] = s.Reason
 	}
 	if len(reasons) != 4 || reasons["slow"] != ReasonSlowBoot || reasons["missing"] != ReasonNotListed || reasons["silent"] != ReasonSilent || reasons["quarantined"] != ReasonQuarantined {
-		t.Fatalf("scale in %v; the last machine of each role must stay", reasons)
+		t.Fatalf("scale in %v, want the four unusable machines and not the last machine of each role", reasons)
 	}
 }
 
 func TestScaleInKeepsHeadroom(t *testing.T) {
 	in := newInput(newMachine("s1", placement.Service, false), newMachine("s2", placement.Service, false))
 	in.Service = newLoad(wire.KindService, 4)
-	wantScaleIn(t, in, ReasonIdle, "an idle machine beside the floor")
-	in.Operator.ServiceHeadroom = 3 // twelve tasks: both machines
-	wantScaleIn(t, in, "", "headroom that takes both machines")
+	wantScaleIn(t, in, ReasonIdle, "idle machine above the floor")
+	in.Operator.ServiceHeadroom = 3 // room for 12 tasks, which takes both machines
+	wantScaleIn(t, in, "", "headroom needs both machines")
 }
 
-// Half-empty machines stayed to the end of the day.
+// Guards against service machines that stay half-empty for the rest of the day because only idle
+// machines are scaled in.
 func TestBusyMachineIsDrainedOnlyOnceSurplusForLongAndOneAtATime(t *testing.T) {
 	in := newInput()
 	for _, name := range []string{"a", "b", "c"} {
@@ -44,9 +45,9 @@
 		in.Machines = append(in.Machines, m)
 	}
 	in.Service = newLoad(wire.KindService, 6)
-	wantScaleIn(t, in, "", "at once")
+	wantScaleIn(t, in, "", "first plan")
 	in.Now = in.Now.Add(in.Operator.IdleOnDemand)
-	wantScaleIn(t, in, ReasonSurplus, "after a while")
+	wantScaleIn(t, in, ReasonSurplus, "surplus for the idle limit")
 	in.Draining = 1
-	wantScaleIn(t, in, "", "beside another that is being drained")
+	wantScaleIn(t, in, "", "another machine is draining")
 }
--- a/internal/autoscale/scaleout_test.go
+++ b/internal/autoscale/scaleout_test.go
@@ -16,23 +16,23 @@
 	out := Plan(in)
 	for _, s := range out.ScaleOut {
 		if !s.Kind.Spot || s.Kind.MachineType != "big" || s.Role != placement.Batch {
-			t.Fatalf("added %+v", s)
+			t.Fatalf("scale out %+v, want batch spot machines of type big", s)
 		}
 	}
 	if n := totalCount(out.ScaleOut); n != 2 {
-		t.Fatalf("%d machines of 8 for 12 tasks", n)
+		t.Fatalf("added %d machines with room for 8 tasks each for 12 tasks, want 2", n)
 	}
-	refuse(in, true)
+	markNoCapacity(in, true)
 	if out = Plan(in); len(out.ScaleOut) != 0 {
-		t.Fatalf("on-demand machines at once for work that may wait for spot ones: %+v", out.ScaleOut)
+		t.Fatalf("on-demand machines added without waiting for spot capacity: %+v", out.ScaleOut)
 	}
 	in.Demands[0].Waiting = tuning.BatchOnDemandAfter
 	if out = Plan(in); len(out.ScaleOut) == 0 || out.ScaleOut[0].Kind.Spot {
-		t.Fatalf("no fallback: %+v", out.ScaleOut)
+		t.Fatalf("scale out %+v, want on-demand machines after BatchOnDemandAfter", out.ScaleOut)
 	}
 	in.Now = t0.Add(tuning.NoCapacityPause)
 	if out = Plan(in); len(out.ScaleOut) == 0 || !out.ScaleOut[0].Kind.Spot {
-		t.Fatalf("spot machines are not tried again: %+v", out.ScaleOut)
+		t.Fatalf("scale out %+v, want spot machines again after NoCapacityPause", out.ScaleOut)
 	}
 }
 
@@ -43,29 +43,29 @@
 	in.Demands = []Demand{newDemand(wire.KindService, 3)}
 	out := Plan(in)
 	if len(out.ScaleOut) != 1 || out.ScaleOut[0].Kind.Spot || out.ScaleOut[0].Role != placement.Service {
-		t.Fatalf("%+v", out.ScaleOut)
+		t.Fatalf("scale out %+v, want one on-demand service machine", out.ScaleOut)
 	}
 	booting.Role = placement.Service
 	in.Machines = []Machine{booting}
 	if out = Plan(in); len(out.ScaleOut) != 0 {
-		t.Fatalf("added beside a machine that boots for it: %+v", out.ScaleOut)
+		t.Fatalf("scale out %+v although a booting machine has room", out.ScaleOut)
 	}
 }
 
-// Work that no pass has tried to place takes the free machines first; nothing is
-// added for what they hold, and the rest is not left for later.
+// Tasks that no scheduling pass has tried to place use free machines first. Machines are added
+// at once for those that do not fit, and for no others.
 func TestUnscheduledDemandScalesOutOnlyBeyondFreeRoom(t *testing.T) {
 	in := newInput(newMachine("a", placement.Batch, true), newMachine("b", placement.Batch, true))
 	demand := newDemand(wire.KindArray, 20)
 	demand.NotScheduledYet = true
 	in.Demands = []Demand{demand}
 	if n := totalCount(Plan(in).ScaleOut); n != 1 {
-		t.Fatalf("%d machines of 8 added for 20 tasks beside 16 free places", n)
+		t.Fatalf("added %d machines with room for 8 tasks each for 20 tasks, with room for 16 on free machines; want 1", n)
 	}
 }
 
-// Most machines of a zone are late with their heartbeats: it seems to have the
-// fewest that are schedulable.
+// Guards against scaling out in an unreachable zone: most of its machines are late with their
+// heartbeats, so it has the fewest schedulable ones and would be chosen to spread machines.
 func TestNothingScalesOutInUnreachableZoneWhileOthersHaveCapacity(t *testing.T) {
 	in := newInput()
 	in.Demands = []Demand{newDemand(wire.KindService, 24)}
@@ -83,25 +83,26 @@
 		return counts
 	}
 	if counts := countByZone(); counts["z1"] != 0 || counts["z2"] != 3 {
-		t.Fatalf("added %v, z1 is unreachable", counts)
+		t.Fatalf("added %v by zone, want 3 in z2 since z1 is unreachable", counts)
 	}
 	in.LastNoCapacity[MachineKind{"big", "z2", false}] = t0
 	if counts := countByZone(); counts["z1"] != 3 {
-		t.Fatalf("added %v: nothing is left but z1", counts)
+		t.Fatalf("added %v by zone, want 3 in z1 since z2 has no capacity", counts)
 	}
 }
 
-// Tasks waited two and a half boots for a machine that never came up.
+// Guards against tasks that wait for a machine that never boots until it is terminated, which
+// takes 2.5 boot times.
 func TestLateBootIsReplacedBeforeItIsTerminated(t *testing.T) {
 	late := newMachine("late", placement.Service, false)
 	late.Schedulable, late.Booting, late.Age = false, true, 59*time.Second
 	in := newInput(late)
 	in.Demands = []Demand{newDemand(wire.KindService, 3)}
 	if out := Plan(in); len(out.ScaleOut) != 0 {
-		t.Fatalf("replaced within the usual time: %+v", out.ScaleOut)
+		t.Fatalf("machine replaced within the usual boot time: %+v", out.ScaleOut)
 	}
 	in.Machines[0].Age = 61 * time.Second
 	if out := Plan(in); len(out.ScaleOut) != 1 || len(out.ScaleIn) != 0 {
-		t.Fatalf("a late boot: %+v", out)
+		t.Fatalf("late boot: %+v, want one machine added and none terminated", out)
 	}
 }
