--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,479 +1,550 @@
-// Package tuning holds the service's constants, each with its unit and its reason.
-// What an operator may change has a key in config.Operator and takes its
-// default from here. It holds no logic, and nothing specific to a site.
+// Package tuning holds the constants of the service, each with its unit and its reason.
+// Settings that an operator may change have a key in config.Operator and take their
+// default from here. The package contains no logic and nothing specific to a site.
 package tuning
 
 import "time"
 
-// Version is the version of the program.
+// Version is the program version that the status page, metrics and session records show.
 const Version = "0.3.0"
 
 // Membership and the key-value store.
 const (
-	// SessionTTL is how long a controller's lease in the store lasts without a
-	// renewal. Short, so that the machines of a controller that has failed pass on
-	// within seconds; long enough for a renewal that takes a few hundred milliseconds
-	// and one that is lost.
+	// SessionTTL is how long a controller's lease in the store lasts without a renewal.
+	// It is short, so that other controllers take over the machines of a failed one within
+	// seconds, and long enough for one lost renewal and one that takes a few hundred
+	// milliseconds.
 	SessionTTL = 3500 * time.Millisecond
-	// SessionRenewEvery is the pause between renewals: three tries fit in the TTL.
+	// SessionRenewEvery is the pause between renewals. It allows three tries within
+	// SessionTTL.
 	SessionRenewEvery = 1000 * time.Millisecond
-	// MembershipCheckEvery is the longest pause between two looks at the membership, and
-	// MembershipCheckPause the least, which batches what a watch brings.
+	// MembershipCheckEvery is the longest pause between two checks of the membership. Some
+	// changes follow from time alone, without a store event.
 	MembershipCheckEvery = 1000 * time.Millisecond
+	// MembershipCheckPause is the pause between a store event and the check of the
+	// membership that it triggers. It batches the events of a watch.
 	MembershipCheckPause = 10 * time.Millisecond
-	// StoreCallTimeout bounds one call to the store other than a watch or a page of a
-	// full read. The store usually answers in 10 ms, at times in a few hundred.
+	// StoreCallTimeout bounds one call to the store, other than a watch or a page of a full
+	// read. The store usually answers within 10 ms, and sometimes takes a few hundred.
 	StoreCallTimeout = 1500 * time.Millisecond
-	// WatchHold is how long a watch may stay open. Short, so that the send
-	// time of the last answered one stays recent enough to prove freshness.
+	// WatchHold is how long a watch may stay open. It is short because freshness is proven
+	// by the send time of the last answered watch, which must be recent.
 	WatchHold = 1000 * time.Millisecond
-	// WatchPause is the least time between two watches of a controller: it batches
+	// WatchPause is the shortest pause between two watches of a controller. It batches
 	// events and bounds the controller's share of the request budget.
 	WatchPause = 60 * time.Millisecond
-	// BarrierPause is the least time between two read barriers of a controller; all
-	// polls that arrive meanwhile share the next one.
+	// BarrierPause is the shortest pause between two read barriers of a controller. All
+	// polls that arrive in the meantime share the next barrier.
 	BarrierPause = 80 * time.Millisecond
-	// BarrierWait is how long a poll waits for its read barrier before it is
-	// refused. Users wait 2 s for an answer.
+	// BarrierWait is how long a poll waits for its read barrier before it is refused. Users
+	// wait 2 s for an answer.
 	BarrierWait = 1200 * time.Millisecond
-	// DecisionWait is how long a submission or cancellation waits for its
-	// durable write before it is refused. Users wait 5 s for an answer.
+	// DecisionWait is how long a submission or cancellation waits for its durable write
+	// before it is refused. Users wait 5 s for an answer.
 	DecisionWait = 3 * time.Second
-	// BudgetShare is the part of the store's published limits that the controllers
-	// plan to use; the rest absorbs clock drift and uneven shares.
+	// BudgetShare is the fraction of the published request limits of the store and the
+	// cloud that the controllers plan to use. The rest absorbs clock drift and uneven shares.
 	BudgetShare = 0.95
-	// BudgetQueue is how many calls may wait in a controller's limiter per class
-	// before new ones are refused at once.
+	// BudgetQueue is the number of calls per class that may wait in a controller's rate
+	// limiter. Further calls are refused at once, since they would wait too long.
 	BudgetQueue = 64
-	// ListPage is the number of keys per page of a full read: a page of
-	// values of the usual size stays under the store's 512 KiB.
+	// ListPage is the number of keys per page of a full read. A page of values of the usual
+	// size stays below the store's limit of 512 KiB.
 	ListPage = 400
-	// ChunkMax is the most tasks of a chunk record: several records fit one
-	// transaction of 64 KiB.
+	// ChunkMax is the largest number of tasks in a chunk record. It lets several records fit
+	// in one transaction of 64 KiB.
 	ChunkMax = 70
-	// MachinesPerGroup is the most machines whose records share a key: more save
-	// writes when a fleet starts, fewer fail less often by each other's writes.
+	// MachinesPerGroup is the largest number of machines whose records share a key. Larger
+	// groups save writes when a fleet starts; smaller ones have fewer write conflicts.
 	MachinesPerGroup = 32
-	// GroupsPerBatch is the most groups of machine records that are stored for
-	// one decision: a few seconds of the leader's budget.
+	// GroupsPerBatch is the largest number of groups of machine records stored for one
+	// decision. These writes use a few seconds of the leader's write budget.
 	GroupsPerBatch = 16
-	// GroupSplitsPerPlan is how many machine groups that are larger than the store
-	// will take the leader splits in one plan, two or more writes each, while nothing
-	// else changes them.
+	// GroupSplitsPerPlan is the number of groups of machine records above the store's size
+	// limit that the leader splits in one plan while nothing else changes them. Each split
+	// takes two or more writes.
 	GroupSplitsPerPlan = 2
-	// GroupFillShare is the part of the value limit that a group of machine
-	// records may fill.
+	// GroupFillShare is the fraction of the store's value size limit that a group of machine
+	// records may fill. The rest is a safety margin.
 	GroupFillShare = 0.9
-	// WriteReserve is the number of writes that claims and releases leave in the
-	// budget for submissions, which then never wait behind them.
+	// WriteReserve is the number of writes that claims and releases leave in the write
+	// budget, so that submissions never wait behind them.
 	WriteReserve = 1.0
-	// ReleaseGather is how long the ends of tasks of one chunk are gathered
-	// before they are stored in one write; a user expects a job's end within 3 s,
-	// so the write that ends a job goes at once.
+	// ReleaseGather is how long the ends of tasks of one chunk are collected before they are
+	// stored in one write. Users expect the end of a job within 3 s, so the write that ends
+	// a job is not delayed.
 	ReleaseGather = 1500 * time.Millisecond
-	// ReleaseOverdue is when a gathered release goes before new claims.
+	// ReleaseOverdue is how long a collected release may wait before it takes precedence
+	// over new claims, so that claims cannot delay it indefinitely.
 	ReleaseOverdue = 12 * time.Second
-	// RebalancePause separates two rebalances of a team's quota under the same
-	// membership: the two writes of each fail the admissions that are under way,
-	// and take from the write budget.
+	// RebalancePause is the shortest pause between two rebalances of a team's quota under
+	// the same membership. The two writes of a rebalance use the write budget and make
+	// admissions in progress fail.
 	RebalancePause = 3 * time.Second
-	// TransferPause separates two transfers of a team's share by the same controller:
-	// its last one is read, and used, by then.
+	// TransferPause is the shortest pause between two transfers of a team's share by the
+	// same controller. By then the taker has read and used the previous one.
 	TransferPause = 250 * time.Millisecond
-	// TransferPatience is how long transfers may try to end a shortfall before a
-	// team's quota is rebalanced: a few of them.
+	// TransferPatience is how long transfers may try to end a shortfall before the team's
+	// quota is rebalanced. It leaves time for a few transfers.
 	TransferPatience = 1200 * time.Millisecond
-	// ReserveAfter is how long work within a guarantee lacks room before its team's
-	// reservation is stored: a few passes, so that waits which end by themselves
-	// cost no write.
+	// ReserveAfter is how long work within a guarantee must lack capacity before its team's
+	// reservation is stored. It spans a few scheduling passes, so that shortages that end by
+	// themselves cost no write.
 	ReserveAfter = 3 * time.Second
-	// ReserveHold is how long a reservation stays once no work lacks room, so
-	// that a moment without does not begin the wait anew.
+	// ReserveHold is how long a reservation is kept once no work lacks capacity, so that a
+	// brief interruption does not restart the wait.
 	ReserveHold = 10 * time.Second
-	// ReservePause separates two changes of the reservations.
+	// ReservePause is the shortest pause between two changes of the reservations. It bounds
+	// the writes that they cost.
 	ReservePause = 2 * time.Second
-	// TransactionBytes is the most JSON that a transaction may hold; the store's
-	// limit is 64 KiB.
+	// TransactionBytes is the largest size of a transaction in bytes of JSON, with a margin
+	// below the store's limit of 64 KiB.
 	TransactionBytes = 48 << 10
-	// ComparesPerOperation times the store's limit on operations is the most
-	// compares that a transaction may have.
+	// ComparesPerOperation is the largest number of compares in a transaction, as a multiple
+	// of the store's limit on operations. It bounds the size of a transaction.
 	ComparesPerOperation = 4
-	// BytesPerKB converts the store's limits, which are in KiB.
+	// BytesPerKB is the number of bytes per unit of the store's size limits, which are in KiB.
 	BytesPerKB = 1024
-	// RetryPause separates tries after a rejection or a lost answer.
+	// RetryPause is the pause before a call to the store is retried after a rejection or a
+	// lost answer, so that retries do not use up the request budget.
 	RetryPause = 250 * time.Millisecond
-	// StoreStaleAfter is the time without a fresh read after which a controller takes
-	// the store for lost: two watches would have come back.
+	// StoreStaleAfter is the time without a fresh read after which a controller considers
+	// the store unavailable. Two watches would have returned by then.
 	StoreStaleAfter = 2500 * time.Millisecond
-	// MinRenewPause keeps renewals that are overdue from following each other without
-	// any pause.
+	// MinRenewPause is the shortest pause before a renewal, so that overdue renewals do not
+	// run in a busy loop.
 	MinRenewPause = time.Millisecond
-	// GroupSplitWrites is how many writes must be left in the budget for a plan to
-	// split groups of machine records that are too large: nothing waits for it.
+	// GroupSplitWrites is the number of writes that must be left in the budget for a plan to
+	// split oversized groups of machine records. Splits are not urgent.
 	GroupSplitWrites = 2
 )
 
 // Workers.
 const (
-	// DriftFactor bounds how much longer a second takes on another machine's
-	// steady clock (0.05% each way, doubled for the two clocks and rounded up).
+	// DriftFactor bounds the ratio between the lengths of a second on the steady clocks of
+	// two machines. Each may be off by 0.05% in either direction; doubled for two clocks and
+	// rounded up.
 	DriftFactor = 1.002
-	// LeaseMargin is added to every bound that rests on the expiry of a worker's
-	// lease: timers fire late on a busy processor.
+	// LeaseMargin is added to every bound that relies on the expiry of a worker's lease,
+	// because timers fire late on a busy processor.
 	LeaseMargin = 1500 * time.Millisecond
-	// CancelMargin is kept between the expiry of the last lease that a controller cut
-	// off from the store may renew and the cancellation limit. It covers the travel
-	// time of heartbeats, clock drift and late timers.
+	// CancelMargin is the time between the expiry of the last lease that a controller cut
+	// off from the store may renew and the cancellation limit. It covers network delays of
+	// heartbeats, clock drift and late timers.
 	CancelMargin = 4 * time.Second
-	// FencingStep is by how much an owner raises the fencing token of one of its
-	// machines to fence off commands that may still be under way there. Versions that
-	// know nothing of it take the next token after a membership's first: they must
-	// not come upon a raised one and take it for their own.
+	// FencingStep is the amount by which an owner raises the fencing token of one of its
+	// machines to fence off commands that may still be in flight to it. Program versions
+	// without such steps give the next membership the first token plus one, which must never
+	// equal a raised token.
 	FencingStep = 1 << 10
-	// TokenRange is how many tokens a membership has: room for fifteen steps.
+	// TokenRange is the number of fencing tokens of one membership. It has room for 15
+	// steps.
 	TokenRange = 16 * FencingStep
-	// WorkerCallTimeout bounds a direct command.
+	// WorkerCallTimeout bounds a direct call to a worker, because each call to a hanging
+	// worker holds a call slot until it ends.
 	WorkerCallTimeout = 2 * time.Second
-	// TokenAnnouncePause separates direct calls to one worker that does not answer.
+	// TokenAnnouncePause is the pause between direct calls that announce the fencing token to
+	// a worker that does not answer. It limits the call slots that such workers hold.
 	TokenAnnouncePause = 2 * time.Second
-	// ConfirmAfter is how long after an answer with a command a heartbeat must show
-	// its effect: workers drop answers after 4 s and send changes within half a
-	// second.
+	// ConfirmAfter is how long after an answer with a command a heartbeat must show the
+	// command's effect. Workers drop answers after 4 s and report changes within 0.5 s.
 	ConfirmAfter = 6 * time.Second
-	// UnresponsivePause separates direct calls that probe whether a machine whose
-	// heartbeats show no effect of any command receives commands again.
+	// UnresponsivePause is the pause between direct calls that probe whether a machine
+	// receives commands again after its heartbeats showed no effect of any. It limits the
+	// call slots that such machines hold.
 	UnresponsivePause = 5 * time.Second
-	// QuarantineLeases is after how many lease times a machine that sends heartbeats
-	// but takes no tasks is terminated.
+	// QuarantineLeases is the number of lease times after which a machine that sends
+	// heartbeats but accepts no tasks is terminated, so that short problems do not cost a
+	// machine.
 	QuarantineLeases = 2
-	// WorkerCallsMax is how many direct calls a controller has open at once; bounds
-	// sockets and memory.
+	// WorkerCallsMax is the largest number of direct calls that a controller has open at the
+	// same time. It bounds sockets and memory.
 	WorkerCallsMax = 32
-	// SilentHeartbeats is how many heartbeat intervals without any message make a
-	// machine unschedulable.
+	// SilentHeartbeats is the number of heartbeat intervals without a message after which a
+	// machine is unschedulable. A single lost heartbeat is
+	// usually tolerated.
 	SilentHeartbeats = 2.2
-	// MinUnreachable is the least time for which a controller that has told that it
-	// hears no worker owns no machines, so that a shaky network does not move them
-	// to and fro.
+	// MinUnreachable is the shortest time for which a controller that has reported that no
+	// worker reaches it owns no machines. It prevents an unstable network from moving
+	// machines back and forth.
 	MinUnreachable = 10 * time.Second
-	// ReachabilityProbes is the number of workers that such a controller probes.
+	// ReachabilityProbes is the number of workers that such a controller probes. One answer
+	// is enough, and several targets tolerate failed workers.
 	ReachabilityProbes = 4
-	// MachineFailuresMax is the number of failed tasks of different jobs, without
-	// a success between, after which a machine is taken for faulty.
+	// MachineFailuresMax is the number of failed tasks of different jobs, with no success in
+	// between, after which a machine is considered faulty. A single failure may be due to
+	// the job.
 	MachineFailuresMax = 2
-	// RetryBase and RetryCap bound the pause before a failed task is tried
-	// again; it doubles with each failure.
+	// RetryBase is the pause before a failed task is first retried. The pause doubles with
+	// each further failure, so that a task that keeps failing uses little capacity.
 	RetryBase = 500 * time.Millisecond
-	RetryCap  = 30 * time.Second
-	// RefusalPause keeps tasks off a machine that refused one for lack of capacity.
+	// RetryCap is the longest pause before a failed task is retried, so that it runs soon
+	// after the cause of its failures is gone. It is also the pause after the store rejected
+	// a write as malformed.
+	RetryCap = 30 * time.Second
+	// RefusalPause is how long no tasks are placed on a machine that refused one for lack of
+	// capacity, so that the task is not sent there again at once.
 	RefusalPause = 5 * time.Second
-	// ImagesKept bounds the images that a controller remembers per machine; how many
-	// the machine holds follows from its disk.
+	// ImagesKept is the largest number of images that a controller remembers per machine. It
+	// bounds memory; how many images the machine holds depends on its disk.
 	ImagesKept = 64
-	// TerminationNoticeFactor is the share of a spot notice that a task must be
-	// expected to fit in to be left running; notices run up to half short.
+	// TerminationNoticeFactor is the fraction of a spot termination notice in which a task
+	// must be expected to finish to be left running. The cloud may terminate the
+	// machine after only half of the notice.
 	TerminationNoticeFactor = 0.5
-	// MembershipSettle is how long after a change of the membership no worker is
-	// called only for it to acknowledge the fencing token: most do with their next
-	// heartbeat.
+	// MembershipSettle is how long after a membership change no worker is called only to
+	// have it acknowledge the fencing token. Most workers do so with their next heartbeat.
 	MembershipSettle = time.Second / 2
-	// SentCommandHeartbeats is how many heartbeat intervals a direct command is
-	// remembered: much longer than it keeps from being sent again.
+	// SentCommandHeartbeats is the number of heartbeat intervals for which a direct command
+	// is remembered, much longer than the interval for which it is not sent again.
 	SentCommandHeartbeats = 10
-	// ForgetLeases is how many leases after its last message the worker of a machine that
-	// is neither ours nor stored is forgotten: its lease has surely expired by then.
+	// ForgetLeases is the number of lease times without a message after which a controller
+	// forgets the worker of a machine that it does not own and that is not stored. The
+	// worker's lease has certainly expired by then.
 	ForgetLeases = 2
 )
 
 // Placement.
 const (
-	// TickEvery is the pause between passes when nothing happens.
+	// TickEvery is the longest pause between scheduling passes. Without events, passes are
+	// still needed for retries and timeouts.
 	TickEvery = 500 * time.Millisecond
-	// FullScanEvery is how often a pass looks at every machine, for what follows from
-	// time alone: the expiry of a lease, a machine that falls silent. Other passes
-	// look at those that something has changed for.
+	// FullScanEvery is the interval at which a scheduling pass checks every machine, because
+	// lease expiry and missing heartbeats follow from time alone. Other passes check only
+	// machines for which something changed.
 	FullScanEvery = 500 * time.Millisecond
-	// PassPause is the least time between two passes; it batches events.
+	// PassPause is the shortest pause between two scheduling passes. It batches events.
 	PassPause = 80 * time.Millisecond
-	// RecoveryQuietHeartbeats is how many heartbeat intervals without a start that
-	// waits end the recovery of a controller: what an outage has ended is released
-	// with the heartbeats, and claimed again after that.
+	// RecoveryQuietHeartbeats is the number of heartbeat intervals without a pending start
+	// after which a controller's recovery ends. Tasks that ended during an outage are
+	// released with the heartbeats and claimed again only after that.
 	RecoveryQuietHeartbeats = 2.0
-	// StartCallGrace is how long a direct call that holds a start may be under way
-	// before the answer to a heartbeat holds the start, too. Calls usually take
-	// milliseconds; one that takes longer may not arrive at all.
+	// StartCallGrace is how long a direct call with a start may be in flight before the
+	// answer to a heartbeat repeats the start. Calls usually take milliseconds, and one that
+	// takes longer may never arrive.
 	StartCallGrace = 500 * time.Millisecond
-	// RecoveryHeartbeats is how many heartbeat intervals a machine has to send a
-	// heartbeat after a restarted controller became a member. One comes within one
-	// and a quarter, at a controller that redirects it, and again after the token has
-	// changed.
+	// RecoveryHeartbeats is the number of heartbeat intervals in which a machine has to send
+	// a heartbeat after a restarted controller became a member. One arrives within 1.25
+	// intervals, possibly at a controller that redirects it, and another after the fencing
+	// token has changed.
 	RecoveryHeartbeats = 4.0
-	// StallAfter is how long a loop of a controller may make no progress before the
-	// service manager's watchdog is no longer notified: a call to the store that
-	// waits for its whole timeout, several times over.
+	// StallAfter is how long a loop of a controller may make no progress before the service
+	// manager's watchdog is no longer notified. It covers several timeouts of calls to the
+	// store in a row.
 	StallAfter = 20 * time.Second
-	// ShutdownLimit is how long a graceful shutdown waits for what is under way: a
-	// decision write takes DecisionWait at most, and what follows from it once more.
+	// ShutdownLimit is how long a graceful shutdown waits for operations in progress. A
+	// decision write takes up to DecisionWait, and the operations that follow from it may
+	// take as long again.
 	ShutdownLimit = 8 * time.Second
-	// ShutdownPoll is how often a graceful shutdown looks whether all has ended.
+	// ShutdownPoll is the interval at which a graceful shutdown checks whether all operations
+	// have ended. It is short, so that the check hardly delays the exit.
 	ShutdownPoll = 20 * time.Millisecond
-	// ConflictPause is the mean wait after a placement lost a race for a record;
-	// jittered, so that two controllers don't conflict again.
+	// ConflictPause is the mean pause after a placement lost a write conflict. It is
+	// jittered, so that the same two controllers do not conflict again.
 	ConflictPause = 120 * time.Millisecond
-	// JobsPerPass bounds the jobs placed in one pass, and with them the processor time
-	// that it takes; all controllers together store fewer in a second.
+	// JobsPerPass is the largest number of jobs placed in one scheduling pass. It bounds the
+	// processor time of a pass; all controllers together store fewer jobs per second.
 	JobsPerPass = 24
-	// PassRest is how many times as long as a pass the controller rests after it:
-	// passes take little of its processor, and there is no more than a handful of
-	// writes a second to decide on.
+	// PassRest is the pause after a scheduling pass, as a multiple of the time that the pass
+	// took. Passes then use little processor time, and the write budget allows only a few
+	// writes per second to decide on anyway.
 	PassRest = 30
-	// PassPauseMax bounds that rest.
+	// PassPauseMax is the longest pause that PassRest may cause, so that a slow pass does not
+	// delay the next one for long.
 	PassPauseMax = 400 * time.Millisecond
-	// StarvedAfter is how long a job waits without any task started before nothing of
-	// its priority goes before it: half of the four minutes that users grant.
+	// StarvedAfter is how long a job waits without any task started before no job of the same
+	// priority is placed ahead of it. It is less than half of the 4 minutes that users accept.
 	StarvedAfter = 100 * time.Second
-	// GuaranteePreemptAfter is how long work within a guarantee waits before another
-	// team's borrowed work is preempted for it: by then the cloud has had time for
-	// two boots.
+	// GuaranteePreemptAfter is how long work within a guarantee waits before borrowed work of
+	// another team is preempted for it. By then the cloud has had time for two machine boots.
 	GuaranteePreemptAfter = 120 * time.Second
-	// PreemptPause is how long a controller waits, after it preempted tasks for a job,
-	// before it preempts more for it: a stop, its heartbeat and the next claim.
+	// PreemptPause is how long a controller waits after preempting tasks for a job before it
+	// preempts more for the same job. It covers a task stop, the heartbeat that reports it
+	// and the next claim.
 	PreemptPause = 8 * time.Second
-	// DependencyStartDelay is what passes between the end of a job and the first start of one that
-	// depends on it: the end is stored, seen, and the next job placed, claimed and
-	// started.
+	// DependencyStartDelay is the time between the end of a job and the first start of a job
+	// that depends on it. It covers storing and observing the end, and placing, claiming and
+	// starting the next job.
 	DependencyStartDelay = 3 * time.Second
-	// TasksPerMachine bounds the tasks of a machine, and the commands of an answer to
-	// it: a heartbeat with twice as many, exited ones among them, holds 64 KiB, the
-	// most that a message may.
+	// TasksPerMachine is the largest number of tasks on a machine, and of commands in an
+	// answer to it. A heartbeat with twice as many tasks, exited ones included, takes
+	// 64 KiB, the size limit of a message.
 	TasksPerMachine = 400
-	// TasksPerJob bounds the tasks of one job that a pass tries to place.
+	// TasksPerJob is the largest number of tasks of one job that a scheduling pass tries to
+	// place. It bounds the processor time of a pass.
 	TasksPerJob = 128
-	// MaxRetryDoublings bounds how often the pause before a task's next try doubles:
-	// RetryCap is reached long before, and the shift can't overflow.
+	// MaxRetryDoublings is the largest number of times that the pause before a task's retry
+	// doubles. RetryCap is reached long before, and the shift cannot overflow.
 	MaxRetryDoublings = 10
-	// MaxEvictionTries bounds the tasks for which a pass looks for another machine.
+	// MaxEvictionTries is the largest number of tasks for which a scheduling pass searches
+	// another machine. It bounds the processor time of a pass.
 	MaxEvictionTries = 16
 )
 
-// Role control. The design's figures; those marked ours may be tuned by the
-// operator.
+// Role control. Most values are those of the role control design.
 const (
-	// RoleStep is the pause between evaluations of adjacent splits.
+	// RoleStep is the interval between evaluations of adjacent role splits, as the role
+	// control design sets it.
 	RoleStep = 5 * time.Second
-	// RoleExpand is the batch load at which a mixed-pressure move may start, which
-	// takes a machine from services that are under load, too.
+	// RoleExpand is the batch load (ratio) from which a mixed-pressure move may start. From
+	// 1 on, batch work is expected to miss its start-time target, which justifies taking a
+	// machine from services that are under load as well.
 	RoleExpand = 1.0
-	// RoleShrink is the most load that a consolidation leaves on its source.
+	// RoleShrink is the highest load (ratio) that a consolidation may leave on its source
+	// role, so that the source keeps spare capacity.
 	RoleShrink = 0.5
-	// RoleMargin is the least drop in the worst ratio that a move must bring.
+	// RoleMargin is the smallest drop in the worst load ratio that justifies a move. It
+	// prevents moves with little gain.
 	RoleMargin = 0.05
-	// RoleConfirmations is the number of matching proposals before a move.
+	// RoleConfirmations is the number of matching proposals in a row that a move needs, so
+	// that a short peak does not move a machine.
 	RoleConfirmations = 3
-	// RoleCooldown is the least time between batch-to-service moves.
+	// RoleCooldown is the shortest pause between batch-to-service moves, so that one move
+	// takes effect before the next.
 	RoleCooldown = 10 * time.Second
-	// MinRoleEvidence closes the evidence window with RoleEvidenceArrivals
-	// (ours; the document's is 60 s).
+	// MinRoleEvidence is the age at which the evidence window closes if it has
+	// RoleEvidenceArrivals. It is shorter than the 60 s of the role control design, so that
+	// moves to batch wait less.
 	MinRoleEvidence = 20 * time.Second
-	// MaxRoleEvidence closes it without them (ours; the document's is 120 s).
+	// MaxRoleEvidence is the age at which the evidence window closes even without enough
+	// arrivals. It is shorter than the 120 s of the role control design, so that moves to
+	// batch wait less.
 	MaxRoleEvidence = 40 * time.Second
-	// RoleEvidenceArrivals is the number of arrivals that closes the window early.
+	// RoleEvidenceArrivals is the number of service arrivals that closes the evidence window
+	// early. Fewer say too little about demand.
 	RoleEvidenceArrivals = 10
-	// RoleDemandRise is the tolerated rise of short over long demand.
+	// RoleDemandRise is the tolerated rise of short-term over long-term service demand, as a
+	// fraction. With a higher rise services keep their machines.
 	RoleDemandRise = 0.25
-	// RoleShortWindow and RoleLongWindow are the horizons of that test: the
-	// evidence window (ours) and the document's demand window.
+	// RoleShortWindow is the window over which short-term demand is measured. It matches
+	// MinRoleEvidence.
 	RoleShortWindow = 20 * time.Second
-	RoleLongWindow  = 120 * time.Second
-	// RoleUsable is the share of a machine that counts as usable for services.
+	// RoleLongWindow is the window over which long-term demand is measured: the demand window
+	// of the role control design.
+	RoleLongWindow = 120 * time.Second
+	// RoleUsable is the fraction of a machine that counts as usable for services, because
+	// tasks rarely fill a machine completely.
 	RoleUsable = 0.8
-	// RoleFloor is the number of machines each role keeps.
+	// RoleFloor is the number of machines that each role keeps, so that new work of an active
+	// role need not wait for a boot.
 	RoleFloor = 1
-	// RoleLapse is how long after its last open job a role needs neither floor nor
-	// headroom: an idle machine costs as much as a busy one.
+	// RoleLapse is how long after its last open job a role needs no floor and no headroom any
+	// more. It is short because an idle machine costs as much as a busy one.
 	RoleLapse = 25 * time.Second
-	// RoleStartTarget is the start-time target of batch work where the
-	// settings state none (ours).
+	// RoleStartTarget is the default start-time target of batch work, for settings that
+	// state none.
 	RoleStartTarget = 15 * time.Second
 )
 
 // Cloud.
 const (
-	// CloudCallTimeout bounds one call to the cloud.
+	// CloudCallTimeout bounds one call to the cloud, so that a hanging call does not block
+	// the leader's loop for long.
 	CloudCallTimeout = 4 * time.Second
-	// ListEvery is the pause between reads of the machine list, longer for a list of
-	// more than three pages: a quarter of the smallest published call budget. A spot
-	// machine that the cloud took without a notice shows here first.
+	// ListEvery is the pause between reads of the machine list; lists of more than three
+	// pages are read less often. The reads take a quarter of the smallest published call
+	// budget. A spot machine that the cloud reclaims without notice is first noticed here.
 	ListEvery = 2 * time.Second
-	// TypesEvery is the pause between reads of the machine types; spot prices
-	// move slowly.
+	// TypesEvery is the pause between reads of the machine types. Spot prices change slowly.
 	TypesEvery = 60 * time.Second
-	// PlanEvery is the pause between autoscaling decisions.
+	// PlanEvery is the pause between autoscaling decisions. It adds little to the time that a
+	// machine takes to boot.
 	PlanEvery = 1 * time.Second
-	// NoCapacityPause keeps a type in a zone, spot or on-demand, out of the plan after
-	// the cloud had no capacity for it.
+	// NoCapacityPause is how long a machine type in a zone, either spot or on-demand, is not
+	// requested again after the cloud had no capacity for it. Other kinds are tried
+	// meanwhile.
 	NoCapacityPause = 20 * time.Second
-	// SlowBootFactor times a type's boot time is when a machine without a heartbeat is
-	// terminated: the usual range ends at 1.5.
+	// SlowBootFactor is the multiple of a type's boot time after which a machine without a
+	// heartbeat is terminated. Usual boots take up to 1.5 times the boot time.
 	SlowBootFactor = 2.5
-	// MinSlowBoot is the least such time.
+	// MinSlowBoot is the shortest time after which such a machine is terminated, for types
+	// with a very short boot time.
 	MinSlowBoot = 20 * time.Second
-	// LateBootFactor times a type's boot time is when a machine no longer
-	// counts as coming: the end of the usual range.
+	// LateBootFactor is the multiple of a type's boot time after which a booting machine is
+	// no longer expected to come up. Usual boots take up to 1.5 times the boot time.
 	LateBootFactor = 1.5
-	// IdleSpot and IdleOnDemand are how long a surplus machine stays before it is
-	// terminated; a terminated machine costs at least 60 s, and a new one a boot.
-	IdleSpot     = 25 * time.Second
+	// IdleSpot is how long a surplus spot machine is kept before it is terminated. A machine
+	// is billed for at least 60 s, and a replacement costs a boot.
+	IdleSpot = 25 * time.Second
+	// IdleOnDemand is how long a surplus on-demand machine is kept before it is terminated. A
+	// machine is billed for at least 60 s, and a replacement costs a boot.
 	IdleOnDemand = 30 * time.Second
-	// BatchOnDemandAfter is how long a task that may use spot machines waits before
-	// an on-demand one, several times as expensive, is scaled out for it.
+	// BatchOnDemandAfter is how long a task that may use spot machines waits before an
+	// on-demand machine, which is several times as expensive, is added for it.
 	BatchOnDemandAfter = 15 * time.Second
-	// ListLagFactor times the list's lag is how long after its first listing a
-	// machine's absence from a list starts to count; the lag at times doubles.
+	// ListLagFactor is the multiple of the list's lag after which, counted from a machine's
+	// first listing, its absence from a list counts. The lag sometimes doubles.
 	ListLagFactor = 3
-	// MissingLists is the number of lists in a row that must omit a machine that was
-	// listed before it is taken to be gone, and terminated to be certain.
+	// MissingLists is the number of lists in a row that must omit a machine before it is
+	// considered gone and is terminated to make sure. A single list may be outdated.
 	MissingLists = 2
-	// MissingHeartbeats is how many heartbeat intervals a machine that lists omit must
-	// be silent: heartbeats come up to a quarter late, so one was missed.
+	// MissingHeartbeats is the number of heartbeat intervals for which a machine that lists
+	// omit must be silent. Heartbeats are up to a quarter of an interval late, so one was
+	// missed.
 	MissingHeartbeats = 1.25
-	// TerminateMax is the most machines named in one call to terminate.
+	// TerminateMax is the largest number of machines in one terminate call. It bounds the
+	// size of the call.
 	TerminateMax = 100
-	// ScaleOutMax is the most machines asked for in one call.
+	// ScaleOutMax is the largest number of machines in one scale-out call. It bounds the size
+	// of the call.
 	ScaleOutMax = 50
-	// DrainableTries is how many half-empty service machines a plan looks at, at
-	// least; in a large fleet, as many as may drain at once.
+	// DrainableTries is the smallest number of partly used service machines that a plan checks
+	// for draining; in a large fleet it checks as many as may drain at the same time. It
+	// bounds the processor time of a plan.
 	DrainableTries = 6
-	// DrainGroups is how many groups of machine records one plan may write to
-	// terminate idle machines, and DrainGroupsMax how many while the write budget
-	// has room.
-	DrainGroups    = 2
+	// DrainGroups is the number of groups of machine records that one plan may write to
+	// terminate idle machines, even with little write budget left. Each group costs a write.
+	DrainGroups = 2
+	// DrainGroupsMax is the same limit while the write budget has room, so that one plan
+	// leaves writes to others.
 	DrainGroupsMax = 6
-	// DrainingShare is the part of the service machines that may drain at once, at
-	// least one machine; each owner still moves its tasks one by one.
+	// DrainingShare is the fraction of the service machines that may drain at the same time,
+	// with a minimum of one machine. It limits the tasks that move; each owner moves its
+	// tasks one by one.
 	DrainingShare = 0.03
-	// TerminatedKept is how long the leader remembers that a machine was terminated,
-	// while lists that are late still show it.
+	// TerminatedKept is how long the leader remembers that it terminated a machine, because
+	// outdated lists still show it.
 	TerminatedKept = 60 * time.Second
-	// ServiceHeadroom is the spare service capacity kept, as a share of what
-	// services hold.
+	// ServiceHeadroom is the spare service capacity, as a fraction of the tasks that services
+	// run. It lets new service tasks start without waiting for a boot.
 	ServiceHeadroom = 0.12
-	// LateBootShare is the share of machines that take much longer to boot than usual,
-	// and LateBootSpread how many standard deviations of their number are scaled out
-	// beside it: each machine costs a minute's price if all boot in time.
-	LateBootShare  = 0.1
+	// LateBootShare is the expected fraction of machines that take much longer to boot than
+	// usual. Capacity for their tasks is added in advance.
+	LateBootShare = 0.1
+	// LateBootSpread is the number of standard deviations added to the expected number of
+	// late machines. More would cost more, since each extra machine costs a minute's price
+	// even if all boot in time.
 	LateBootSpread = 1.2
-	// BatchHeadroom is the spare batch capacity kept, as a share of the mean
-	// of what batch holds.
+	// BatchHeadroom is the spare batch capacity, as a fraction of the mean number of batch
+	// tasks. It lets new batch tasks start without waiting for a boot.
 	BatchHeadroom = 0.25
-	// BatchHeadroomJobs is the least headroom for batch, in job arrays of the mean
-	// size: arrays arrive whole, and most are smaller than this. The headroom is of
-	// spot machines only, which are cheap.
+	// BatchHeadroomJobs is the smallest batch headroom, in job arrays of the mean size. All
+	// tasks of an array arrive at once, and most arrays are smaller than this. Work that
+	// may use spot machines gets its headroom there, where it is cheap.
 	BatchHeadroomJobs = 1.5
-	// BatchSizeAlpha is the weight of a new job array in that mean.
+	// BatchSizeAlpha is the weight of a new job array in the moving average of array sizes.
+	// It is small, so that a single large array changes the average little.
 	BatchSizeAlpha = 0.1
-	// BatchHeadroomHold is how long after the last job array this headroom stays.
+	// BatchHeadroomHold is how long after the last job array BatchHeadroomJobs applies, so
+	// that an array that follows soon need not wait for a boot.
 	BatchHeadroomHold = 60 * time.Second
-	// BatchWindow is the horizon over which that mean is taken.
+	// BatchWindow is the time constant of the mean number of batch tasks from which
+	// BatchHeadroom is computed. It smooths short peaks.
 	BatchWindow = 60 * time.Second
-	// ListStaleAfter is how old the cloud's list may be for a plan to scale by it:
-	// the time of a few reads that failed.
+	// ListStaleAfter is the largest age of the cloud's machine list with which a plan may add
+	// or terminate machines. It allows a few failed reads.
 	ListStaleAfter = 5 * ListEvery
-	// SilentLeases is after how many worker leases without being heard a machine that
-	// was up counts as dead, and is terminated to make sure. More than one, since
-	// terminating a machine that lives ends its tasks.
+	// SilentLeases is the number of worker leases without a message after which a machine
+	// that was up is considered failed and is terminated to make sure. It is more than one,
+	// because terminating a live machine ends its tasks.
 	SilentLeases = 2
-	// ScaleOutListedWithin is how long after its request a machine counts as scaling
-	// out although no list has shown it.
+	// ScaleOutListedWithin is how long after its request a machine counts as booting although
+	// no list has shown it. Lists lag behind.
 	ScaleOutListedWithin = time.Minute
-	// ListPagesPerInterval is how many pages of the machine list are read in
-	// ListEvery: each page takes a call of the cloud's budget.
+	// ListPagesPerInterval is the number of pages of the machine list that are read per
+	// ListEvery, because each page takes one call from the cloud's call budget.
 	ListPagesPerInterval = 2
 )
 
-// Calls to others.
+// Outgoing calls.
 const (
-	// DialTimeout bounds a connection attempt; a machine behind a network partition
+	// DialTimeout bounds a connection attempt, because a machine behind a network partition
 	// does not even refuse it.
 	DialTimeout = 1 * time.Second
-	// MaxResponse is the largest response read, in bytes; a watch response has
-	// no limit of its own.
+	// MaxResponse is the largest response that is read, in bytes. It bounds memory; the
+	// protocol sets no limit for a watch response.
 	MaxResponse = 64 << 20
-	// StoreConns and CloudConns bound the connections to the store and to the cloud.
+	// StoreConns is the largest number of connections to the store. It bounds sockets.
 	StoreConns = 48
+	// CloudConns is the largest number of connections to the cloud. It bounds sockets; calls
+	// to the cloud are rare.
 	CloudConns = 6
-	// WorkerConns bounds the connections to one worker, and WorkerIdle how long they
-	// stay open: the next call to the same worker is seldom near, and at a hundred
-	// calls a second, which one controller makes when the others have failed, five
-	// seconds were more sockets than are left for its own calls.
+	// WorkerConns is the largest number of connections to one worker. It bounds sockets.
 	WorkerConns = 2
-	WorkerIdle  = 1 * time.Second
+	// WorkerIdle is how long an idle connection to a worker stays open, since the next call to
+	// the same worker is rarely soon. At 100 calls per second, which one controller makes when
+	// the others have failed, 5 s took more sockets than are left for its own calls.
+	WorkerIdle = 1 * time.Second
 )
 
-// Front ends.
+// Servers and peer communication.
 const (
-	// ReadTimeout bounds the reading of one request.
+	// ReadTimeout bounds the reading of one request, so that slow clients do not hold
+	// connections.
 	ReadTimeout = 5 * time.Second
-	// IdleTimeout closes connections that carry nothing; longer than the pause between
-	// two polls or heartbeats.
+	// IdleTimeout is how long an idle connection stays open. It is longer than the pause
+	// between two polls or heartbeats, which then reuse their connection.
 	IdleTimeout = 30 * time.Second
-	// WriteTimeout bounds the writing of one answer.
+	// WriteTimeout bounds the writing of one answer, so that slow clients do not hold
+	// connections.
 	WriteTimeout = 3 * time.Second
-	// RefuseTimeout bounds the answer to a connection beyond the limit.
+	// RefuseTimeout bounds the answer to a connection beyond the limit, so that it does not
+	// delay the next connection.
 	RefuseTimeout = 200 * time.Millisecond
-	// IntakeQueue is how many submissions may wait for their durable write at
-	// once; more are refused with RetryAfter.
+	// IntakeQueue is the number of submissions that may wait for their durable write at the
+	// same time. Further ones are refused with RetryAfter, since they would wait too long.
 	IntakeQueue = 48
-	// IntakeLanes is how many writes of submissions a controller has under way: a slow
-	// answer of the store does not hold up the next.
+	// IntakeLanes is the number of submission writes that a controller has in flight, so that
+	// a slow answer of the store does not delay the next write.
 	IntakeLanes = 3
-	// IntakeGroup is the most submissions that one record holds.
+	// IntakeGroup is the largest number of submissions in one record. It bounds the size of
+	// the write.
 	IntakeGroup = 32
-	// PollQueue is how many polls may wait for a read barrier at once.
+	// PollQueue is the number of polls that may wait for a read barrier at the same time. It
+	// bounds memory.
 	PollQueue = 256
-	// RetryAfter is what refused users are told to wait, in seconds.
+	// RetryAfter is the number of seconds after which refused users are told to retry. It
+	// spreads their retries without a long delay.
 	RetryAfter = 2
-	// PeerEvery is the pause between two exchanges of status with a sibling.
+	// PeerEvery is the pause between two exchanges of status with a sibling controller.
+	// Several fit within PeerFresh, so that a lost one does no harm.
 	PeerEvery = 700 * time.Millisecond
-	// MachineStatusEvery is how often a controller looks over its machines for what has
-	// changed for its siblings.
+	// MachineStatusEvery is the shortest interval at which a controller collects the changes
+	// of its machines' status for its siblings. It bounds the processor time that this takes.
 	MachineStatusEvery = 300 * time.Millisecond
-	// PeerTimeout bounds one exchange.
+	// PeerTimeout bounds one exchange of status, so that a hanging sibling does not delay the
+	// next try for long.
 	PeerTimeout = 1 * time.Second
-	// PeerConns bounds the connections to one sibling; forwarded requests
-	// beyond it are refused at once.
+	// PeerConns is the largest number of connections to one sibling. It bounds sockets;
+	// forwarded requests beyond it are refused at once.
 	PeerConns = 16
-	// ForwardTimeout bounds a user's request that is forwarded to a sibling: with a
-	// barrier's wait before it, a poll still ends within 2 s.
+	// ForwardTimeout bounds a user request that is forwarded to a sibling. Together with a
+	// preceding barrier wait, a poll still ends within 2 s.
 	ForwardTimeout = 1500 * time.Millisecond
-	// PeerFresh is how long a sibling's status counts as current.
+	// PeerFresh is how long a sibling's status is considered current. It allows a few lost
+	// exchanges.
 	PeerFresh = 3 * time.Second
-	// ConnectionShare is the share of the socket limit that the user and worker
-	// side may hold; the rest is for our own calls.
+	// ConnectionShare is the fraction of the connection limit that users and workers may use.
+	// The rest is for the controller's own calls.
 	ConnectionShare = 0.8
-	// CrowdedConnShare is the share of those connections from which workers'
-	// connections are closed after each heartbeat.
+	// CrowdedConnShare is the fraction of those connections in use above which workers'
+	// connections are closed after each heartbeat, so that users and health checks still find
+	// free ones.
 	CrowdedConnShare = 0.6
-	// MemoryShare is the share of the memory limit given to the Go runtime as
-	// its soft limit; the rest covers the binary, stacks and the C library.
+	// MemoryShare is the fraction of the memory limit given to the Go runtime as its soft
+	// limit. The rest is for the binary, stacks and the C library.
 	MemoryShare = 0.65
-	// GCPercent is how much garbage, as a share of the live memory, may pile
-	// up below that limit before it is collected.
+	// GCPercent is the amount of garbage, in percent of the live memory, that may accumulate
+	// below that limit before it is collected. Processor time is scarcer than memory.
 	GCPercent = 400
-	// PeerViewLifetimes is for how many times as long as a status the last view of a sibling's
-	// machines tells when they were heard.
+	// PeerViewLifetimes is the multiple of PeerFresh for which the last view of a sibling's
+	// machines is used to tell when they were last heard. That information stays useful for
+	// longer than the status.
 	PeerViewLifetimes = 5
-	// StoreLostAfter is how long after its last read this controller seems to have
-	// lost the store: two watches have gone unanswered.
+	// StoreLostAfter is how long after its last read from the store a controller assumes
+	// that it has lost the store, and forwards requests that it cannot serve. Two watches have
+	// gone unanswered by then.
 	StoreLostAfter = 2 * WatchHold
-	// PeerConnectionsEach is how many connections of each sibling there is room for:
-	// twice as many as it opens at a time.
+	// PeerConnectionsEach is the number of connections that the peer server accepts per
+	// sibling: twice as many as a sibling opens at the same time, so that reconnects find room.
 	PeerConnectionsEach = 2 * PeerConns
-	// MaxPeerBody bounds a message of a sibling. Its status lists its machines.
+	// MaxPeerBody is the largest message from a sibling, in bytes. It leaves room for the
+	// list of the sibling's machines in its status.
 	MaxPeerBody = 1 << 20
-	// MinConnections is the least a server has room for, whatever the settings say.
+	// MinConnections is the smallest number of connections for which a server has room,
+	// whatever the settings say, so that it always remains reachable.
 	MinConnections = 8
-	// ConnectionBufferBytes is the size of each of a connection's two buffers. It bounds
-	// the header of a request.
+	// ConnectionBufferBytes is the size of each of a connection's two buffers, in bytes. It
+	// bounds the header of a request.
 	ConnectionBufferBytes = 4096
 )
