--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,10 +1,10 @@
-// Package logging names the events and the keys of the log, so that each thing is
-// called the same in every line. Lines are written with log/slog: an event as the
-// message, keys in snake_case. Operators' searches and alerts rely on the values; the
-// level and the keys of a line are chosen where it is written.
+// Package logging defines the events and attribute keys of the log, so that every line uses
+// the same names. Lines are written with log/slog: the message is an event, and keys are in
+// snake_case. Operators' searches and alerts rely on these values. The code that writes a
+// line chooses its level and its keys.
 package logging
 
-// Events: each is the message of a line, and says what has happened.
+// Events are the messages of log lines. Each states what has happened.
 const (
 	EventClaimsNotAdmitted          = "claims not admitted"
 	EventCompareAndSwapFailed       = "compare-and-swap failed"
@@ -57,8 +57,8 @@
 	EventWatchdogIntervalUnreadable = "watchdog interval not readable"
 )
 
-// Keys of what a line says about its event. A key ends in the unit of its value, if it
-// has one: _s for seconds, _gb for gigabytes; durations are written with their unit.
+// Keys are the attribute keys of log lines. A key ends in the unit of its value, if any: _s
+// for seconds, _gb for gigabytes. Values of type time.Duration are written with their unit.
 const (
 	KeyAddress         = "address"
 	KeyAttempt         = "attempt"
