--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,5 +1,5 @@
-// Package timing has pauses that a context can end, and jitter for them. It owns
-// no clock: what decides by the time takes it as an argument.
+// Package timing provides pauses that end with a context, and jitter for pauses. It has no
+// clock of its own: code that makes decisions based on the time takes it as an argument.
 package timing
 
 import (
