--- a/internal/autoscale/types.go
+++ b/internal/autoscale/types.go
@@ -62,7 +62,7 @@
 
 // Load describes the tasks of a role, from which its headroom is derived.
 type Load struct {
-	Tasks        float64        // tasks on machines now; for batch, the mean over time
+	Tasks        float64        // tasks on machines or waiting for one; for batch, a mean over time of those on machines
 	MinTasks     int            // least number of tasks that the headroom has room for
 	AwaitingBoot float64        // tasks that wait for machines to boot
 	Need         jobs.Resources // resources of a typical task
