--- a/internal/autoscale/lateboot_test.go
+++ b/internal/autoscale/lateboot_test.go
@@ -6,7 +6,7 @@
 	"wheatspur/wire"
 )
 
-// Some machines boot late. A reserve proportional to the scale-out would be too large for a
+// A few machines in ten boot late. A reserve proportional to the scale-out would be too large for a
 // small scale-out or too small for a large one.
 func TestLateBootReserveGrowsSlowerThanScaleOut(t *testing.T) {
 	job := newDemand(wire.KindService, 8).Job
