--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -82,7 +82,7 @@
 }
 
 // ErrRestart says that changed properties need a restart.
-var ErrRestart = errors.New("keys other than log.level have changed, which needs a restart")
+var ErrRestart = errors.New("changes to keys other than log.level require a restart")
 
 // Reloaded returns what a running process takes over of a changed properties file:
 // log.level. If another key has changed, it returns o itself and ErrRestart.
