--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -10,13 +10,13 @@
 	"wheatspur/internal/tuning"
 )
 
-// check returns the first fault, with the field's name.
+// check returns an error for the first invalid field, prefixed with the field's name.
 func (s *Settings) check() error {
 	checks := []func() error{
 		s.checkAddresses,
 		s.checkSiblings,
 		s.checkTeams,
-		s.checkBounds,
+		s.checkRanges,
 		s.checkValueSize,
 		s.checkLease,
 	}
@@ -28,7 +28,8 @@
 	return nil
 }
 
-// checkAddresses checks this controller's label and the addresses it uses.
+// checkAddresses checks that this controller's label is set and that its addresses have the form
+// host:port.
 func (s *Settings) checkAddresses() error {
 	if s.Label == "" {
 		return errors.New("label: must be set")
@@ -47,6 +48,7 @@
 	return nil
 }
 
+// checkAddress checks that an address has the form host:port.
 func checkAddress(field, address string) error {
 	if address == "" {
 		return fmt.Errorf("%s: must be set", field)
@@ -57,7 +59,8 @@
 	return nil
 }
 
-// checkSiblings checks that the controllers have different labels, and addresses.
+// checkSiblings checks that every controller has a unique label and that every other controller has a
+// valid endpoint.
 func (s *Settings) checkSiblings() error {
 	seen := map[string]bool{s.Label: true}
 	for i, sibling := range s.Siblings {
@@ -76,8 +79,8 @@
 	return nil
 }
 
-// checkTeams checks that teams have different names, which are fit for a key of the
-// key-value store, and amounts.
+// checkTeams checks that team names are unique and usable in keys of the key-value store, and that no
+// quota is negative.
 func (s *Settings) checkTeams() error {
 	seen := map[string]bool{}
 	for i, team := range s.Params.Teams {
@@ -96,47 +99,47 @@
 	return nil
 }
 
-// bound is the range in which a field must lie.
-type bound struct {
-	field       string
-	value       float64
-	least, most float64
+// fieldRange is a field's value with the range, inclusive, in which it must lie.
+type fieldRange struct {
+	field            string
+	value            float64
+	minimum, maximum float64
 }
 
-// check fails for NaN, too.
-func (b bound) check() error {
-	if b.value >= b.least && b.value <= b.most {
+// check returns an error if the value is outside its range or NaN.
+func (r fieldRange) check() error {
+	if r.value >= r.minimum && r.value <= r.maximum {
 		return nil
 	}
-	return fmt.Errorf("%s: %v is not between %v and %v", b.field, b.value, b.least, b.most)
+	return fmt.Errorf("%s: %v is not between %v and %v", r.field, r.value, r.minimum, r.maximum)
 }
 
-// checkBounds checks the fields that must lie in a range. The limits that come later
-// are checked together with the present ones that stay, so that what would not fit
-// them is found out before they come.
-func (s *Settings) checkBounds() error {
+// checkRanges checks the fields that must lie in a range. Besides the present limits of the key-value
+// store it checks those in effect once state.next applies, so that an unusable limit is rejected at
+// startup and not when it takes effect.
+func (s *Settings) checkRanges() error {
 	next := s.Params.State.Next
-	if next != nil && next.negative() {
+	if next != nil && next.anyNegative() {
 		return errors.New("params.state.next: limits must not be negative")
 	}
-	bounds := s.paramBounds()
-	bounds = append(bounds, s.Params.State.bounds("params.state.")...)
+	ranges := s.paramRanges()
+	ranges = append(ranges, s.Params.State.ranges("params.state.")...)
 	if next != nil {
 		limits := s.StoreLimits()
-		bounds = append(bounds, limits.bounds("params.state.next.")...)
+		ranges = append(ranges, limits.ranges("params.state.next.")...)
 	}
-	for _, b := range bounds {
-		if err := b.check(); err != nil {
+	for _, r := range ranges {
+		if err := r.check(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// paramBounds are the bounds of all but the key-value store's limits.
-func (s *Settings) paramBounds() []bound {
+// paramRanges returns the ranges of all parameters except the key-value store's limits.
+func (s *Settings) paramRanges() []fieldRange {
 	p := &s.Params
-	return []bound{
+	return []fieldRange{
 		{"params.workers.report_s", p.Workers.ReportS, 0.1, 3600},
 		{"params.workers.lease_s", p.Workers.LeaseS, 1, 86400},
 		{"params.workers.cancel_s", p.Workers.CancelS, 1, 86400},
@@ -147,43 +150,43 @@
 	}
 }
 
-// checkValueSize checks that a value of the key-value store holds what must stand in
-// one. Under a smaller limit that comes later, chunk records of running jobs must
-// still be writable.
+// checkValueSize checks that the value size limit of the key-value store admits the records that
+// cannot be split over several values. If state.next lowers the limit, chunk records written under the
+// present limit must remain writable.
 func (s *Settings) checkValueSize() error {
-	present, least := s.Params.State.ValueKB, s.StoreLimits().ValueKB
+	present, smallest := s.Params.State.ValueKB, s.StoreLimits().ValueKB
 	field := "params.state.value_kb"
-	if least < present {
+	if smallest < present {
 		field = "params.state.next.value_kb"
-		if need := jobs.MinValueBytes(present); float64(need) > least*tuning.BytesPerKB {
-			return fmt.Errorf("%s: %v is too small for the chunk records written under params.state.value_kb (%d bytes)", field, least, need)
+		if need := jobs.MinValueBytes(present); float64(need) > smallest*tuning.BytesPerKB {
+			return fmt.Errorf("%s: %v is too small for the chunk records written under params.state.value_kb (%d bytes)", field, smallest, need)
 		}
 	}
 	controllers := len(s.Siblings) + 1
-	if need := s.controllersRecordBytes(); float64(need) > least*tuning.BytesPerKB {
-		return fmt.Errorf("%s: %v is too small for a record that names %d controllers (%d bytes)", field, least, controllers, need)
+	if need := s.controllersRecordBytes(); float64(need) > smallest*tuning.BytesPerKB {
+		return fmt.Errorf("%s: %v is too small for a record that names %d controllers (%d bytes)", field, smallest, controllers, need)
 	}
 	return nil
 }
 
-// Bytes that bound the JSON form of a record with an entry for every controller.
+// Upper bounds, in bytes, of the JSON encoding of a record with one entry for each controller.
 const (
-	recordBytes = 160 // all but the entries
-	entryBytes  = 64  // an entry, all but the controller's label
+	recordOverheadBytes = 160 // everything except the entries
+	entryOverheadBytes  = 64  // one entry without the controller's label
 )
 
-// controllersRecordBytes bounds the size of a record that names every controller:
-// the shares of a team's quota limit, and the membership, are stored in one value.
+// controllersRecordBytes returns an upper bound on the size of a record that names every controller.
+// The shares of a team's quota limit and the membership are such records, each stored in one value.
 func (s *Settings) controllersRecordBytes() int {
-	size := recordBytes + len(s.Label) + entryBytes
+	size := recordOverheadBytes + len(s.Label) + entryOverheadBytes
 	for _, sibling := range s.Siblings {
-		size += len(sibling.Label) + entryBytes
+		size += len(sibling.Label) + entryOverheadBytes
 	}
 	return size
 }
 
-// checkLease checks that a worker's lease expires before cancel_s has passed, within
-// which a cancellation must take effect.
+// checkLease checks that lease_s is shorter than cancel_s, so that a worker's lease can expire within
+// the time in which a cancellation must take effect.
 func (s *Settings) checkLease() error {
 	if s.Params.Workers.CancelS <= s.Params.Workers.LeaseS {
 		return errors.New("params.workers.cancel_s: must exceed lease_s")
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,15 +1,15 @@
 package config
 
-// Limits are those of the key-value store.
+// Limits are the limits of the key-value store.
 type Limits struct {
-	RPS      float64 `toml:"rps"`       // calls a second
-	WriteRPS float64 `toml:"write_rps"` // calls a second that write
-	ValueKB  float64 `toml:"value_kb"`  // size of a value in its JSON form
-	TxnOps   int     `toml:"txn_ops"`   // operations of a transaction
+	RPS      float64 `toml:"rps"`       // calls per second
+	WriteRPS float64 `toml:"write_rps"` // write calls per second
+	ValueKB  float64 `toml:"value_kb"`  // size of a JSON-encoded value
+	TxnOps   int     `toml:"txn_ops"`   // operations per transaction
 }
 
-// StoreLimits are the limits to keep to: the smaller of the present ones and those
-// that come at a moment which nobody announces.
+// StoreLimits returns the limits that the controller observes: for each, the smaller of the present
+// value and the one in state.next, which can take effect at any time without notice.
 func (s *Settings) StoreLimits() Limits {
 	present, next := s.Params.State.Limits, s.Params.State.Next
 	if next == nil {
@@ -23,8 +23,8 @@
 	}
 }
 
-// smallerIfSet is the smaller of a present limit and its next value, which is 0 if
-// the limit stays as it is.
+// smallerIfSet returns the smaller of a limit's present and next values. A next value of 0 means that
+// the limit does not change.
 func smallerIfSet[N int | float64](present, next N) N {
 	if next == 0 {
 		return present
@@ -32,11 +32,14 @@
 	return min(present, next)
 }
 
-func (l *Limits) negative() bool { return l.RPS < 0 || l.WriteRPS < 0 || l.ValueKB < 0 || l.TxnOps < 0 }
+// anyNegative reports whether any limit is negative.
+func (l *Limits) anyNegative() bool {
+	return l.RPS < 0 || l.WriteRPS < 0 || l.ValueKB < 0 || l.TxnOps < 0
+}
 
-// bounds are those of the limits, whose fields' names begin with prefix.
-func (l *Limits) bounds(prefix string) []bound {
-	return []bound{
+// ranges returns the ranges of the limits, with prefix before each field's name.
+func (l *Limits) ranges(prefix string) []fieldRange {
+	return []fieldRange{
 		{prefix + "rps", l.RPS, 1, 1e6},
 		{prefix + "write_rps", l.WriteRPS, 1, 1e6},
 		{prefix + "value_kb", l.ValueKB, 1, 64},
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -19,15 +19,15 @@
 	doc string
 }
 
-func numberProperty(least, most float64, field func(*Operator) *float64, doc string) property {
+func numberProperty(lower, upper float64, field func(*Operator) *float64, doc string) property {
 	return property{func(o *Operator, value string) error {
 		number, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(number >= least && number <= most) { // also NaN
-			return fmt.Errorf("%q is not a number between %v and %v", value, least, most)
+		if err != nil || !(number >= lower && number <= upper) { // also NaN
+			return fmt.Errorf("%q is not a number between %v and %v", value, lower, upper)
 		}
 		*field(o) = number
 		return nil
-	}, fmt.Sprintf("number %v..%v; %s", least, most, doc)}
+	}, fmt.Sprintf("number %v..%v; %s", lower, upper, doc)}
 }
 
 func booleanProperty(field func(*Operator) *bool, doc string) property {
@@ -40,26 +40,26 @@
 	}, "true or false; " + doc}
 }
 
-func integerProperty(least, most int, field func(*Operator) *int, doc string) property {
+func integerProperty(lower, upper int, field func(*Operator) *int, doc string) property {
 	return property{func(o *Operator, value string) error {
 		number, err := strconv.Atoi(value)
-		if err != nil || number < least || number > most {
-			return fmt.Errorf("%q is not a whole number between %d and %d", value, least, most)
+		if err != nil || number < lower || number > upper {
+			return fmt.Errorf("%q is not a whole number between %d and %d", value, lower, upper)
 		}
 		*field(o) = number
 		return nil
-	}, fmt.Sprintf("whole number %d..%d; %s", least, most, doc)}
+	}, fmt.Sprintf("whole number %d..%d; %s", lower, upper, doc)}
 }
 
-func durationProperty(least, most time.Duration, field func(*Operator) *time.Duration, doc string) property {
+func durationProperty(lower, upper time.Duration, field func(*Operator) *time.Duration, doc string) property {
 	return property{func(o *Operator, value string) error {
 		duration, err := time.ParseDuration(value)
-		if err != nil || duration < least || duration > most {
-			return fmt.Errorf("%q is not a duration between %v and %v (such as 20s)", value, least, most)
+		if err != nil || duration < lower || duration > upper {
+			return fmt.Errorf("%q is not a duration between %v and %v (such as 20s)", value, lower, upper)
 		}
 		*field(o) = duration
 		return nil
-	}, fmt.Sprintf("duration %v..%v; %s", least, most, doc)}
+	}, fmt.Sprintf("duration %v..%v; %s", lower, upper, doc)}
 }
 
 func logLevelProperty(doc string) property {
