--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,6 +1,5 @@
-// Package config owns what a controller is told from outside: the platform's
-// settings file (TOML), with the limits of the key-value store, and the operators'
-// own properties file (Java-style properties). It reads and checks both, and names
-// the field or key at fault. Constants that nobody may set stand in package tuning,
-// which has the defaults of the properties, too.
+// Package config reads and checks a controller's configuration: the platform's settings file (TOML),
+// which includes the limits of the key-value store, and the operators' properties file (Java-style
+// properties). Its errors name the invalid field or key. Package tuning holds the constants that are
+// not configurable and the defaults of the properties.
 package config
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,8 +9,8 @@
 	"wheatspur/internal/tuning"
 )
 
-// Operator holds what operators may tune in a properties file, by groups of keys;
-// propertyByKey says what each means. It is comparable (Reloaded).
+// Operator holds the settings of the operators' properties file, grouped by the first part of their
+// keys. propertyByKey describes each. The type must stay comparable, because Reloaded compares values.
 type Operator struct {
 	LogLevel string
 
@@ -39,10 +39,10 @@
 	QuotaReservations bool
 
 	RecoveryHold   bool
-	RecoveryStarts int // a second; 0: no bound
+	RecoveryStarts int // task starts per second; 0: unlimited
 }
 
-// DefaultOperator returns the defaults of package tuning. What has none is off.
+// DefaultOperator returns the defaults from package tuning; a setting without a default there is off.
 func DefaultOperator() Operator {
 	return Operator{
 		RoleExpand:        tuning.RoleExpand,
@@ -65,7 +65,7 @@
 	}
 }
 
-// LoadOperator reads the properties file; without a name it returns the defaults.
+// LoadOperator reads and checks a properties file. With an empty path it returns the defaults.
 func LoadOperator(path string) (Operator, error) {
 	if path == "" {
 		return DefaultOperator(), nil
@@ -81,11 +81,11 @@
 	return operator, nil
 }
 
-// ErrRestart says that changed properties need a restart.
+// ErrRestart is returned for changed properties that take effect only after a restart.
 var ErrRestart = errors.New("changes to keys other than log.level require a restart")
 
-// Reloaded returns what a running process takes over of a changed properties file:
-// log.level. If another key has changed, it returns o itself and ErrRestart.
+// Reloaded returns o with the changes in next that a running process can apply, which is log.level
+// alone. If another key has changed, it returns o unchanged and ErrRestart.
 func (o Operator) Reloaded(next Operator) (Operator, error) {
 	reloaded := o
 	reloaded.LogLevel = next.LogLevel
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -12,17 +12,16 @@
 	"github.com/magiconair/properties"
 )
 
-// property is one of the operators' properties: how its value is parsed and set,
-// and what its type, range and meaning are.
+// property is one key of the operators' properties file.
 type property struct {
-	set func(o *Operator, value string) error
-	doc string
+	set func(o *Operator, value string) error // parses, checks and assigns a value
+	doc string                                // type, range and meaning, as shown in the help
 }
 
 func numberProperty(lower, upper float64, field func(*Operator) *float64, doc string) property {
 	return property{func(o *Operator, value string) error {
 		number, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(number >= lower && number <= upper) { // also NaN
+		if err != nil || !(number >= lower && number <= upper) { // also rejects NaN
 			return fmt.Errorf("%q is not a number between %v and %v", value, lower, upper)
 		}
 		*field(o) = number
@@ -73,8 +72,7 @@
 	}, "error, warn, info or debug; " + doc}
 }
 
-// propertyByKey holds every property by its key in the file. The texts are shown
-// to operators.
+// propertyByKey holds every property by its key in the file. The command's help shows the texts.
 var propertyByKey = map[string]property{
 	"log.level": logLevelProperty("LOG_LEVEL wins"),
 	"roles.advisory": booleanProperty(
@@ -145,8 +143,8 @@
 		"seconds that refused users are told to wait"),
 }
 
-// ParseOperator decodes and checks a properties file. Of several faults it reports
-// that of the first key in alphabetical order.
+// ParseOperator decodes and checks a properties file. If several keys are invalid, the error names the
+// first in alphabetical order.
 func ParseOperator(text []byte) (Operator, error) {
 	operator := DefaultOperator()
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
@@ -159,7 +157,7 @@
 		if !ok {
 			return operator, fmt.Errorf("%s: unknown key", key)
 		}
-		value, _ := parsed.Get(key) // which is among its keys
+		value, _ := parsed.Get(key) // present, since key comes from Keys
 		if err := p.set(&operator, strings.TrimSpace(value)); err != nil {
 			return operator, fmt.Errorf("%s: %w", key, err)
 		}
@@ -167,7 +165,7 @@
 	return operator, operator.check()
 }
 
-// check checks the properties that depend on each other.
+// check checks the constraints between properties.
 func (o Operator) check() error {
 	if o.RoleEvidenceMax < o.RoleEvidenceMin {
 		return errors.New("roles.evidence.max: must not be less than roles.evidence.min")
@@ -178,7 +176,7 @@
 	return nil
 }
 
-// OperatorHelp lists the operators' properties with type, range and meaning.
+// OperatorHelp returns the help text of the properties: each key with its type, range and meaning.
 func OperatorHelp() string {
 	var help strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(propertyByKey)) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,14 +12,14 @@
 	"wheatspur/internal/tuning"
 )
 
-// Sibling is another controller.
+// Sibling is another controller of the cluster.
 type Sibling struct {
 	Label    string `toml:"label"`
-	Domain   string `toml:"domain"`   // its failure domain
+	Domain   string `toml:"domain"`   // failure domain
 	Endpoint string `toml:"endpoint"` // host:port of its peer server
 }
 
-// Team has a quota guarantee and a quota limit per resource; 0 means none.
+// Team has a quota guarantee and a quota limit (Max) for each resource; 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -28,7 +28,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective of the users.
+// Objective is one of the users' service-level objectives.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -36,8 +36,8 @@
 	Share   float64 `toml:"share"`
 }
 
-// Settings are those of one controller, as the platform hands them over. Fields
-// that end in S are seconds, in KB and MB kilobytes and megabytes.
+// Settings are the settings of one controller, as the platform provides them. The suffixes S, Ms, KB
+// and MB of field names are units: seconds, milliseconds, kilobytes and megabytes.
 type Settings struct {
 	Label      string    `toml:"label"`
 	Domain     string    `toml:"domain"`
@@ -61,8 +61,8 @@
 		} `toml:"workers"`
 		State struct {
 			Limits
-			// Next holds the limits that the key-value store will have from some
-			// moment on, which nobody announces; what is absent stays as it is.
+			// Next holds the limits that the key-value store will have at some later time. The change
+			// is not announced. An absent limit does not change.
 			Next *Limits `toml:"next"`
 		} `toml:"state"`
 		Cloud struct {
@@ -76,11 +76,12 @@
 		} `toml:"limits"`
 	} `toml:"params"`
 
-	// Operator is read from a file of its own.
+	// Operator holds the operators' settings, which Load reads from the properties file.
 	Operator Operator `toml:"-"`
 }
 
-// Load reads the settings file and, if named, the properties file.
+// Load reads and checks the settings file and the properties file. With an empty propertiesPath the
+// properties have their defaults.
 func Load(path, propertiesPath string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return s, nil
 }
 
-// Parse decodes and checks a settings file; unknown fields are ignored.
+// Parse decodes and checks a settings file. Unknown fields are ignored.
 func Parse(text []byte) (*Settings, error) {
 	var s Settings
 	if err := toml.Unmarshal(text, &s); err != nil {
@@ -105,7 +106,7 @@
 	return &s, s.check()
 }
 
-// withPosition adds the place in the file, and the key, to an error of the decoder.
+// withPosition adds the line, the column and the key to an error of the TOML decoder.
 func withPosition(err error) error {
 	decodeError, ok := errors.AsType[*toml.DecodeError](err)
 	if !ok {
@@ -119,22 +120,22 @@
 	return fmt.Errorf("line %d column %d: %s%w", row, column, key, decodeError)
 }
 
-// WorkerLease returns how long a worker's lease lasts without a renewal.
+// WorkerLease returns the duration after which a worker's lease expires unless it is renewed.
 func (s *Settings) WorkerLease() time.Duration { return Seconds(s.Params.Workers.LeaseS) }
 
-// HeartbeatInterval returns the pause between a worker's heartbeats.
+// HeartbeatInterval returns the interval between a worker's heartbeats.
 func (s *Settings) HeartbeatInterval() time.Duration { return Seconds(s.Params.Workers.ReportS) }
 
-// RenewalBound is how long after the moment up to which it knows every cancellation
-// a controller may go on renewing workers' leases. The last lease that it renews
-// must expire before cancel_s has passed, even on a worker whose clock drifts, so
-// that a cancellation which it does not know still takes effect in time.
+// RenewalBound returns how long a controller may keep renewing workers' leases after the time up to
+// which it knows every cancellation. The last lease that it renews must expire before cancel_s has
+// passed, even on a worker whose clock drifts, so that a cancellation unknown to the controller still
+// takes effect in time.
 func (s *Settings) RenewalBound() time.Duration {
 	workers := &s.Params.Workers
 	return max(Seconds(workers.CancelS-workers.LeaseS*tuning.DriftFactor)-tuning.CancelMargin, 0)
 }
 
-// Team finds a team by name.
+// Team returns the team with the given name and whether there is one.
 func (s *Settings) Team(name string) (Team, bool) {
 	for _, team := range s.Params.Teams {
 		if team.Name == name {
@@ -144,7 +145,7 @@
 	return Team{}, false
 }
 
-// Seconds turns a number of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
