--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -20,11 +20,11 @@
 
 var update = stdflag.Bool("update", false, "rewrite the golden texts")
 
-// line is a key of a settings file in its section, with its value as TOML.
-type line struct{ section, key, value string }
+// settingsLine is one key of a settings file, with its section and its value in TOML.
+type settingsLine struct{ section, key, value string }
 
-// complete is a settings file with every key, each with a value of its own.
-var complete = []line{
+// completeSettings is a settings file with every key set, each to a different value.
+var completeSettings = []settingsLine{
 	{"", "label", `"n0"`},
 	{"", "domain", `"zone-a"`},
 	{"", "bind", `"10.0.0.1:8080"`},
@@ -64,8 +64,8 @@
 	{"[params.limits]", "max_connections", `500`},
 }
 
-// name is the key with its section.
-func (l line) name() string {
+// name returns the key qualified by its section.
+func (l settingsLine) name() string {
 	section := strings.Trim(l.section, "[]")
 	if section == "" {
 		return l.key
@@ -73,8 +73,8 @@
 	return section + "." + l.key
 }
 
-// file is the text of a settings file.
-func file(lines []line) string {
+// settingsText returns the text of a settings file.
+func settingsText(lines []settingsLine) string {
 	var b strings.Builder
 	section := ""
 	for _, l := range lines {
@@ -87,34 +87,33 @@
 	return b.String()
 }
 
-// with is the complete file with the value of a key replaced.
-func with(name, value string) string {
-	lines := slices.Clone(complete)
-	i := slices.IndexFunc(lines, func(l line) bool { return l.name() == name })
+// settingsTextWith returns the complete settings file with the value of one key replaced.
+func settingsTextWith(name, value string) string {
+	lines := slices.Clone(completeSettings)
+	i := slices.IndexFunc(lines, func(l settingsLine) bool { return l.name() == name })
 	lines[i].value = value
-	return file(lines)
+	return settingsText(lines)
 }
 
-// without is the complete file without a key.
-func without(name string) string {
-	return file(slices.DeleteFunc(slices.Clone(complete), func(l line) bool { return l.name() == name }))
+// settingsTextWithout returns the complete settings file without one key.
+func settingsTextWithout(name string) string {
+	return settingsText(slices.DeleteFunc(slices.Clone(completeSettings), func(l settingsLine) bool { return l.name() == name }))
 }
 
-// goName is where the decoder's text of a wrong type names a field by the Go
-// types that hold it. The golden texts leave that out: it is no part of what
-// operators are told about a key, which stands before it.
-var goName = regexp.MustCompile(`into struct field .* of type`)
+// goFieldName matches the Go type and field names in the decoder's error for a value of a wrong type.
+// The golden texts leave them out: the key, which precedes them, identifies the field to operators.
+var goFieldName = regexp.MustCompile(`into struct field .* of type`)
 
-// outcome says what became of a settings file.
-func outcome(text string) string {
+// parseOutcome returns the error of parsing a settings file, or "accepted".
+func parseOutcome(text string) string {
 	if _, err := Parse([]byte(text)); err != nil {
-		return goName.ReplaceAllString(err.Error(), "into struct field (Go name) of type")
+		return goFieldName.ReplaceAllString(err.Error(), "into struct field (Go name) of type")
 	}
 	return "accepted"
 }
 
-// wrongTypes are values of other types than that of a value.
-func wrongTypes(value string) []string {
+// valuesOfOtherTypes returns TOML values whose types differ from that of the given value.
+func valuesOfOtherTypes(value string) []string {
 	switch value[0] {
 	case '"':
 		return []string{`7`, `true`, `["x"]`}
@@ -125,11 +124,11 @@
 	}
 }
 
-// Every key of the settings file: that it is read, whether it may be missing, and
-// what is said of values of a wrong type or out of range.
-func TestKeysOfTheSettingsFile(t *testing.T) {
+// Records for every key of the settings file that it is read, whether it may be missing, and the error
+// for a value of a wrong type or out of range.
+func TestSettingsKeys(t *testing.T) {
 	var b strings.Builder
-	s, err := Parse([]byte(file(complete)))
+	s, err := Parse([]byte(settingsText(completeSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,40 +137,40 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&b, "## every key as it is read\n%s\n", read)
-	fmt.Fprintf(&b, "## an empty file\n%s\n\n## a key that is not known\n%s\n\n", outcome(""), outcome("colour = \"green\"\n"+file(complete)))
-	fmt.Fprintf(&b, "## a key twice\n%s\n\n", outcome("label = \"n0\"\n"+file(complete)))
-	fmt.Fprintf(&b, "## no TOML\n%s\n\n", outcome("{\"label\": \"n0\"}"))
-	for _, l := range complete {
+	fmt.Fprintf(&b, "## an empty file\n%s\n\n## a key that is not known\n%s\n\n", parseOutcome(""), parseOutcome("colour = \"green\"\n"+settingsText(completeSettings)))
+	fmt.Fprintf(&b, "## a key twice\n%s\n\n", parseOutcome("label = \"n0\"\n"+settingsText(completeSettings)))
+	fmt.Fprintf(&b, "## no TOML\n%s\n\n", parseOutcome("{\"label\": \"n0\"}"))
+	for _, l := range completeSettings {
 		fmt.Fprintf(&b, "## %s\n", l.name())
-		fmt.Fprintf(&b, "missing: %s\n", outcome(without(l.name())))
-		for _, value := range wrongTypes(l.value) {
-			fmt.Fprintf(&b, "%s: %s\n", value, outcome(with(l.name(), value)))
+		fmt.Fprintf(&b, "missing: %s\n", parseOutcome(settingsTextWithout(l.name())))
+		for _, value := range valuesOfOtherTypes(l.value) {
+			fmt.Fprintf(&b, "%s: %s\n", value, parseOutcome(settingsTextWith(l.name(), value)))
 		}
 		b.WriteByte('\n')
 	}
 	golden.Text(t, "settings-keys.golden", b.String(), *update)
 }
 
-// Values beside the ranges of the settings, and those at their ends.
-func TestRangesOfTheSettings(t *testing.T) {
+// Records the outcome of values at the ends of the settings' ranges and just outside them.
+func TestSettingsRanges(t *testing.T) {
 	var b strings.Builder
-	try := func(name string, values ...string) {
+	checkValues := func(name string, values ...string) {
 		fmt.Fprintf(&b, "## %s\n", name)
 		for _, value := range values {
-			fmt.Fprintf(&b, "%s: %s\n", value, outcome(with(name, value)))
+			fmt.Fprintf(&b, "%s: %s\n", value, parseOutcome(settingsTextWith(name, value)))
 		}
 		b.WriteByte('\n')
 	}
 	for _, name := range []string{"bind", "peer_listen", "endpoints.cloud", "endpoints.state", "siblings.endpoint"} {
-		try(name, `""`, `"nowhere"`, `"1:2:3"`, `":8080"`, `"host:"`, `"[::1]:80"`)
+		checkValues(name, `""`, `"nowhere"`, `"1:2:3"`, `":8080"`, `"host:"`, `"[::1]:80"`)
 	}
-	try("label", `""`)
-	try("siblings.label", `""`, `"n0"`)
-	try("params.teams.name", `""`, `"x y"`, `"x/y"`, `" "`)
+	checkValues("label", `""`)
+	checkValues("siblings.label", `""`, `"n0"`)
+	checkValues("params.teams.name", `""`, `"x y"`, `"x/y"`, `" "`)
 	for _, name := range []string{"cpus", "cpus_max", "gpus", "gpus_max"} {
-		try("params.teams."+name, `-0.5`, `0.0`, `1e12`)
+		checkValues("params.teams."+name, `-0.5`, `0.0`, `1e12`)
 	}
-	for _, r := range []struct{ name, below, least, most, above string }{
+	for _, r := range []struct{ name, below, minimum, maximum, above string }{
 		{"params.workers.report_s", `0.09`, `0.1`, `3600.0`, `3600.5`},
 		{"params.workers.lease_s", `0.9`, `1.0`, `60.0`, `86400.5`},
 		{"params.workers.cancel_s", `0.9`, `30.6`, `86400.0`, `86400.5`},
@@ -188,35 +187,35 @@
 		{"params.limits.mem_mb", `15.5`, `16.0`, `1e7`, `1.1e7`},
 		{"params.limits.max_connections", `31`, `32`, `10000000`, `10000001`},
 	} {
-		try(r.name, r.below, r.least, r.most, r.above, `0`, `inf`)
+		checkValues(r.name, r.below, r.minimum, r.maximum, r.above, `0`, `inf`)
 	}
-	try("params.workers.lease_s", `60.5`, `61.0`)
-	try("params.state.next.value_kb", `0`, `1.9`)
+	checkValues("params.workers.lease_s", `60.5`, `61.0`)
+	checkValues("params.state.next.value_kb", `0`, `1.9`)
 
-	pair := func(name, text string) { fmt.Fprintf(&b, "## %s\n%s\n\n", name, outcome(text)) }
-	again := func(section string) string {
-		return file(complete) + file(slices.DeleteFunc(slices.Clone(complete), func(l line) bool { return l.section != section }))
+	checkText := func(name, text string) { fmt.Fprintf(&b, "## %s\n%s\n\n", name, parseOutcome(text)) }
+	withSectionTwice := func(section string) string {
+		return settingsText(completeSettings) + settingsText(slices.DeleteFunc(slices.Clone(completeSettings), func(l settingsLine) bool { return l.section != section }))
 	}
-	pair("a sibling twice", again("[[siblings]]"))
-	pair("a team twice", again("[[params.teams]]"))
-	pair("an objective twice", again("[[params.objectives]]"))
-	many := file(complete)
+	checkText("a sibling twice", withSectionTwice("[[siblings]]"))
+	checkText("a team twice", withSectionTwice("[[params.teams]]"))
+	checkText("an objective twice", withSectionTwice("[[params.objectives]]"))
+	manySiblings := settingsText(completeSettings)
 	for i := range 60 {
-		many += fmt.Sprintf("[[siblings]]\nlabel = \"more-%d\"\nendpoint = \"10.0.1.1:8081\"\n", i)
+		manySiblings += fmt.Sprintf("[[siblings]]\nlabel = \"more-%d\"\nendpoint = \"10.0.1.1:8081\"\n", i)
 	}
-	pair("more nodes than a value holds", many)
-	pair("no siblings, no teams, no objectives, no later limits", file(slices.DeleteFunc(slices.Clone(complete), func(l line) bool {
+	checkText("more nodes than a value holds", manySiblings)
+	checkText("no siblings, no teams, no objectives, no later limits", settingsText(slices.DeleteFunc(slices.Clone(completeSettings), func(l settingsLine) bool {
 		return strings.HasPrefix(l.section, "[[") || l.section == "[params.state.next]"
 	})))
 	golden.Text(t, "settings-ranges.golden", b.String(), *update)
 }
 
-// operatorKeys are the operators' keys with the field that each sets, a value that
-// is not the default, the ends of the range, and values beside it.
-var operatorKeys = []struct {
-	key                              string
-	field                            func(Operator) any
-	other, least, most, below, above string
+// propertyCases lists every properties key with the field that it sets, a value other than the default,
+// the ends of its range, and values just outside it.
+var propertyCases = []struct {
+	key                                        string
+	field                                      func(Operator) any
+	nonDefault, minimum, maximum, below, above string
 }{
 	{"fleet.headroom.batch", func(o Operator) any { return o.BatchHeadroom }, "0.77", "0", "5", "-0.01", "5.01"},
 	{"fleet.headroom.service", func(o Operator) any { return o.ServiceHeadroom }, "0.77", "0", "5", "-0.01", "5.01"},
@@ -243,48 +242,48 @@
 	{"roles.usable", func(o Operator) any { return o.RoleUsable }, "0.77", "0.05", "1", "0.04", "1.01"},
 }
 
-// setting says what a properties file changes: the values that are not the
-// defaults, and whether a running process takes them over.
-func setting(text string) string {
+// propertiesOutcome returns the error of parsing a properties file, or the values that differ from the
+// defaults and whether a reload applies them.
+func propertiesOutcome(text string) string {
 	o, err := ParseOperator([]byte(text))
 	if err != nil {
 		return err.Error()
 	}
-	def := DefaultOperator()
+	defaultOperator := DefaultOperator()
 	var changed []string
-	got, before := reflect.ValueOf(o), reflect.ValueOf(def)
+	got, defaults := reflect.ValueOf(o), reflect.ValueOf(defaultOperator)
 	for i := range got.NumField() {
-		if v := got.Field(i); !v.Equal(before.Field(i)) {
+		if v := got.Field(i); !v.Equal(defaults.Field(i)) {
 			changed = append(changed, fmt.Sprint(v))
 		}
 	}
 	if len(changed) == 0 {
 		return "the defaults"
 	}
-	taken := "taken over by a reload"
-	if _, err := def.Reloaded(o); err != nil {
-		taken = err.Error()
+	reload := "taken over by a reload"
+	if _, err := defaultOperator.Reloaded(o); err != nil {
+		reload = err.Error()
 	}
-	return fmt.Sprintf("%s; %s", strings.Join(changed, ", "), taken)
+	return fmt.Sprintf("%s; %s", strings.Join(changed, ", "), reload)
 }
 
-// Every key of the operators' properties: what it changes, and what is said of
-// values of a wrong type or out of range.
-func TestKeysOfTheProperties(t *testing.T) {
+// Records for every properties key the field that it sets and the error for a value of a wrong type or
+// out of range.
+func TestPropertiesKeys(t *testing.T) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "## help\n%s\n", OperatorHelp())
 	help := strings.Split(strings.TrimSpace(OperatorHelp()), "\n")
-	if len(help) != len(operatorKeys) {
-		t.Errorf("%d keys in the help, %d in this test", len(help), len(operatorKeys))
+	if len(help) != len(propertyCases) {
+		t.Errorf("%d keys in the help, %d in this test", len(help), len(propertyCases))
 	}
-	for _, k := range operatorKeys {
-		o, err := ParseOperator([]byte(k.key + "=" + k.other))
+	for _, k := range propertyCases {
+		o, err := ParseOperator([]byte(k.key + "=" + k.nonDefault))
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&b, "## %s\ndefault %v, set to %v\n", k.key, k.field(DefaultOperator()), k.field(o))
-		for _, value := range []string{k.other, k.least, k.most, k.below, k.above, "", "x", "1.5x", "1.5", "7", "NaN", " " + k.other + "  "} {
-			fmt.Fprintf(&b, "%q: %s\n", value, setting(k.key+"="+value))
+		for _, value := range []string{k.nonDefault, k.minimum, k.maximum, k.below, k.above, "", "x", "1.5x", "1.5", "7", "NaN", " " + k.nonDefault + "  "} {
+			fmt.Fprintf(&b, "%q: %s\n", value, propertiesOutcome(k.key+"="+value))
 		}
 		b.WriteByte('\n')
 	}
@@ -300,13 +299,13 @@
 		{"bounds in the wrong order", "roles.shrink=0.5\nroles.expand=0.5\n"},
 		{"several keys", "retry.after=17\nlog.level=warn\n"},
 	} {
-		fmt.Fprintf(&b, "## %s\n%s\n\n", c.name, setting(c.text))
+		fmt.Fprintf(&b, "## %s\n%s\n\n", c.name, propertiesOutcome(c.text))
 	}
 	golden.Text(t, "properties-keys.golden", b.String(), *update)
 }
 
-// Files that can't be read, or hold a fault, are named.
-func TestFilesOfTheSettings(t *testing.T) {
+// Errors of Load name the file that cannot be read or is invalid.
+func TestLoadNamesTheInvalidFile(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -315,35 +314,35 @@
 		}
 		return path
 	}
-	good, bad := write("good.toml", file(complete)), write("bad.toml", with("label", `""`))
-	props, wrong := write("good.properties", "retry.after=17\n"), write("bad.properties", "retry.after=0\n")
-	none := filepath.Join(dir, "none")
+	good, bad := write("good.toml", settingsText(completeSettings)), write("bad.toml", settingsTextWith("label", `""`))
+	goodProps, badProps := write("good.properties", "retry.after=17\n"), write("bad.properties", "retry.after=0\n")
+	absent := filepath.Join(dir, "none")
 	var b strings.Builder
 	for _, c := range []struct{ name, settings, props string }{
-		{"both", good, props}, {"no properties", good, ""}, {"settings absent", none, props}, {"settings wrong", bad, props},
-		{"properties absent", good, none}, {"properties wrong", good, wrong}, {"a directory", dir, ""}, {"both wrong", bad, wrong},
+		{"both", good, goodProps}, {"no properties", good, ""}, {"settings absent", absent, goodProps}, {"settings wrong", bad, goodProps},
+		{"properties absent", good, absent}, {"properties wrong", good, badProps}, {"a directory", dir, ""}, {"both wrong", bad, badProps},
 	} {
 		s, err := Load(c.settings, c.props)
-		said := fmt.Sprint(err)
+		result := fmt.Sprint(err)
 		if err == nil {
-			said = fmt.Sprintf("retry.after %d", s.Operator.RetryAfterSeconds)
+			result = fmt.Sprintf("retry.after %d", s.Operator.RetryAfterSeconds)
 		} else if errors.Is(err, os.ErrNotExist) {
-			said += " (file absent)"
+			result += " (file absent)"
 		}
-		fmt.Fprintf(&b, "## %s\n%s\n\n", c.name, strings.ReplaceAll(said, dir, "DIR"))
+		fmt.Fprintf(&b, "## %s\n%s\n\n", c.name, strings.ReplaceAll(result, dir, "DIR"))
 	}
 	golden.Text(t, "files.golden", b.String(), *update)
 }
 
-// What follows from the settings: the smaller limits, the times and the bound up
-// to which a node renews leases without the state service.
-func TestWhatFollowsFromTheSettings(t *testing.T) {
+// Records the values derived from the settings: the smaller limits, the worker timings and how long a
+// controller renews leases without reading the key-value store.
+func TestDerivedSettings(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct{ name, text string }{
-		{"complete", file(complete)},
-		{"no later limits", file(slices.DeleteFunc(slices.Clone(complete), func(l line) bool { return l.section == "[params.state.next]" }))},
-		{"larger later limits", strings.NewReplacer("rps = 90.5", "rps = 900.0", "write_rps = 18.5", "write_rps = 180.0", "txn_ops = 6", "txn_ops = 60").Replace(file(complete))},
-		{"a lease just below the limit of a cancellation", with("params.workers.lease_s", "60.0")},
+		{"complete", settingsText(completeSettings)},
+		{"no later limits", settingsText(slices.DeleteFunc(slices.Clone(completeSettings), func(l settingsLine) bool { return l.section == "[params.state.next]" }))},
+		{"larger later limits", strings.NewReplacer("rps = 90.5", "rps = 900.0", "write_rps = 18.5", "write_rps = 180.0", "txn_ops = 6", "txn_ops = 60").Replace(settingsText(completeSettings))},
+		{"a lease just below the limit of a cancellation", settingsTextWith("params.workers.lease_s", "60.0")},
 	} {
 		s, err := Parse([]byte(c.text))
 		if err != nil {
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestStateLimitsAreTheSmallerOfPresentAndNext(t *testing.T) {
+func TestStoreLimitsAreTheSmallerOfPresentAndNext(t *testing.T) {
 	for _, c := range []struct {
 		name, next string
 		want       Limits
@@ -28,9 +28,9 @@
 	})
 }
 
-// Limits that come later are checked at the start: what would not fit them is
-// found out before they come.
-func TestNextLimitsAreCheckedAndTheFieldIsNamed(t *testing.T) {
+// Limits that take effect later are checked at startup, so that a limit too small for the stored
+// records is rejected before it applies.
+func TestParseNamesTheInvalidNextLimit(t *testing.T) {
 	for _, c := range []struct{ name, next, field string }{
 		{"too few operations", "txn_ops = 3", "params.state.next.txn_ops"},
 		{"part of an operation", "txn_ops = 2.5", "params.state.next.txn_ops"},
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// The texts are shown to operators.
-func TestParseOperatorNamesTheKeyAtFault(t *testing.T) {
+// The whole texts are compared because operators read them.
+func TestParseOperatorNamesTheInvalidKey(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"unknown key", "no.such.key=1", "no.such.key: unknown key"},
 		{"number out of range", "roles.shrink=2", `roles.shrink: "2" is not a number between 0 and 0.99`},
@@ -30,7 +30,7 @@
 		{"whole number out of range", "retry.after=0", `retry.after: "0" is not a whole number between 1 and 30`},
 		{"maximum below minimum", "roles.evidence.max=5s", "roles.evidence.max: must not be less than roles.evidence.min"},
 		{"expand below shrink", "roles.expand=0.4", "roles.shrink: must be below roles.expand"},
-		{"first of several faults", "roles.shrink=2\nlog.level=loud", `log.level: "loud" is not one of error, warn, info, debug`},
+		{"first of several invalid keys", "roles.shrink=2\nlog.level=loud", `log.level: "loud" is not one of error, warn, info, debug`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := ParseOperator([]byte(c.text)); err == nil || err.Error() != c.want {
@@ -63,14 +63,14 @@
 			t.Errorf("got %v", err)
 		}
 	})
-	t.Run("file at fault", func(t *testing.T) {
+	t.Run("invalid file", func(t *testing.T) {
 		if _, err := LoadOperator(path); err == nil || !strings.HasPrefix(err.Error(), path+": log.level: ") {
 			t.Errorf("got %v", err)
 		}
 	})
 }
 
-func TestOnlyTheLogLevelIsReloaded(t *testing.T) {
+func TestReloadedAppliesTheLogLevelAlone(t *testing.T) {
 	running := DefaultOperator()
 	t.Run("log level", func(t *testing.T) {
 		next := running
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -45,8 +45,7 @@
 max_connections = 500
 `
 
-// settingsWith returns the valid settings with the first occurrence of a line
-// replaced.
+// settingsWith returns the valid settings with the first occurrence of a line replaced.
 func settingsWith(t *testing.T, line, replacement string) []byte {
 	t.Helper()
 	if !strings.Contains(validSettings, line) {
@@ -55,7 +54,7 @@
 	return []byte(strings.Replace(validSettings, line, replacement, 1))
 }
 
-// settingsWithNext returns the valid settings with limits that come later.
+// settingsWithNext returns the valid settings with a state.next section.
 func settingsWithNext(t *testing.T, next string) []byte {
 	t.Helper()
 	return settingsWith(t, "[params.cloud]", "[params.state.next]\n"+next+"\n[params.cloud]")
@@ -79,11 +78,11 @@
 		t.Errorf("team x: %+v, %v", team, ok)
 	}
 	if _, ok := s.Team("y"); ok {
-		t.Error("a team that is not set was found")
+		t.Error("Team found a team that is not in the settings")
 	}
 }
 
-func TestParseNamesTheFieldAtFault(t *testing.T) {
+func TestParseNamesTheInvalidField(t *testing.T) {
 	for _, c := range []struct{ name, line, replacement, want string }{
 		{"no label", `label = "n0"`, ``, "label: must be set"},
 		{"address without port", `bind = "10.0.0.1:8080"`, `bind = "nowhere"`, `bind: "nowhere" is not a host:port address`},
@@ -98,7 +97,7 @@
 		{"not a number", `rps = 100.0`, `rps = nan`, "params.state.rps: NaN is not between 1 and 1e+06"},
 		{"text for a number", `txn_ops = 12`, `txn_ops = "many"`,
 			`line 25 column 11: params.state.txn_ops: toml: cannot decode TOML string into struct field `},
-		{"no TOML", `mem_mb = 128.0`, `mem_mb = `, `line 31 column 10: `},
+		{"not TOML", `mem_mb = 128.0`, `mem_mb = `, `line 31 column 10: `},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse(settingsWith(t, c.line, c.replacement))
@@ -112,13 +111,13 @@
 func TestParseKeepsTheDecodersError(t *testing.T) {
 	_, err := Parse(settingsWith(t, `txn_ops = 12`, `txn_ops = "many"`))
 	if _, ok := errors.AsType[*toml.DecodeError](err); !ok {
-		t.Errorf("%v wraps no error of the decoder", err)
+		t.Errorf("%v does not wrap the decoder's error", err)
 	}
 }
 
-// A value that can't hold a record with an entry for every controller is refused at
-// the start, not at the first write.
-func TestValueLimitTooSmallForTheControllersIsRefused(t *testing.T) {
+// A value size limit too small for a record with an entry for every controller is rejected at startup,
+// not at the first write.
+func TestParseRejectsValueLimitTooSmallForTheControllers(t *testing.T) {
 	text := string(settingsWith(t, "value_kb = 4.0", "value_kb = 1.0"))
 	parse(t, []byte(text))
 	for i := range 15 {
@@ -130,16 +129,16 @@
 	}
 }
 
-// Workers' leases that a controller renews without reading the key-value store must
-// expire before a cancellation is due.
-func TestRenewalBoundLeavesRoomForTheLease(t *testing.T) {
+// A lease that a controller renews without reading the key-value store must expire before cancel_s has
+// passed: the controller may not know of a cancellation.
+func TestLeasesRenewedWithinTheBoundExpireBeforeCancelS(t *testing.T) {
 	s := parse(t, []byte(validSettings))
 	if bound := s.RenewalBound(); bound <= 0 || bound+s.WorkerLease() >= 60*time.Second {
 		t.Fatalf("bound %v", bound)
 	}
 	s.Params.Workers.CancelS = 31
 	if s.RenewalBound() != 0 {
-		t.Fatal("a bound below zero")
+		t.Fatal("bound is not 0")
 	}
 }
 
