--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,8 @@
-// Package daemon runs a service under the machine's service manager. It owns the
-// process's signals and lifecycle: it notifies the manager of readiness, feeds
-// the manager's watchdog from the service's own progress, reloads settings on
-// SIGHUP, and drains on SIGTERM or SIGINT. Without a service manager it does the
-// same and notifies nobody. What the service does, and which settings can be
-// reloaded, is the service's concern.
+// Package daemon runs a service under the machine's service manager. It handles the process's signals
+// and lifecycle: it notifies the manager of readiness, sends watchdog keep-alives while the service
+// makes progress, reloads settings on SIGHUP, and drains on SIGTERM or SIGINT. Without a service
+// manager it does the same and sends no notifications. What the service does, and which settings it
+// can reload, is up to the service.
 package daemon
 
 import (
@@ -26,7 +25,7 @@
 
 // States of a daemon.
 const (
-	Starting State = "starting" // the service runs and can't serve yet
+	Starting State = "starting" // the service runs and is not ready yet
 	Serving  State = "serving"
 	Draining State = "draining" // the service accepts no new work and finishes what is in flight
 	Stopped  State = "stopped"
@@ -39,12 +38,12 @@
 const (
 	BecameReady   Event = "became ready"
 	StopRequested Event = "stop requested" // by a signal
-	Drained       Event = "drained"        // or the drain limit has passed
-	Ended         Event = "ended"          // the service returned by itself
+	Drained       Event = "drained"        // Drain of the service returned, at the latest at the drain limit
+	Ended         Event = "ended"          // Run of the service returned without a stop request
 )
 
-// Next returns the state after an event. All transitions are here; an event that
-// a state doesn't expect changes nothing.
+// Next returns the state after an event. It defines all transitions; any other event leaves the state
+// unchanged.
 func (s State) Next(e Event) State {
 	switch {
 	case s == Starting && e == BecameReady:
@@ -61,61 +60,57 @@
 
 // Service is what a daemon runs.
 type Service interface {
-	// Run serves until ctx ends.
+	// Run serves until ctx is done.
 	Run(ctx context.Context) error
-	// Ready reports whether requests are served.
+	// Ready reports whether the service can serve requests.
 	Ready() bool
-	// Progress returns nil while the service's loops make progress, else what
-	// has stalled.
+	// Progress returns nil while the service's loops make progress, and otherwise an error that names
+	// what has stalled.
 	Progress() error
-	// Reload applies changed settings: all of them, or none and an error.
+	// Reload applies all changed settings, or none and returns an error.
 	Reload() error
-	// Drain accepts no new work and returns when what is in flight has finished
-	// or ctx has ended.
+	// Drain stops accepting new work and returns when the work in flight has finished or ctx is done.
 	Drain(ctx context.Context) error
 }
 
 // Manager is the service manager.
 type Manager interface {
-	// Notify sends a state in the manager's notify protocol.
+	// Notify sends a state by the manager's notification protocol.
 	Notify(state string)
-	// Watchdog returns the interval in which the manager expects a keep-alive,
-	// else takes the service for hung; 0 without a watchdog.
+	// Watchdog returns the time without a keep-alive after which the manager considers the service
+	// hung, or 0 without a watchdog.
 	Watchdog() time.Duration
 }
 
 // Options configure a daemon.
 type Options struct {
-	DrainLimit time.Duration // longest time that Drain may take
+	DrainLimit time.Duration // time limit of Drain
 	Log        *slog.Logger
 	Manager    Manager
-	Signals    <-chan os.Signal // nil: those of the process
+	Signals    <-chan os.Signal // nil: signals sent to the process
 }
 
-// ErrForced is the error of a stop that did not wait until the drain was complete.
-var ErrForced = errors.New("stopped before all that was under way had ended")
+// ErrForced is returned if the daemon stopped before the drain was complete.
+var ErrForced = errors.New("stopped before work in flight had finished")
 
-// readyPollInterval is the time between two checks of readiness until the service
-// is ready.
+// readyPollInterval is the interval between readiness checks until the service is ready.
 const readyPollInterval = 200 * time.Millisecond
 
-// signalBuffer is how many signals may wait for the daemon: the os/signal package
-// drops what does not fit.
+// signalBuffer is the capacity of the signal channel. Package os/signal drops signals that do not fit.
 const signalBuffer = 4
 
-// statusPrefix begins the line of a notification that people read.
+// statusPrefix starts the line of a notification that carries a human-readable status.
 const statusPrefix = "STATUS="
 
-// daemon is a running service. Its fields belong to the goroutine of Run.
+// daemon is a running service. Only the goroutine that called Run uses its fields.
 type daemon struct {
 	Options
 	service Service
 	state   State
 }
 
-// Run runs the service until it ends or a signal stops it. It returns nil after a
-// complete drain, ErrForced after a stop that did not wait for one, else the
-// service's error.
+// Run runs the service until it ends or a signal stops it. It returns nil after a complete drain,
+// ErrForced if it stopped before the drain was complete, and otherwise the service's error.
 func Run(service Service, o Options) error {
 	if o.Signals == nil {
 		signals := make(chan os.Signal, signalBuffer)
@@ -136,8 +131,8 @@
 	return errors.Join(err, <-runResult)
 }
 
-// serve returns when a stop is requested, or when the service has ended by itself:
-// then ended is true, and err is what Run of the service returned.
+// serve returns when a stop is requested or the service ends by itself. In the latter case ended is
+// true and err is the result of the service's Run.
 func (d *daemon) serve(runResult <-chan error) (ended bool, err error) {
 	var watchdog <-chan time.Time
 	if interval := d.Manager.Watchdog(); interval > 0 {
@@ -159,7 +154,7 @@
 				d.notify(sd.SdNotifyReady, "serving")
 			}
 		case <-watchdog:
-			d.feedWatchdog()
+			d.notifyWatchdog()
 		case sig := <-d.Signals:
 			if sig == syscall.SIGHUP {
 				d.reload()
@@ -172,7 +167,7 @@
 	}
 }
 
-// apply changes the state after an event and logs the change.
+// apply applies an event to the state and logs a state change.
 func (d *daemon) apply(e Event) {
 	if next := d.state.Next(e); next != d.state {
 		d.Log.Info(logging.EventDaemonStateChanged, logging.KeyState, string(next), logging.KeyPrevious, string(d.state))
@@ -180,15 +175,14 @@
 	}
 }
 
-// notify sends the manager a state with a status text.
+// notify sends a state and a status text to the manager.
 func (d *daemon) notify(state, status string) {
 	d.Manager.Notify(state + "\n" + statusPrefix + status)
 }
 
-// feedWatchdog sends a keep-alive if the service makes progress. Guards against a
-// process that is alive and does nothing: without a keep-alive the manager
-// restarts it.
-func (d *daemon) feedWatchdog() {
+// notifyWatchdog sends a keep-alive if the service makes progress. The manager restarts a process that
+// sends none, so one that is alive but stalled is restarted too.
+func (d *daemon) notifyWatchdog() {
 	if err := d.service.Progress(); err != nil {
 		d.Log.Error(logging.EventNoProgress, logging.KeyError, err)
 		d.Manager.Notify(statusPrefix + "no progress: " + err.Error())
@@ -197,7 +191,7 @@
 	d.Manager.Notify(sd.SdNotifyWatchdog)
 }
 
-// reload applies changed settings, and notifies the manager before and after.
+// reload applies changed settings and notifies the manager before and after.
 func (d *daemon) reload() {
 	d.Manager.Notify(sd.SdNotifyReloading)
 	status := "serving"
@@ -210,14 +204,14 @@
 	d.notify(sd.SdNotifyReady, status)
 }
 
-// drain lets the service finish what is in flight, within the drain limit and
-// until a second signal.
+// drain waits until the service has finished the work in flight, the drain limit has passed or a second
+// stop signal arrives.
 func (d *daemon) drain() error {
 	d.notify(sd.SdNotifyStopping, "draining")
 	ctx, cancel := context.WithTimeout(context.Background(), d.DrainLimit)
 	defer cancel()
 	started := time.Now()
-	drainResult := make(chan error, 1) // buffered: after a second signal nobody receives
+	drainResult := make(chan error, 1) // buffered, because nothing receives from it after a second signal
 	go func() { drainResult <- d.service.Drain(ctx) }()
 	for {
 		select {
@@ -230,7 +224,7 @@
 			return nil
 		case sig := <-d.Signals:
 			if sig == syscall.SIGHUP {
-				continue // settings are not reloaded any more
+				continue // settings are no longer reloaded
 			}
 			d.apply(StopRequested)
 			d.Log.Info(logging.EventStoppedImmediately, logging.KeySignal, sig.String())
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,14 +19,14 @@
 
 // scriptedService is a service whose results a test sets.
 type scriptedService struct {
-	mu          sync.Mutex // guards the four below
+	mu          sync.Mutex // guards the next four fields
 	ready       bool
 	progressErr error
 	reloadErr   error
 	reloads     int
 
-	drainResult chan error // Drain returns what it receives from it
-	runResult   chan error // so does Run
+	drainResult chan error // Drain returns the value received from it
+	runResult   chan error // Run returns the value received from it
 }
 
 func newScriptedService() *scriptedService {
@@ -70,8 +70,8 @@
 	}
 }
 
-// set changes results while the daemon runs.
-func (s *scriptedService) set(change func()) {
+// update runs change, which sets results, while the daemon runs.
+func (s *scriptedService) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -92,7 +92,7 @@
 
 func (m *recordingManager) Watchdog() time.Duration { return m.watchdogInterval }
 
-func (m *recordingManager) recorded() []string {
+func (m *recordingManager) recordedNotifications() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.notifications)
@@ -104,12 +104,12 @@
 	m.notifications = nil
 }
 
-// await waits for a notification with a prefix.
+// await waits for a notification that starts with prefix.
 func (m *recordingManager) await(t *testing.T, prefix string) {
 	t.Helper()
 	hasPrefix := func(notification string) bool { return strings.HasPrefix(notification, prefix) }
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		recorded := m.recorded()
+		recorded := m.recordedNotifications()
 		if slices.ContainsFunc(recorded, hasPrefix) {
 			return
 		}
@@ -119,43 +119,43 @@
 	}
 }
 
-// runningDaemon is a daemon that a test has started.
+// runningDaemon is a daemon started by a test.
 type runningDaemon struct {
 	signals chan<- os.Signal
 	result  <-chan error // of Run
 }
 
-// start runs a daemon. Tests call it in a synctest bubble, so that its tickers
-// and limits run on the bubble's clock.
-func start(service *scriptedService, manager *recordingManager, drainLimit time.Duration) runningDaemon {
+// startDaemon starts a daemon. Tests call it in a synctest bubble, so that its tickers and time limits
+// use the bubble's fake clock.
+func startDaemon(service *scriptedService, manager *recordingManager, drainLimit time.Duration) runningDaemon {
 	signals, result := make(chan os.Signal, signalBuffer), make(chan error, 1)
 	options := Options{DrainLimit: drainLimit, Log: slog.New(slog.DiscardHandler), Manager: manager, Signals: signals}
 	go func() { result <- Run(service, options) }()
 	return runningDaemon{signals, result}
 }
 
-// wait waits for the daemon's end and returns its result.
+// wait waits until Run returns and returns its result.
 func (d runningDaemon) wait(t *testing.T) error {
 	t.Helper()
 	select {
 	case err := <-d.result:
 		return err
 	case <-time.After(10 * time.Second):
-		t.Fatal("the daemon does not end")
+		t.Fatal("the daemon did not stop")
 		return nil
 	}
 }
 
-func TestReadyIsNotifiedOnlyOnceTheServiceIsReady(t *testing.T) {
+func TestReadinessIsNotifiedOnlyWhenTheServiceIsReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service, manager := newScriptedService(), &recordingManager{}
-		d := start(service, manager, time.Second)
+		d := startDaemon(service, manager, time.Second)
 		time.Sleep(2 * readyPollInterval)
 		synctest.Wait()
-		if early := manager.recorded(); len(early) != 0 {
+		if early := manager.recordedNotifications(); len(early) != 0 {
 			t.Fatalf("notifications before the service is ready: %q", early)
 		}
-		service.set(func() { service.ready = true })
+		service.update(func() { service.ready = true })
 		manager.await(t, "READY=1")
 		service.drainResult <- nil
 		d.signals <- syscall.SIGTERM
@@ -166,19 +166,19 @@
 	})
 }
 
-func TestWatchdogIsFedOnlyWhileTheServiceMakesProgress(t *testing.T) {
+func TestWatchdogIsNotifiedOnlyWhileTheServiceMakesProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service, manager := newScriptedService(), &recordingManager{watchdogInterval: 20 * time.Millisecond}
-		d := start(service, manager, time.Second)
+		d := startDaemon(service, manager, time.Second)
 		manager.await(t, "WATCHDOG=1")
-		service.set(func() { service.progressErr = errors.New("passes stand still") })
-		manager.await(t, "STATUS=no progress: passes stand still")
+		service.update(func() { service.progressErr = errors.New("passes have stalled") })
+		manager.await(t, "STATUS=no progress: passes have stalled")
 		manager.clear()
 		manager.await(t, "STATUS=no progress")
-		if slices.Contains(manager.recorded(), "WATCHDOG=1") {
-			t.Error("watchdog fed without progress")
+		if slices.Contains(manager.recordedNotifications(), "WATCHDOG=1") {
+			t.Error("watchdog notified without progress")
 		}
-		service.set(func() { service.progressErr = nil })
+		service.update(func() { service.progressErr = nil })
 		manager.await(t, "WATCHDOG=1")
 		service.drainResult <- nil
 		d.signals <- syscall.SIGINT
@@ -192,13 +192,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		service, manager := newScriptedService(), &recordingManager{}
 		service.ready = true
-		d := start(service, manager, time.Second)
+		d := startDaemon(service, manager, time.Second)
 		manager.await(t, "READY=1")
 		manager.clear()
 		d.signals <- syscall.SIGHUP
 		manager.await(t, "RELOADING=1")
 		manager.await(t, "READY=1\nSTATUS=serving")
-		service.set(func() { service.reloadErr = errors.New("log.level: wrong") })
+		service.update(func() { service.reloadErr = errors.New("log.level: wrong") })
 		d.signals <- syscall.SIGHUP
 		manager.await(t, "READY=1\nSTATUS=settings not reloaded: log.level: wrong")
 		service.drainResult <- nil
@@ -225,13 +225,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service, manager := newScriptedService(), &recordingManager{}
-				d := start(service, manager, c.drainLimit)
+				d := startDaemon(service, manager, c.drainLimit)
 				if c.drainErr != nil {
 					service.drainResult <- c.drainErr
 				}
 				d.signals <- syscall.SIGTERM
 				if c.secondSignal {
-					d.signals <- syscall.SIGHUP // changes nothing
+					d.signals <- syscall.SIGHUP // ignored while draining
 					d.signals <- syscall.SIGTERM
 				}
 				if err := d.wait(t); !errors.Is(err, ErrForced) || c.cause != nil && !errors.Is(err, c.cause) {
@@ -242,11 +242,11 @@
 	}
 }
 
-func TestErrorOfAServiceThatEndsByItselfIsReturned(t *testing.T) {
+func TestRunReturnsTheErrorOfAServiceThatEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		failed := errors.New("bind: address in use")
 		service := newScriptedService()
-		d := start(service, &recordingManager{}, time.Second)
+		d := startDaemon(service, &recordingManager{}, time.Second)
 		service.runResult <- failed
 		if err := d.wait(t); !errors.Is(err, failed) {
 			t.Fatal(err)
@@ -280,8 +280,8 @@
 	}
 }
 
-// The published protocol: datagrams to the socket that the environment names, the
-// watchdog's interval in microseconds.
+// Systemd's protocol: NOTIFY_SOCKET names the socket that receives datagrams, and WATCHDOG_USEC the
+// watchdog interval in microseconds.
 func TestSystemdNotifyProtocol(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "notify")
 	conn, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: path, Net: "unixgram"})
@@ -308,6 +308,6 @@
 	t.Setenv("WATCHDOG_USEC", "")
 	manager.Notify("READY=1") // without a manager
 	if manager.Watchdog() != 0 {
-		t.Fatal("a watchdog without a manager")
+		t.Fatal("watchdog interval without a manager")
 	}
 }
--- a/internal/daemon/systemd.go
+++ b/internal/daemon/systemd.go
@@ -9,21 +9,21 @@
 	"wheatspur/internal/logging"
 )
 
-// SystemdManager is the service manager that has started this process, spoken to in
-// systemd's notify protocol; without one, nothing is sent.
+// SystemdManager notifies the service manager that started this process by systemd's notify protocol.
+// Without such a manager it sends nothing.
 type SystemdManager struct {
-	// Log takes the failures: a manager that can't be reached stops nothing.
+	// Log receives failures, which are not returned: an unreachable manager must not stop the service.
 	Log *slog.Logger
 }
 
-// Notify sends a state.
+// Notify sends a state to the manager.
 func (m SystemdManager) Notify(state string) {
 	if _, err := sd.SdNotify(false, state); err != nil {
 		m.Log.Warn(logging.EventManagerNotNotified, logging.KeyError, err)
 	}
 }
 
-// Watchdog returns the manager's watchdog interval; 0 without a watchdog.
+// Watchdog returns the manager's watchdog interval, or 0 without a watchdog.
 func (m SystemdManager) Watchdog() time.Duration {
 	interval, err := sd.SdWatchdogEnabled(false)
 	if err != nil {
