--- a/cmd/wheatspur/commandline_test.go
+++ b/cmd/wheatspur/commandline_test.go
@@ -16,19 +16,19 @@
 
 var update = flag.Bool("update", false, "rewrite the golden texts")
 
-// asProgram makes the test binary run the program instead of the tests.
-const asProgram = "WHEATSPUR_TEST_AS_PROGRAM"
+// runMainVariable is the environment variable that makes the test binary run main instead of the tests.
+const runMainVariable = "WHEATSPUR_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainVariable) != "" {
 		main()
 		os.Exit(0)
 	}
 	m.Run()
 }
 
-// settings are those of examples/node.toml in short.
-const settings = `label = "n0"
+// validSettings is a valid settings file, shortened from examples/node.toml.
+const validSettings = `label = "n0"
 bind = "127.0.0.1:8080"
 peer_listen = "127.0.0.1:8081"
 [endpoints]
@@ -51,14 +51,13 @@
 max_connections = 1000
 `
 
-// The program's arguments: its help, its version, the check of settings, and what
-// is said of wrong ones, with the exit code. Only settings that are checked, or
-// wrong, are used: nothing is served.
+// Records the output and exit code of help, version, the check of settings, and invalid arguments and
+// settings. No case starts a controller: each either only checks its settings or fails before.
 func TestCommandLineOutput(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
-		"node.toml":       settings,
-		"wrong.toml":      strings.Replace(settings, `label = "n0"`, "", 1),
+		"node.toml":       validSettings,
+		"wrong.toml":      strings.Replace(validSettings, `label = "n0"`, "", 1),
 		"good.properties": "retry.after=17\n",
 		"bad.properties":  "retry.after=0\n",
 		"loud.properties": "log.level=loud\n",
@@ -97,7 +96,7 @@
 		for _, a := range c.args {
 			cmd.Args = append(cmd.Args, strings.ReplaceAll(a, "DIR", dir))
 		}
-		cmd.Env = []string{asProgram + "=1"}
+		cmd.Env = []string{runMainVariable + "=1"}
 		if c.env != "" {
 			cmd.Env = append(cmd.Env, strings.ReplaceAll(c.env, "DIR", dir))
 		}
--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -1,6 +1,5 @@
-// Command wheatspur runs one controller of the cluster scheduler: it reads the
-// settings, sets the limits of the Go runtime, and hands the controller to
-// package daemon. What the controller does is package controller's.
+// Command wheatspur runs one controller of the cluster scheduler. It reads the settings, sets the limits
+// of the Go runtime, and runs the controller of package controller as a service of package daemon.
 package main
 
 import (
@@ -22,7 +21,7 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // invalid settings, or the controller failed
+	exitFailed = 1 // the command line or settings are invalid, or the controller failed
 	exitForced = 3 // a signal stopped the controller before its drain was complete
 )
 
@@ -32,7 +31,7 @@
 	logLevelVariable   = "LOG_LEVEL"            // overrides the properties file
 )
 
-// bytesPerMB converts the memory limit of the settings.
+// bytesPerMB converts the memory limit in the settings to bytes.
 const bytesPerMB = 1 << 20
 
 func main() {
@@ -47,13 +46,13 @@
 	os.Exit(exitFailed)
 }
 
-// command is the command line: its flags, and what runs after they are parsed.
+// command returns the command with its flags and the function that runs after they are parsed.
 func command() *cobra.Command {
 	var settingsPath, propertiesPath string
 	var checkOnly bool
 	cmd := &cobra.Command{
 		Use:   "wheatspur --config FILE",
-		Short: "A cluster scheduler with Narwhal role control",
+		Short: "Run one controller of the cluster scheduler",
 		Long: "wheatspur runs one controller node: it takes jobs from users, rents machines,\n" +
 			"and decides what runs where. Its state lives in the state service alone.\n\n" +
 			"Keys of the operators' properties file:\n" + config.OperatorHelp(),
@@ -70,7 +69,7 @@
 				return err
 			}
 			if checkOnly {
-				// The exit code tells; that the line can't be printed changes no verdict.
+				// The exit code carries the result, so an error of printing is ignored.
 				_, _ = fmt.Fprintln(cmd.OutOrStdout(), "settings are valid")
 				return nil
 			}
@@ -83,17 +82,16 @@
 	return cmd
 }
 
-// process adds the reload of settings to a controller, so that it is a
-// daemon.Service.
+// process is a controller that can reload its settings; it implements daemon.Service.
 type process struct {
 	*controller.Controller
 	settings       *config.Settings
 	propertiesPath string         // the operators' properties file
-	logLevel       *slog.LevelVar // of the controller's log
+	logLevel       *slog.LevelVar // level of the controller's log
 }
 
-// Reload applies those changes of the properties file that a running controller
-// can take over. The error of any other change leaves everything as it was.
+// Reload applies the changes of the properties file that a running controller supports. If there is any
+// other change, it returns an error and applies nothing.
 func (p *process) Reload() error {
 	changed, err := config.LoadOperator(p.propertiesPath)
 	if err != nil {
@@ -112,7 +110,7 @@
 	return nil
 }
 
-// run runs a controller until it ends or a signal stops it.
+// run runs a controller until it ends or a signal stops it. Reload reads the file at propertiesPath.
 func run(settings *config.Settings, propertiesPath string) error {
 	level, err := parseLogLevel(settings.Operator.LogLevel)
 	if err != nil {
@@ -131,20 +129,18 @@
 	return daemon.Run(p, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.SystemdManager{Log: log}})
 }
 
-// limitRuntime keeps the Go runtime within the share of a machine that a
-// controller may use.
+// limitRuntime limits the Go runtime to the share of a machine that a controller may use.
 func limitRuntime(memoryMB float64) {
-	// A controller's machine runs one thread at a time; more threads would only
-	// add context switches.
+	// A controller's machine runs one thread at a time, so more threads would only add context switches.
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(memoryMB * tuning.MemoryShare * bytesPerMB))
-	// With that limit, garbage may grow to several times the live memory before
-	// it is collected: processor time is scarcer than memory here.
+	// Garbage may grow to several times the live memory before it is collected, because processor time
+	// is scarcer here than memory, which the limit above bounds.
 	debug.SetGCPercent(tuning.GCPercent)
 }
 
-// parseLogLevel returns the level that the environment names, else the one of
-// the given name, else info.
+// parseLogLevel returns the log level named by the environment, else the one with the given name, else
+// info.
 func parseLogLevel(name string) (slog.Level, error) {
 	if variable := os.Getenv(logLevelVariable); variable != "" {
 		name = variable
@@ -154,7 +150,7 @@
 		return level, nil
 	}
 	if err := level.UnmarshalText([]byte(name)); err != nil {
-		// The cause names slog's own levels; operators are told those of the settings.
+		// The error does not wrap err, which describes slog's levels and not those of the settings.
 		return level, fmt.Errorf("LOG_LEVEL: %q is not one of error, warn, info, debug", name)
 	}
 	return level, nil
--- a/cmd/wheatspur/main_test.go
+++ b/cmd/wheatspur/main_test.go
@@ -18,10 +18,10 @@
 		name   string
 		args   []string
 		output string
-		err    string // how the error begins; empty: none
+		err    string // prefix of the expected error; empty: no error
 	}{
-		{"no settings file", nil, "", "--config is missing"},
-		{"settings file that is not there", []string{"--config", "missing.toml"}, "", "settings: open missing.toml"},
+		{"no --config flag", nil, "", "--config is missing"},
+		{"missing settings file", []string{"--config", "missing.toml"}, "", "settings: open missing.toml"},
 		{"check of valid settings", []string{"--config", exampleSettings, "--check"}, "settings are valid\n", ""},
 		{"check of a missing properties file", []string{"--config", exampleSettings, "--properties", "missing.properties", "--check"},
 			"", "properties: open missing.properties"},
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestLogLevel(t *testing.T) {
+func TestParseLogLevel(t *testing.T) {
 	for _, c := range []struct {
 		name, variable, setting string
 		want                    slog.Level
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestReloadAppliesTheLogLevelAlone(t *testing.T) {
+func TestReloadAppliesOnlyTheLogLevel(t *testing.T) {
 	t.Setenv(logLevelVariable, "")
 	path := filepath.Join(t.TempDir(), "operator.properties")
 	p := &process{settings: &config.Settings{Operator: config.DefaultOperator()}, propertiesPath: path, logLevel: &slog.LevelVar{}}
