--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -38,7 +38,7 @@
 const (
 	BecameReady   Event = "became ready"
 	StopRequested Event = "stop requested" // by a signal
-	Drained       Event = "drained"        // Drain of the service returned, at the latest at the drain limit
+	Drained       Event = "drained"        // Drain of the service returned; its context ends at the drain limit
 	Ended         Event = "ended"          // Run of the service returned without a stop request
 )
 
@@ -204,8 +204,8 @@
 	d.notify(sd.SdNotifyReady, status)
 }
 
-// drain waits until the service has finished the work in flight, the drain limit has passed or a second
-// stop signal arrives.
+// drain drains the service and returns when its Drain, whose context ends at the drain limit, has
+// returned or a second stop signal arrives.
 func (d *daemon) drain() error {
 	d.notify(sd.SdNotifyStopping, "draining")
 	ctx, cancel := context.WithTimeout(context.Background(), d.DrainLimit)
