--- a/wire/codec.go
+++ b/wire/codec.go
@@ -6,16 +6,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxBody is the largest request or response body in bytes, as JSON.
+// MaxBody is the largest request or response body, in bytes of its JSON form. The controllers apply
+// it to the CBOR form of the requests of users and workers.
 const MaxBody = 64 << 10
 
-// ContentType is sent with every body.
+// ContentType is the content type of every body.
 const ContentType = "application/cbor"
 
-// Bounds on what is decoded, so that a hostile body can't make the decoder
-// allocate without limit.
+// Decoding limits, so that a malicious body can't make the decoder allocate without bound.
 const (
-	maxElements = 1 << 17 // of a map or an array; well above MaxTasks
+	maxElements = 1 << 17 // per map or array; well above MaxTasks
 	maxNesting  = 16
 )
 
@@ -51,15 +51,14 @@
 // Marshal encodes v as CBOR.
 func Marshal(v any) ([]byte, error) { return encMode.Marshal(v) }
 
-// MustMarshal encodes a value that is known to be encodable.
+// MustMarshal encodes v, which must be encodable, as CBOR. It panics on an error.
 func MustMarshal(v any) []byte {
 	b, err := encMode.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("wire: %T cannot be encoded: %v", v, err))
+		panic(fmt.Sprintf("wire: cannot encode %T: %v", v, err))
 	}
 	return b
 }
 
-// Unmarshal decodes one CBOR value into v and refuses trailing bytes and
-// repeated keys.
+// Unmarshal decodes one CBOR value into v. Trailing bytes and duplicate map keys are errors.
 func Unmarshal(b []byte, v any) error { return decMode.Unmarshal(b, v) }
