--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -26,8 +26,8 @@
 	Types []MachineType `cbor:"rigs"`
 }
 
-// ScaleOutRequest is the body of POST /hosts. The name makes a repeat of the
-// request idempotent, so each is used once.
+// ScaleOutRequest is the body of POST /hosts. Name is an idempotency key: a repeat of the request
+// adds no further machines, so every new request needs a new name.
 type ScaleOutRequest struct {
 	Name        string `cbor:"hire"`
 	MachineType string `cbor:"rig"`
@@ -36,7 +36,7 @@
 	Count       int    `cbor:"number"`
 }
 
-// MachineNames is a list of machines by name.
+// MachineNames is a list of machine names.
 type MachineNames struct {
 	Machines []string `cbor:"hosts"`
 }
@@ -52,7 +52,7 @@
 	AgeS        float64 `cbor:"held_s"`
 }
 
-// MachinePage answers GET /hosts. A truncated page is followed by the next one.
+// MachinePage answers GET /hosts with one page of the list. More pages follow if it is truncated.
 type MachinePage struct {
 	Machines  []Machine `cbor:"hosts"`
 	Truncated bool      `cbor:"truncated"`
