--- a/wire/store.go
+++ b/wire/store.go
@@ -7,22 +7,21 @@
 	Version uint64 `cbor:"stamp"`
 }
 
-// ListResponse answers GET /keys. A truncated list is followed by the next page.
+// ListResponse answers GET /keys with one page of the list. More pages follow if it is truncated.
 type ListResponse struct {
 	KeyValues []KeyValue `cbor:"pairs"`
 	Truncated bool       `cbor:"truncated"`
 	Revision  uint64     `cbor:"epoch"`
 }
 
-// Compare is one condition of a compare-and-swap transaction: the key has this
-// version.
+// Compare is a condition of a compare-and-swap transaction: Key must have this Version.
 type Compare struct {
 	Key     string `cbor:"key"`
 	Version uint64 `cbor:"stamp"`
 }
 
-// Operation is one change of a transaction: it puts Value under the key Put, bound
-// to a lease if LeaseID is set, or deletes the key Delete.
+// Operation is one change in a transaction. It either stores Value under the key Put, attached to a
+// lease if LeaseID is set, or deletes the key Delete.
 type Operation struct {
 	Put     string `cbor:"set,omitempty"`
 	Value   Raw    `cbor:"v,omitempty"`
@@ -30,26 +29,27 @@
 	Delete  string `cbor:"drop,omitempty"`
 }
 
-// Transaction is the body of POST /multi, a compare-and-swap: its operations are
-// applied together if all compares hold, else none is.
+// Transaction is the body of POST /multi, a compare-and-swap: its operations are applied atomically
+// if all compares hold, and otherwise not at all.
 type Transaction struct {
 	Compares   []Compare   `cbor:"guards"`
 	Operations []Operation `cbor:"then"`
 }
 
-// TransactionResult answers a transaction; without an Error it was applied.
+// TransactionResult answers POST /multi. If the transaction was not applied, FailedCompares lists the
+// keys whose compare failed, or Error gives the reason; the HTTP status distinguishes the cases.
 type TransactionResult struct {
 	Revision       uint64   `cbor:"epoch"`
 	FailedCompares []string `cbor:"failed"`
 	Error          string   `cbor:"error"`
 }
 
-// LeaseRequest asks for a lease that expires unless it is renewed in time.
+// LeaseRequest is the body of POST /leases: it requests a lease that expires unless it is renewed.
 type LeaseRequest struct {
 	TTLMs uint64 `cbor:"ttl_ms"`
 }
 
-// LeaseResponse answers a request for a lease.
+// LeaseResponse answers POST /leases.
 type LeaseResponse struct {
 	ID uint64 `cbor:"tenure"`
 }
@@ -62,7 +62,7 @@
 	Version uint64 `cbor:"stamp"`
 }
 
-// WatchResponse answers GET /watch: the changes up to a revision.
+// WatchResponse answers GET /watch with the changes up to Revision.
 type WatchResponse struct {
 	Revision uint64       `cbor:"epoch"`
 	Events   []WatchEvent `cbor:"events"`
