--- a/wire/workers.go
+++ b/wire/workers.go
@@ -1,6 +1,6 @@
 package wire
 
-// States of a task's attempt in heartbeats.
+// States of a task attempt in heartbeats.
 const (
 	TaskPulling       = "pulling"
 	TaskRunning       = "running"
@@ -8,7 +8,7 @@
 	TaskExited        = "exited"
 )
 
-// Causes of the exit of a task's attempt.
+// Exit causes of a task attempt.
 const (
 	ExitCauseDone    = "done"
 	ExitCauseStopped = "stopped"
@@ -18,14 +18,14 @@
 	ExitCauseUnknown = "unknown"
 )
 
-// Verbs of commands.
+// Command verbs. VerbReap removes an exited attempt from the worker.
 const (
 	VerbStart = "start"
 	VerbKill  = "kill"
 	VerbReap  = "reap"
 )
 
-// TaskStatus is one attempt of a task in a worker's heartbeat.
+// TaskStatus is the status of one task attempt in a heartbeat.
 type TaskStatus struct {
 	Task         string `cbor:"shard"`
 	Attempt      uint64 `cbor:"try"`
@@ -34,11 +34,10 @@
 	Checkpointed bool   `cbor:"saved,omitempty"`
 }
 
-// Heartbeat is the body of POST /checkin: what a worker runs. A worker enters a
-// new incarnation, without tasks, when its lease expires; Sequence counts the
-// heartbeats of an incarnation, and FencingToken is the highest that the worker
-// has seen. TerminationNoticeS is nil unless the cloud has announced that it
-// terminates the machine.
+// Heartbeat is the body of POST /checkin: the state of a worker and its tasks. When its lease
+// expires, a worker starts a new incarnation without tasks. Sequence counts the heartbeats of an
+// incarnation, and FencingToken is the highest token that the worker has seen. TerminationNoticeS is
+// nil unless the cloud has announced that it will terminate the machine.
 type Heartbeat struct {
 	Machine            string       `cbor:"host"`
 	Address            string       `cbor:"address"`
@@ -52,8 +51,7 @@
 	Tasks              []TaskStatus `cbor:"shards"`
 }
 
-// Command is one command about one attempt of a task. GracePeriodS belongs to
-// VerbKill.
+// Command is a command for one task attempt. GracePeriodS applies to VerbKill only.
 type Command struct {
 	Verb         string   `cbor:"verb"`
 	Task         string   `cbor:"shard"`
@@ -61,22 +59,22 @@
 	GracePeriodS *float64 `cbor:"leeway_s,omitempty"`
 }
 
-// HeartbeatResponse answers a heartbeat; it renews the worker's lease.
+// HeartbeatResponse answers POST /checkin and renews the worker's lease.
 type HeartbeatResponse struct {
 	FencingToken uint64    `cbor:"baton"`
 	Commands     []Command `cbor:"orders"`
 }
 
-// CommandRequest is the body of POST /commands at a worker, which refuses it if
-// it has seen a higher fencing token or is of another incarnation.
+// CommandRequest is the body of POST /commands, which controllers send to a worker. The worker
+// rejects it if it has seen a higher fencing token or if its incarnation differs.
 type CommandRequest struct {
 	FencingToken uint64    `cbor:"baton"`
 	Incarnation  uint64    `cbor:"stint"`
 	Commands     []Command `cbor:"orders"`
 }
 
-// Redirect answers a heartbeat that another controller should handle; it names
-// that controller, if it is known.
+// Redirect answers a heartbeat that another controller should handle. Controller is empty if that
+// controller is unknown.
 type Redirect struct {
 	Controller string `cbor:"foreman,omitempty"`
 }
