--- a/wire/users.go
+++ b/wire/users.go
@@ -7,19 +7,19 @@
 	"slices"
 )
 
-// MaxTasks is the largest number of tasks of one job.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Kinds of jobs.
+// Job kinds.
 const (
 	KindArray   = "array"
 	KindService = "standing"
-	// KindGang asks for gang scheduling: all of its tasks run at once or none
-	// does. The protocol's text does not describe it; see docs/questions.md.
+	// KindGang requests gang scheduling: either all tasks of the job run at once or none does. The
+	// protocol specification does not describe it; see docs/questions.md.
 	KindGang = "gang"
 )
 
-// Priorities of jobs, highest first.
+// Job priorities, highest first.
 const (
 	PriorityCritical = "critical"
 	PriorityUrgent   = "urgent"
@@ -27,7 +27,7 @@
 	PriorityLow      = "low"
 )
 
-// States of jobs.
+// Job states.
 const (
 	StateQueued    = "queued"
 	StateRunning   = "running"
@@ -35,9 +35,9 @@
 	StateCancelled = "cancelled"
 )
 
-// JobSpec describes a job: the body of POST /work. The size of its JSON form is
-// what counts against the value limit of the key-value store, so the json tags
-// and the order of the fields stay as they are.
+// JobSpec is the description of a job and the body of POST /work. The size of its JSON form counts
+// against the value size limit of the key-value store, so the json tags and the order of the fields
+// must not change.
 type JobSpec struct {
 	ID                  string   `cbor:"ref" json:"ref"`
 	Class               string   `cbor:"cohort" json:"cohort"`
@@ -59,19 +59,19 @@
 	CheckpointIntervalS float64  `cbor:"stake_s" json:"stake_s"`
 	CheckpointWriteS    float64  `cbor:"stash_s" json:"stash_s"`
 	DeadlineS           *float64 `cbor:"due_s" json:"due_s"`
-	// DependsOn names the jobs that have to be done before any task starts;
-	// absent or null: none.
+	// DependsOn lists the IDs of the jobs that must be done before any task starts. Absent or null
+	// means none.
 	DependsOn []string `cbor:"awaits,omitempty" json:"awaits"`
 }
 
-// requiredFields lists the keys that a submission must carry; rigs, plot, due_s
-// and awaits may be null and so may be absent.
+// requiredFields lists the keys that a submission must have. The others (rigs, plot, due_s and
+// awaits) may be null or absent.
 var requiredFields = []string{
 	"ref", "cohort", "crew", "shape", "rank", "shards", "cpus", "cards", "ram_gb",
 	"bundle", "image_gb", "together", "apart", "windfall", "reckon_s", "stake_s", "stash_s",
 }
 
-// Bounds on the fields of a submission: lengths in bytes, amounts in their units.
+// Limits on the fields of a submission: lengths in bytes, amounts in the unit of the field.
 const (
 	maxClassLength       = 200
 	maxTeamLength        = 100
@@ -82,23 +82,23 @@
 	maxAmount            = 1e9
 )
 
-// firstSimpleNull is CBOR's null. As a value of one byte, it and everything
-// above it (undefined, and what has no meaning alone) carries nothing.
-const firstSimpleNull = 0xf6
+// cborNull is the CBOR encoding of null. One-byte values above it are undefined or not valid on their
+// own, so they count as null, too.
+const cborNull = 0xf6
 
 var jobIDPattern = regexp.MustCompile(`^wk-[0-9]{1,18}$`)
 
-// ValidJobID reports whether s has the form of a job id.
+// ValidJobID reports whether s has the form of a job ID.
 func ValidJobID(s string) bool { return jobIDPattern.MatchString(s) }
 
-// ErrMalformed is the kind of every error of DecodeJobSpec.
+// ErrMalformed is wrapped by every error that DecodeJobSpec returns.
 var ErrMalformed = errors.New("malformed")
 
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// DecodeJobSpec decodes and checks the body of POST /work.
+// DecodeJobSpec decodes and validates the body of POST /work.
 func DecodeJobSpec(body []byte) (JobSpec, error) {
 	var spec JobSpec
 	if len(body) > MaxBody {
@@ -114,7 +114,7 @@
 	if err := Unmarshal(body, &spec); err != nil {
 		return spec, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	// The decoder reads a null among the job ids as an empty text.
+	// The decoder turns a null in a list of strings into an empty string, which would hide it.
 	var dependsOn []*string
 	if raw, ok := fields["awaits"]; ok && (Unmarshal(raw, &dependsOn) != nil || slices.Contains(dependsOn, nil)) {
 		return spec, malformed("awaits is not a list of texts")
@@ -122,33 +122,34 @@
 	return spec, spec.check()
 }
 
-// checkRequired tells an absent or null field from one that holds the zero
-// value, which decoding alone does not.
+// checkRequired returns an error if a required field is absent or null. In a decoded JobSpec such a
+// field could not be told from one that holds the zero value.
 func checkRequired(fields map[string]Raw) error {
 	for _, name := range requiredFields {
-		if value, ok := fields[name]; !ok || len(value) == 1 && value[0] >= firstSimpleNull {
+		if value, ok := fields[name]; !ok || len(value) == 1 && value[0] >= cborNull {
 			return malformed("%s is missing", name)
 		}
 	}
 	return nil
 }
 
-// check returns the first fault; which of several is reported, too, is part of
-// what users see.
+// check returns an error for the first invalid field. The order of the checks must not change, since
+// users see which of several invalid fields is reported.
 func (s *JobSpec) check() error {
-	if err := s.checkTexts(); err != nil {
+	if err := s.checkStrings(); err != nil {
 		return err
 	}
 	return s.checkAmounts()
 }
 
-func (s *JobSpec) checkTexts() error {
+// checkStrings checks the text fields and the number of tasks.
+func (s *JobSpec) checkStrings() error {
 	switch {
 	case !ValidJobID(s.ID):
 		return malformed("ref %q is not a job id", s.ID)
-	case !lengthWithin(s.Class, maxClassLength):
+	case !validLength(s.Class, maxClassLength):
 		return malformed("cohort is invalid")
-	case !lengthWithin(s.Team, maxTeamLength):
+	case !validLength(s.Team, maxTeamLength):
 		return malformed("crew is invalid")
 	case !slices.Contains([]string{KindArray, KindService, KindGang}, s.Kind):
 		return malformed("shape %q is unknown", s.Kind)
@@ -156,25 +157,26 @@
 		return malformed("rank %q is unknown", s.Priority)
 	case s.Tasks < 1 || s.Tasks > MaxTasks:
 		return malformed("shards %d is out of range", s.Tasks)
-	case !lengthWithin(s.Image, maxImageLength):
+	case !validLength(s.Image, maxImageLength):
 		return malformed("bundle is invalid")
 	case len(s.MachineTypes) > maxMachineTypes:
 		return malformed("rigs names too many types")
 	}
 	for _, machineType := range s.MachineTypes {
-		if !lengthWithin(machineType, maxMachineTypeLength) {
+		if !validLength(machineType, maxMachineTypeLength) {
 			return malformed("rigs is invalid")
 		}
 	}
-	if s.Zone != nil && !lengthWithin(*s.Zone, maxZoneLength) {
+	if s.Zone != nil && !validLength(*s.Zone, maxZoneLength) {
 		return malformed("plot is invalid")
 	}
 	return nil
 }
 
-// lengthWithin reports whether a text is present and at most longest bytes long.
-func lengthWithin(text string, longest int) bool { return text != "" && len(text) <= longest }
+// validLength reports whether s is not empty and at most maxLength bytes long.
+func validLength(s string, maxLength int) bool { return s != "" && len(s) <= maxLength }
 
+// checkAmounts checks the amounts of resources and time.
 func (s *JobSpec) checkAmounts() error {
 	for _, field := range []struct {
 		name   string
@@ -191,10 +193,10 @@
 	return nil
 }
 
-// validAmount is false for NaN and the infinities, too.
+// validAmount reports whether an amount is in range, which NaN and the infinities are not.
 func validAmount(amount float64) bool { return amount >= 0 && amount <= maxAmount }
 
-// JobStatus answers a submission, a poll or a cancellation.
+// JobStatus answers the submission, a poll or the cancellation of a job.
 type JobStatus struct {
 	ID      string `cbor:"ref"`
 	State   string `cbor:"phase"`
@@ -202,7 +204,7 @@
 	Running int    `cbor:"running"`
 }
 
-// ErrorResponse is the body of every refused request; Error is meant for the user.
+// ErrorResponse is the body of the response to a rejected request. Error is shown to the user.
 type ErrorResponse struct {
 	Error string `cbor:"error"`
 }
