--- a/wire/doc_test.go
+++ b/wire/doc_test.go
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// The package comment is the one place that maps the protocol's words to the
-// names in Go, so it has to list every tag that is not the Go name itself.
+// The package comment is the only mapping between the protocol's terms and the Go names, so it must
+// list every tag that is not the snake case of its Go name.
 func TestPackageCommentMapsEveryTag(t *testing.T) {
 	files := parsePackage(t)
 	want := fieldNamesByTag(t, files)
@@ -23,11 +23,11 @@
 		return len(names) == 1 && isSnakeCaseOf(tag, names[0])
 	})
 	if got := documentedNamesByTag(t, files["doc.go"].Doc.Text()); !reflect.DeepEqual(got, want) {
-		t.Errorf("the table maps\n%v, the tags are\n%v", got, want)
+		t.Errorf("the table of the package comment maps\n%v, want\n%v", got, want)
 	}
 }
 
-// fieldNamesByTag returns the sorted names of the fields that bear each cbor tag.
+// fieldNamesByTag returns, for each cbor tag, the sorted names of the fields that have it.
 func fieldNamesByTag(t *testing.T, files map[string]*ast.File) map[string][]string {
 	t.Helper()
 	names := map[string][]string{}
@@ -58,13 +58,13 @@
 
 var tableRow = regexp.MustCompile(`^\t([a-z_]+) +([A-Z]\w*(?:, [A-Z]\w*)*) {2,}\S`)
 
-// documentedNamesByTag reads the first table of the package comment.
+// documentedNamesByTag parses the first table of the package comment.
 func documentedNamesByTag(t *testing.T, comment string) map[string][]string {
 	t.Helper()
 	rows := map[string][]string{}
 	table, _, ok := strings.Cut(comment, "All other tags")
 	if !ok {
-		t.Fatal("the package comment has no end of the table")
+		t.Fatal("the package comment has no paragraph that ends the table of tags")
 	}
 	for line := range strings.Lines(table) {
 		if row := tableRow.FindStringSubmatch(line); row != nil && row[1] != "protocol" {
@@ -75,7 +75,7 @@
 	return rows
 }
 
-// parsePackage returns the package's files, without its tests, by name.
+// parsePackage parses the non-test files of the package and returns them by file name.
 func parsePackage(t *testing.T) map[string]*ast.File {
 	t.Helper()
 	paths, err := filepath.Glob("*.go")
@@ -94,7 +94,7 @@
 	return files
 }
 
-// isSnakeCaseOf reports whether a tag is the snake case of a Go name.
+// isSnakeCaseOf reports whether tag is name in snake case.
 func isSnakeCaseOf(tag, name string) bool {
 	return strings.EqualFold(strings.ReplaceAll(tag, "_", ""), name)
 }
