--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -8,7 +8,7 @@
 	"wheatspur/wire"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden bytes")
+var update = flag.Bool("update", false, "rewrite the golden file")
 
 func rawText(text string) wire.Raw { return wire.MustMarshal(text) }
 
@@ -20,7 +20,7 @@
 		Price: 12.25, SpotPrice: 4.75, StartupS: 95, Zones: []string{"zone-a", "zone-b"}}
 	machine := wire.Machine{Name: "host-3", Address: "10.0.0.3:80", MachineType: "g4", Zone: zone, Spot: true,
 		State: wire.MachineStarting, AgeS: 77.5}
-	pair := wire.KeyValue{Key: "w/a", Value: rawText("value a"), Version: 61}
+	keyValue := wire.KeyValue{Key: "w/a", Value: rawText("value a"), Version: 61}
 	compare := wire.Compare{Key: "w/b", Version: 62}
 	operation := wire.Operation{Put: "w/c", Value: rawText("value c"), LeaseID: 63, Delete: "w/d"}
 	event := wire.WatchEvent{Put: "w/e", Value: rawText("value e"), Delete: "w/f", Version: 64}
@@ -48,8 +48,8 @@
 		golden.CBOR("host names", wire.MachineNames{Machines: []string{"host-1", "host-2"}}),
 		golden.CBOR("host", machine),
 		golden.CBOR("host page", wire.MachinePage{Machines: []wire.Machine{machine}, Truncated: true}),
-		golden.CBOR("pair", pair),
-		golden.CBOR("pairs", wire.ListResponse{KeyValues: []wire.KeyValue{pair}, Truncated: true, Revision: 65}),
+		golden.CBOR("pair", keyValue),
+		golden.CBOR("pairs", wire.ListResponse{KeyValues: []wire.KeyValue{keyValue}, Truncated: true, Revision: 65}),
 		golden.CBOR("guard", compare),
 		golden.CBOR("change", operation),
 		golden.CBOR("transaction", wire.Transaction{Compares: []wire.Compare{compare}, Operations: []wire.Operation{operation}}),
@@ -61,12 +61,12 @@
 	}
 }
 
-// The protocol's keys and values never change with the names in the program.
-// The names of the samples are keys of the golden file, which stays as it is.
+// A renamed Go type, field or constant must not change the encoded messages. The sample names are
+// keys in the golden file and must not change either.
 func TestGoldenMessages(t *testing.T) { golden.Check(t, samples(), *update) }
 
-// The values of constants are part of the protocol too.
-func TestConstantsHaveTheProtocolsValues(t *testing.T) {
+// The values of the constants are part of the protocol and must not change with the Go names.
+func TestConstantsHaveProtocolValues(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{wire.KindArray, "array"}, {wire.KindService, "standing"}, {wire.KindGang, "gang"},
 		{wire.PriorityCritical, "critical"}, {wire.PriorityUrgent, "urgent"}, {wire.PriorityNormal, "normal"}, {wire.PriorityLow, "low"},
@@ -79,7 +79,7 @@
 		{wire.ContentType, "application/cbor"},
 	} {
 		if c.got != c.want {
-			t.Errorf("constant %q, the protocol says %q", c.got, c.want)
+			t.Errorf("constant has value %q, want %q", c.got, c.want)
 		}
 	}
 }
