--- a/internal/response/response.go
+++ b/internal/response/response.go
@@ -1,5 +1,5 @@
-// Package response writes the HTTP answers of the controller's servers: status,
-// CBOR body, error texts and Retry-After. What to answer is decided by the callers.
+// Package response writes the HTTP responses of the controller's servers: status, CBOR body, error
+// texts and the Retry-After header. The callers decide what to answer.
 package response
 
 import (
@@ -11,33 +11,33 @@
 	"wheatspur/wire"
 )
 
-// Write answers with a status and a body encoded as CBOR; nil is no body.
-func Write(c *fasthttp.RequestCtx, status int, body any) {
-	c.SetStatusCode(status)
-	c.SetContentType(wire.ContentType)
+// Write responds with a status and a CBOR-encoded body. A nil body is omitted.
+func Write(ctx *fasthttp.RequestCtx, status int, body any) {
+	ctx.SetStatusCode(status)
+	ctx.SetContentType(wire.ContentType)
 	if body != nil {
-		c.SetBody(wire.MustMarshal(body))
+		ctx.SetBody(wire.MustMarshal(body))
 	}
 }
 
-// Error answers with an error status and the reason.
-func Error(c *fasthttp.RequestCtx, status int, reason string) {
-	Write(c, status, wire.ErrorResponse{Error: reason})
+// Error responds with an error status and the reason.
+func Error(ctx *fasthttp.RequestCtx, status int, reason string) {
+	Write(ctx, status, wire.ErrorResponse{Error: reason})
 }
 
-// Retry answers with an error status, the reason and the number of seconds after
-// which the client should try again.
-func Retry(c *fasthttp.RequestCtx, status, retryAfterS int, reason string) {
-	c.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(retryAfterS))
-	Error(c, status, reason)
+// Retry responds with an error status, the reason and the number of seconds after which the client
+// should retry.
+func Retry(ctx *fasthttp.RequestCtx, status, retryAfterS int, reason string) {
+	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(retryAfterS))
+	Error(ctx, status, reason)
 }
 
-// Malformed answers a request that fasthttp could not read; it is an ErrorHandler
-// of fasthttp.Server.
-func Malformed(c *fasthttp.RequestCtx, err error) {
+// Malformed responds to a request that fasthttp could not read. It is the ErrorHandler of a
+// fasthttp.Server.
+func Malformed(ctx *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		Error(c, fasthttp.StatusBadRequest, "body too large")
+		Error(ctx, fasthttp.StatusBadRequest, "body too large")
 		return
 	}
-	Error(c, fasthttp.StatusBadRequest, "malformed request")
+	Error(ctx, fasthttp.StatusBadRequest, "malformed request")
 }
