--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -26,7 +26,7 @@
 
 	unreachableSince time.Time // when this controller decided to store that no worker reaches it
 	probes           []string  // addresses of the workers to probe since then; the slice is replaced, never modified
-	probeAnsweredAt  time.Time // when one of them last answered; zero if none has
+	probeAnsweredAt  time.Time // when a probed worker last answered; zero if none has
 }
 
 // New returns the Election of a controller that has no session yet.
