--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -17,7 +17,7 @@
 )
 
 // Keys of the key-value store. All except the key of the membership record are attached to
-// the lease of the controller that wrote them, and are deleted when it ends.
+// the lease of the controller that wrote them, and are deleted when the lease ends.
 const (
 	Key               = jobs.Root + "member" // of the membership record
 	LeaderKey         = jobs.Root + "lead"   // of the leader's Node
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -15,8 +15,8 @@
 
 // NextUnreachable reports whether the controller counts as unreachable from now on. If it
 // hears none of its machines, at least minSilentMachines of them are silent, and a sibling
-// hears its own, the controller is cut off from the workers. It remains unreachable until a
-// worker answers a probe.
+// hears its own, the controller is cut off from the workers. It remains unreachable until
+// ProbeAnswered is true.
 func (r Reachability) NextUnreachable() bool {
 	if r.Unreachable {
 		return !r.ProbeAnswered
