--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -4,7 +4,7 @@
 type Allowance struct {
 	Used      Amount // by the team's claims on all machines
 	Limit     Amount // 0: none
-	Guarantee Amount // 0: none
+	Guarantee Amount // 0: no guarantee for that resource
 	// Left is the quota that each controller may still admit, by the controller's
 	// label; nil: the team has no limit.
 	Left map[string]Amount
@@ -43,8 +43,8 @@
 	return count
 }
 
-// WithinGuarantee reports whether an amount in use does not exceed the guarantee.
-// It is false for a team without a guarantee.
+// WithinGuarantee reports whether an amount in use does not exceed the guarantee. Only
+// resources with a guarantee are checked. It is false for a team that has none at all.
 func (a *Allowance) WithinGuarantee(used Amount) bool {
 	if a.Guarantee.CPUs <= 0 && a.Guarantee.GPUs <= 0 {
 		return false
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -155,7 +155,8 @@
 			}
 		},
 	}
-	// rapid draws each name with the same probability: admissions get several names to be frequent.
+	// The library rapid draws every name with the same probability, so admissions have
+	// several names in order to be drawn more often.
 	for _, name := range []string{"admit 1", "admit 2", "admit 3", "admit 4", "admit 5"} {
 		actions[name] = h.drawAdmission
 	}
--- a/internal/quota/rebalance_test.go
+++ b/internal/quota/rebalance_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Without write budget, Rebalance serves only a new membership.
+// Without write budget, Rebalance divides the limit only for a new membership.
 func TestWithoutWriteBudgetOnlyANewMembershipIsRebalanced(t *testing.T) {
 	m := newSharedModel(t, 3, "a", "b")
 	n := m.controllers["a"]
--- a/internal/quota/reservation.go
+++ b/internal/quota/reservation.go
@@ -12,16 +12,16 @@
 // ReservationsKey is the key of the record that holds all reservations.
 const ReservationsKey = "w/reserved"
 
-// Reservations is the stored form of the capacity that teams wait for within their
-// guarantees. Only the leader writes it, and every controller reads it, so that
+// Reservations stores how much guaranteed capacity each team lacks, and since when. No
+// capacity is set aside. Only the leader writes it, and every controller reads it, so that
 // neither a restart of a controller nor a failover resets the waiting time. It does
 // not belong to a membership.
 type Reservations struct {
 	Teams map[string]Reservation `cbor:"t,omitempty"` // by team name
 }
 
-// Reservation is the stored form of one team's reservation: the capacity that it
-// waits for and the start of the wait, in Unix milliseconds.
+// Reservation stores how much guaranteed capacity one team lacks, and since when, in
+// Unix milliseconds.
 type Reservation struct {
 	_     struct{} `cbor:",toarray"`
 	CPUs  float64
