--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -5,8 +5,8 @@
 // again (Progress).
 //
 // Reconcile implements the table in docs/design/recovery.md, and is used in normal operation
-// as well. The package is pure: sending commands and writing the key-value store is left to
-// packages worker and controller.
+// as well. The package is pure. Packages worker and fleet use its decisions; package fleet
+// sends the commands, and package scheduler stores the updates.
 package recovery
 
 // Reconcile decides what happens to a task on a machine.
--- a/internal/recovery/state.go
+++ b/internal/recovery/state.go
@@ -6,7 +6,7 @@
 	Open        bool // its job is neither done nor cancelled
 	Cancelled   bool // its job is cancelled
 	Attempt     uint64
-	Incarnation uint64 // incarnation of the machine's worker that the claim is for
+	Incarnation uint64 // the worker incarnation for which the task was claimed
 }
 
 // shouldRunOn reports whether the task is claimed for this incarnation of the worker, and
