--- a/internal/scheduler/finishedjobs.go
+++ b/internal/scheduler/finishedjobs.go
@@ -29,10 +29,10 @@
 }
 
 // planCancelledJobs adds the writes of final records for jobs that were cancelled because a job
-// they depend on was cancelled. These records only repeat what follows from the other job's
-// record: they allow intake records to be deleted, and inform members of older versions without
-// support for dependencies. They are not urgent, so they leave one operation of the budget to
-// other writes.
+// they depend on was cancelled. The other job's record already implies these. They are stored so
+// that intake records can be deleted, and so that members of older versions without support for
+// dependencies learn of the cancellation. They are not urgent, and are planned only while the
+// budget covers two operations, so that one is left for other writes.
 func (sc *Scheduler) planCancelledJobs(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
 	for jobID, job := range sc.Table.Unrecorded {
 		if !budget.covers(2) || sc.WritesInFlight[jobID] || !sc.ranksFirst(jobID) {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -113,7 +113,8 @@
 	return true
 }
 
-// ResolveQuota reports the outcome of a write to the team's ledger. The caller holds the lock.
+// ResolveQuota reports the outcome of a write to package quota: of its shares, its reservations and
+// its admission, as far as it has them. The caller holds the lock.
 func (sc *Scheduler) ResolveQuota(write *PendingWrite, err error) {
 	if write.shares != nil {
 		sc.Quota.Ledger(write.shares.Team).ResolveWrite(write.shares, outcomeOf(err), write.Compares)
