--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -44,10 +44,10 @@
 		return cmp.Compare(a.priority, b.priority)
 	}
 	if a.reclaims() != b.reclaims() {
-		// The demand for which tasks were preempted gets the room that they free. This
-		// prevents a livelock: the room went to the next demand in order, often to the
-		// same tasks that had been preempted, since their job was older, and they were
-		// preempted again.
+		// The demand for which tasks were preempted gets the room that they free.
+		// Otherwise the room could go to the next demand in order, often to the
+		// preempted tasks themselves because their job is older, and they would be
+		// preempted again without end.
 		return trueFirst(a.reclaims())
 	}
 	if a.Starved != b.Starved {
--- a/internal/placement/imagepull.go
+++ b/internal/placement/imagepull.go
@@ -41,8 +41,9 @@
 }
 
 // imageWait is the expected time until the machine has the job's image, in buckets of
-// imageWaitBucketS: 0 if the image is present, else the time of this pull and those
-// in progress, which share the machine's pull rate.
+// imageWaitBucketS: 0 if the image is present, else the time to pull this image and all
+// others that the machine is pulling or has yet to pull, rounded up. All pulls share the
+// machine's pull rate.
 func (m *Machine) imageWait(j *jobs.Job) float64 {
 	spec := j.Record.Spec
 	if m.HasImage(spec.Image) {
