--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -14,12 +14,12 @@
 	"wheatspur/wire"
 )
 
-// RecordArrivals records new service jobs with the role controllers, and new batch jobs for the
+// RecordArrivals records new service jobs with the role balancers, and new batch jobs for the
 // batch headroom. The caller holds the lock.
 func (ld *Loop) RecordArrivals(state *State, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
-		if state.roleControllers[machineType.Label] == nil {
-			state.roleControllers[machineType.Label] = roles.New(ld.Settings.Operator, now)
+		if state.roleBalancers[machineType.Label] == nil {
+			state.roleBalancers[machineType.Label] = roles.New(ld.Settings.Operator, now)
 		}
 	}
 	for jobID, job := range ld.Table.Open {
@@ -53,13 +53,13 @@
 	ls.lastArrayAt = now
 }
 
-// recordServiceArrival records the arrival of a service job with the role controller of every
+// recordServiceArrival records the arrival of a service job with the role balancer of every
 // machine type that the job may use. The caller holds the lock.
 func (ld *Loop) recordServiceArrival(state *State, job *jobs.Job, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if jobs.AllowsMachineType(job.Record.Spec, machineType.Label) {
 			load := job.Need.Share(machineCapacity(machineType)) * float64(job.Record.Tasks)
-			state.roleControllers[machineType.Label].Arrive(now, load)
+			state.roleBalancers[machineType.Label].Arrive(now, load)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 func (ld *Loop) MoveRoles(state *State, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var moves []inventory.RecordChange
 	for _, machineType := range ld.MachineTypeList {
-		controller := state.roleControllers[machineType.Label]
+		controller := state.roleBalancers[machineType.Label]
 		if controller == nil {
 			continue
 		}
--- a/internal/leader/rolesplit.go
+++ b/internal/leader/rolesplit.go
@@ -1,5 +1,5 @@
 // This file describes how the machines of a type are split between the roles, as input for the role
-// controllers.
+// balancers.
 
 package leader
 
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -66,7 +66,7 @@
 				key := ld.Inventory.KeyOf(machine)
 				dropsByGroup[key] = append(dropsByGroup[key], inventory.RecordChange{Machine: machine, Before: &record})
 			} else if state.listed[machine].State == wire.MachineFailed && state.MissingLists[machine] == 0 {
-				terminate = append(terminate, machine) // the cloud lists it as failed until it is deleted
+				terminate = append(terminate, machine) // otherwise the cloud would keep listing the failed machine
 			}
 		}
 	}
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -27,10 +27,10 @@
 	noCapacityAt map[autoscale.MachineKind]time.Time // when the cloud last lacked machines of a kind, by kind
 	terminatedAt map[string]time.Time                // when a drained, empty machine was terminated; delayed lists may still show it
 
-	roleControllers map[string]*roles.Balancer   // by machine type
-	RoleDecisions   map[string]roles.Decision    // the last decision, by machine type
-	seenJobs        map[string]bool              // open jobs whose arrival has been recorded, by job ID
-	roleActiveAt    map[placement.Role]time.Time // when a role last had an open job, by role
+	roleBalancers map[string]*roles.Balancer   // by machine type
+	RoleDecisions map[string]roles.Decision    // the last decision, by machine type
+	seenJobs      map[string]bool              // open jobs whose arrival has been recorded, by job ID
+	roleActiveAt  map[placement.Role]time.Time // when a role last had an open job, by role
 
 	idleSince         map[string]time.Time // since when a machine has had no claims
 	surplusSince      map[string]time.Time // see autoscale.Input
@@ -80,7 +80,7 @@
 		ScalingOut:       map[string]PendingMachine{},
 		noCapacityAt:     map[autoscale.MachineKind]time.Time{},
 		terminatedAt:     map[string]time.Time{},
-		roleControllers:  map[string]*roles.Balancer{},
+		roleBalancers:    map[string]*roles.Balancer{},
 		RoleDecisions:    map[string]roles.Decision{},
 		seenJobs:         map[string]bool{},
 		roleActiveAt:     map[placement.Role]time.Time{},
@@ -92,7 +92,7 @@
 }
 
 // inheritFrom takes over the state of the cloud and the load from the same leader's previous term.
-// Role controllers start empty.
+// Role balancers start empty.
 func (ls *State) inheritFrom(old *State) {
 	ls.listed, ls.ListedAt, ls.MissingLists = old.listed, old.ListedAt, old.MissingLists
 	ls.ScalingOut, ls.noCapacityAt = old.ScalingOut, old.noCapacityAt
