--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,6 +1,6 @@
-// Package tuning holds the constants of the service, each with its unit and its reason.
-// Settings that an operator may change have a key in config.Operator and take their
-// default from here. The package contains no logic and nothing specific to a site.
+// Package tuning holds the constants of the service, each with its unit and, where it is not
+// obvious, its reason. Settings that an operator may change have a key in config.Operator and
+// take their default from here. The package contains no logic and nothing specific to a site.
 package tuning
 
 import "time"
@@ -46,7 +46,7 @@
 	// cloud that the controllers plan to use. The rest absorbs clock drift and uneven shares.
 	BudgetShare = 0.95
 	// BudgetQueue is the number of calls per class that may wait in a controller's rate
-	// limiter. Further calls are refused at once, since they would wait too long.
+	// limiter. Further calls are refused at once.
 	BudgetQueue = 64
 	// ListPage is the number of keys per page of a full read. A page of values of the usual
 	// size stays below the store's limit of 512 KiB.
@@ -65,7 +65,7 @@
 	// takes two or more writes.
 	GroupSplitsPerPlan = 2
 	// GroupFillShare is the fraction of the store's value size limit that a group of machine
-	// records may fill. The rest is a safety margin.
+	// records may fill.
 	GroupFillShare = 0.9
 	// WriteReserve is the number of writes that claims and releases leave in the write
 	// budget, so that submissions never wait behind them.
@@ -74,15 +74,15 @@
 	// stored in one write. Users expect the end of a job within 3 s, so the write that ends
 	// a job is not delayed.
 	ReleaseGather = 1500 * time.Millisecond
-	// ReleaseOverdue is how long a collected release may wait before it takes precedence
-	// over new claims, so that claims cannot delay it indefinitely.
+	// ReleaseOverdue is how long a collected release may wait before it takes precedence over
+	// new claims.
 	ReleaseOverdue = 12 * time.Second
 	// RebalancePause is the shortest pause between two rebalances of a team's quota under
 	// the same membership. The two writes of a rebalance use the write budget and make
 	// admissions in progress fail.
 	RebalancePause = 3 * time.Second
 	// TransferPause is the shortest pause between two transfers of a team's share by the
-	// same controller. By then the taker has read and used the previous one.
+	// same controller. By then the recipient has read and used the previous one.
 	TransferPause = 250 * time.Millisecond
 	// TransferPatience is how long transfers may try to end a shortfall before the team's
 	// quota is rebalanced. It leaves time for a few transfers.
@@ -92,21 +92,20 @@
 	// themselves cost no write.
 	ReserveAfter = 3 * time.Second
 	// ReserveHold is how long a reservation is kept once no work lacks capacity, so that a
-	// brief interruption does not restart the wait.
+	// short interruption does not restart the wait.
 	ReserveHold = 10 * time.Second
-	// ReservePause is the shortest pause between two changes of the reservations. It bounds
-	// the writes that they cost.
+	// ReservePause is the shortest pause between two changes of the reservations.
 	ReservePause = 2 * time.Second
 	// TransactionBytes is the largest size of a transaction in bytes of JSON, with a margin
 	// below the store's limit of 64 KiB.
 	TransactionBytes = 48 << 10
 	// ComparesPerOperation is the largest number of compares in a transaction, as a multiple
-	// of the store's limit on operations. It bounds the size of a transaction.
+	// of the store's limit on operations.
 	ComparesPerOperation = 4
 	// BytesPerKB is the number of bytes per unit of the store's size limits, which are in KiB.
 	BytesPerKB = 1024
 	// RetryPause is the pause before a call to the store is retried after a rejection or a
-	// lost answer, so that retries do not use up the request budget.
+	// lost answer.
 	RetryPause = 250 * time.Millisecond
 	// StoreStaleAfter is the time without a fresh read after which a controller considers
 	// the store unavailable. Two watches would have returned by then.
@@ -137,53 +136,46 @@
 	// without such steps give the next membership the first token plus one, which must never
 	// equal a raised token.
 	FencingStep = 1 << 10
-	// TokenRange is the number of fencing tokens of one membership. It has room for 15
-	// steps.
+	// TokenRange is the number of fencing tokens of one membership. It allows 15 steps.
 	TokenRange = 16 * FencingStep
-	// WorkerCallTimeout bounds a direct call to a worker, because each call to a hanging
-	// worker holds a call slot until it ends.
+	// WorkerCallTimeout bounds a direct call to a worker.
 	WorkerCallTimeout = 2 * time.Second
 	// TokenAnnouncePause is the pause between direct calls that announce the fencing token to
-	// a worker that does not answer. It limits the call slots that such workers hold.
+	// a worker that does not answer.
 	TokenAnnouncePause = 2 * time.Second
 	// ConfirmAfter is how long after an answer with a command a heartbeat must show the
 	// command's effect. Workers drop answers after 4 s and report changes within 0.5 s.
 	ConfirmAfter = 6 * time.Second
 	// UnresponsivePause is the pause between direct calls that probe whether a machine
-	// receives commands again after its heartbeats showed no effect of any. It limits the
-	// call slots that such machines hold.
+	// receives commands again after its heartbeats showed no effect of any.
 	UnresponsivePause = 5 * time.Second
 	// QuarantineLeases is the number of lease times after which a machine that sends
-	// heartbeats but accepts no tasks is terminated, so that short problems do not cost a
-	// machine.
+	// heartbeats but accepts no tasks is terminated.
 	QuarantineLeases = 2
 	// WorkerCallsMax is the largest number of direct calls that a controller has open at the
 	// same time. It bounds sockets and memory.
 	WorkerCallsMax = 32
 	// SilentHeartbeats is the number of heartbeat intervals without a message after which a
-	// machine is unschedulable. A single lost heartbeat is
-	// usually tolerated.
+	// machine is unschedulable.
 	SilentHeartbeats = 2.2
 	// MinUnreachable is the shortest time for which a controller that has reported that no
 	// worker reaches it owns no machines. It prevents an unstable network from moving
 	// machines back and forth.
 	MinUnreachable = 10 * time.Second
-	// ReachabilityProbes is the number of workers that such a controller probes. One answer
-	// is enough, and several targets tolerate failed workers.
+	// ReachabilityProbes is the largest number of workers that an unreachable controller
+	// probes.
 	ReachabilityProbes = 4
 	// MachineFailuresMax is the number of failed tasks of different jobs, with no success in
-	// between, after which a machine is considered faulty. A single failure may be due to
-	// the job.
+	// between, after which a machine is considered faulty.
 	MachineFailuresMax = 2
 	// RetryBase is the pause before a failed task is first retried. The pause doubles with
-	// each further failure, so that a task that keeps failing uses little capacity.
+	// each further failure.
 	RetryBase = 500 * time.Millisecond
-	// RetryCap is the longest pause before a failed task is retried, so that it runs soon
-	// after the cause of its failures is gone. It is also the pause after the store rejected
-	// a write as malformed.
+	// RetryCap is the longest pause before a failed task is retried. It is also the pause
+	// after the store rejected a write as malformed.
 	RetryCap = 30 * time.Second
 	// RefusalPause is how long no tasks are placed on a machine that refused one for lack of
-	// capacity, so that the task is not sent there again at once.
+	// capacity.
 	RefusalPause = 5 * time.Second
 	// ImagesKept is the largest number of images that a controller remembers per machine. It
 	// bounds memory; how many images the machine holds depends on its disk.
@@ -206,8 +198,8 @@
 
 // Placement.
 const (
-	// TickEvery is the longest pause between scheduling passes. Without events, passes are
-	// still needed for retries and timeouts.
+	// TickEvery is the longest pause between scheduling passes. Some decisions, such as
+	// retries, follow from time alone, without an event.
 	TickEvery = 500 * time.Millisecond
 	// FullScanEvery is the interval at which a scheduling pass checks every machine, because
 	// lease expiry and missing heartbeats follow from time alone. Other passes check only
@@ -237,7 +229,7 @@
 	// take as long again.
 	ShutdownLimit = 8 * time.Second
 	// ShutdownPoll is the interval at which a graceful shutdown checks whether all operations
-	// have ended. It is short, so that the check hardly delays the exit.
+	// have ended.
 	ShutdownPoll = 20 * time.Millisecond
 	// ConflictPause is the mean pause after a placement lost a write conflict. It is
 	// jittered, so that the same two controllers do not conflict again.
@@ -249,8 +241,7 @@
 	// took. Passes then use little processor time, and the write budget allows only a few
 	// writes per second to decide on anyway.
 	PassRest = 30
-	// PassPauseMax is the longest pause that PassRest may cause, so that a slow pass does not
-	// delay the next one for long.
+	// PassPauseMax is the longest pause that PassRest may cause.
 	PassPauseMax = 400 * time.Millisecond
 	// StarvedAfter is how long a job waits without any task started before no job of the same
 	// priority is placed ahead of it. It is less than half of the 4 minutes that users accept.
@@ -271,13 +262,13 @@
 	// 64 KiB, the size limit of a message.
 	TasksPerMachine = 400
 	// TasksPerJob is the largest number of tasks of one job that a scheduling pass tries to
-	// place. It bounds the processor time of a pass.
+	// place.
 	TasksPerJob = 128
 	// MaxRetryDoublings is the largest number of times that the pause before a task's retry
 	// doubles. RetryCap is reached long before, and the shift cannot overflow.
 	MaxRetryDoublings = 10
 	// MaxEvictionTries is the largest number of tasks for which a scheduling pass searches
-	// another machine. It bounds the processor time of a pass.
+	// another machine.
 	MaxEvictionTries = 16
 )
 
@@ -286,35 +277,29 @@
 	// RoleStep is the interval between evaluations of adjacent role splits, as the role
 	// control design sets it.
 	RoleStep = 5 * time.Second
-	// RoleExpand is the batch load (ratio) from which a mixed-pressure move may start. From
-	// 1 on, batch work is expected to miss its start-time target, which justifies taking a
-	// machine from services that are under load as well.
+	// RoleExpand is the batch load (ratio) from which a mixed-pressure move may start. Such a
+	// move takes a machine from services that are under load as well.
 	RoleExpand = 1.0
 	// RoleShrink is the highest load (ratio) that a consolidation may leave on its source
-	// role, so that the source keeps spare capacity.
+	// role.
 	RoleShrink = 0.5
-	// RoleMargin is the smallest drop in the worst load ratio that justifies a move. It
-	// prevents moves with little gain.
+	// RoleMargin is the smallest drop in the worst load ratio that justifies a move.
 	RoleMargin = 0.05
-	// RoleConfirmations is the number of matching proposals in a row that a move needs, so
-	// that a short peak does not move a machine.
+	// RoleConfirmations is the number of matching proposals in a row that a move needs.
 	RoleConfirmations = 3
-	// RoleCooldown is the shortest pause between batch-to-service moves, so that one move
-	// takes effect before the next.
+	// RoleCooldown is the shortest pause between batch-to-service moves.
 	RoleCooldown = 10 * time.Second
 	// MinRoleEvidence is the age at which the evidence window closes if it has
-	// RoleEvidenceArrivals. It is shorter than the 60 s of the role control design, so that
-	// moves to batch wait less.
+	// RoleEvidenceArrivals. The role control design has 60 s.
 	MinRoleEvidence = 20 * time.Second
 	// MaxRoleEvidence is the age at which the evidence window closes even without enough
-	// arrivals. It is shorter than the 120 s of the role control design, so that moves to
-	// batch wait less.
+	// arrivals. The role control design has 120 s.
 	MaxRoleEvidence = 40 * time.Second
 	// RoleEvidenceArrivals is the number of service arrivals that closes the evidence window
-	// early. Fewer say too little about demand.
+	// early.
 	RoleEvidenceArrivals = 10
 	// RoleDemandRise is the tolerated rise of short-term over long-term service demand, as a
-	// fraction. With a higher rise services keep their machines.
+	// fraction.
 	RoleDemandRise = 0.25
 	// RoleShortWindow is the window over which short-term demand is measured. It matches
 	// MinRoleEvidence.
@@ -322,11 +307,9 @@
 	// RoleLongWindow is the window over which long-term demand is measured: the demand window
 	// of the role control design.
 	RoleLongWindow = 120 * time.Second
-	// RoleUsable is the fraction of a machine that counts as usable for services, because
-	// tasks rarely fill a machine completely.
+	// RoleUsable is the fraction of a machine that counts as usable for services.
 	RoleUsable = 0.8
-	// RoleFloor is the number of machines that each role keeps, so that new work of an active
-	// role need not wait for a boot.
+	// RoleFloor is the number of machines that each role keeps.
 	RoleFloor = 1
 	// RoleLapse is how long after its last open job a role needs no floor and no headroom any
 	// more. It is short because an idle machine costs as much as a busy one.
@@ -338,8 +321,7 @@
 
 // Cloud.
 const (
-	// CloudCallTimeout bounds one call to the cloud, so that a hanging call does not block
-	// the leader's loop for long.
+	// CloudCallTimeout bounds one call to the cloud.
 	CloudCallTimeout = 4 * time.Second
 	// ListEvery is the pause between reads of the machine list; lists of more than three
 	// pages are read less often. The reads take a quarter of the smallest published call
@@ -347,18 +329,16 @@
 	ListEvery = 2 * time.Second
 	// TypesEvery is the pause between reads of the machine types. Spot prices change slowly.
 	TypesEvery = 60 * time.Second
-	// PlanEvery is the pause between autoscaling decisions. It adds little to the time that a
-	// machine takes to boot.
+	// PlanEvery is the pause between autoscaling decisions.
 	PlanEvery = 1 * time.Second
 	// NoCapacityPause is how long a machine type in a zone, either spot or on-demand, is not
-	// requested again after the cloud had no capacity for it. Other kinds are tried
-	// meanwhile.
+	// requested again after the cloud had no capacity for it.
 	NoCapacityPause = 20 * time.Second
 	// SlowBootFactor is the multiple of a type's boot time after which a machine without a
 	// heartbeat is terminated. Usual boots take up to 1.5 times the boot time.
 	SlowBootFactor = 2.5
-	// MinSlowBoot is the shortest time after which such a machine is terminated, for types
-	// with a very short boot time.
+	// MinSlowBoot is the shortest time after which a machine without a heartbeat is
+	// terminated.
 	MinSlowBoot = 20 * time.Second
 	// LateBootFactor is the multiple of a type's boot time after which a booting machine is
 	// no longer expected to come up. Usual boots take up to 1.5 times the boot time.
@@ -376,27 +356,23 @@
 	// first listing, its absence from a list counts. The lag sometimes doubles.
 	ListLagFactor = 3
 	// MissingLists is the number of lists in a row that must omit a machine before it is
-	// considered gone and is terminated to make sure. A single list may be outdated.
+	// considered gone and is terminated to make sure.
 	MissingLists = 2
 	// MissingHeartbeats is the number of heartbeat intervals for which a machine that lists
 	// omit must be silent. Heartbeats are up to a quarter of an interval late, so one was
 	// missed.
 	MissingHeartbeats = 1.25
-	// TerminateMax is the largest number of machines in one terminate call. It bounds the
-	// size of the call.
+	// TerminateMax is the largest number of machines in one terminate call.
 	TerminateMax = 100
-	// ScaleOutMax is the largest number of machines in one scale-out call. It bounds the size
-	// of the call.
+	// ScaleOutMax is the largest number of machines in one scale-out call.
 	ScaleOutMax = 50
-	// DrainableTries is the smallest number of partly used service machines that a plan checks
-	// for draining; in a large fleet it checks as many as may drain at the same time. It
-	// bounds the processor time of a plan.
+	// DrainableTries is the smallest number of partly used service machines that a plan
+	// checks for draining; in a large fleet it checks as many as may drain at the same time.
 	DrainableTries = 6
 	// DrainGroups is the number of groups of machine records that one plan may write to
 	// terminate idle machines, even with little write budget left. Each group costs a write.
 	DrainGroups = 2
-	// DrainGroupsMax is the same limit while the write budget has room, so that one plan
-	// leaves writes to others.
+	// DrainGroupsMax is the same limit while enough write budget is left.
 	DrainGroupsMax = 6
 	// DrainingShare is the fraction of the service machines that may drain at the same time,
 	// with a minimum of one machine. It limits the tasks that move; each owner moves its
@@ -406,7 +382,7 @@
 	// outdated lists still show it.
 	TerminatedKept = 60 * time.Second
 	// ServiceHeadroom is the spare service capacity, as a fraction of the tasks that services
-	// run. It lets new service tasks start without waiting for a boot.
+	// run.
 	ServiceHeadroom = 0.12
 	// LateBootShare is the expected fraction of machines that take much longer to boot than
 	// usual. Capacity for their tasks is added in advance.
@@ -416,20 +392,18 @@
 	// even if all boot in time.
 	LateBootSpread = 1.2
 	// BatchHeadroom is the spare batch capacity, as a fraction of the mean number of batch
-	// tasks. It lets new batch tasks start without waiting for a boot.
+	// tasks.
 	BatchHeadroom = 0.25
 	// BatchHeadroomJobs is the smallest batch headroom, in job arrays of the mean size. All
 	// tasks of an array arrive at once, and most arrays are smaller than this. Work that
 	// may use spot machines gets its headroom there, where it is cheap.
 	BatchHeadroomJobs = 1.5
 	// BatchSizeAlpha is the weight of a new job array in the moving average of array sizes.
-	// It is small, so that a single large array changes the average little.
 	BatchSizeAlpha = 0.1
-	// BatchHeadroomHold is how long after the last job array BatchHeadroomJobs applies, so
-	// that an array that follows soon need not wait for a boot.
+	// BatchHeadroomHold is how long after the last job array BatchHeadroomJobs applies.
 	BatchHeadroomHold = 60 * time.Second
 	// BatchWindow is the time constant of the mean number of batch tasks from which
-	// BatchHeadroom is computed. It smooths short peaks.
+	// BatchHeadroom is computed.
 	BatchWindow = 60 * time.Second
 	// ListStaleAfter is the largest age of the cloud's machine list with which a plan may add
 	// or terminate machines. It allows a few failed reads.
@@ -439,7 +413,7 @@
 	// because terminating a live machine ends its tasks.
 	SilentLeases = 2
 	// ScaleOutListedWithin is how long after its request a machine counts as booting although
-	// no list has shown it. Lists lag behind.
+	// no list has shown it.
 	ScaleOutListedWithin = time.Minute
 	// ListPagesPerInterval is the number of pages of the machine list that are read per
 	// ListEvery, because each page takes one call from the cloud's call budget.
@@ -451,15 +425,14 @@
 	// DialTimeout bounds a connection attempt, because a machine behind a network partition
 	// does not even refuse it.
 	DialTimeout = 1 * time.Second
-	// MaxResponse is the largest response that is read, in bytes. It bounds memory; the
-	// protocol sets no limit for a watch response.
+	// MaxResponse is the largest response that is read, in bytes. The protocol sets no limit
+	// for a watch response.
 	MaxResponse = 64 << 20
-	// StoreConns is the largest number of connections to the store. It bounds sockets.
+	// StoreConns is the largest number of connections to the store.
 	StoreConns = 48
-	// CloudConns is the largest number of connections to the cloud. It bounds sockets; calls
-	// to the cloud are rare.
+	// CloudConns is the largest number of connections to the cloud.
 	CloudConns = 6
-	// WorkerConns is the largest number of connections to one worker. It bounds sockets.
+	// WorkerConns is the largest number of connections to one worker.
 	WorkerConns = 2
 	// WorkerIdle is how long an idle connection to a worker stays open, since the next call to
 	// the same worker is rarely soon. At 100 calls per second, which one controller makes when
@@ -469,41 +442,34 @@
 
 // Servers and peer communication.
 const (
-	// ReadTimeout bounds the reading of one request, so that slow clients do not hold
-	// connections.
+	// ReadTimeout bounds the reading of one request.
 	ReadTimeout = 5 * time.Second
 	// IdleTimeout is how long an idle connection stays open. It is longer than the pause
 	// between two polls or heartbeats, which then reuse their connection.
 	IdleTimeout = 30 * time.Second
-	// WriteTimeout bounds the writing of one answer, so that slow clients do not hold
-	// connections.
+	// WriteTimeout bounds the writing of one answer.
 	WriteTimeout = 3 * time.Second
 	// RefuseTimeout bounds the answer to a connection beyond the limit, so that it does not
 	// delay the next connection.
 	RefuseTimeout = 200 * time.Millisecond
 	// IntakeQueue is the number of submissions that may wait for their durable write at the
-	// same time. Further ones are refused with RetryAfter, since they would wait too long.
+	// same time. Further ones are refused with RetryAfter.
 	IntakeQueue = 48
 	// IntakeLanes is the number of submission writes that a controller has in flight, so that
 	// a slow answer of the store does not delay the next write.
 	IntakeLanes = 3
-	// IntakeGroup is the largest number of submissions in one record. It bounds the size of
-	// the write.
+	// IntakeGroup is the largest number of submissions in one record.
 	IntakeGroup = 32
-	// PollQueue is the number of polls that may wait for a read barrier at the same time. It
-	// bounds memory.
+	// PollQueue is the number of polls that may wait for a read barrier at the same time.
 	PollQueue = 256
-	// RetryAfter is the number of seconds after which refused users are told to retry. It
-	// spreads their retries without a long delay.
+	// RetryAfter is the number of seconds after which refused users are told to retry.
 	RetryAfter = 2
 	// PeerEvery is the pause between two exchanges of status with a sibling controller.
-	// Several fit within PeerFresh, so that a lost one does no harm.
 	PeerEvery = 700 * time.Millisecond
 	// MachineStatusEvery is the shortest interval at which a controller collects the changes
-	// of its machines' status for its siblings. It bounds the processor time that this takes.
+	// of its machines' status for its siblings.
 	MachineStatusEvery = 300 * time.Millisecond
-	// PeerTimeout bounds one exchange of status, so that a hanging sibling does not delay the
-	// next try for long.
+	// PeerTimeout bounds one exchange of status.
 	PeerTimeout = 1 * time.Second
 	// PeerConns is the largest number of connections to one sibling. It bounds sockets;
 	// forwarded requests beyond it are refused at once.
@@ -511,8 +477,7 @@
 	// ForwardTimeout bounds a user request that is forwarded to a sibling. Together with a
 	// preceding barrier wait, a poll still ends within 2 s.
 	ForwardTimeout = 1500 * time.Millisecond
-	// PeerFresh is how long a sibling's status is considered current. It allows a few lost
-	// exchanges.
+	// PeerFresh is how long a sibling's status is considered current.
 	PeerFresh = 3 * time.Second
 	// ConnectionShare is the fraction of the connection limit that users and workers may use.
 	// The rest is for the controller's own calls.
@@ -528,21 +493,19 @@
 	// below that limit before it is collected. Processor time is scarcer than memory.
 	GCPercent = 400
 	// PeerViewLifetimes is the multiple of PeerFresh for which the last view of a sibling's
-	// machines is used to tell when they were last heard. That information stays useful for
-	// longer than the status.
+	// machines is used to tell when they were last heard.
 	PeerViewLifetimes = 5
 	// StoreLostAfter is how long after its last read from the store a controller assumes
 	// that it has lost the store, and forwards requests that it cannot serve. Two watches have
 	// gone unanswered by then.
 	StoreLostAfter = 2 * WatchHold
 	// PeerConnectionsEach is the number of connections that the peer server accepts per
-	// sibling: twice as many as a sibling opens at the same time, so that reconnects find room.
+	// sibling: twice as many as a sibling opens at the same time.
 	PeerConnectionsEach = 2 * PeerConns
-	// MaxPeerBody is the largest message from a sibling, in bytes. It leaves room for the
-	// list of the sibling's machines in its status.
+	// MaxPeerBody is the largest message from a sibling, in bytes. The sibling's status
+	// lists its machines.
 	MaxPeerBody = 1 << 20
-	// MinConnections is the smallest number of connections for which a server has room,
-	// whatever the settings say, so that it always remains reachable.
+	// MinConnections is the smallest connection limit of a server, whatever the settings say.
 	MinConnections = 8
 	// ConnectionBufferBytes is the size of each of a connection's two buffers, in bytes. It
 	// bounds the header of a request.
