--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -189,14 +189,14 @@
 func (mi *MachineIndex) emptyMachine(machine string, record inventory.Record) *placement.Machine {
 	machineType := mi.MachineTypes[record.MachineType]
 	return &placement.Machine{
-		Name:        machine,
-		Type:        record.MachineType,
-		Zone:        record.Zone,
-		Spot:        record.Spot,
-		Role:        record.Role,
-		Owner:       mi.ShardOwner(machine),
-		FetchGBPerS: machineType.FetchGBPerS,
-		Total:       jobs.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAM: machineType.RAMGB},
+		Name:            machine,
+		Type:            record.MachineType,
+		Zone:            record.Zone,
+		Spot:            record.Spot,
+		Role:            record.Role,
+		Owner:           mi.ShardOwner(machine),
+		ImagePullGBPerS: machineType.FetchGBPerS,
+		Total:           jobs.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAM: machineType.RAMGB},
 	}
 }
 
@@ -230,7 +230,7 @@
 // aside what runs on it.
 func sameMachine(a, b *placement.Machine) bool {
 	return a.Type == b.Type && a.Zone == b.Zone && a.Spot == b.Spot && a.Role == b.Role && a.Owner == b.Owner &&
-		a.FetchGBPerS == b.FetchGBPerS && a.Total == b.Total
+		a.ImagePullGBPerS == b.ImagePullGBPerS && a.Total == b.Total
 }
 
 // applyChangedMachines applies the machines that something has changed on, and returns
--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -21,10 +21,10 @@
 	for jobID, job := range b.loop.Table.Open {
 		reason := scheduler.PendingReasons[jobID]
 		count := job.Counts[jobs.Pending]
-		if reason != placement.ReasonNoTurn {
+		if reason != placement.ReasonJobLimit {
 			count -= scheduler.Unplaced[jobID]
 		}
-		if count > 0 && (reason == "" || reason == placement.ReasonNoTurn || reason == placement.ReasonNoRoom) {
+		if count > 0 && (reason == "" || reason == placement.ReasonJobLimit || reason == placement.ReasonNoRoom) {
 			b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: job, Count: count, NotScheduledYet: true})
 		}
 	}
--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -143,7 +143,7 @@
 		if !isOpenServiceTask(task) {
 			continue
 		}
-		target := placement.FitElsewhere(fleet, task.Job, task.ID.Task, from.Name)
+		target := placement.FindOtherMachine(fleet, task.Job, task.ID.Task, from.Name)
 		if target == nil || withImage && !target.HasImage(task.Job.Record.Spec.Image) {
 			return false
 		}
--- a/internal/placement/builders_test.go
+++ b/internal/placement/builders_test.go
@@ -53,7 +53,7 @@
 
 // newDemand returns the demand for all pending tasks of a job.
 func newDemand(j *jobs.Job) *Demand {
-	d := &Demand{Job: j, Avoid: map[string]bool{}}
+	d := &Demand{Job: j, ExcludedMachines: map[string]bool{}}
 	for i := range j.Record.Tasks {
 		if j.Task(i).State == jobs.Pending {
 			d.Tasks = append(d.Tasks, i)
@@ -66,7 +66,7 @@
 // job ranks the controllers a, b, L.
 func newInput(self string, machines []*Machine, openJobs ...*jobs.Job) Input {
 	in := Input{Self: self, Leader: "L", RankNodes: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
-		Teams: map[string]*quota.Allowance{"x": {}}, MaxJobs: 100}
+		Allowances: map[string]*quota.Allowance{"x": {}}, MaxJobs: 100}
 	in.Fleet.Refresh()
 	for _, j := range openJobs {
 		in.Demands = append(in.Demands, newDemand(j))
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -8,13 +8,13 @@
 
 // Demand is a job with pending tasks.
 type Demand struct {
-	Job           *jobs.Job
-	Tasks         []int
-	Avoid         map[string]bool // machines that recently refused or failed its tasks
-	MayReclaim    bool            // it has waited long enough to preempt borrowed work
-	PreemptedFor  bool            // tasks were recently preempted for it, and their room is about to become free
-	WriteInFlight bool            // a write by this controller for the job is in flight
-	Starved       bool            // it has waited so long that it goes first within its priority, after reclaiming demands
+	Job                  *jobs.Job
+	Tasks                []int
+	ExcludedMachines     map[string]bool // machines that recently refused or failed its tasks
+	MayReclaim           bool            // it has waited long enough to preempt borrowed work
+	RecentlyPreemptedFor bool            // tasks were recently preempted for it, and their room is about to become free
+	WriteInFlight        bool            // a write by this controller for the job is in flight
+	Starved              bool            // it has waited so long that it goes first within its priority, after reclaiming demands
 
 	// The sort keys are computed when the pass begins: the order of the demands must not
 	// change while the pass changes the usage of the teams.
@@ -94,6 +94,6 @@
 // guaranteed reports whether one more task of the job stays within its team's guarantee,
 // given what the team uses at this point of the pass.
 func (in *Input) guaranteed(j *jobs.Job) bool {
-	team := in.Teams[j.Record.Spec.Team]
+	team := in.Allowances[j.Record.Spec.Team]
 	return team != nil && team.WithinGuarantee(team.Used.Add(j.Need.Amount()))
 }
--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -49,8 +49,8 @@
 			guaranteed := newArray("wk-1", 1, nil)
 			starving := newArray("wk-2", 1, func(spec *wire.JobSpec) { spec.Team = "y" })
 			in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, guaranteed, starving)
-			in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
-			in.Teams["y"] = &quota.Allowance{}
+			in.Allowances["x"].Guarantee = quota.Amount{GPUs: 4}
+			in.Allowances["y"] = &quota.Allowance{}
 			in.Demands[1].Starved = c.starved
 			if got := Schedule(in).Claims[0].Job.ID; got != c.want {
 				t.Fatalf("%s is placed first, want %s", got, c.want)
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -26,9 +26,9 @@
 // spread-zones constraint.
 func MaxTasksPerZone(tasks int) int { return (tasks + 1) / 2 }
 
-// FitElsewhere finds a machine other than from with room for a running task, subject
+// FindOtherMachine finds a machine other than from with room for a running task, subject
 // to the job's zone constraint; nil if there is none.
-func FitElsewhere(fleet *Fleet, j *jobs.Job, task int, from string) *Machine {
+func FindOtherMachine(fleet *Fleet, j *jobs.Job, task int, from string) *Machine {
 	in := Input{Fleet: fleet}
 	// The task's own claim does not count: it is released before the task starts elsewhere.
 	withoutTask := *j
@@ -38,7 +38,7 @@
 			withoutTask.Claims[i] = t
 		}
 	}
-	d := &Demand{Job: &withoutTask, Tasks: []int{task}, Avoid: map[string]bool{from: true}}
+	d := &Demand{Job: &withoutTask, Tasks: []int{task}, ExcludedMachines: map[string]bool{from: true}}
 	if picks := in.fit(d, d.Tasks, anyOwner); len(picks) == 1 {
 		return picks[0]
 	}
@@ -82,7 +82,7 @@
 			continue
 		}
 		for _, m := range p.machines {
-			if m.Schedulable && !d.Avoid[m.Name] && d.Job.Need.Fits(m.Total) &&
+			if m.Schedulable && !d.ExcludedMachines[m.Name] && d.Job.Need.Fits(m.Total) &&
 				(best == nil || m.Free.Share(m.Total) > best.Free.Share(best.Total)) {
 				best = m
 			}
@@ -104,7 +104,7 @@
 	}
 	tasksByZone := map[string]int{}
 	if hasZoneConstraint(d.Job) {
-		tasksByZone = in.Fleet.Zones(d.Job)
+		tasksByZone = in.Fleet.ClaimsByZone(d.Job)
 		if tasksByZone[""] > 0 {
 			return nil // the zone of a claimed task is unknown, because its machine is
 		}
@@ -149,7 +149,7 @@
 				continue
 			}
 			maxFree = maxFree.Max(m.Free)
-			if d.Job.Need.Fits(m.Free) && !d.Avoid[m.Name] && m.freeTaskSlots() > 0 {
+			if d.Job.Need.Fits(m.Free) && !d.ExcludedMachines[m.Name] && m.freeTaskSlots() > 0 {
 				candidates = append(candidates, candidate{machine: m, imageWait: m.imageWait(d.Job), freeShare: m.Free.Sub(d.Job.Need).Share(m.Total)})
 			}
 		}
--- a/internal/placement/fleet.go
+++ b/internal/placement/fleet.go
@@ -120,10 +120,10 @@
 	return false
 }
 
-// Zones counts the job's claims by zone. A claim on a machine that is not known
+// ClaimsByZone counts the job's claims by zone. A claim on a machine that is not known
 // counts for the zone ""; with such a claim, no task of a job with a zone constraint
 // is placed.
-func (f *Fleet) Zones(j *jobs.Job) map[string]int {
+func (f *Fleet) ClaimsByZone(j *jobs.Job) map[string]int {
 	tasksByZone := map[string]int{}
 	for _, task := range j.Claims {
 		zone := ""
--- a/internal/placement/imagepull.go
+++ b/internal/placement/imagepull.go
@@ -48,7 +48,7 @@
 	if m.HasImage(spec.Image) {
 		return 0
 	}
-	rate := m.FetchGBPerS
+	rate := m.ImagePullGBPerS
 	if rate <= 0 {
 		rate = defaultFetchGBPerS
 	}
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -37,7 +37,7 @@
 	Free                    jobs.Resources // not claimed
 	Freeing                 jobs.Resources // claimed by tasks that are being stopped
 	Images                  []string       // images present on it
-	FetchGBPerS             float64        // rate of image pulls; 0: not known
+	ImagePullGBPerS         float64        // rate of image pulls; 0: not known
 	Tasks                   []ClaimedTask
 
 	imagePulls  []imagePull // images that its tasks wait for
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -34,7 +34,7 @@
 	RankNodes    func(jobID string) []string // labels of the controllers in the job's hashed order
 	Fleet        *Fleet
 	Demands      []*Demand
-	Teams        map[string]*quota.Allowance // by name; the pass deducts what it places
+	Allowances   map[string]*quota.Allowance // by name; the pass deducts what it places
 	Now          time.Time
 	// MaxJobs bounds the number of jobs placed in one pass, and with it the CPU time
 	// of the pass. The remaining jobs are placed in later passes, after the writes of
@@ -61,15 +61,15 @@
 // Preemption is a task to stop on one of this controller's machines.
 type Preemption struct {
 	ClaimedTask
-	For string // ID of the job that needs the room
+	PreemptorJobID string // ID of the job that needs the room
 }
 
 // Output is the result of a scheduling pass.
 type Output struct {
-	Claims      []Claim
-	Preemptions []Preemption
-	Unplaced    map[string]int    // number of tasks that were not placed, by job
-	Reasons     map[string]string // why they were not placed, by job
+	Claims          []Claim
+	Preemptions     []Preemption
+	Unplaced        map[string]int    // number of tasks that were not placed, by job
+	UnplacedReasons map[string]string // why they were not placed, by job
 	// ShareShortfall has an entry for each team whose limit is not used up, but is
 	// split between controllers so that work waits. The amount is what the leader's
 	// share lacks for the team's first waiting job; it is zero if the machines lack
@@ -82,10 +82,10 @@
 
 // Reasons why tasks wait, as shown to users.
 const (
-	ReasonNoRoom  = "no machine has room"
-	ReasonNoTurn  = "others are placed first"
-	ReasonNoQuota = "its team is at its limit"
-	ReasonNoShare = "its team's limit is being shared out anew"
+	ReasonNoRoom     = "no machine has room"
+	ReasonJobLimit   = "others are placed first"
+	ReasonNoQuota    = "its team is at its limit"
+	ReasonShareLimit = "its team's limit is being shared out anew"
 
 	reasonNoTeam               = "its team is not in the settings"
 	reasonReservedForGuarantee = "room is kept for another team's guarantee"
@@ -94,7 +94,7 @@
 // recordUnplaced records how many tasks of the demand were not placed, and why.
 func (out *Output) recordUnplaced(d *Demand, tasks int, reason string) {
 	out.Unplaced[d.Job.ID] = tasks
-	out.Reasons[d.Job.ID] = reason
+	out.UnplacedReasons[d.Job.ID] = reason
 }
 
 // explainUnplaced records why tasks of the demand were not placed. tasks are those
@@ -109,7 +109,7 @@
 		if _, recorded := out.ShareShortfall[team]; !recorded {
 			out.ShareShortfall = withAmount(out.ShareShortfall, team, choice.shareShortfall)
 		}
-		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonNoShare)
+		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonShareLimit)
 		return false
 	case len(tasks) == placed:
 		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonNoQuota) // more machines would not help
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -50,7 +50,7 @@
 // needs fewer victims than best did, if there is one.
 func (in *Input) reserveInPool(d *Demand, p *pool, best *preemptionPlan) bool {
 	for _, m := range p.machines {
-		if !m.Schedulable || d.Avoid[m.Name] {
+		if !m.Schedulable || d.ExcludedMachines[m.Name] {
 			continue
 		}
 		room := m.Free.Add(m.Freeing)
@@ -59,7 +59,7 @@
 			m.Freeing = m.Freeing.Sub(d.Job.Need)
 			return true
 		}
-		if d.PreemptedFor {
+		if d.RecentlyPreemptedFor {
 			continue
 		}
 		if victims := in.selectVictims(d, m, room, newestFirst); victims != nil && (best.machine == nil || len(victims) < len(best.victims)) {
@@ -78,14 +78,14 @@
 	if p.freeing {
 		return true
 	}
-	return !d.PreemptedFor && (p.lowestPriority > d.priority || d.reclaims())
+	return !d.RecentlyPreemptedFor && (p.lowestPriority > d.priority || d.reclaims())
 }
 
 // constrainedZoneCounts counts the job's claims by zone; nil for a job without a zone
 // constraint.
 func (in *Input) constrainedZoneCounts(j *jobs.Job) map[string]int {
 	if hasZoneConstraint(j) {
-		return in.Fleet.Zones(j)
+		return in.Fleet.ClaimsByZone(j)
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 		m.preempting = true
 		m.Freeing = m.Freeing.Add(victim.Job.Need)
 		if m.Owner == in.Self {
-			out.Preemptions = append(out.Preemptions, Preemption{ClaimedTask: victim, For: d.Job.ID})
+			out.Preemptions = append(out.Preemptions, Preemption{ClaimedTask: victim, PreemptorJobID: d.Job.ID})
 		}
 	}
 	m.Freeing = m.Freeing.Sub(d.Job.Need)
@@ -171,7 +171,7 @@
 		// Keeping a service running matters more to users than starting a job on time.
 		return false
 	}
-	victimTeam := in.Teams[victimSpec.Team]
+	victimTeam := in.Allowances[victimSpec.Team]
 	return d.MayReclaim && victimSpec.Team != spec.Team && in.guaranteed(d.Job) && victimTeam != nil && !victimTeam.WithinGuarantee(victimTeam.Used)
 }
 
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -27,10 +27,10 @@
 			resident := newArray("wk-9", 1, func(spec *wire.JobSpec) { spec.Team = "y" })
 			in := newInput("a", []*Machine{newFullMachine(resident)}, newJob("wk-1", wire.KindArray, c.priority, 1, nil))
 			in.Demands[0].MayReclaim = c.mayReclaim
-			in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
-			in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 1}, Guarantee: quota.Amount{GPUs: 1}}
+			in.Allowances["x"].Guarantee = quota.Amount{GPUs: 4}
+			in.Allowances["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 1}, Guarantee: quota.Amount{GPUs: 1}}
 			if c.borrowed {
-				in.Teams["y"].Used.GPUs = 2
+				in.Allowances["y"].Used.GPUs = 2
 			}
 			if got := len(Schedule(in).Preemptions); got != c.want {
 				t.Errorf("%d preempted, want %d", got, c.want)
@@ -53,7 +53,7 @@
 	t.Run("tasks were preempted for the job lately", func(t *testing.T) {
 		low := newJob("wk-9", wire.KindArray, wire.PriorityLow, 1, nil)
 		in := newInput("a", []*Machine{newFullMachine(low)}, urgent)
-		in.Demands[0].PreemptedFor = true
+		in.Demands[0].RecentlyPreemptedFor = true
 		if out := Schedule(in); len(out.Preemptions) != 0 {
 			t.Fatal("another task was preempted for a job before the room of the first one was free")
 		}
@@ -74,8 +74,8 @@
 	m.Role = Service
 	in := newInput("a", []*Machine{m}, newJob("wk-1", wire.KindService, wire.PriorityCritical, 1, nil))
 	in.Demands[0].MayReclaim = true
-	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
-	in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 2}, Guarantee: quota.Amount{GPUs: 1}}
+	in.Allowances["x"].Guarantee = quota.Amount{GPUs: 4}
+	in.Allowances["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 2}, Guarantee: quota.Amount{GPUs: 1}}
 	if out := Schedule(in); len(out.Preemptions) != 0 {
 		t.Fatal("a running service was preempted for one of the same priority")
 	}
@@ -88,8 +88,8 @@
 	m.Free = jobs.Resources{CPUs: 0.5, GPUs: 1, RAM: 64} // CPUs too few for reclaiming, enough for borrowing
 	in := newInput("a", []*Machine{m}, reclaiming, borrowing)
 	in.Demands[0].MayReclaim = true
-	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
-	in.Teams["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 2}, Guarantee: quota.Amount{GPUs: 1}}
+	in.Allowances["x"].Guarantee = quota.Amount{GPUs: 4}
+	in.Allowances["y"] = &quota.Allowance{Used: quota.Amount{GPUs: 2}, Guarantee: quota.Amount{GPUs: 1}}
 	if out := Schedule(in); len(out.Claims) != 0 {
 		t.Fatal("borrowed work took the room that a guarantee waits for")
 	}
@@ -100,7 +100,7 @@
 func TestReclaimingWorkTakesTheRoomThatWasFreedForIt(t *testing.T) {
 	first, reclaiming := newArray("wk-1", 1, nil), newArray("wk-2", 1, nil)
 	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 1)}, first, reclaiming)
-	in.Teams["x"].Guarantee = quota.Amount{GPUs: 4}
+	in.Allowances["x"].Guarantee = quota.Amount{GPUs: 4}
 	in.Demands[1].MayReclaim = true
 	if out := Schedule(in); len(out.Claims) != 1 || out.Claims[0].Job != reclaiming {
 		t.Fatalf("claims %+v, want one of the reclaiming job", out.Claims)
@@ -115,7 +115,7 @@
 	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 4)}, borrowed, reclaiming)
 	borrowed.ReadyAtMs, reclaiming.ReadyAtMs = 1000, 2000
 	reclaiming.Team, reclaiming.Record.Spec.Team = "y", "y"
-	in.Teams["y"] = &quota.Allowance{Guarantee: quota.Amount{GPUs: 4}}
+	in.Allowances["y"] = &quota.Allowance{Guarantee: quota.Amount{GPUs: 4}}
 	for _, d := range in.Demands {
 		d.Starved, d.MayReclaim = true, true
 	}
@@ -162,7 +162,7 @@
 			m.Snapshot()
 			in := newInput("a", []*Machine{m}, newJob("wk-1", wire.KindArray, wire.PriorityUrgent, 3, nil))
 			in.Now, in.MinimizeLoss = now, true
-			in.Teams["x"] = &quota.Allowance{}
+			in.Allowances["x"] = &quota.Allowance{}
 			var preempted []string
 			for _, p := range Schedule(in).Preemptions {
 				preempted = append(preempted, p.ID.Job)
--- a/internal/placement/schedule.go
+++ b/internal/placement/schedule.go
@@ -11,7 +11,7 @@
 // them where that is allowed. It modifies the machines of the fleet and the
 // allowances; Fleet.Rollback restores the machines.
 func Schedule(in Input) Output {
-	out := Output{Unplaced: map[string]int{}, Reasons: map[string]string{}}
+	out := Output{Unplaced: map[string]int{}, UnplacedReasons: map[string]string{}}
 	in.reservedPriority, in.preemptionScansLeft, in.trackMaxFree = beyondLowestPriority, preemptionScansPerPass, true
 	for _, d := range in.Demands {
 		d.priority, d.guaranteedAtStart, d.latestStart = d.Job.Priority, in.guaranteed(d.Job), in.latestStart(d.Job)
@@ -26,7 +26,7 @@
 // scheduleDemand places as many tasks of a demand as it can, and records why the others
 // wait.
 func (in *Input) scheduleDemand(d *Demand, out *Output) {
-	team := in.Teams[d.Job.Record.Spec.Team]
+	team := in.Allowances[d.Job.Record.Spec.Team]
 	if team == nil {
 		out.recordUnplaced(d, len(d.Tasks), reasonNoTeam)
 		return
@@ -46,7 +46,7 @@
 	var choice machineChoice
 	if in.Fleet.mayFit(d.Job) {
 		if in.MaxJobs <= 0 {
-			out.recordUnplaced(d, len(tasks), ReasonNoTurn)
+			out.recordUnplaced(d, len(tasks), ReasonJobLimit)
 			return
 		}
 		choice = in.chooseMachines(d, team, tasks)
@@ -154,7 +154,7 @@
 // shortfall of its team, up to the unused part of the guarantee.
 func (in *Input) recordGuaranteeShortfall(d *Demand, tasks int, out *Output) {
 	name := d.Job.Record.Spec.Team
-	team := in.Teams[name]
+	team := in.Allowances[name]
 	needed := d.Job.Need.Amount().Times(float64(tasks))
 	unusedGuarantee := team.Guarantee.Sub(team.Used).Max(quota.Amount{})
 	out.GuaranteeShortfall = withAmount(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(needed).Min(unusedGuarantee))
--- a/internal/placement/schedule_test.go
+++ b/internal/placement/schedule_test.go
@@ -11,7 +11,7 @@
 
 func TestQuotaCountsClaimsOfTheSamePass(t *testing.T) {
 	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 8)}, newArray("wk-1", 3, nil), newArray("wk-2", 3, nil))
-	in.Teams["x"].Limit, in.Teams["x"].Used = quota.Amount{GPUs: 5}, quota.Amount{GPUs: 1}
+	in.Allowances["x"].Limit, in.Allowances["x"].Used = quota.Amount{GPUs: 5}, quota.Amount{GPUs: 1}
 	if n := len(Schedule(in).Claims); n != 4 {
 		t.Fatalf("%d claims, want 4: one of the limit of five GPUs was in use", n)
 	}
@@ -19,9 +19,9 @@
 
 func TestTasksBeyondTheLimitWaitForQuota(t *testing.T) {
 	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 8)}, newArray("wk-1", 5, nil))
-	in.Teams["x"].Limit = quota.Amount{GPUs: 3}
-	if out := Schedule(in); len(out.Claims) != 3 || out.Reasons["wk-1"] != ReasonNoQuota {
-		t.Fatalf("%d claims, the others wait because %q; want 3 and %q", len(out.Claims), out.Reasons["wk-1"], ReasonNoQuota)
+	in.Allowances["x"].Limit = quota.Amount{GPUs: 3}
+	if out := Schedule(in); len(out.Claims) != 3 || out.UnplacedReasons["wk-1"] != ReasonNoQuota {
+		t.Fatalf("%d claims, the others wait because %q; want 3 and %q", len(out.Claims), out.UnplacedReasons["wk-1"], ReasonNoQuota)
 	}
 }
 
@@ -52,8 +52,8 @@
 	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 8)}, openJobs...)
 	in.MaxJobs = 3
 	out := Schedule(in)
-	if len(out.Claims) != 3 || len(out.Unplaced) != 6 || out.Reasons["wk-9"] != ReasonNoTurn {
-		t.Fatalf("%d claims, waiting jobs %v; want 3 claims and 6 waiting jobs", len(out.Claims), out.Reasons)
+	if len(out.Claims) != 3 || len(out.Unplaced) != 6 || out.UnplacedReasons["wk-9"] != ReasonJobLimit {
+		t.Fatalf("%d claims, waiting jobs %v; want 3 claims and 6 waiting jobs", len(out.Claims), out.UnplacedReasons)
 	}
 }
 
--- a/internal/placement/starvation_test.go
+++ b/internal/placement/starvation_test.go
@@ -67,10 +67,10 @@
 func (s *starvationSim) input(round int) Input {
 	in := newInput("a", s.machines)
 	in.Leader, in.MaxJobs = "a", 1000
-	in.Teams["x"].Guarantee = quota.Amount{GPUs: 1000}
-	in.Teams["y"] = &quota.Allowance{Limit: quota.Amount{GPUs: 12}}
+	in.Allowances["x"].Guarantee = quota.Amount{GPUs: 1000}
+	in.Allowances["y"] = &quota.Allowance{Limit: quota.Amount{GPUs: 12}}
 	for _, r := range s.running {
-		in.Teams[r.job.Team].Used = in.Teams[r.job.Team].Used.Add(r.job.Need.Amount())
+		in.Allowances[r.job.Team].Used = in.Allowances[r.job.Team].Used.Add(r.job.Need.Amount())
 	}
 	for _, j := range s.jobs {
 		d := newDemand(j)
--- a/internal/scheduler/misplaced.go
+++ b/internal/scheduler/misplaced.go
@@ -29,7 +29,7 @@
 			if attempts++; attempts > tuning.MaxEvictionTries {
 				return
 			}
-			if placement.FitElsewhere(fleet, task.Job, task.ID.Task, machine.Name) != nil {
+			if placement.FindOtherMachine(fleet, task.Job, task.ID.Task, machine.Name) != nil {
 				sc.evict(machine, task)
 				return
 			}
--- a/internal/scheduler/placementinput.go
+++ b/internal/scheduler/placementinput.go
@@ -18,7 +18,7 @@
 		Leader:       sc.Membership.Leader.Label,
 		RankNodes:    sc.Membership.RankNodes,
 		Fleet:        fleet,
-		Teams:        sc.Allowances(),
+		Allowances:   sc.Allowances(),
 		Now:          now,
 		MaxJobs:      tuning.JobsPerPass,
 		MinimizeLoss: sc.Settings.Operator.QuotaReservations,
@@ -54,15 +54,15 @@
 func (sc *Scheduler) demandOf(job *jobs.Job, avoid map[string]bool, now time.Time) *placement.Demand {
 	nothingStarted := job.Counts[jobs.Pending] == job.Record.Tasks
 	return &placement.Demand{
-		Job:   job,
-		Avoid: avoid,
-		Tasks: sc.pendingTasks(job, tuning.TasksPerJob, now),
+		Job:              job,
+		ExcludedMachines: avoid,
+		Tasks:            sc.pendingTasks(job, tuning.TasksPerJob, now),
 		// Work that is preempted for a guarantee is lost, and the cloud may still provide
 		// machines for it, so preemption waits.
-		MayReclaim:    sc.mayReclaim(job, now),
-		Starved:       nothingStarted && now.UnixMilli()-job.ReadyAtMs > tuning.StarvedAfter.Milliseconds(),
-		PreemptedFor:  now.Sub(sc.preemptedFor[job.ID]) < tuning.PreemptPause,
-		WriteInFlight: sc.WritesInFlight[job.ID] || now.Before(sc.BackoffUntil[job.ID]),
+		MayReclaim:           sc.mayReclaim(job, now),
+		Starved:              nothingStarted && now.UnixMilli()-job.ReadyAtMs > tuning.StarvedAfter.Milliseconds(),
+		RecentlyPreemptedFor: now.Sub(sc.preemptedFor[job.ID]) < tuning.PreemptPause,
+		WriteInFlight:        sc.WritesInFlight[job.ID] || now.Before(sc.BackoffUntil[job.ID]),
 	}
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -111,7 +111,7 @@
 		}
 	}
 	writes = sc.planReleasesAndClaims(writes, due, output.Claims, &budget)
-	writes = append(writes, sc.planTransfers(input.Teams, output.ShareShortfall, now, &budget)...)
+	writes = append(writes, sc.planTransfers(input.Allowances, output.ShareShortfall, now, &budget)...)
 	writes = append(writes, sc.planReservations(output.GuaranteeShortfall, now, &budget)...)
 	writes = sc.planFinishedJobs(writes, &budget)
 	sc.updateQueuedWrites(len(due) + countJobs(output.Claims) - len(writes))
@@ -155,8 +155,8 @@
 			continue
 		}
 		sc.Workers.StopTask(w, preemption.ID)
-		sc.preemptedFor[preemption.For] = now
-		sc.Log.Debug(logging.EventTaskPreempted, logging.KeyTask, preemption.ID, logging.KeyMachine, w.Machine, logging.KeyPreemptedFor, preemption.For)
+		sc.preemptedFor[preemption.PreemptorJobID] = now
+		sc.Log.Debug(logging.EventTaskPreempted, logging.KeyTask, preemption.ID, logging.KeyMachine, w.Machine, logging.KeyPreemptedFor, preemption.PreemptorJobID)
 	}
 }
 
@@ -197,7 +197,7 @@
 // recordUnplaced records which tasks could not be placed, why, and since when. The caller holds the
 // lock.
 func (sc *Scheduler) recordUnplaced(output placement.Output, now time.Time) {
-	sc.Unplaced, sc.PendingReasons = output.Unplaced, output.Reasons
+	sc.Unplaced, sc.PendingReasons = output.Unplaced, output.UnplacedReasons
 	sc.recordShortages(output, now)
 	for jobID := range sc.UnplacedSince {
 		if output.Unplaced[jobID] == 0 {
