--- a/internal/fleet/claimtotals.go
+++ b/internal/fleet/claimtotals.go
@@ -10,7 +10,7 @@
 
 // ClaimedByNode is what the claims take by owner of their machines and by team. The
 // lock is held, and the result is valid for as long.
-func (mi *MachineIndex) ClaimedByNode() quota.ClaimedByNode {
+func (mi *MachineIndex) ClaimedByNode() quota.ClaimedByController {
 	for machine := range mi.Changed {
 		mi.refreshClaimTotals(machine)
 	}
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -35,8 +35,8 @@
 	unpublished          map[string]bool            // machines that may differ from what siblings were sent
 	fullPublishAt        time.Time                  // when all machines were last compared with that
 
-	claims        map[string]machineClaims // what each machine has added to claimedTotals
-	claimedTotals quota.ClaimedByNode      // what the claims take, by owner and team
+	claims        map[string]machineClaims  // what each machine has added to claimedTotals
+	claimedTotals quota.ClaimedByController // what the claims take, by owner and team
 }
 
 // indexedMachine is one machine, and what it depends on whether it is schedulable.
@@ -66,7 +66,7 @@
 		Terminated:     map[string]bool{},
 		unpublished:    map[string]bool{},
 		claims:         map[string]machineClaims{},
-		claimedTotals:  quota.ClaimedByNode{},
+		claimedTotals:  quota.ClaimedByController{},
 	}
 }
 
--- a/internal/observability/quotastatus.go
+++ b/internal/observability/quotastatus.go
@@ -45,8 +45,8 @@
 	team := summary.Team
 	fmt.Fprintf(&line, "team %s shares %q limit %s guarantee %s used %s borrowed %s waiting %s", team.Name, summary.Phase, amountText(team.Limit),
 		amountText(team.Guarantee), amountText(summary.Used), amountText(summary.Borrowed), amountText(ob.pendingAmount(team.Name)))
-	if !summary.InFlight.IsZero() || !summary.InDoubt.IsZero() {
-		fmt.Fprintf(&line, " in_flight %s in_doubt %s", amountText(summary.InFlight), amountText(summary.InDoubt))
+	if !summary.InFlight.IsZero() || !summary.Uncertain.IsZero() {
+		fmt.Fprintf(&line, " in_flight %s in_doubt %s", amountText(summary.InFlight), amountText(summary.Uncertain))
 	}
 	if reservation := summary.Reserved; reservation != nil {
 		since := ob.Now().Sub(time.UnixMilli(reservation.Since))
@@ -78,7 +78,7 @@
 		}
 		fmt.Fprintln(page, ob.teamLine(summary))
 		for _, share := range summary.Shares {
-			fmt.Fprintf(page, "share %s of %s held %s\n", share.Node, amountText(share.Share), amountText(share.Claimed))
+			fmt.Fprintf(page, "share %s of %s held %s\n", share.Controller, amountText(share.Share), amountText(share.Claimed))
 		}
 		return
 	}
@@ -100,7 +100,7 @@
 			"borrowed":  summary.Borrowed,
 			"reserved":  reserved,
 			"in_flight": summary.InFlight,
-			"in_doubt":  summary.InDoubt,
+			"in_doubt":  summary.Uncertain,
 			"waiting":   ob.pendingAmount(team),
 		} {
 			gauge(descTeam, amount.CPUs, team, "cpus", kind)
@@ -108,8 +108,8 @@
 		}
 		for _, share := range summary.Shares {
 			for kind, amount := range map[string]quota.Amount{"share": share.Share, "held": share.Claimed} {
-				gauge(descTeamShare, amount.CPUs, team, share.Node, "cpus", kind)
-				gauge(descTeamShare, amount.GPUs, team, share.Node, "gpus", kind)
+				gauge(descTeamShare, amount.CPUs, team, share.Controller, "cpus", kind)
+				gauge(descTeamShare, amount.GPUs, team, share.Controller, "gpus", kind)
 			}
 		}
 		gauge(descTeamPhase, 1, team, string(summary.Phase))
--- a/internal/placement/schedule.go
+++ b/internal/placement/schedule.go
@@ -38,7 +38,7 @@
 		out.recordUnplaced(d, len(d.Tasks), reasonReservedForGuarantee)
 		return
 	}
-	tasks := d.Tasks[:team.Total(d.Job.Need.Amount(), len(d.Tasks))]
+	tasks := d.Tasks[:team.MaxTasks(d.Job.Need.Amount(), len(d.Tasks))]
 	if len(tasks) == 0 {
 		out.recordUnplaced(d, len(d.Tasks), ReasonNoQuota)
 		return
@@ -74,12 +74,12 @@
 func (in *Input) chooseMachines(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
 	choice := in.chooseOwner(d, team, tasks)
 	if choice.controller == "" {
-		admitted := team.AtNode(in.Leader, d.Job.Need.Amount(), len(tasks))
+		admitted := team.MaxTasksAt(in.Leader, d.Job.Need.Amount(), len(tasks))
 		choice.controller = in.Leader
 		choice.shareLimited = admitted < len(tasks)
 		choice.machines = in.fitAcrossOwners(d, tasks[:admitted])
 		if choice.shareLimited && len(choice.machines) == admitted {
-			choice.shareShortfall = d.Job.Need.Amount().Times(float64(len(tasks))).Sub(team.Left[in.Leader])
+			choice.shareShortfall = d.Job.Need.Amount().Mul(float64(len(tasks))).Sub(team.Remaining[in.Leader])
 		}
 	}
 	if d.Job.Gang() && (len(d.Job.Claims) > 0 || len(choice.machines) < d.Job.Record.Tasks-d.Job.Counts[jobs.Completed]) {
@@ -95,7 +95,7 @@
 	var best machineChoice
 	shortestWait := 0.0
 	for _, owner := range in.RankNodes(d.Job.ID) {
-		if team.AtNode(owner, d.Job.Need.Amount(), len(tasks)) < len(tasks) {
+		if team.MaxTasksAt(owner, d.Job.Need.Amount(), len(tasks)) < len(tasks) {
 			continue
 		}
 		picks := in.fit(d, tasks, owner)
@@ -126,7 +126,7 @@
 			out.Claims = append(out.Claims, Claim{Job: d.Job, Task: tasks[i], Machine: m.Name, Incarnation: m.Incarnation})
 		}
 	}
-	team.Take(choice.controller, d.Job.Need.Amount().Times(float64(len(choice.machines))))
+	team.Deduct(choice.controller, d.Job.Need.Amount().Mul(float64(len(choice.machines))))
 }
 
 // makeRoomForUnplaced provides room for the tasks that were not placed: it reserves room
@@ -155,7 +155,7 @@
 func (in *Input) recordGuaranteeShortfall(d *Demand, tasks int, out *Output) {
 	name := d.Job.Record.Spec.Team
 	team := in.Allowances[name]
-	needed := d.Job.Need.Amount().Times(float64(tasks))
+	needed := d.Job.Need.Amount().Mul(float64(tasks))
 	unusedGuarantee := team.Guarantee.Sub(team.Used).Max(quota.Amount{})
 	out.GuaranteeShortfall = withAmount(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(needed).Min(unusedGuarantee))
 }
--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -7,11 +7,11 @@
 
 // Errors that refuse an admission.
 var (
-	// ErrBusy means that a write of the record by this controller is in flight.
-	ErrBusy = errors.New("a write of the team's shares is in flight")
-	// ErrShareUsed means that the rest of the controller's share does not cover the
+	// ErrWriteInFlight means that a write of the record by this controller is in flight.
+	ErrWriteInFlight = errors.New("a write of the team's shares is in flight")
+	// ErrInsufficientShare means that the rest of the controller's share does not cover the
 	// admission.
-	ErrShareUsed = errors.New("insufficient share")
+	ErrInsufficientShare = errors.New("insufficient share")
 )
 
 // Admission is the part of a team's limit that a write of claims takes.
@@ -44,13 +44,13 @@
 		return nil, nil
 	}
 	if phase := l.Phase(v.FencingToken); phase != Shared {
-		return nil, fmt.Errorf("%w: admission in phase %q", ErrPhase, phase)
+		return nil, fmt.Errorf("%w: admission in phase %q", ErrPhaseNotAllowed, phase)
 	}
 	if l.writeInFlight {
-		return nil, ErrBusy
+		return nil, ErrWriteInFlight
 	}
 	if remaining := l.remaining(v, v.Self); !amount.fits(remaining, l.team.Limit) {
-		return nil, fmt.Errorf("%w: requested %+v, remaining %+v", ErrShareUsed, amount, remaining)
+		return nil, fmt.Errorf("%w: requested %+v, remaining %+v", ErrInsufficientShare, amount, remaining)
 	}
 	admission := &Admission{Team: l.team.Name, Amount: amount}
 	if len(onOthers) > 0 {
@@ -58,7 +58,7 @@
 		for owner, part := range onOthers {
 			next = next.withTransfer(v.Self, owner, part)
 		}
-		if err := l.beginWrite(v, HandOver, next); err != nil {
+		if err := l.beginWrite(v, ReassignShare, next); err != nil {
 			return nil, err
 		}
 		admission.Next = &next
@@ -96,13 +96,13 @@
 	return l.inFlight, uncertain
 }
 
-// Forget drops the uncertain admissions whose writes can no longer be applied,
+// DropResolvedAdmissions drops the uncertain admissions whose writes can no longer be applied,
 // because a key that they compare has changed. It keeps them until the cache has
 // read up to that change, so that claims applied before it have been read. Without
 // that, an admission would count nowhere when this controller's own write of the
 // record changes the compared key while the claim, which was applied earlier
 // without a response, has not been read yet.
-func (l *Ledger) Forget(c Cache) {
+func (l *Ledger) DropResolvedAdmissions(c Cache) {
 	kept := l.uncertain[:0]
 	for _, u := range l.uncertain {
 		if u.conflictRevision == 0 && u.compareFails(c) {
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -5,26 +5,26 @@
 	Used      Amount // by the team's claims on all machines
 	Limit     Amount // 0: none
 	Guarantee Amount // 0: none
-	// Left is the quota that each controller may still admit, by the controller's
+	// Remaining is the quota that each controller may still admit, by the controller's
 	// label; nil: the team has no limit.
-	Left map[string]Amount
+	Remaining map[string]Amount
 }
 
-// Take deducts an admission by a controller.
-func (a *Allowance) Take(controller string, amount Amount) {
+// Deduct subtracts an admission by a controller.
+func (a *Allowance) Deduct(controller string, amount Amount) {
 	a.Used = a.Used.Add(amount)
-	if a.Left != nil {
-		a.Left[controller] = a.Left[controller].Sub(amount)
+	if a.Remaining != nil {
+		a.Remaining[controller] = a.Remaining[controller].Sub(amount)
 	}
 }
 
-// AtNode returns how many of the given number of identical tasks a controller may
+// MaxTasksAt returns how many of the given number of identical tasks a controller may
 // still admit.
-func (a *Allowance) AtNode(controller string, need Amount, tasks int) int {
-	if a.Left == nil {
+func (a *Allowance) MaxTasksAt(controller string, need Amount, tasks int) int {
+	if a.Remaining == nil {
 		return tasks
 	}
-	left, count := a.Left[controller], 0
+	left, count := a.Remaining[controller], 0
 	for count < tasks && need.fits(left, a.Limit) {
 		left = left.Sub(need)
 		count++
@@ -32,9 +32,9 @@
 	return count
 }
 
-// Total returns how many of the given number of identical tasks fit the limit in
+// MaxTasks returns how many of the given number of identical tasks fit the limit in
 // addition to what is in use.
-func (a *Allowance) Total(need Amount, tasks int) int {
+func (a *Allowance) MaxTasks(need Amount, tasks int) int {
 	used, count := a.Used.Add(need), 0
 	for count < tasks && used.Within(a.Limit) {
 		used = used.Add(need)
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -14,8 +14,8 @@
 // Sub returns the difference of both amounts.
 func (a Amount) Sub(b Amount) Amount { return Amount{a.CPUs - b.CPUs, a.GPUs - b.GPUs} }
 
-// Times returns the amount multiplied by a factor.
-func (a Amount) Times(factor float64) Amount { return Amount{a.CPUs * factor, a.GPUs * factor} }
+// Mul returns the amount multiplied by a factor.
+func (a Amount) Mul(factor float64) Amount { return Amount{a.CPUs * factor, a.GPUs * factor} }
 
 // Max returns the larger of both values for each resource.
 func (a Amount) Max(b Amount) Amount { return Amount{max(a.CPUs, b.CPUs), max(a.GPUs, b.GPUs)} }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -51,7 +51,7 @@
 	case l.decodeErr != nil:
 		return Damaged
 	case l.record.FencingToken != token:
-		return Unshared
+		return Undivided
 	case l.record.Frozen:
 		return Frozen
 	case errors.Is(l.checkErr, ErrOverLimit):
@@ -62,23 +62,23 @@
 	return Shared
 }
 
-// Writing reports whether a write of the record by this controller is in flight.
-func (l *Ledger) Writing() bool { return l.writeInFlight }
+// WriteInFlight reports whether a write of the record by this controller is in flight.
+func (l *Ledger) WriteInFlight() bool { return l.writeInFlight }
 
 // Allowance returns the quota that a placement pass may still grant to the team.
 // used is what the team's claims take; scale is the fraction of its guarantee that
-// it gets (see Manager.Scale).
+// it gets (see Manager.GuaranteeScale).
 func (l *Ledger) Allowance(v View, used, scale Amount) *Allowance {
 	a := &Allowance{Used: used, Limit: l.team.Limit, Guarantee: l.team.Guarantee.scaled(scale)}
 	if !l.team.Limited() {
 		return a
 	}
-	a.Left = map[string]Amount{}
+	a.Remaining = map[string]Amount{}
 	if l.Phase(v.FencingToken) != Shared {
 		return a
 	}
 	for controller := range l.record.Shares {
-		a.Left[controller] = l.remaining(v, controller)
+		a.Remaining[controller] = l.remaining(v, controller)
 	}
 	return a
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -164,8 +164,8 @@
 }
 
 // claimedByController returns what the stored claims on each controller's machines take.
-func claimedByController(team string, claims map[string]claim, members membership) ClaimedByNode {
-	claimed := ClaimedByNode{}
+func claimedByController(team string, claims map[string]claim, members membership) ClaimedByController {
+	claimed := ClaimedByController{}
 	for _, c := range claims {
 		owner := members.owner(c.machine)
 		if claimed[owner] == nil {
@@ -180,7 +180,7 @@
 // limit that they were decided under, nor any controller's claims its share.
 func (m *model) checkInvariants(w *write) error {
 	claimed := claimedByController(m.team, m.claims, m.membership)
-	if total := claimed.Of(m.team); w.admission != nil && !total.Within(w.limit) {
+	if total := claimed.Total(m.team); w.admission != nil && !total.Within(w.limit) {
 		return fmt.Errorf("claims of %+v after an admission by %s exceed the limit %+v", total, w.controller.label, w.limit)
 	}
 	var record Record
@@ -228,7 +228,7 @@
 func (n *modelController) NewestRevision() uint64    { return max(n.revision, n.newestApplied) }
 
 func (n *modelController) view(team string) View {
-	return View{Self: n.label, Leader: n.membership.leader, Nodes: n.membership.members, FencingToken: n.membership.token,
+	return View{Self: n.label, Leader: n.membership.leader, Members: n.membership.members, FencingToken: n.membership.token,
 		Claimed: claimedByController(team, n.claims, n.membership), Revision: n.revision}
 }
 
@@ -244,7 +244,7 @@
 // controller may not admit the claim.
 func (m *model) admit(n *modelController, machine int, amount Amount) *write {
 	ledger := n.manager.Ledger(m.team)
-	ledger.Forget(n)
+	ledger.DropResolvedAdmissions(n)
 	if !n.isMember() {
 		return nil
 	}
@@ -292,7 +292,7 @@
 	m.now = m.now.Add(time.Second)
 	v := n.view(m.team)
 	ledger := n.manager.Ledger(m.team)
-	ledger.Forget(n)
+	ledger.DropResolvedAdmissions(n)
 	return m.sendRecordWrite(n, ledger.Transfer(m.now, v, recipient, shortfall, m.unused))
 }
 
@@ -386,7 +386,7 @@
 		m.deliverAll()
 		for _, n := range m.controllers {
 			n.readTo(m.log, len(m.log))
-			n.manager.Ledger(m.team).Forget(n)
+			n.manager.Ledger(m.team).DropResolvedAdmissions(n)
 		}
 		m.rebalance(m.controllers[m.membership.leader], onePendingUnit, round < 4)
 	}
--- a/internal/quota/phase.go
+++ b/internal/quota/phase.go
@@ -12,9 +12,9 @@
 const (
 	// Unlimited: the team has no limit and needs no shares.
 	Unlimited Phase = "unlimited"
-	// Unshared: the record belongs to another membership, or there is none.
+	// Undivided: the record belongs to another membership, or there is none.
 	// No controller admits work until the leader has divided the limit.
-	Unshared Phase = "unshared"
+	Undivided Phase = "unshared"
 	// Shared: each member admits work within its share.
 	Shared Phase = "shared"
 	// Frozen: no controller admits work. The leader divides the limit again once it
@@ -35,26 +35,26 @@
 
 // The events of a team's shares.
 const (
-	ShareOut Event = "share out" // the leader divides the limit and writes new shares
-	Freeze   Event = "freeze"    // the leader stops admissions before it divides the limit again
-	HandOver Event = "hand over" // the leader admits work on machines of other shard owners and moves share to them for it
-	Transfer Event = "transfer"  // a controller gives share that it does not need to another controller
+	DivideLimit   Event = "share out" // the leader divides the limit and writes new shares
+	Freeze        Event = "freeze"    // the leader stops admissions before it divides the limit again
+	ReassignShare Event = "hand over" // the leader admits work on machines of other shard owners and moves share to them for it
+	Transfer      Event = "transfer"  // a controller gives share that it does not need to another controller
 )
 
-// ErrPhase means that an operation is not allowed in the current phase.
-var ErrPhase = errors.New("not allowed in the current phase of the shares")
+// ErrPhaseNotAllowed means that an operation is not allowed in the current phase.
+var ErrPhaseNotAllowed = errors.New("not allowed in the current phase of the shares")
 
 // Next returns the phase that an event leads to as long as the shares stay within
-// the limit, or ErrPhase if the event is not allowed in phase p. It is the single
+// the limit, or ErrPhaseNotAllowed if the event is not allowed in phase p. It is the single
 // definition of the allowed transitions.
 func (p Phase) Next(e Event) (Phase, error) {
 	switch {
-	case e == ShareOut && (p == Unshared || p == Frozen):
+	case e == DivideLimit && (p == Undivided || p == Frozen):
 		return Shared, nil
 	case e == Freeze && (p == Shared || p == OverLimit || p == Damaged):
 		return Frozen, nil
-	case (e == HandOver || e == Transfer) && p == Shared:
+	case (e == ReassignShare || e == Transfer) && p == Shared:
 		return Shared, nil
 	}
-	return p, fmt.Errorf("%w: event %q in phase %q", ErrPhase, e, p)
+	return p, fmt.Errorf("%w: event %q in phase %q", ErrPhaseNotAllowed, e, p)
 }
--- a/internal/quota/phase_test.go
+++ b/internal/quota/phase_test.go
@@ -9,14 +9,14 @@
 func TestPhaseTransitions(t *testing.T) {
 	allowed := map[Phase]map[Event]Phase{
 		Unlimited: {},
-		Unshared:  {ShareOut: Shared},
-		Shared:    {Freeze: Frozen, HandOver: Shared, Transfer: Shared},
-		Frozen:    {ShareOut: Shared},
+		Undivided: {DivideLimit: Shared},
+		Shared:    {Freeze: Frozen, ReassignShare: Shared, Transfer: Shared},
+		Frozen:    {DivideLimit: Shared},
 		OverLimit: {Freeze: Frozen},
 		Damaged:   {Freeze: Frozen},
 	}
 	for phase, events := range allowed {
-		for _, event := range []Event{ShareOut, Freeze, HandOver, Transfer} {
+		for _, event := range []Event{DivideLimit, Freeze, ReassignShare, Transfer} {
 			t.Run(fmt.Sprintf("%s in phase %s", event, phase), func(t *testing.T) {
 				next, err := phase.Next(event)
 				want, ok := events[event]
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -189,7 +189,7 @@
 		var left Amount
 		for _, n := range h.controllers {
 			a := n.manager.Ledger(h.team).Allowance(n.view(h.team), Amount{}, Amount{1, 1})
-			left = left.Add(a.Left[n.label])
+			left = left.Add(a.Remaining[n.label])
 		}
 		if free := limit.Sub(left).maskUnlimited(limit); !free.IsZero() {
 			t.Fatalf("%+v of %+v is not usable although nothing is in flight", free, limit)
--- a/internal/quota/rebalance.go
+++ b/internal/quota/rebalance.go
@@ -17,15 +17,15 @@
 // admissions wait for that.
 func (l *Ledger) Rebalance(now time.Time, v View, pending iter.Seq[Amount], budget bool) *Write {
 	phase := l.Phase(v.FencingToken)
-	if l.writeInFlight || phase == Unlimited || !budget && phase != Unshared {
+	if l.writeInFlight || phase == Unlimited || !budget && phase != Undivided {
 		return nil
 	}
 	next := Record{FencingToken: v.FencingToken}
 	event := Freeze
 	switch {
-	case phase == Unshared, phase == Frozen && v.Revision >= l.version:
+	case phase == Undivided, phase == Frozen && v.Revision >= l.version:
 		// No controller admits work until this is stored, and all earlier claims are known.
-		event = ShareOut
+		event = DivideLimit
 		next.Shares = l.divideLimit(v, pending)
 	case l.needsRebalance(now, v, phase):
 		next.Frozen = true
@@ -54,7 +54,7 @@
 		return true
 	case OverLimit:
 		// Until some claims are released, the shares would not change.
-		claimed := v.Claimed.Of(l.team.Name).maskUnlimited(l.team.Limit)
+		claimed := v.Claimed.Total(l.team.Name).maskUnlimited(l.team.Limit)
 		return !l.record.total().maskUnlimited(l.team.Limit).Sub(claimed).IsZero()
 	case Shared:
 		return !l.shortageSince.IsZero() && now.Sub(l.shortageSince) >= l.rebalanceDelay()
@@ -77,19 +77,19 @@
 // largest waiting job, the leader gets all of the rest and admits work for all
 // controllers.
 func (l *Ledger) divideLimit(v View, pending iter.Seq[Amount]) map[string]Share {
-	rest := l.team.Limit.Sub(v.Claimed.Of(l.team.Name)).Max(Amount{})
-	part := rest.Times(1 / float64(len(v.Nodes)+1))
+	rest := l.team.Limit.Sub(v.Claimed.Total(l.team.Name)).Max(Amount{})
+	part := rest.Mul(1 / float64(len(v.Members)+1))
 	for need := range pending {
 		if !need.fits(part, l.team.Limit) {
 			part = Amount{}
 			break
 		}
 	}
-	shares := make(map[string]Share, len(v.Nodes))
-	for _, controller := range v.Nodes {
+	shares := make(map[string]Share, len(v.Members))
+	for _, controller := range v.Members {
 		extra := part
 		if controller == v.Leader {
-			extra = rest.Sub(part.Times(float64(len(v.Nodes) - 1)))
+			extra = rest.Sub(part.Mul(float64(len(v.Members) - 1)))
 		}
 		shares[controller] = ShareOf(v.claimedBy(controller, l.team.Name).Add(extra))
 	}
--- a/internal/quota/rebalance_test.go
+++ b/internal/quota/rebalance_test.go
@@ -23,7 +23,7 @@
 	}
 	leader.readTo(m.log, len(m.log))
 	share := m.rebalance(leader, onePendingUnit, true)
-	if share == nil || share.recordWrite.Event != ShareOut || share.recordWrite.Record.Shares["b"].GPUs < 1 {
+	if share == nil || share.recordWrite.Event != DivideLimit || share.recordWrite.Record.Shares["b"].GPUs < 1 {
 		t.Fatalf("the limit is divided as %+v", share)
 	}
 }
@@ -40,7 +40,7 @@
 	}
 	m.setMembership([]string{"a", "b"}, "a")
 	n.readTo(m.log, len(m.log))
-	if w := ledger.Rebalance(later, n.view(m.team), onePendingUnit, false); w == nil || w.Event != ShareOut {
+	if w := ledger.Rebalance(later, n.view(m.team), onePendingUnit, false); w == nil || w.Event != DivideLimit {
 		t.Fatalf("write under a new membership: %+v", w)
 	}
 }
--- a/internal/quota/reservation.go
+++ b/internal/quota/reservation.go
@@ -32,7 +32,7 @@
 // Amount returns the capacity that the team waits for.
 func (r Reservation) Amount() Amount { return Amount{r.CPUs, r.GPUs} }
 
-// waitTimes holds the leader's state of a team between two calls of Reserve.
+// waitTimes holds the leader's state of a team between two calls of PlanReservations.
 type waitTimes struct {
 	shortfallSince time.Time // since when work within the guarantee lacks capacity; zero: it does not
 	satisfiedSince time.Time // since when no work lacks capacity while a reservation is stored
@@ -73,11 +73,11 @@
 	return ok && now.Sub(time.UnixMilli(r.Since)) > tuning.GuaranteePreemptAfter
 }
 
-// Reserve lets the leader decide which reservations to store next. shortfalls
+// PlanReservations lets the leader decide which reservations to store next. shortfalls
 // is the capacity that each team's work lacks within its guarantee. The result is nil if
-// the stored record needs no change. After a result that is not nil, Reserve returns
-// nil until ReservationsWritten is called.
-func (m *Manager) Reserve(now time.Time, shortfalls map[string]Amount) *Reservations {
+// the stored record needs no change. After a result that is not nil, PlanReservations returns
+// nil until ResolveReservationsWrite is called.
+func (m *Manager) PlanReservations(now time.Time, shortfalls map[string]Amount) *Reservations {
 	if !m.options.Reservations || m.reservationWriteInFlight || now.Sub(m.reservationDecidedAt) < tuning.ReservePause {
 		return nil
 	}
@@ -104,8 +104,8 @@
 	return &next
 }
 
-// ReservationsWritten ends a write of the reservations, whatever its outcome.
-func (m *Manager) ReservationsWritten() { m.reservationWriteInFlight = false }
+// ResolveReservationsWrite ends a write of the reservations, whatever its outcome.
+func (m *Manager) ResolveReservationsWrite() { m.reservationWriteInFlight = false }
 
 // updateReservation adds, changes or drops the team's reservation in byTeam and
 // reports whether anything changed.
--- a/internal/quota/reservation_test.go
+++ b/internal/quota/reservation_test.go
@@ -27,7 +27,7 @@
 	if err := m.ApplyReservations(wire.MustMarshal(*decided)); err != nil {
 		t.Fatal(err)
 	}
-	m.ReservationsWritten()
+	m.ResolveReservationsWrite()
 }
 
 // A reservation is stored once a wait has lasted. It keeps the start of the wait when
@@ -36,12 +36,12 @@
 func TestReservationKeepsTheStartOfItsWaitAcrossFailover(t *testing.T) {
 	m, begin := newReservingManager(), time.UnixMilli(1_000_000)
 	shortfalls := map[string]Amount{"x": {GPUs: 3}, "z": {GPUs: 5}}
-	if m.Reserve(begin, shortfalls) != nil {
+	if m.PlanReservations(begin, shortfalls) != nil {
 		t.Fatal("a wait that has just begun is stored")
 	}
 	now := begin.Add(tuning.ReserveAfter)
-	decided := m.Reserve(now, shortfalls)
-	if m.Reserve(now.Add(time.Minute), shortfalls) != nil {
+	decided := m.PlanReservations(now, shortfalls)
+	if m.PlanReservations(now.Add(time.Minute), shortfalls) != nil {
 		t.Fatal("decided again while the write is in flight")
 	}
 	storeReservations(t, m, decided)
@@ -58,11 +58,11 @@
 		t.Fatal(err)
 	}
 	shortfalls["x"] = Amount{GPUs: 4}
-	if next.Reserve(now, shortfalls) != nil {
+	if next.PlanReservations(now, shortfalls) != nil {
 		t.Fatal("a small change of the amount is stored")
 	}
 	shortfalls["x"] = Amount{GPUs: 6}
-	storeReservations(t, next, next.Reserve(now.Add(tuning.ReservePause), shortfalls))
+	storeReservations(t, next, next.PlanReservations(now.Add(tuning.ReservePause), shortfalls))
 	if r, _ := next.Reserved("x"); r.Since != begin.UnixMilli() || r.GPUs != 6 {
 		t.Fatalf("a new leader stored %+v", r)
 	}
@@ -73,16 +73,16 @@
 	// A short time without a shortfall does not end the wait.
 	now = now.Add(20 * time.Second)
 	for _, after := range []time.Duration{0, tuning.ReserveHold / 2} {
-		if next.Reserve(now.Add(after), nil) != nil {
+		if next.PlanReservations(now.Add(after), nil) != nil {
 			t.Fatal("the reservation is dropped too early")
 		}
 	}
-	if next.Reserve(now.Add(tuning.ReserveHold*3/4), shortfalls) != nil {
+	if next.PlanReservations(now.Add(tuning.ReserveHold*3/4), shortfalls) != nil {
 		t.Fatal("an unchanged shortfall is stored again")
 	}
 	now = now.Add(time.Minute)
-	_ = next.Reserve(now, nil) // the wait ends
-	storeReservations(t, next, next.Reserve(now.Add(tuning.ReserveHold), nil))
+	_ = next.PlanReservations(now, nil) // the wait ends
+	storeReservations(t, next, next.PlanReservations(now.Add(tuning.ReserveHold), nil))
 	if _, ok := next.Reserved("x"); ok {
 		t.Fatal("the reservation remains although no work lacks capacity")
 	}
@@ -91,10 +91,10 @@
 // Removing a team's guarantee drops its reservation.
 func TestReservationEndsWithItsGuarantee(t *testing.T) {
 	m, now := newReservingManager(), time.UnixMilli(1_000_000)
-	_ = m.Reserve(now, map[string]Amount{"y": {GPUs: 1}}) // the wait begins
-	storeReservations(t, m, m.Reserve(now.Add(tuning.ReserveAfter), map[string]Amount{"y": {GPUs: 1}}))
+	_ = m.PlanReservations(now, map[string]Amount{"y": {GPUs: 1}}) // the wait begins
+	storeReservations(t, m, m.PlanReservations(now.Add(tuning.ReserveAfter), map[string]Amount{"y": {GPUs: 1}}))
 	m.Configure([]Team{{Name: "x", Guarantee: Amount{GPUs: 8}}, {Name: "y"}}, Options{Reservations: true})
-	storeReservations(t, m, m.Reserve(now.Add(time.Minute), nil))
+	storeReservations(t, m, m.PlanReservations(now.Add(time.Minute), nil))
 	if _, ok := m.Reserved("y"); ok {
 		t.Fatal("the reservation remains")
 	}
@@ -106,15 +106,15 @@
 	m, begin := newReservingManager(), time.UnixMilli(1_000_000)
 	fleet := func() Amount { return Amount{CPUs: 100, GPUs: 12} }
 	late := begin.Add(tuning.GuaranteePreemptAfter + time.Minute)
-	if scale := m.Scale(fleet, late); scale != (Amount{1, 1}) {
+	if scale := m.GuaranteeScale(fleet, late); scale != (Amount{1, 1}) {
 		t.Fatalf("scale %+v although no team waits", scale)
 	}
-	_ = m.Reserve(begin, map[string]Amount{"x": {GPUs: 8}}) // the wait begins
-	storeReservations(t, m, m.Reserve(begin.Add(tuning.ReserveAfter), map[string]Amount{"x": {GPUs: 8}}))
-	if scale := m.Scale(fleet, begin.Add(time.Minute)); scale != (Amount{1, 1}) {
+	_ = m.PlanReservations(begin, map[string]Amount{"x": {GPUs: 8}}) // the wait begins
+	storeReservations(t, m, m.PlanReservations(begin.Add(tuning.ReserveAfter), map[string]Amount{"x": {GPUs: 8}}))
+	if scale := m.GuaranteeScale(fleet, begin.Add(time.Minute)); scale != (Amount{1, 1}) {
 		t.Fatalf("scale %+v while the fleet may grow", scale)
 	}
-	scale := m.Scale(fleet, late)
+	scale := m.GuaranteeScale(fleet, late)
 	if scale != (Amount{1, 0.5}) {
 		t.Fatalf("scale %+v for guarantees of %+v and a fleet of %+v", scale, m.TotalGuarantees(), fleet())
 	}
--- a/internal/quota/scale.go
+++ b/internal/quota/scale.go
@@ -11,12 +11,12 @@
 	return sum
 }
 
-// Scale returns the fraction of its guarantee that every team gets for each
+// GuaranteeScale returns the fraction of its guarantee that every team gets for each
 // resource. It is below 1 if the fleet, scaled out to its maximum, can't satisfy
 // all guarantees together. As long as no team has waited long enough for other
 // teams' work to be preempted, it is 1, since the fleet may still grow; capacity
 // is called only after that.
-func (m *Manager) Scale(capacity func() Amount, now time.Time) Amount {
+func (m *Manager) GuaranteeScale(capacity func() Amount, now time.Time) Amount {
 	scale := Amount{CPUs: 1, GPUs: 1}
 	if !m.anyMayReclaim(now) {
 		return scale
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -31,14 +31,14 @@
 		return nil // a later call decides again
 	}
 	l.transferredAt = now
-	return &Write{Team: l.team.Name, Event: Transfer, Record: next, Given: amount}
+	return &Write{Team: l.team.Name, Event: Transfer, Record: next, Transferred: amount}
 }
 
 // chooseDonor returns the controller whose unclaimed share covers the largest
 // part of the shortfall, the first by label among equals, or "" if none covers any.
 func (l *Ledger) chooseDonor(v View, recipient string, shortfall Amount) string {
 	donor, highest := "", 0.0
-	for _, controller := range v.Nodes {
+	for _, controller := range v.Members {
 		if controller == recipient {
 			continue
 		}
--- a/internal/quota/transfer_test.go
+++ b/internal/quota/transfer_test.go
@@ -8,7 +8,7 @@
 func TestUncertainTransferCountsAgainstDonor(t *testing.T) {
 	m := newSharedModel(t, 4, "a", "b", "c")
 	transfer := m.transfer(m.controllers["b"], "a", Amount{GPUs: 1})
-	if transfer == nil || transfer.recordWrite.Given.GPUs != 1 {
+	if transfer == nil || transfer.recordWrite.Transferred.GPUs != 1 {
 		t.Fatalf("b transfers nothing: %+v", transfer)
 	}
 	if m.admit(m.controllers["b"], 1, Amount{GPUs: 1}) != nil {
@@ -77,20 +77,20 @@
 	m.deliver(m.mustAdmit(t, "c", 2))
 	m.readAll()
 	if w := m.transfer(m.controllers["c"], "a", Amount{GPUs: 2}); w != nil {
-		t.Errorf("c transfers %+v although b has more left", w.recordWrite.Given)
+		t.Errorf("c transfers %+v although b has more left", w.recordWrite.Transferred)
 	}
 	if w := m.transfer(m.controllers["a"], "a", Amount{GPUs: 2}); w != nil {
 		t.Error("a transfers to itself")
 	}
 	m.unused = Amount{GPUs: 1.5}
-	if w := m.transfer(m.controllers["b"], "a", Amount{GPUs: 9}); w == nil || w.recordWrite.Given.GPUs != 1.5 {
+	if w := m.transfer(m.controllers["b"], "a", Amount{GPUs: 9}); w == nil || w.recordWrite.Transferred.GPUs != 1.5 {
 		t.Errorf("b, with 1.5 unused, transfers %+v", w)
 	}
 }
 
 func TestTransferIsCappedByShortfall(t *testing.T) {
 	m := newSharedModel(t, 8, "a", "b", "c") // a has a share of four, b and c of two
-	if w := m.transfer(m.controllers["b"], "a", Amount{GPUs: 0.5}); w == nil || w.recordWrite.Given.GPUs != 0.5 {
+	if w := m.transfer(m.controllers["b"], "a", Amount{GPUs: 0.5}); w == nil || w.recordWrite.Transferred.GPUs != 0.5 {
 		t.Errorf("b, with a shortfall of 0.5 to cover, transfers %+v", w)
 	}
 }
--- a/internal/quota/view.go
+++ b/internal/quota/view.go
@@ -5,9 +5,9 @@
 type View struct {
 	Self         string   // label of this controller
 	Leader       string   // label of the leader
-	Nodes        []string // labels of all members
+	Members      []string // labels of all members
 	FencingToken uint64   // of the membership
-	Claimed      ClaimedByNode
+	Claimed      ClaimedByController
 	// Revision is the revision of the key-value store up to which Claimed holds every claim.
 	Revision uint64
 }
@@ -15,12 +15,12 @@
 // claimedBy returns what a team's claims on a controller's machines take.
 func (v View) claimedBy(controller, team string) Amount { return v.Claimed[controller][team] }
 
-// ClaimedByNode holds what the stored claims on each controller's machines take, by
+// ClaimedByController holds what the stored claims on each controller's machines take, by
 // controller and team.
-type ClaimedByNode map[string]map[string]Amount
+type ClaimedByController map[string]map[string]Amount
 
-// Of returns what a team's claims on all machines take.
-func (c ClaimedByNode) Of(team string) Amount {
+// Total returns what a team's claims on all machines take.
+func (c ClaimedByController) Total(team string) Amount {
 	var sum Amount
 	for _, byTeam := range c {
 		sum = sum.Add(byTeam[team])
--- a/internal/quota/write.go
+++ b/internal/quota/write.go
@@ -6,10 +6,10 @@
 // that it was decided on, and on the membership. The caller must pass it and its
 // outcome to Ledger.ResolveWrite.
 type Write struct {
-	Team   string
-	Event  Event
-	Record Record
-	Given  Amount // the part of this controller's share that a transfer moves
+	Team        string
+	Event       Event
+	Record      Record
+	Transferred Amount // the part of this controller's share that a transfer moves
 }
 
 // Outcome is the outcome of a write.
@@ -25,7 +25,7 @@
 // beginWrite starts a write of the record. Every write of the record starts here.
 func (l *Ledger) beginWrite(v View, e Event, next Record) error {
 	if l.writeInFlight {
-		return ErrBusy
+		return ErrWriteInFlight
 	}
 	if _, err := l.Phase(v.FencingToken).Next(e); err != nil {
 		return err
@@ -43,7 +43,7 @@
 // amount, which does not change the record, before the transfer is applied late.
 func (l *Ledger) ResolveWrite(w *Write, outcome Outcome, compared map[string]uint64) {
 	l.writeInFlight = false
-	if outcome == Unknown && !w.Given.IsZero() {
-		l.addUncertain(w.Given, compared)
+	if outcome == Unknown && !w.Transferred.IsZero() {
+		l.addUncertain(w.Transferred, compared)
 	}
 }
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -59,7 +59,7 @@
 		if !budget.covers(1) {
 			break
 		}
-		if sc.WritesInFlight[group.job.ID] || sc.Quota.Ledger(group.job.Record.Spec.Team).Writing() {
+		if sc.WritesInFlight[group.job.ID] || sc.Quota.Ledger(group.job.Record.Spec.Team).WriteInFlight() {
 			continue
 		}
 		if write := sc.planJobClaims(group); write != nil {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -22,7 +22,7 @@
 	return quota.View{
 		Self:         sc.Self.Label,
 		Leader:       sc.Membership.Leader.Label,
-		Nodes:        sc.MemberLabels,
+		Members:      sc.MemberLabels,
 		FencingToken: sc.Membership.FencingToken,
 		Claimed:      sc.MachineIndex.ClaimedByNode(),
 		Revision:     sc.Cache.Revision(),
@@ -32,10 +32,10 @@
 // Allowances returns what a pass may still allocate to each team. The caller holds the lock.
 func (sc *Scheduler) Allowances() map[string]*quota.Allowance {
 	view := sc.QuotaView()
-	scale := sc.Quota.Scale(sc.TotalCapacity, sc.Now())
+	scale := sc.Quota.GuaranteeScale(sc.TotalCapacity, sc.Now())
 	allowances := map[string]*quota.Allowance{}
 	for _, ledger := range sc.Quota.Ledgers() {
-		ledger.Forget(sc.Cache)
+		ledger.DropResolvedAdmissions(sc.Cache)
 		team := ledger.Team().Name
 		allowances[team] = ledger.Allowance(view, sc.Table.ResourcesByTeam[team].Amount(), scale)
 	}
@@ -74,7 +74,7 @@
 	if !sc.IsLeader() || !budget.covers(1) {
 		return nil
 	}
-	next := sc.Quota.Reserve(now, shortfall)
+	next := sc.Quota.PlanReservations(now, shortfall)
 	if next == nil {
 		return nil
 	}
@@ -119,7 +119,7 @@
 		sc.Quota.Ledger(write.shares.Team).ResolveWrite(write.shares, outcomeOf(err), write.Compares)
 	}
 	if write.reservations {
-		sc.Quota.ReservationsWritten()
+		sc.Quota.ResolveReservationsWrite()
 	}
 	if write.Admission != nil {
 		sc.Quota.Ledger(write.Admission.Team).ResolveAdmission(write.Admission, outcomeOf(err), write.Compares)
@@ -147,7 +147,7 @@
 	view := sc.QuotaView()
 	for _, ledger := range sc.Quota.Ledgers() {
 		team := ledger.Team().Name
-		blocksClaims := ledger.Phase(view.FencingToken) == quota.Unshared
+		blocksClaims := ledger.Phase(view.FencingToken) == quota.Undivided
 		shares := ledger.Rebalance(now, view, sc.PendingAmounts(team), budget.covers(1))
 		if shares == nil {
 			continue
@@ -176,7 +176,7 @@
 		if !budget.covers(1) {
 			break
 		}
-		shares := sc.Quota.Ledger(team).Transfer(now, view, view.Leader, missing, teams[team].Left[view.Self])
+		shares := sc.Quota.Ledger(team).Transfer(now, view, view.Leader, missing, teams[team].Remaining[view.Self])
 		if shares == nil {
 			continue
 		}
@@ -206,7 +206,7 @@
 			if job.Team != team || pending == 0 {
 				continue
 			}
-			if !yield(job.Need.Amount().Times(float64(pending))) {
+			if !yield(job.Need.Amount().Mul(float64(pending))) {
 				return
 			}
 		}
