--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -59,7 +59,7 @@
 	for _, machineType := range ld.MachineTypeList {
 		if jobs.AllowsMachineType(job.Record.Spec, machineType.Label) {
 			load := job.Need.Share(machineCapacity(machineType)) * float64(job.Record.Tasks)
-			state.roleControllers[machineType.Label].Arrive(now, load)
+			state.roleControllers[machineType.Label].RecordArrival(now, load)
 		}
 	}
 }
--- a/internal/leader/rolesplit.go
+++ b/internal/leader/rolesplit.go
@@ -18,7 +18,7 @@
 	b := splitBuilder{
 		loop:        ld,
 		machineType: machineType,
-		split:       roles.Split{Type: machineType.Label, Complete: ld.allMemberStatusesFresh()},
+		split:       roles.Split{MachineType: machineType.Label, DemandComplete: ld.allMemberStatusesFresh()},
 		upByType:    map[string]int{},
 	}
 	for _, machine := range machines.Machines {
@@ -82,7 +82,7 @@
 	}
 	for _, task := range machine.Tasks {
 		if isOpenServiceTask(task) {
-			b.split.ServiceBooked += task.Job.Need.Share(machine.Total)
+			b.split.ServiceDemand += task.Job.Need.Share(machine.Total)
 		}
 	}
 }
@@ -95,9 +95,9 @@
 	switch {
 	case machine.Spot:
 	case machine.Role == placement.Batch:
-		b.split.BatchComing++
+		b.split.BatchBooting++
 	default:
-		b.split.ServiceComing++
+		b.split.ServiceBooting++
 	}
 }
 
@@ -119,9 +119,9 @@
 	}
 	load := float64(tasks) * job.Need.Share(machineCapacity(b.machineType)) * float64(b.upByType[b.machineType.Label]) / float64(usable)
 	if job.Service() {
-		b.split.ServiceBooked += load
+		b.split.ServiceDemand += load
 	} else {
-		b.split.BatchWork += load * job.Record.Spec.EstimateS
+		b.split.QueuedBatchSeconds += load * job.Record.Spec.EstimateS
 	}
 }
 
--- a/internal/observability/status.go
+++ b/internal/observability/status.go
@@ -117,7 +117,7 @@
 			continue
 		}
 		fmt.Fprintf(page, "split %s batch %d service %d batch_load %.2f service_load %.2f demand_short %.4f demand_long %.4f evidence_open %v proposal %q rule %q confirmations %d gate %q\n",
-			decision.Type, decision.Batch, decision.Service, decision.BatchLoad, decision.ServiceLoad, decision.Short, decision.Long, decision.EvidenceOpen,
+			decision.MachineType, decision.Batch, decision.Service, decision.BatchLoad, decision.ServiceLoad, decision.ShortRate, decision.LongRate, decision.EvidenceOpen,
 			decision.Proposal.Direction, decision.Proposal.Rule, decision.Confirmations, decision.Gate)
 	}
 }
--- a/internal/roles/controller.go
+++ b/internal/roles/balancer.go
@@ -25,8 +25,8 @@
 	return &Balancer{settings: settings, state: Steady, evidenceSince: now, startedAt: now}
 }
 
-// Arrive records the arrival of a service job that requests load, in machines.
-func (b *Balancer) Arrive(now time.Time, load float64) { b.arrivals.add(now, load) }
+// RecordArrival records the arrival of a service job that requests load, in machines.
+func (b *Balancer) RecordArrival(now time.Time, load float64) { b.arrivals.add(now, load) }
 
 // Evaluate compares the split with the two that differ by one machine, and decides whether to move
 // a machine now. fits reports whether the tasks of the machine that would leave the service role
@@ -35,22 +35,22 @@
 	current := s.loads(b.settings, s.Batch, s.Service)
 	short, shortArrivals := b.arrivalRate(now, tuning.RoleShortWindow)
 	long, _ := b.arrivalRate(now, tuning.RoleLongWindow)
-	d := Decision{Type: s.Type, Batch: s.Batch, Service: s.Service, BatchLoad: current.batch, ServiceLoad: current.service,
-		Short: short, Long: long, EvidenceOpen: !b.evidenceClosed(now)}
+	d := Decision{MachineType: s.MachineType, Batch: s.Batch, Service: s.Service, BatchLoad: current.batch, ServiceLoad: current.service,
+		ShortRate: short, LongRate: long, EvidenceOpen: !b.evidenceClosed(now)}
 
 	d.Proposal, d.Gate = b.propose(s)
 	switch {
 	case d.Proposal.Direction == None:
 		b.resetProposal(Cleared)
 		return d
-	case d.Proposal.Rule == Floor:
+	case d.Proposal.Rule == RuleFloor:
 		// A role below its floor gets a machine without confirmations, one per evaluation.
 		return b.acceptProposal(now, d)
 	}
 	b.countConfirmation(d.Proposal)
 	d.Confirmations = b.confirmations
 	rising := shortArrivals >= tuning.RoleEvidenceArrivals && short > long*(1+b.settings.RoleDemandRise)
-	if d.Gate = b.blockingGate(now, d, rising, fits); d.Gate != Open {
+	if d.Gate = b.blockingGate(now, d, rising, fits); d.Gate != GateOpen {
 		return d
 	}
 	return b.acceptProposal(now, d)
@@ -66,33 +66,33 @@
 	b.state = b.state.Next(Proposed)
 }
 
-// blockingGate returns the first gate that blocks the decision's proposal, or Open. rising says
+// blockingGate returns the first gate that blocks the decision's proposal, or GateOpen. rising says
 // whether service demand is rising.
 func (b *Balancer) blockingGate(now time.Time, d Decision, rising bool, fits func() bool) Gate {
 	toBatch := d.Proposal.Direction == ToBatch
 	switch {
 	case b.confirmations < b.settings.RoleConfirm:
-		return Confirm
+		return GateConfirm
 	case !toBatch && now.Sub(b.lastMoveToService) < b.settings.RoleCooldown:
-		return Cooldown
+		return GateCooldown
 	case toBatch && d.EvidenceOpen:
-		return Evidence
+		return GateEvidence
 	case toBatch && rising:
-		return Rising
+		return GateRising
 	case toBatch && !fits():
-		return NoRoom
+		return GateNoRoom
 	}
-	return Open
+	return GateOpen
 }
 
 // acceptProposal makes the proposal the decision's move, unless the operator has enabled advisory
 // mode.
 func (b *Balancer) acceptProposal(now time.Time, d Decision) Decision {
 	if b.settings.RoleAdvisory {
-		d.Gate = Advisory
+		d.Gate = GateAdvisory
 		return d
 	}
-	d.Gate, d.Move = Open, d.Proposal.Direction
+	d.Gate, d.Move = GateOpen, d.Proposal.Direction
 	b.resetProposal(Moved)
 	if d.Move == ToService {
 		b.lastMoveToService = now
--- a/internal/roles/controller_test.go
+++ b/internal/roles/balancer_test.go
@@ -37,30 +37,30 @@
 
 func TestMoveToServiceRequiresThreeConfirmationsAndCooldown(t *testing.T) {
 	h := newHarness(config.DefaultOperator())
-	s := Split{Batch: 4, Service: 2, ServiceBooked: 2, Complete: true}
-	if d := h.evaluate(2, s, fits); d.Move != None || d.Gate != Confirm {
+	s := Split{Batch: 4, Service: 2, ServiceDemand: 2, DemandComplete: true}
+	if d := h.evaluate(2, s, fits); d.Move != None || d.Gate != GateConfirm {
 		t.Fatalf("not waiting for confirmations after two evaluations: %+v", d)
 	}
-	if d := h.evaluate(1, s, fits); d.Move != ToService || d.Proposal.Rule != Consolidate {
+	if d := h.evaluate(1, s, fits); d.Move != ToService || d.Proposal.Rule != RuleConsolidate {
 		t.Fatalf("no move after three confirmations: %+v", d)
 	}
 	// The next move waits for both the confirmations and the cooldown.
-	s.Batch, s.Service, s.ServiceBooked = 3, 3, 3
+	s.Batch, s.Service, s.ServiceDemand = 3, 3, 3
 	h.lastMoveToService = h.now.Add(3*tuning.RoleStep - tuning.RoleCooldown + time.Second)
-	if d := h.evaluate(3, s, fits); d.Move != None || d.Gate != Cooldown {
+	if d := h.evaluate(3, s, fits); d.Move != None || d.Gate != GateCooldown {
 		t.Fatalf("moved during the cooldown: %+v", d)
 	}
 }
 
 func TestDifferentProposalResetsConfirmations(t *testing.T) {
-	s := Split{Batch: 4, Service: 2, ServiceBooked: 2, Complete: true}
+	s := Split{Batch: 4, Service: 2, ServiceDemand: 2, DemandComplete: true}
 	for _, c := range []struct {
 		name  string
 		other Split
 	}{
-		{"different split", Split{Batch: 5, Service: 2, ServiceBooked: 2, Complete: true}},
-		{"different completeness", Split{Batch: 4, Service: 2, ServiceBooked: 2}},
-		{"no eligible split", Split{Batch: 4, Service: 2, ServiceBooked: 0.1, Complete: true}},
+		{"different split", Split{Batch: 5, Service: 2, ServiceDemand: 2, DemandComplete: true}},
+		{"different completeness", Split{Batch: 4, Service: 2, ServiceDemand: 2}},
+		{"no eligible split", Split{Batch: 4, Service: 2, ServiceDemand: 0.1, DemandComplete: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(config.DefaultOperator())
@@ -84,8 +84,8 @@
 		split Split
 		want  Gate
 	}{
-		{"batch load would be left above 0.5", Split{Batch: 2, Service: 2, ServiceBooked: 2, BatchWork: 0.6 * tuning.RoleStartTarget.Seconds(), Complete: true}, SourceBusy},
-		{"the worst load falls from 0.80 to 0.78", Split{Batch: 20, Service: 40, ServiceBooked: 25.6, Complete: true}, NoGain},
+		{"batch load would be left above 0.5", Split{Batch: 2, Service: 2, ServiceDemand: 2, QueuedBatchSeconds: 0.6 * tuning.RoleStartTarget.Seconds(), DemandComplete: true}, GateSourceBusy},
+		{"the worst load falls from 0.80 to 0.78", Split{Batch: 20, Service: 40, ServiceDemand: 25.6, DemandComplete: true}, GateNoGain},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newHarness(config.DefaultOperator()).evaluate(5, c.split, fits)
@@ -97,16 +97,16 @@
 }
 
 func TestMoveToBatchRequiresEvidenceStableDemandAndRoom(t *testing.T) {
-	s := Split{Batch: 2, Service: 6, ServiceBooked: 1, BatchWork: 3 * tuning.RoleStartTarget.Seconds(), Complete: true}
+	s := Split{Batch: 2, Service: 6, ServiceDemand: 1, QueuedBatchSeconds: 3 * tuning.RoleStartTarget.Seconds(), DemandComplete: true}
 	t.Run("enough arrivals, then room", func(t *testing.T) {
 		h := newHarness(config.DefaultOperator())
-		if d := h.evaluate(3, s, fits); d.Gate != Evidence {
+		if d := h.evaluate(3, s, fits); d.Gate != GateEvidence {
 			t.Fatalf("not blocked by the open evidence window: %+v", d)
 		}
 		for range tuning.RoleEvidenceArrivals {
-			h.Arrive(start.Add(time.Second), 0.1)
+			h.RecordArrival(start.Add(time.Second), 0.1)
 		}
-		if d := h.evaluate(1, s, doesNotFit); d.Gate != NoRoom {
+		if d := h.evaluate(1, s, doesNotFit); d.Gate != GateNoRoom {
 			t.Fatalf("after ten arrivals and 20 s the window is still open, or the room check was skipped: %+v", d)
 		}
 		if d := h.evaluate(1, s, fits); d.Move != ToBatch {
@@ -115,7 +115,7 @@
 	})
 	t.Run("too few arrivals", func(t *testing.T) {
 		h := newHarness(config.DefaultOperator())
-		if d := h.evaluate(7, s, fits); d.Gate != Evidence {
+		if d := h.evaluate(7, s, fits); d.Gate != GateEvidence {
 			t.Fatalf("with few arrivals the window closed before 40 s: %+v", d)
 		}
 		if d := h.evaluate(1, s, fits); d.Move != ToBatch {
@@ -126,41 +126,41 @@
 		h := newHarness(config.DefaultOperator())
 		h.now = start.Add(3 * time.Minute)
 		for range 2 * tuning.RoleEvidenceArrivals {
-			h.Arrive(h.now.Add(14*time.Second), 1)
+			h.RecordArrival(h.now.Add(14*time.Second), 1)
 		}
-		if d := h.evaluate(3, s, fits); d.Gate != Rising {
+		if d := h.evaluate(3, s, fits); d.Gate != GateRising {
 			t.Fatalf("rising demand did not block the move: %+v", d)
 		}
 	})
 }
 
 func TestMixedPressureMovesMachineWhileServiceStaysLoaded(t *testing.T) {
-	s := Split{Batch: 1, Service: 4, ServiceBooked: 2, BatchWork: 4 * tuning.RoleStartTarget.Seconds(), Complete: true}
-	if d := newHarness(config.DefaultOperator()).evaluate(8, s, fits); d.Move != ToBatch || d.Proposal.Rule != Mixed {
+	s := Split{Batch: 1, Service: 4, ServiceDemand: 2, QueuedBatchSeconds: 4 * tuning.RoleStartTarget.Seconds(), DemandComplete: true}
+	if d := newHarness(config.DefaultOperator()).evaluate(8, s, fits); d.Move != ToBatch || d.Proposal.Rule != RuleMixedPressure {
 		t.Fatalf("no mixed-pressure move at batch load 4 and service load 0.63: %+v", d)
 	}
 }
 
 func TestRoleFloor(t *testing.T) {
 	t.Run("the last batch machine stays", func(t *testing.T) {
-		s := Split{Batch: 1, Service: 2, ServiceBooked: 4, Complete: true}
-		if d := newHarness(config.DefaultOperator()).evaluate(6, s, fits); d.Move != None || d.Gate != AtFloor {
+		s := Split{Batch: 1, Service: 2, ServiceDemand: 4, DemandComplete: true}
+		if d := newHarness(config.DefaultOperator()).evaluate(6, s, fits); d.Move != None || d.Gate != GateAtFloor {
 			t.Fatalf("the last batch machine moved: %+v", d)
 		}
 	})
 	t.Run("an empty role gets a machine immediately", func(t *testing.T) {
 		h := newHarness(config.DefaultOperator())
-		h.evaluate(6, Split{Batch: 1, Service: 2, ServiceBooked: 4, Complete: true}, fits)
-		s := Split{Batch: 3, Service: 0, ServiceBooked: 0.1, Complete: true}
-		if d := h.evaluate(1, s, fits); d.Move != ToService || d.Proposal.Rule != Floor {
+		h.evaluate(6, Split{Batch: 1, Service: 2, ServiceDemand: 4, DemandComplete: true}, fits)
+		s := Split{Batch: 3, Service: 0, ServiceDemand: 0.1, DemandComplete: true}
+		if d := h.evaluate(1, s, fits); d.Move != ToService || d.Proposal.Rule != RuleFloor {
 			t.Fatalf("the empty service role got no machine: %+v", d)
 		}
 	})
 	// A service machine was moved for the batch floor while a batch machine that had been scaled
 	// out for the floor was still booting.
 	t.Run("a booting batch machine counts toward the floor", func(t *testing.T) {
-		s := Split{Batch: 0, BatchComing: 1, Service: 3, ServiceBooked: 2.4, BatchWork: 10, Complete: true}
-		if d := newHarness(config.DefaultOperator()).evaluate(1, s, fits); d.Move != None || d.Proposal.Rule == Floor {
+		s := Split{Batch: 0, BatchBooting: 1, Service: 3, ServiceDemand: 2.4, QueuedBatchSeconds: 10, DemandComplete: true}
+		if d := newHarness(config.DefaultOperator()).evaluate(1, s, fits); d.Move != None || d.Proposal.Rule == RuleFloor {
 			t.Fatalf("a service machine was moved while a batch machine was booting: %+v", d)
 		}
 	})
@@ -168,16 +168,16 @@
 
 func TestSpotMachinesCountTowardBatchFloor(t *testing.T) {
 	h := newHarness(config.DefaultOperator())
-	s := Split{Batch: 0, Spot: 1, Service: 3, ServiceBooked: 2.4, BatchWork: 1, Complete: true}
+	s := Split{Batch: 0, Spot: 1, Service: 3, ServiceDemand: 2.4, QueuedBatchSeconds: 1, DemandComplete: true}
 	if d := h.evaluate(1, s, fits); d.Move != None {
 		t.Fatalf("a service machine was moved although a spot machine meets the batch floor: %+v", d)
 	}
-	s = Split{Batch: 1, Spot: 2, Service: 2, ServiceBooked: 2, Complete: true}
+	s = Split{Batch: 1, Spot: 2, Service: 2, ServiceDemand: 2, DemandComplete: true}
 	if d := h.evaluate(3, s, fits); d.Move != ToService {
 		t.Fatalf("the last on-demand batch machine did not move although spot machines meet the floor: %+v", d)
 	}
-	s = Split{Batch: 1, Service: 2, ServiceBooked: 2, Complete: true}
-	if d := h.evaluate(6, s, fits); d.Move != None || d.Gate != AtFloor {
+	s = Split{Batch: 1, Service: 2, ServiceDemand: 2, DemandComplete: true}
+	if d := h.evaluate(6, s, fits); d.Move != None || d.Gate != GateAtFloor {
 		t.Fatalf("the last batch machine moved without spot machines: %+v", d)
 	}
 }
@@ -185,8 +185,8 @@
 func TestAdvisoryModeReportsProposalWithoutMoving(t *testing.T) {
 	settings := config.DefaultOperator()
 	settings.RoleAdvisory = true
-	d := newHarness(settings).evaluate(4, Split{Batch: 4, Service: 2, ServiceBooked: 2, Complete: true}, fits)
-	if d.Move != None || d.Gate != Advisory || d.Proposal.Direction != ToService {
+	d := newHarness(settings).evaluate(4, Split{Batch: 4, Service: 2, ServiceDemand: 2, DemandComplete: true}, fits)
+	if d.Move != None || d.Gate != GateAdvisory || d.Proposal.Direction != ToService {
 		t.Fatalf("want a proposal to service blocked by advisory mode, got %+v", d)
 	}
 }
--- a/internal/roles/propose.go
+++ b/internal/roles/propose.go
@@ -7,21 +7,21 @@
 const infiniteLoadThreshold = 1e300
 
 // propose returns the adjacent split that is eligible, or the gate that blocks it. If both
-// directions are blocked, the gate of the move to batch is returned unless it is NoGain.
+// directions are blocked, the gate of the move to batch is returned unless it is GateNoGain.
 func (b *Balancer) propose(s Split) (Proposal, Gate) {
 	if p := proposeFloor(s); p.Direction != None {
-		return p, Open
+		return p, GateOpen
 	}
 	current := s.loads(b.settings, s.Batch, s.Service)
 	p, gate := b.proposeToService(s, current)
 	if p.Direction != None {
-		return p, Open
+		return p, GateOpen
 	}
 	p, toBatchGate := b.proposeToBatch(s, current)
 	if p.Direction != None {
-		return p, Open
+		return p, GateOpen
 	}
-	if toBatchGate != NoGain {
+	if toBatchGate != GateNoGain {
 		gate = toBatchGate
 	}
 	return Proposal{}, gate
@@ -32,10 +32,10 @@
 func proposeFloor(s Split) Proposal {
 	switch {
 	case s.Batch+s.Service < 2*tuning.RoleFloor:
-	case s.Service+s.ServiceComing < tuning.RoleFloor && s.Batch > tuning.RoleFloor:
-		return s.adjacentProposal(ToService, Floor)
-	case s.Batch+s.BatchComing+s.Spot < tuning.RoleFloor && s.Service > tuning.RoleFloor && s.BatchWork > 0:
-		return s.adjacentProposal(ToBatch, Floor)
+	case s.Service+s.ServiceBooting < tuning.RoleFloor && s.Batch > tuning.RoleFloor:
+		return s.adjacentProposal(ToService, RuleFloor)
+	case s.Batch+s.BatchBooting+s.Spot < tuning.RoleFloor && s.Service > tuning.RoleFloor && s.QueuedBatchSeconds > 0:
+		return s.adjacentProposal(ToBatch, RuleFloor)
 	}
 	return Proposal{}
 }
@@ -45,18 +45,18 @@
 func (b *Balancer) proposeToService(s Split, current loads) (Proposal, Gate) {
 	if s.Batch == 0 || s.Batch+s.Spot <= tuning.RoleFloor {
 		if current.service > current.batch {
-			return Proposal{}, AtFloor
+			return Proposal{}, GateAtFloor
 		}
-		return Proposal{}, NoGain
+		return Proposal{}, GateNoGain
 	}
 	next := s.loads(b.settings, s.Batch-1, s.Service+1)
 	switch {
 	case worstLoadDrop(current, next) < b.settings.RoleMargin:
-		return Proposal{}, NoGain
+		return Proposal{}, GateNoGain
 	case next.batch <= b.settings.RoleShrink:
-		return s.adjacentProposal(ToService, Consolidate), Open
+		return s.adjacentProposal(ToService, RuleConsolidate), GateOpen
 	}
-	return Proposal{}, SourceBusy
+	return Proposal{}, GateSourceBusy
 }
 
 // proposeToBatch proposes to move a service machine if this lowers the worse load of the two roles
@@ -65,20 +65,20 @@
 func (b *Balancer) proposeToBatch(s Split, current loads) (Proposal, Gate) {
 	if s.Service <= tuning.RoleFloor {
 		if current.batch > current.service {
-			return Proposal{}, AtFloor
+			return Proposal{}, GateAtFloor
 		}
-		return Proposal{}, NoGain
+		return Proposal{}, GateNoGain
 	}
 	next := s.loads(b.settings, s.Batch+1, s.Service-1)
 	switch {
 	case worstLoadDrop(current, next) < b.settings.RoleMargin:
-		return Proposal{}, NoGain
+		return Proposal{}, GateNoGain
 	case next.service <= b.settings.RoleShrink:
-		return s.adjacentProposal(ToBatch, Consolidate), Open
+		return s.adjacentProposal(ToBatch, RuleConsolidate), GateOpen
 	case current.batch >= b.settings.RoleExpand:
-		return s.adjacentProposal(ToBatch, Mixed), Open
+		return s.adjacentProposal(ToBatch, RuleMixedPressure), GateOpen
 	}
-	return Proposal{}, SourceBusy
+	return Proposal{}, GateSourceBusy
 }
 
 // worstLoadDrop returns by how much the worse load of the two roles falls. A drop from an infinite
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -50,9 +50,9 @@
 
 // Rules.
 const (
-	Consolidate Rule = "consolidation"  // the source role stays lightly loaded
-	Mixed       Rule = "mixed-pressure" // the service role stays loaded, but batch work waits too long
-	Floor       Rule = "role-floor"     // the target role is below its floor
+	RuleConsolidate   Rule = "consolidation"  // the source role stays lightly loaded
+	RuleMixedPressure Rule = "mixed-pressure" // the service role stays loaded, but batch work waits too long
+	RuleFloor         Rule = "role-floor"     // the target role is below its floor
 )
 
 // Gate is a condition that blocks a move.
@@ -60,38 +60,38 @@
 
 // Gates.
 const (
-	Open       Gate = ""                     // nothing blocks the move
-	NoGain     Gate = "margin"               // the worse load of the two roles would fall too little
-	SourceBusy Gate = "source-load"          // the source role would be left with too much load
-	AtFloor    Gate = "role-floor"           // the source role has no machine to spare
-	Confirm    Gate = "confirmations"        // too few equal proposals in a row
-	Cooldown   Gate = "cooldown"             // the last move to the service role was too recent
-	Evidence   Gate = "evidence-window"      // too few service arrivals were observed
-	Rising     Gate = "rising-demand"        // service demand is rising
-	NoRoom     Gate = "residents-do-not-fit" // the machine's tasks have no room on other machines
-	Advisory   Gate = "advisory"             // advisory mode is on: decisions are recorded, but not carried out
+	GateOpen       Gate = ""                     // nothing blocks the move
+	GateNoGain     Gate = "margin"               // the worse load of the two roles would fall too little
+	GateSourceBusy Gate = "source-load"          // the source role would be left with too much load
+	GateAtFloor    Gate = "role-floor"           // the source role has no machine to spare
+	GateConfirm    Gate = "confirmations"        // too few equal proposals in a row
+	GateCooldown   Gate = "cooldown"             // the last move to the service role was too recent
+	GateEvidence   Gate = "evidence-window"      // too few service arrivals were observed
+	GateRising     Gate = "rising-demand"        // service demand is rising
+	GateNoRoom     Gate = "residents-do-not-fit" // the machine's tasks have no room on other machines
+	GateAdvisory   Gate = "advisory"             // advisory mode is on: decisions are recorded, but not carried out
 )
 
 // Proposal is a move of one machine that is eligible, and the split that it leads to.
 type Proposal struct {
-	Direction Direction
-	Rule      Rule
-	Complete  bool // the demand of all controllers was known
-	Batch     int  // batch machines after the move
-	Service   int  // service machines after the move
+	Direction      Direction
+	Rule           Rule
+	DemandComplete bool // the demand of all controllers was known
+	Batch          int  // batch machines after the move
+	Service        int  // service machines after the move
 }
 
 // Decision is the result of one evaluation. The leader keeps the last one to show it to operators.
 type Decision struct {
-	Type          string  // machine type
-	Batch         int     // batch machines that are up
-	Service       int     // service machines that are up
-	BatchLoad     float64 // time to work off the queued batch work, over the start-time target
-	ServiceLoad   float64 // service demand over usable service capacity
-	Short, Long   float64 // service load that arrived per second over the short and the long window
-	EvidenceOpen  bool    // the evidence window has not closed yet
-	Proposal      Proposal
-	Confirmations int       // equal proposals in a row, including this one
-	Gate          Gate      // what blocks the proposal, or why there is none
-	Move          Direction // the move to carry out, or None
+	MachineType         string
+	Batch               int     // batch machines that are up
+	Service             int     // service machines that are up
+	BatchLoad           float64 // time to work off the queued batch work, over the start-time target
+	ServiceLoad         float64 // service demand over usable service capacity
+	ShortRate, LongRate float64 // service load that arrived per second over the short and the long window
+	EvidenceOpen        bool    // the evidence window has not closed yet
+	Proposal            Proposal
+	Confirmations       int       // equal proposals in a row, including this one
+	Gate                Gate      // what blocks the proposal, or why there is none
+	Move                Direction // the move to carry out, or None
 }
