--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -76,7 +76,7 @@
 		api:        api.New(state, machines.Peers),
 		observer:   observability.New(state, machines, jobScheduler, leaderLoop),
 	}
-	machines.Peers.OnSilent = leaderLoop.RecordSilent
+	machines.Peers.OnSilent = leaderLoop.RecordLastHeard
 	state.Inventory.OnChange = machines.MachineIndex.MarkRecordChanged
 	state.Table.OnMachineChange = machines.MarkChanged
 	state.OpenCache(c.applyOrLog)
--- a/internal/controller/http_fixture_test.go
+++ b/internal/controller/http_fixture_test.go
@@ -214,7 +214,7 @@
 	now := env.clock.now()
 	state, machines := controller.leaderLoop.CurrentTerm(), controller.MachineIndex.RefreshMachines(now)
 	controller.leaderLoop.RecordArrivals(state, now)
-	controller.leaderLoop.MoveRoles(state, machines, now)
+	controller.leaderLoop.PlanRoleMoves(state, machines, now)
 }
 
 // drainController stops a controller gracefully.
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -178,7 +178,7 @@
 	controller.Lock()
 	returns, _ := controller.leaderLoop.PlanTerminations(controller.leaderLoop.CurrentTerm(), env.clock.now())
 	controller.Unlock()
-	controller.leaderLoop.Terminate(ctx, returns)
+	controller.leaderLoop.TerminateMachines(ctx, returns)
 	// A list that is late still shows it; it must not join again.
 	controller.leaderLoop.ReconcileCloudList(ctx, env.cloud.Machines)
 	if rec, known := controller.Inventory.Machines["h1"]; len(env.cloud.Terminated) != 1 || known {
@@ -215,7 +215,7 @@
 	if len(returns) != 1 {
 		t.Fatalf("a machine that the list omits is not terminated: drains %v", out.ScaleIn)
 	}
-	controller.leaderLoop.Terminate(ctx, returns)
+	controller.leaderLoop.TerminateMachines(ctx, returns)
 	env.refreshAll()
 	env.runPasses()
 	if controller.claimsOn("h1") != 0 {
@@ -263,7 +263,7 @@
 	if other.claimsOn("h1") != 1 {
 		t.Fatal("its task is released before its lease has surely expired")
 	}
-	other.leaderLoop.Terminate(context.Background(), lost)
+	other.leaderLoop.TerminateMachines(context.Background(), lost)
 	env.refreshAll()
 	env.runPasses()
 	if other.claimsOn("h1") != 0 {
--- a/internal/leader/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -132,7 +132,7 @@
 // the lock is held.
 type listReconciliation struct {
 	loop    *Loop
-	state   *State
+	state   *TermState
 	now     time.Time
 	listed  map[string]bool // machines on the list, except those in terminatedAt
 	changes []inventory.RecordChange
--- a/internal/leader/headroom.go
+++ b/internal/leader/headroom.go
@@ -53,7 +53,7 @@
 }
 
 // updateMeanBatchTasks updates the moving average of the number of batch tasks on machines.
-func (ls *State) updateMeanBatchTasks(tasks float64, now time.Time) {
+func (ls *TermState) updateMeanBatchTasks(tasks float64, now time.Time) {
 	if ls.meanBatchUpdatedAt.IsZero() {
 		ls.meanBatchTasks = tasks
 	} else {
@@ -86,7 +86,7 @@
 // While any such job is open or waits for other jobs, and for tuning.BatchHeadroomHold afterwards,
 // headroom for tuning.BatchHeadroomJobs arrays of their mean size is kept on on-demand machines.
 // The caller holds the lock.
-func (ld *Loop) updateOnDemandLoad(state *State, now time.Time) autoscale.Load {
+func (ld *Loop) updateOnDemandLoad(state *TermState, now time.Time) autoscale.Load {
 	var typical *jobs.Job // the job whose tasks need the most CPUs
 	arrays, tasks := 0, 0.0
 	for _, table := range []map[string]*jobs.Job{ld.Table.Open, ld.Table.Waiting} {
@@ -130,7 +130,7 @@
 // returns the load of all classes, expressed in tasks of that class. When the class that was
 // visited last was the typical one, a class of small tasks that may not use spot machines caused
 // headroom for hundreds of tasks, that is, a hundred on-demand machines.
-func (ls *State) chooseTypicalBatch(loads map[string]*batchClassLoad) float64 {
+func (ls *TermState) chooseTypicalBatch(loads map[string]*batchClassLoad) float64 {
 	var largest *batchClassLoad
 	total, class := 0.0, ""
 	for name, load := range loads {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -28,7 +28,7 @@
 	scheduler *scheduler.Scheduler
 
 	cloud          cloud.Provider
-	Term           State      // see CurrentTerm; guarded by the lock of cluster.State
+	Term           TermState  // see CurrentTerm; guarded by the lock of cluster.State
 	machineWriteMu sync.Mutex // held while machine records are stored; taken before the lock of cluster.State
 }
 
@@ -97,7 +97,7 @@
 	var roleMoves []inventory.RecordChange
 	if canStore && now.Sub(run.rolesEvaluatedAt) >= tuning.RoleStep {
 		run.rolesEvaluatedAt = now
-		roleMoves = ld.MoveRoles(state, machines, now)
+		roleMoves = ld.PlanRoleMoves(state, machines, now)
 	}
 	var capacity autoscale.Output
 	if !state.ListedAt.IsZero() && now.Sub(state.ListedAt) < tuning.ListStaleAfter {
@@ -113,7 +113,7 @@
 
 // planStoreWrites plans the terminations and writes of a plan, except for role moves. The caller
 // holds the lock.
-func (ld *Loop) planStoreWrites(state *State, scaleIn []autoscale.ScaleIn, now time.Time) *planWrites {
+func (ld *Loop) planStoreWrites(state *TermState, scaleIn []autoscale.ScaleIn, now time.Time) *planWrites {
 	drains, dead := ld.PlanDrains(scaleIn)
 	drained, drops := ld.PlanTerminations(state, now)
 	writes := &planWrites{
@@ -132,7 +132,7 @@
 	run.storing <- struct{}{}
 	run.background.Go(func() {
 		ld.StoreMachines(ctx, writes.roleMoves)
-		ld.Terminate(ctx, writes.terminate)
+		ld.TerminateMachines(ctx, writes.terminate)
 		ld.storeMachineGroups(ctx, writes.changes, writes.splitGroups, tuning.GroupsPerBatch)
 		<-run.storing
 	})
--- a/internal/leader/planinput.go
+++ b/internal/leader/planinput.go
@@ -14,7 +14,7 @@
 )
 
 // PlanInput builds the input of the capacity plan. The caller holds the lock.
-func (ld *Loop) PlanInput(state *State, machines *placement.Fleet, now time.Time) autoscale.Input {
+func (ld *Loop) PlanInput(state *TermState, machines *placement.Fleet, now time.Time) autoscale.Input {
 	b := ld.newPlanBuilder(state, machines, now)
 	state.LostWhileDraining = nil
 	for _, machine := range machines.Machines {
@@ -35,7 +35,7 @@
 // all its methods require the lock.
 type planBuilder struct {
 	loop            *Loop
-	state           *State
+	state           *TermState
 	now             time.Time
 	lease           time.Duration              // time after which a worker's lease has certainly expired
 	sinceHeard      map[string]time.Duration   // how long ago each machine was heard by its owner
@@ -46,7 +46,7 @@
 }
 
 // newPlanBuilder returns a builder for the input of a plan.
-func (ld *Loop) newPlanBuilder(state *State, machines *placement.Fleet, now time.Time) *planBuilder {
+func (ld *Loop) newPlanBuilder(state *TermState, machines *placement.Fleet, now time.Time) *planBuilder {
 	return &planBuilder{
 		loop:         ld,
 		state:        state,
--- a/internal/leader/roles.go
+++ b/internal/leader/rolemoves.go
@@ -16,7 +16,7 @@
 
 // RecordArrivals records new service jobs with the role controllers, and new batch jobs for the
 // batch headroom. The caller holds the lock.
-func (ld *Loop) RecordArrivals(state *State, now time.Time) {
+func (ld *Loop) RecordArrivals(state *TermState, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if state.roleControllers[machineType.Label] == nil {
 			state.roleControllers[machineType.Label] = roles.New(ld.Settings.Operator, now)
@@ -42,7 +42,7 @@
 
 // recordBatchArrival records the arrival of a job array, and updates the mean size of the arrays of
 // the typical class.
-func (ls *State) recordBatchArrival(job *jobs.Job, now time.Time) {
+func (ls *TermState) recordBatchArrival(job *jobs.Job, now time.Time) {
 	if ls.batchLoad.Spec == nil || ls.batchLoad.Spec.Class == job.Record.Spec.Class {
 		size := min(float64(job.Record.Tasks), tuning.TasksPerJob)
 		if ls.meanArraySize == 0 {
@@ -55,7 +55,7 @@
 
 // recordServiceArrival records the arrival of a service job with the role controller of every
 // machine type that the job may use. The caller holds the lock.
-func (ld *Loop) recordServiceArrival(state *State, job *jobs.Job, now time.Time) {
+func (ld *Loop) recordServiceArrival(state *TermState, job *jobs.Job, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if jobs.AllowsMachineType(job.Record.Spec, machineType.Label) {
 			load := job.Need.Share(machineCapacity(machineType)) * float64(job.Record.Tasks)
@@ -64,9 +64,9 @@
 	}
 }
 
-// MoveRoles evaluates the role split of every machine type and returns the record changes of the
-// resulting moves. The caller holds the lock.
-func (ld *Loop) MoveRoles(state *State, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
+// PlanRoleMoves evaluates the role split of every machine type and returns the record changes of
+// the resulting moves. The caller holds the lock.
+func (ld *Loop) PlanRoleMoves(state *TermState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var moves []inventory.RecordChange
 	for _, machineType := range ld.MachineTypeList {
 		controller := state.roleControllers[machineType.Label]
@@ -157,7 +157,7 @@
 // scaled out; else a role that is below its floor; else the batch role if only batch tasks are
 // unplaced and it has fewer machines; else the service role. added holds the record changes from
 // the same list, which are not stored yet. The caller holds the lock.
-func (ld *Loop) initialRole(state *State, machine wire.Machine, added []inventory.RecordChange) placement.Role {
+func (ld *Loop) initialRole(state *TermState, machine wire.Machine, added []inventory.RecordChange) placement.Role {
 	if machine.Spot {
 		return placement.Batch
 	}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -50,7 +50,7 @@
 // PlanTerminations returns the machines to terminate, which are those that are drained and those
 // that the cloud still lists as failed, and the changes that drop the records of terminated
 // machines that are no longer listed. The caller holds the lock.
-func (ld *Loop) PlanTerminations(state *State, _ time.Time) (terminate []string, drops []inventory.RecordChange) {
+func (ld *Loop) PlanTerminations(state *TermState, _ time.Time) (terminate []string, drops []inventory.RecordChange) {
 	dropsByGroup := map[string][]inventory.RecordChange{} // by group
 	for machine, record := range ld.Inventory.Machines {
 		switch record.Phase {
@@ -92,7 +92,7 @@
 // chooseRecordDrops returns the record drops for a limited number of groups, those with the most
 // drops first. Drops are not urgent. Without the limit, the loss of many machines would use the
 // write budget twice: once to store the terminations and once to drop the records.
-func (ld *Loop) chooseRecordDrops(state *State, dropsByGroup map[string][]inventory.RecordChange) []inventory.RecordChange {
+func (ld *Loop) chooseRecordDrops(state *TermState, dropsByGroup map[string][]inventory.RecordChange) []inventory.RecordChange {
 	var drops []inventory.RecordChange
 	keys := slices.SortedFunc(maps.Keys(dropsByGroup), func(a, b string) int {
 		return cmp.Or(cmp.Compare(len(dropsByGroup[b]), len(dropsByGroup[a])), cmp.Compare(a, b))
@@ -106,10 +106,10 @@
 	return drops
 }
 
-// Terminate terminates machines through the cloud API and stores that they are terminated. The
-// cloud's answer proves that all tasks on them have ended. All calls are made before the writes:
-// with calls and writes in turn, the loss of hundreds of machines took a minute to process.
-func (ld *Loop) Terminate(ctx context.Context, machines []string) {
+// TerminateMachines terminates machines through the cloud API and stores that they are terminated.
+// The cloud's answer proves that all tasks on them have ended. All calls are made before the
+// writes: with calls and writes in turn, the loss of hundreds of machines took a minute to process.
+func (ld *Loop) TerminateMachines(ctx context.Context, machines []string) {
 	changes := ld.recordTerminated(ld.terminateAtCloud(machines))
 	// Machines whose changes exceed the limit are terminated again by the next plan, which then has
 	// more changes per group. Without the limit, after the loss of many machines each group was
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -11,10 +11,10 @@
 	"wheatspur/wire"
 )
 
-// State is the leader's in-memory state about the cloud and the load. It is never stored and starts
-// empty with each term; a leader that stays the leader through a membership change keeps most of it
-// (see inheritFrom). Maps are keyed by machine name unless stated otherwise.
-type State struct {
+// TermState is the leader's in-memory state about the cloud and the load. It is never stored and
+// starts empty with each term; a leader that stays the leader through a membership change keeps
+// most of it (see inheritFrom). Maps are keyed by machine name unless stated otherwise.
+type TermState struct {
 	fencingToken     uint64 // of the membership under which the state was created
 	nextFencingToken uint64 // the first token of the next membership
 	requestCounter   int    // number of scale-out requests under fencingToken
@@ -57,7 +57,7 @@
 // CurrentTerm returns the state for the current fencing token. If the token has changed, it starts
 // with a new state, which inherits from the old one only if this controller was also the leader
 // under the previous membership. The caller holds the lock.
-func (ld *Loop) CurrentTerm() *State {
+func (ld *Loop) CurrentTerm() *TermState {
 	if ld.Term.fencingToken == ld.Membership.FencingToken {
 		return &ld.Term
 	}
@@ -70,8 +70,8 @@
 }
 
 // newState returns the empty state with which a term starts.
-func newState(token, nextToken uint64) State {
-	return State{
+func newState(token, nextToken uint64) TermState {
+	return TermState{
 		fencingToken:     token,
 		nextFencingToken: nextToken,
 		listed:           map[string]wire.Machine{},
@@ -93,7 +93,7 @@
 
 // inheritFrom takes over the state of the cloud and the load from the same leader's previous term.
 // Role controllers start empty.
-func (ls *State) inheritFrom(old *State) {
+func (ls *TermState) inheritFrom(old *TermState) {
 	ls.listed, ls.ListedAt, ls.MissingLists = old.listed, old.ListedAt, old.MissingLists
 	ls.ScalingOut, ls.noCapacityAt = old.ScalingOut, old.noCapacityAt
 	ls.idleSince, ls.LastHeard, ls.FirstListed = old.idleSince, old.LastHeard, old.FirstListed
@@ -106,15 +106,15 @@
 }
 
 // updateLastHeard records that a machine was heard at a time, unless a later time is known.
-func (ls *State) updateLastHeard(machine string, at time.Time) {
+func (ls *TermState) updateLastHeard(machine string, at time.Time) {
 	if at.After(ls.LastHeard[machine]) {
 		ls.LastHeard[machine] = at
 	}
 }
 
-// RecordSilent records when a machine that has become silent was last heard. The caller holds the
-// lock.
-func (ld *Loop) RecordSilent(machine string, heardAt time.Time) {
+// RecordLastHeard records when a machine that has become silent was last heard. The caller holds
+// the lock.
+func (ld *Loop) RecordLastHeard(machine string, heardAt time.Time) {
 	if ld.Term.LastHeard != nil { // nil if this controller has never been the leader
 		ld.Term.updateLastHeard(machine, heardAt)
 	}
@@ -122,7 +122,7 @@
 
 // forgetMachine removes the state of a machine that no longer exists, except terminatedAt, since
 // delayed lists may still show the machine.
-func (ls *State) forgetMachine(machine string) {
+func (ls *TermState) forgetMachine(machine string) {
 	delete(ls.listed, machine)
 	delete(ls.MissingLists, machine)
 	delete(ls.LastHeard, machine)
