--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -83,6 +83,6 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%w: %w", errNotCancellable, err)
 	}
-	return []wire.Compare{api.Cache.Compare(membership.Key), api.Cache.Compare(key)},
+	return []wire.Compare{api.Cache.Compare(membership.RecordKey), api.Cache.Compare(key)},
 		[]wire.Operation{{Put: key, Value: wire.MustMarshal(record)}}, nil
 }
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -50,7 +50,7 @@
 // wait for their dependencies. A member that does not would run such a job at once if it
 // accepted it, and would stop the job's tasks on its machines. The lock is held.
 func (cs *State) DependenciesSupported() bool {
-	return cs.Membership != nil && cs.Membership.AllSupport(membership.FormatDependencies, cs.StoredSessions)
+	return cs.Membership != nil && cs.Membership.AllSupportFormat(membership.FormatDependencies, cs.StoredSessions)
 }
 
 // TokenRangesSupported reports whether every controller with a session supports memberships
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -47,7 +47,7 @@
 	env.addMachine("h1", "batch")
 	// A write of the old process that is still in flight.
 	old.Lock()
-	held := env.store.Keys[membership.Key].Version
+	held := env.store.Keys[membership.RecordKey].Version
 	stale := *old.Membership
 	stale.FencingToken++
 	old.Unlock()
@@ -63,8 +63,8 @@
 		t.Fatalf("members %+v", leader.Membership.Nodes)
 	}
 	// The old process's write arrives late and changes nothing.
-	if _, err := env.store.CompareAndSwap(context.Background(), 0, []wire.Compare{{Key: membership.Key, Version: held}},
-		[]wire.Operation{{Put: membership.Key, Value: wire.MustMarshal(stale)}}); err == nil {
+	if _, err := env.store.CompareAndSwap(context.Background(), 0, []wire.Compare{{Key: membership.RecordKey, Version: held}},
+		[]wire.Operation{{Put: membership.RecordKey, Value: wire.MustMarshal(stale)}}); err == nil {
 		t.Fatal("a membership of the old process was stored")
 	}
 	// A membership write whose answer is lost is not written twice.
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -52,7 +52,7 @@
 	controller := env.controllers["a"]
 	env.store.ValueLimit, env.store.OpsLimit = 2048, 4
 	for key, v := range data {
-		if key == membership.Key || key == membership.LeaderKey || key == jobs.TeamKey("x") || strings.HasPrefix(key, membership.SessionPrefix) {
+		if key == membership.RecordKey || key == membership.LeaderKey || key == jobs.TeamKey("x") || strings.HasPrefix(key, membership.SessionPrefix) {
 			if err := applyRecord(controller, key, v); err != nil {
 				t.Errorf("%s: %v", key, err)
 			}
--- a/internal/controller/http_fixture_test.go
+++ b/internal/controller/http_fixture_test.go
@@ -134,7 +134,7 @@
 // rewriteMembership stores the membership once more, unseen: writes that compare its
 // version fail.
 func (env *httpEnv) rewriteMembership() {
-	env.store.Put(membership.Key, env.store.Keys[membership.Key].Value)
+	env.store.Put(membership.RecordKey, env.store.Keys[membership.RecordKey].Value)
 }
 
 // refreshMachineTypes lets the leader ask the cloud for the types of machines.
--- a/internal/controller/recorddispatch.go
+++ b/internal/controller/recorddispatch.go
@@ -42,7 +42,7 @@
 		c.ApplyUnreachable(strings.TrimPrefix(key, membership.UnreachablePrefix), value)
 	case key == membership.LeaderKey:
 		return c.ApplyLeader(value)
-	case key == membership.Key:
+	case key == membership.RecordKey:
 		return c.applyMembership(value)
 	case key == cluster.MachineTypesKey:
 		return c.MachineIndex.ApplyMachineTypes(value)
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -197,7 +197,7 @@
 	}
 	written := 0
 	for _, e := range env.store.Events {
-		if e.Version > revision && e.Put == membership.Key {
+		if e.Version > revision && e.Put == membership.RecordKey {
 			written++
 		}
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -111,7 +111,7 @@
 	key := write.operation.Put
 	el.Lock()
 	defer el.Unlock()
-	if key != membership.Key {
+	if key != membership.RecordKey {
 		// The membership record is applied by the watch only, because everything that was
 		// stored before it must be in the cache before it takes effect.
 		el.Cache.ApplyOwnWrite([]wire.Operation{write.operation}, revision)
--- a/internal/election/membershipwrite.go
+++ b/internal/election/membershipwrite.go
@@ -97,7 +97,7 @@
 // membershipRecordWrite returns the write that stores the next membership. The lock is held.
 func (el *Election) membershipRecordWrite(next *membership.Record) *membershipWrite {
 	return &membershipWrite{
-		compares:  []wire.Compare{el.Cache.Compare(membership.LeaderKey), el.Cache.Compare(membership.Key)},
-		operation: wire.Operation{Put: membership.Key, Value: wire.MustMarshal(next)},
+		compares:  []wire.Compare{el.Cache.Compare(membership.LeaderKey), el.Cache.Compare(membership.RecordKey)},
+		operation: wire.Operation{Put: membership.RecordKey, Value: wire.MustMarshal(next)},
 	}
 }
--- a/internal/election/reachability.go
+++ b/internal/election/reachability.go
@@ -20,8 +20,8 @@
 	case summary.Unreachable:
 		summary.ProbeAnswered = el.probeAnswered(now)
 	default:
-		summary.Heard, summary.Silent = el.countHeard(now)
-		summary.SiblingHearsWorkers = el.Peers.SiblingHearsWorkers()
+		summary.HeardMachines, summary.SilentMachines = el.countHeard(now)
+		summary.SiblingReceivesHeartbeats = el.Peers.SiblingHearsWorkers()
 	}
 	return summary
 }
--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -116,7 +116,7 @@
 	// heartbeat, with every controller that comes or goes, and against tasks
 	// behind a network partition that nobody may release.
 	next := wm.Membership
-	consecutive := last != nil && next.Follows(last) && last.Contains(wm.Self) && next.Contains(wm.Self)
+	consecutive := last != nil && next.ImmediatelyFollows(last) && last.Contains(wm.Self) && next.Contains(wm.Self)
 	for machine, w := range wm.ByMachine {
 		wm.inheritedImages[machine] = w.Images
 		if wm.ShardOwner(machine) != wm.Self.Label {
--- a/internal/leader/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -89,7 +89,7 @@
 	for i := 0; !changed && i < len(types); i++ {
 		changed = !equalExceptSpotPrice(types[i], ld.MachineTypeList[i])
 	}
-	return []wire.Compare{ld.Cache.Compare(membership.Key), ld.Cache.Compare(cluster.MachineTypesKey)}, changed
+	return []wire.Compare{ld.Cache.Compare(membership.RecordKey), ld.Cache.Compare(cluster.MachineTypesKey)}, changed
 }
 
 // equalExceptSpotPrice reports whether two machine types are equal apart from the spot price, which
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -71,7 +71,7 @@
 	if len(planned) > maxGroups && !slices.ContainsFunc(planned, writesSingleMachineRecord) {
 		planned = planned[:maxGroups]
 	}
-	current := ld.Cache.Compare(membership.Key)
+	current := ld.Cache.Compare(membership.RecordKey)
 	writes := make([]groupWrite, len(planned))
 	for i, write := range planned {
 		compares := []wire.Compare{current, ld.Cache.Compare(write.Key)}
@@ -109,7 +109,7 @@
 	ld.Lock()
 	defer ld.Unlock()
 	ld.MachineWritesLeft = left
-	if ld.Cache.Version(membership.Key) != write.membership.Version {
+	if ld.Cache.Version(membership.RecordKey) != write.membership.Version {
 		return nil, true
 	}
 	if slices.ContainsFunc(idle, func(machine string) bool { return len(ld.Table.ClaimsByMachine[machine]) > 0 }) {
--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -66,14 +66,14 @@
 	view.Membership = first
 	view.Sessions["b"] = node("b", 2)
 	second := requireMembership(t, view, tuning.TokenRange+1, "after a join")
-	if !second.Follows(first) || first.Follows(second) || second.Follows(second) {
+	if !second.ImmediatelyFollows(first) || first.ImmediatelyFollows(second) || second.ImmediatelyFollows(second) {
 		t.Fatalf("%+v must follow only %+v", second, first)
 	}
 	// A controller whose version does not support token ranges has a session.
 	view.Membership, view.TokenRangesSupported = second, false
 	view.Sessions["c"] = node("c", 3)
 	third := requireMembership(t, view, 2*tuning.TokenRange+1, "after an older version's join")
-	if third.TokenRange != 0 || third.LastToken() != third.FencingToken || !third.Follows(second) || third.Follows(first) {
+	if third.TokenRange != 0 || third.LastToken() != third.FencingToken || !third.ImmediatelyFollows(second) || third.ImmediatelyFollows(first) {
 		t.Fatalf("third membership: %+v", third)
 	}
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -23,7 +23,7 @@
 
 func TestStoredKeys(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
-		{Key, "w/member"}, {LeaderKey, "w/lead"}, {SessionKey("node-1"), "w/node/node-1"}, {UnreachableKey("node-1"), "w/deaf/node-1"},
+		{RecordKey, "w/member"}, {LeaderKey, "w/lead"}, {SessionKey("node-1"), "w/node/node-1"}, {UnreachableKey("node-1"), "w/deaf/node-1"},
 	} {
 		if c.got != c.want {
 			t.Errorf("key %q, want %q", c.got, c.want)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -19,7 +19,7 @@
 // Keys of the key-value store. All except the key of the membership record are attached to
 // the lease of the controller that wrote them, and are deleted when it ends.
 const (
-	Key               = jobs.Root + "member" // of the membership record
+	RecordKey         = jobs.Root + "member" // of the membership record
 	LeaderKey         = jobs.Root + "lead"   // of the leader's Node
 	SessionPrefix     = jobs.Root + "node/"
 	UnreachablePrefix = jobs.Root + "deaf/"
@@ -73,8 +73,10 @@
 // LastToken returns the highest token of the membership.
 func (r *Record) LastToken() uint64 { return r.FencingToken + max(r.TokenRange, 1) - 1 }
 
-// Follows reports whether the membership is the immediate successor of previous.
-func (r *Record) Follows(previous *Record) bool { return r.FencingToken == previous.LastToken()+1 }
+// ImmediatelyFollows reports whether the membership is the immediate successor of previous.
+func (r *Record) ImmediatelyFollows(previous *Record) bool {
+	return r.FencingToken == previous.LastToken()+1
+}
 
 // Contains reports whether this incarnation of a controller is a member.
 func (r *Record) Contains(node Node) bool { return slices.Contains(r.Nodes, node) }
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -6,11 +6,11 @@
 
 // Reachability is what a controller knows about whether its workers reach it.
 type Reachability struct {
-	Unreachable         bool // it has stored that they don't
-	Heard               int  // its own machines that have sent a message recently
-	Silent              int  // its own machines with tasks that have not
-	SiblingHearsWorkers bool // a sibling receives messages from its own machines
-	ProbeAnswered       bool // while unreachable: a worker has answered a probe, or there is none to probe
+	Unreachable               bool // it has stored that they don't
+	HeardMachines             int  // its own machines that have sent a message recently
+	SilentMachines            int  // its own machines with tasks that have not
+	SiblingReceivesHeartbeats bool // a sibling receives messages from its own machines
+	ProbeAnswered             bool // while unreachable: a worker has answered a probe, or there is none to probe
 }
 
 // NextUnreachable reports whether the controller counts as unreachable from now on. If it
@@ -21,5 +21,5 @@
 	if r.Unreachable {
 		return !r.ProbeAnswered
 	}
-	return r.Heard == 0 && r.Silent >= minSilentMachines && r.SiblingHearsWorkers
+	return r.HeardMachines == 0 && r.SilentMachines >= minSilentMachines && r.SiblingReceivesHeartbeats
 }
--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -12,10 +12,10 @@
 		Reachability
 		want bool
 	}{
-		{"a single silent machine may itself be at fault", Reachability{Silent: 1, SiblingHearsWorkers: true}, false},
-		{"siblings hear nothing either", Reachability{Silent: 5}, false},
-		{"another machine is heard", Reachability{Silent: 5, Heard: 1, SiblingHearsWorkers: true}, false},
-		{"several machines are silent while a sibling hears its own", Reachability{Silent: 2, SiblingHearsWorkers: true}, true},
+		{"a single silent machine may itself be at fault", Reachability{SilentMachines: 1, SiblingReceivesHeartbeats: true}, false},
+		{"siblings hear nothing either", Reachability{SilentMachines: 5}, false},
+		{"another machine is heard", Reachability{SilentMachines: 5, HeardMachines: 1, SiblingReceivesHeartbeats: true}, false},
+		{"several machines are silent while a sibling hears its own", Reachability{SilentMachines: 2, SiblingReceivesHeartbeats: true}, true},
 		{"no worker has answered yet", Reachability{Unreachable: true}, true},
 		{"a worker answers", Reachability{Unreachable: true, ProbeAnswered: true}, false},
 	} {
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -28,9 +28,9 @@
 // DecodeSession decodes the value of a session key.
 func DecodeSession(raw wire.Raw) (*Session, error) { return decode[Session](raw) }
 
-// AllSupport reports whether the session of every member's current incarnation declares
+// AllSupportFormat reports whether the session of every member's current incarnation declares
 // support for a format version. sessions are the stored sessions by label.
-func (r *Record) AllSupport(format uint64, sessions map[string]Session) bool {
+func (r *Record) AllSupportFormat(format uint64, sessions map[string]Session) bool {
 	for _, member := range r.Nodes {
 		if session, ok := sessions[member.Label]; !ok || session.Node != member || session.Format < format {
 			return false
--- a/internal/scheduler/write.go
+++ b/internal/scheduler/write.go
@@ -79,7 +79,7 @@
 // a controller that was fenced out can't store decisions it made before.
 func (sc *Scheduler) newWrite(kind writeKind) *PendingWrite {
 	write := &PendingWrite{Class: store.ClassClaim, Kind: string(kind), Compares: map[string]uint64{}}
-	sc.compareCurrent(write, membership.Key)
+	sc.compareCurrent(write, membership.RecordKey)
 	return write
 }
 
