--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -95,7 +95,7 @@
 func (sim *simulation) allRecovered() bool {
 	for _, controller := range sim.controllers {
 		controller.Lock()
-		over := controller.Recovery.Progress.Done()
+		over := controller.Recovery.Progress.IsRecovered()
 		controller.Unlock()
 		if !over {
 			return false
--- a/internal/fleet/directcalls.go
+++ b/internal/fleet/directcalls.go
@@ -64,7 +64,7 @@
 	if w.CallInFlight || w.Address == "" || w.State == worker.LeaseExpired || !wm.HasStore() {
 		return false
 	}
-	return wm.recovery.Progress.Done() || len(wm.CallSlots) < wm.startSlotLimit()
+	return wm.recovery.Progress.IsRecovered() || len(wm.CallSlots) < wm.startSlotLimit()
 }
 
 // directCommands returns the commands that are due for a worker and may go by a
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -100,7 +100,7 @@
 		Channel:     worker.HeartbeatAnswer,
 		AllowStarts: storeAge < tuning.StoreStaleAfter && wm.mayStartOn(w.Machine),
 		Now:         now,
-		AwaitCall:   !wm.recovery.Progress.Done(),
+		AwaitCall:   !wm.recovery.Progress.IsRecovered(),
 		AdmitStart:  wm.recovery.admitStart,
 	})
 	if commands == nil {
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -38,7 +38,7 @@
 // the controller's machines, and only until recovery is over. The lock is held.
 func (rt *RecoveryTracker) AdvanceRecovery(now time.Time) {
 	progress := rt.Progress
-	if progress.Done() {
+	if progress.IsRecovered() {
 		return
 	}
 	if !rt.IsMember() {
@@ -49,7 +49,7 @@
 	machines, backlog := rt.countMachines(now)
 	progress.RecordCounts(machines, len(rt.Table.Open), backlog, now)
 	rt.pacer.SetBacklog(progress.PendingStarts)
-	if progress.Machines.Accounted() {
+	if progress.Machines.AllAccountedFor() {
 		rt.applyEvent(recovery.AllAccounted, now)
 	}
 	if rt.caughtUp(now) {
@@ -62,7 +62,7 @@
 // starts would help them. The lock is held.
 func (rt *RecoveryTracker) caughtUp(now time.Time) bool {
 	overdue := rt.Progress.Phase == recovery.CatchingUp && now.Sub(rt.Progress.Since) > rt.Settings.WorkerLease()
-	return overdue || rt.Progress.Quiet(now, rt.heartbeats(tuning.RecoveryQuietHeartbeats))
+	return overdue || rt.Progress.NoStartsPendingFor(now, rt.heartbeats(tuning.RecoveryQuietHeartbeats))
 }
 
 // heartbeats is how long that many heartbeat intervals are.
@@ -82,9 +82,9 @@
 
 // countMachines counts this controller's machines by what is known of them, and the
 // starts that are due on those that were heard. The lock is held.
-func (rt *RecoveryTracker) countMachines(now time.Time) (count recovery.Count, backlog recovery.Backlog) {
-	count = recovery.Count{}
-	waited := now.Sub(rt.Progress.Began)
+func (rt *RecoveryTracker) countMachines(now time.Time) (count recovery.MachineCounts, backlog recovery.Backlog) {
+	count = recovery.MachineCounts{}
+	waited := now.Sub(rt.Progress.MemberSince)
 	patience := rt.heartbeats(tuning.RecoveryHeartbeats)
 	for machine, record := range rt.Inventory.Machines {
 		if record.Phase == inventory.Terminated || rt.ShardOwner(machine) != rt.Self.Label {
@@ -92,7 +92,7 @@
 		}
 		w := rt.workers.ByMachine[machine]
 		heard := w != nil && !w.LastHeard.IsZero()
-		count[recovery.StateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, patience)]++
+		count[recovery.MachineStateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, patience)]++
 		if heard {
 			rt.countDueStarts(w, machine, &backlog)
 		}
@@ -112,7 +112,7 @@
 }
 
 // startClass is the class in which the starts of a job's tasks are paced.
-func startClass(job *jobs.Job) recovery.Class {
+func startClass(job *jobs.Job) recovery.StartClass {
 	if job.Service() {
 		return recovery.ServiceStart
 	}
@@ -125,7 +125,7 @@
 func (rt *RecoveryTracker) admitStart(job *jobs.Job) bool {
 	class := startClass(job)
 	switch {
-	case rt.Progress.Done():
+	case rt.Progress.IsRecovered():
 		return true
 	case rt.Progress.Phase == recovery.Loading && class != recovery.ServiceStart && rt.Settings.Operator.RecoveryStarts > 0:
 		return false // the starts that are more urgent have not been counted yet
--- a/internal/recovery/decision.go
+++ b/internal/recovery/decision.go
@@ -1,14 +1,14 @@
 package recovery
 
-// Stop is the command that ends a task, or removes an exited one, on a machine.
-type Stop int
+// StopCommand is the command that ends a task, or removes an exited one, on a machine.
+type StopCommand int
 
 // Stop commands.
 const (
-	NoStop             Stop = iota
-	Kill                    // the task ends at once
-	KillWithCheckpoint      // the task may write a checkpoint before it ends
-	Reap                    // the worker removes an exited task from its heartbeats
+	NoStop             StopCommand = iota
+	Kill                           // the task ends at once
+	KillWithCheckpoint             // the task may write a checkpoint before it ends
+	Reap                           // the worker removes an exited task from its heartbeats
 )
 
 // TaskUpdate is the change of the stored state that follows from a heartbeat or from the
@@ -38,7 +38,7 @@
 // Decision is what happens to one task on one machine. The zero value leaves the task as it
 // is, or waits for it.
 type Decision struct {
-	Stop   Stop
+	Stop   StopCommand
 	Start  bool
 	Update TaskUpdate
 	Reason Reason // of Update
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Class is the priority class of a start.
-type Class int
+// StartClass is the priority class of a start.
+type StartClass int
 
 // Classes of starts, in descending order of priority.
 const (
-	ServiceStart Class = iota
+	ServiceStart StartClass = iota
 	ArrayStart
 	classCount
 )
@@ -19,7 +19,7 @@
 func (b Backlog) Total() int { return sum(b[:]) }
 
 // moreUrgentThan returns the number of waiting starts of higher priority than a class.
-func (b Backlog) moreUrgentThan(c Class) int { return sum(b[:c]) }
+func (b Backlog) moreUrgentThan(c StartClass) int { return sum(b[:c]) }
 
 func sum(counts []int) int {
 	total := 0
@@ -49,7 +49,7 @@
 func (p *Pacer) SetBacklog(b Backlog) { p.backlog = b }
 
 // Admit reports whether a start of a class may be sent now, and takes a token for it.
-func (p *Pacer) Admit(c Class, now time.Time) bool {
+func (p *Pacer) Admit(c StartClass, now time.Time) bool {
 	if p.rate <= 0 {
 		return true
 	}
--- a/internal/recovery/pacer_test.go
+++ b/internal/recovery/pacer_test.go
@@ -21,7 +21,7 @@
 				p.SetBacklog(Backlog{ServiceStart: rapid.IntRange(0, 30).Draw(t, "services"), ArrayStart: rapid.IntRange(0, 90).Draw(t, "arrays")})
 			}
 			for range rapid.IntRange(0, 60).Draw(t, "attempts") {
-				if p.Admit(Class(rapid.IntRange(0, 1).Draw(t, "class")), now) {
+				if p.Admit(StartClass(rapid.IntRange(0, 1).Draw(t, "class")), now) {
 					admitted = append(admitted, now)
 				}
 			}
@@ -38,7 +38,7 @@
 }
 
 // countAdmitted returns how many of a number of starts at the same instant are admitted.
-func countAdmitted(p *Pacer, c Class, tries int, now time.Time) int {
+func countAdmitted(p *Pacer, c StartClass, tries int, now time.Time) int {
 	admitted := 0
 	for range tries {
 		if p.Admit(c, now) {
--- a/internal/recovery/progress.go
+++ b/internal/recovery/progress.go
@@ -56,11 +56,11 @@
 	Missing           MachineState = "missing"    // not reconciled within the timeout
 )
 
-// StateOf returns the state of a machine. reported says whether heartbeats have arrived
+// MachineStateOf returns the state of a machine. reported says whether heartbeats have arrived
 // since the controller became a member, tokenAcknowledged whether the worker has
 // acknowledged the controller's fencing token, memberFor how long ago the controller became
 // a member, and timeout how long a machine may take to be reconciled.
-func StateOf(reported, tokenAcknowledged bool, memberFor, timeout time.Duration) MachineState {
+func MachineStateOf(reported, tokenAcknowledged bool, memberFor, timeout time.Duration) MachineState {
 	switch {
 	case reported && tokenAcknowledged:
 		return Reconciled
@@ -72,18 +72,18 @@
 	return Unknown
 }
 
-// Count is the number of machines by state.
-type Count map[MachineState]int
+// MachineCounts is the number of machines by state.
+type MachineCounts map[MachineState]int
 
-// Accounted reports whether every machine is reconciled or missing.
-func (c Count) Accounted() bool { return c[Unknown] == 0 && c[HeartbeatReceived] == 0 }
+// AllAccountedFor reports whether every machine is reconciled or missing.
+func (c MachineCounts) AllAccountedFor() bool { return c[Unknown] == 0 && c[HeartbeatReceived] == 0 }
 
 // Progress is the state of a controller's recovery.
 type Progress struct {
 	Phase         Phase
 	Since         time.Time // when Phase began
-	Began         time.Time // when the controller last became a member during its recovery
-	Machines      Count
+	MemberSince   time.Time // when the controller last became a member during its recovery
+	Machines      MachineCounts
 	PendingStarts Backlog
 
 	sawOpenJobs   bool
@@ -92,7 +92,7 @@
 
 // NewProgress returns the state of a recovery that begins now.
 func NewProgress(now time.Time) *Progress {
-	return &Progress{Phase: Loading, Since: now, Machines: Count{}}
+	return &Progress{Phase: Loading, Since: now, Machines: MachineCounts{}}
 }
 
 // Apply applies an event and reports whether it changed the phase.
@@ -103,13 +103,13 @@
 	}
 	p.Phase, p.Since = next, now
 	if next == Reconciling {
-		p.Began = now
+		p.MemberSince = now
 	}
 	return true
 }
 
 // RecordCounts records the number of machines by state, of open jobs, and of waiting starts.
-func (p *Progress) RecordCounts(machines Count, openJobs int, pending Backlog, now time.Time) {
+func (p *Progress) RecordCounts(machines MachineCounts, openJobs int, pending Backlog, now time.Time) {
 	p.Machines, p.PendingStarts = machines, pending
 	p.sawOpenJobs = p.sawOpenJobs || openJobs > 0
 	if pending.Total() > 0 {
@@ -117,16 +117,16 @@
 	}
 }
 
-// Quiet reports whether the current phase has lasted for quietPeriod and no start has waited
-// during that time. Without it, the recovery could end in the moment after the claims that
-// an outage ended are released and before their tasks are claimed again. A controller that
-// has seen no open job since its recovery began is always quiet.
-func (p *Progress) Quiet(now time.Time, quietPeriod time.Duration) bool {
+// NoStartsPendingFor reports whether the current phase has lasted for quietPeriod and no
+// start has waited during that time. Without it, the recovery could end in the moment after
+// the claims that an outage ended are released and before their tasks are claimed again. It
+// is always true if the controller has seen no open job since its recovery began.
+func (p *Progress) NoStartsPendingFor(now time.Time, quietPeriod time.Duration) bool {
 	return !p.sawOpenJobs || now.Sub(p.lastPendingAt) >= quietPeriod && now.Sub(p.Since) >= quietPeriod
 }
 
-// Done reports whether the recovery is over.
-func (p *Progress) Done() bool { return p.Phase == Recovered }
+// IsRecovered reports whether the recovery is over.
+func (p *Progress) IsRecovered() bool { return p.Phase == Recovered }
 
 // MachinesUnknown reports whether machines that may run tasks are not accounted for yet.
 func (p *Progress) MachinesUnknown() bool { return p.Phase == Loading || p.Phase == Reconciling }
--- a/internal/recovery/progress_test.go
+++ b/internal/recovery/progress_test.go
@@ -28,14 +28,14 @@
 	step(CaughtUp, Reconciling)
 	step(MembershipLost, Loading)
 	step(Loaded, Reconciling)
-	if p.Began.Equal(began) || !p.MachinesUnknown() || p.Done() {
+	if p.MemberSince.Equal(began) || !p.MachinesUnknown() || p.IsRecovered() {
 		t.Fatal("a new membership does not restart the time for heartbeats")
 	}
 	step(AllAccounted, CatchingUp)
 	step(MembershipLost, Loading)
 	step(Loaded, Reconciling)
 	step(AllAccounted, CatchingUp)
-	if p.MachinesUnknown() || p.Done() {
+	if p.MachinesUnknown() || p.IsRecovered() {
 		t.Fatal("while catching up, machines are unknown or the recovery is over")
 	}
 	step(CaughtUp, Recovered)
@@ -60,7 +60,7 @@
 		{"heartbeats that don't acknowledge our token, after the timeout", true, false, time.Minute, Missing},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := StateOf(c.reported, c.tokenAcknowledged, c.waited, timeout); got != c.want {
+			if got := MachineStateOf(c.reported, c.tokenAcknowledged, c.waited, timeout); got != c.want {
 				t.Errorf("%s, want %s", got, c.want)
 			}
 		})
@@ -70,15 +70,15 @@
 func TestAccountedMachines(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		count Count
+		count MachineCounts
 		want  bool
 	}{
-		{"one unknown", Count{Unknown: 1}, false},
-		{"one not reconciled yet", Count{HeartbeatReceived: 1}, false},
-		{"reconciled and missing", Count{Reconciled: 3, Missing: 1}, true},
+		{"one unknown", MachineCounts{Unknown: 1}, false},
+		{"one not reconciled yet", MachineCounts{HeartbeatReceived: 1}, false},
+		{"reconciled and missing", MachineCounts{Reconciled: 3, Missing: 1}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.count.Accounted(); got != c.want {
+			if got := c.count.AllAccountedFor(); got != c.want {
 				t.Errorf("accounted for %v: %v", c.count, got)
 			}
 		})
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -47,7 +47,7 @@
 }
 
 // stopOlderAttempt returns the command that removes an attempt older than the desired one.
-func stopOlderAttempt(observed ObservedTask, worker Worker) Stop {
+func stopOlderAttempt(observed ObservedTask, worker Worker) StopCommand {
 	switch {
 	case observed.State == Exited && worker.mayReap():
 		return Reap
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -98,7 +98,7 @@
 
 // stopCommand is the command that ends a listed task, if one is due. job is that
 // of the task's claim, nil if there is none.
-func stopCommand(stop recovery.Stop, job *jobs.Job, status wire.TaskStatus) (command wire.Command, due bool) {
+func stopCommand(stop recovery.StopCommand, job *jobs.Job, status wire.TaskStatus) (command wire.Command, due bool) {
 	command = wire.Command{Task: status.Task, Attempt: status.Attempt}
 	switch stop {
 	case recovery.Kill:
