--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -66,7 +66,7 @@
 }
 
 func (api *UserAPI) respond(request *fasthttp.RequestCtx, path string) httpResponse {
-	if !api.HasStore() {
+	if !api.StoreReadRecently() {
 		if forwarded, ok := api.forward(request); ok {
 			return forwarded
 		}
@@ -112,7 +112,7 @@
 	if status, known, final := api.LookupJob(jobID); final {
 		return status, known, nil
 	}
-	if !api.HasStore() {
+	if !api.StoreReadRecently() {
 		return status, false, store.ErrRejected // fail immediately: a read would only time out
 	}
 	if err := api.Syncer.ReadBarrier(tuning.BarrierWait); err != nil {
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -32,7 +32,7 @@
 		return jobResponse{}, refusal
 	case refusal != nil:
 		return api.rejectUnlessAccepted(jobID, refusal)
-	case !api.HasStore():
+	case !api.StoreReadRecently():
 		return jobResponse{}, retryLater(fasthttp.StatusServiceUnavailable, "the state service can't be reached")
 	}
 	phase := jobs.Open
--- a/internal/cluster/progress.go
+++ b/internal/cluster/progress.go
@@ -17,7 +17,7 @@
 	PassLoop       loop = iota // scheduler passes
 	SessionLoop                // renewals of the session lease
 	MembershipLoop             // steps of the leader election and the membership
-	Loops                      // the number of loops
+	LoopCount                  // the number of loops
 )
 
 // String returns the name that error messages use for the loop.
@@ -25,7 +25,7 @@
 
 // loopTimes holds the time at which each loop last began an iteration, in nanoseconds since the
 // Unix epoch; 0 before the first iteration.
-type loopTimes [Loops]atomic.Int64
+type loopTimes [LoopCount]atomic.Int64
 
 // ErrStalled is returned if a loop of the controller makes no progress.
 var ErrStalled = errors.New("loop stalled")
@@ -37,7 +37,7 @@
 // that wraps ErrStalled. It takes no lock, so that it also detects loops that are blocked on
 // the lock.
 func (cs *State) Progress() error {
-	for l := range Loops {
+	for l := range LoopCount {
 		last := cs.loopProgress[l].Load()
 		if last == 0 {
 			continue // not begun yet
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -150,9 +150,9 @@
 	Wake(cs.MembershipWake)
 }
 
-// HasStore reports whether the last read of the store is recent enough to base decisions on.
-// The lock is not needed.
-func (cs *State) HasStore() bool {
+// StoreReadRecently reports whether the last read of the store is recent enough to base decisions
+// on. The lock is not needed.
+func (cs *State) StoreReadRecently() bool {
 	return cs.Now().Sub(cs.Syncer.LastReadAt()) < tuning.StoreStaleAfter
 }
 
--- a/internal/controller/graceful_stop_test.go
+++ b/internal/controller/graceful_stop_test.go
@@ -79,7 +79,7 @@
 	if err := controller.Progress(); err != nil {
 		t.Fatalf("before the loops have begun: %v", err)
 	}
-	for l := range cluster.Loops {
+	for l := range cluster.LoopCount {
 		controller.RecordProgress(l)
 	}
 	env.clock.add(tuning.StallAfter / 2)
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -14,7 +14,7 @@
 	}
 	c.Lock()
 	defer c.Unlock()
-	if c.HasStore() {
+	if c.StoreReadRecently() {
 		return c.Cache.Consistent()
 	}
 	isolated := len(c.Peers.Siblings) > 0
--- a/internal/fleet/directcalls.go
+++ b/internal/fleet/directcalls.go
@@ -61,7 +61,7 @@
 // it may not once the slots for starts are taken. Guards against starts that use up
 // the rate of starts and then can't go. The lock is held.
 func (wm *WorkerManager) canCall(w *worker.Worker) bool {
-	if w.CallInFlight || w.Address == "" || w.State == worker.LeaseExpired || !wm.HasStore() {
+	if w.CallInFlight || w.Address == "" || w.State == worker.LeaseExpired || !wm.StoreReadRecently() {
 		return false
 	}
 	return wm.recovery.Progress.IsRecovered() || len(wm.CallSlots) < wm.startSlotLimit()
--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -44,7 +44,7 @@
 		Label:       px.Self.Label,
 		Incarnation: px.Self.Incarnation,
 		Revision:    px.Cache.Revision(),
-		HasStore:    px.HasStore() && px.Cache.Consistent(),
+		HasStore:    px.StoreReadRecently() && px.Cache.Consistent(),
 	}
 	if px.Membership != nil {
 		status.FencingToken = px.Membership.FencingToken
--- a/internal/observability/metrics.go
+++ b/internal/observability/metrics.go
@@ -51,7 +51,7 @@
 func (ob *Observer) collectController(gauge gaugeFunc) {
 	gauge(descBuildInfo, 1, tuning.Version)
 	gauge(descLeader, boolValue(ob.IsLeader()))
-	gauge(descStore, boolValue(ob.HasStore()))
+	gauge(descStore, boolValue(ob.StoreReadRecently()))
 	if ob.Membership == nil {
 		return
 	}
--- a/internal/observability/status.go
+++ b/internal/observability/status.go
@@ -55,7 +55,7 @@
 // writeControllerStatus shows this controller, its session, and for how long it could
 // go on without the store.
 func (ob *Observer) writeControllerStatus(page *strings.Builder) {
-	fmt.Fprintf(page, "node %s version %s session %s state_service %v\n", ob.Self.Label, tuning.Version, ob.Session, ob.HasStore())
+	fmt.Fprintf(page, "node %s version %s session %s state_service %v\n", ob.Self.Label, tuning.Version, ob.Session, ob.StoreReadRecently())
 	if at := ob.Peers.CancellationsKnownUntil(); !at.IsZero() {
 		// An outage of the store is survived while this stays below the bound: it is
 		// short as long as all siblings attest.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -87,7 +87,7 @@
 // Schedule runs a pass. It returns the writes to commit, and sends the due commands to workers.
 // The caller holds the lock.
 func (sc *Scheduler) Schedule() []*PendingWrite {
-	if !sc.IsMember() || !sc.HasStore() || sc.Draining() {
+	if !sc.IsMember() || !sc.StoreReadRecently() || sc.Draining() {
 		return nil
 	}
 	now := sc.Now()
