--- a/internal/controller/benchmark_test.go
+++ b/internal/controller/benchmark_test.go
@@ -20,7 +20,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		controller.Lock()
-		controller.scheduler.Schedule()
+		controller.scheduler.PlanPass()
 		controller.Unlock()
 	}
 }
@@ -36,7 +36,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		controller.Lock()
-		controller.scheduler.Schedule()
+		controller.scheduler.PlanPass()
 		controller.Unlock()
 	}
 }
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -155,7 +155,7 @@
 			var writes []func()
 			for _, controller := range sim.otherControllers(nil) {
 				controller.Lock()
-				pending := controller.scheduler.Schedule()
+				pending := controller.scheduler.PlanPass()
 				controller.Unlock()
 				for _, write := range pending {
 					writes = append(writes, func() { controller.scheduler.Commit(context.Background(), write) })
@@ -203,7 +203,7 @@
 	env.sendPeerStatus(owner, other)
 	env.submit(owner, arrayJob("wk-1", 1))
 	owner.Lock()
-	pending := owner.scheduler.Schedule()
+	pending := owner.scheduler.PlanPass()
 	owner.Unlock()
 	if len(pending) != 1 {
 		t.Fatalf("%d writes for one claim", len(pending))
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -262,7 +262,7 @@
 // runPass runs a controller's scheduling pass and commits its writes.
 func (env *testEnv) runPass(controller *Controller) {
 	controller.Lock()
-	pending := controller.scheduler.Schedule()
+	pending := controller.scheduler.PlanPass()
 	controller.Unlock()
 	for _, write := range pending {
 		controller.scheduler.Commit(context.Background(), write)
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -158,7 +158,7 @@
 	ctx := context.Background()
 	env.submit(controller, arrayJob("wk-1", 1))
 	controller.Lock()
-	claim := controller.scheduler.Schedule()
+	claim := controller.scheduler.PlanPass()
 	drains, _ := controller.leaderLoop.PlanDrains([]autoscale.ScaleIn{{Machine: "h1", Reason: autoscale.ReasonIdle}})
 	controller.Unlock()
 	controller.leaderLoop.StoreMachines(ctx, drains)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -126,7 +126,7 @@
 				var by []*Controller
 				for _, controller := range env.controllers {
 					controller.Lock()
-					for _, write := range controller.scheduler.Schedule() {
+					for _, write := range controller.scheduler.PlanPass() {
 						all, by = append(all, write), append(by, controller)
 					}
 					controller.Unlock()
@@ -141,7 +141,7 @@
 			want := min(tc.limit, float64(tc.jobs*tc.tasks))
 			if got := env.checkTeamLimit(tc.limit); got != want {
 				controller := env.leader()
-				t.Errorf("limit %v, %d jobs of %d: %v claimed, want %v; %v %v %v", tc.limit, tc.jobs, tc.tasks, got, want, controller.scheduler.Unplaced, controller.scheduler.PendingReasons, controller.Quota.Ledger("x").Record())
+				t.Errorf("limit %v, %d jobs of %d: %v claimed, want %v; %v %v %v", tc.limit, tc.jobs, tc.tasks, got, want, controller.scheduler.Unplaced, controller.scheduler.UnplacedReasons, controller.Quota.Ledger("x").Record())
 			}
 		})
 	}
@@ -158,7 +158,7 @@
 	}
 	env.submit(controller, arrayJob("wk-9", 8)) // the team's whole limit
 	controller.Lock()
-	pending := controller.scheduler.Schedule()
+	pending := controller.scheduler.PlanPass()
 	controller.Unlock()
 	if len(pending) != 1 {
 		t.Fatalf("%d writes", len(pending))
@@ -214,7 +214,7 @@
 			var pending []*scheduler.PendingWrite
 			for _, o := range []*Controller{env.controllers["a"], env.controllers["b"]} {
 				o.Lock()
-				mine := o.scheduler.Schedule()
+				mine := o.scheduler.PlanPass()
 				o.Unlock()
 				if len(mine) > 0 && pending == nil {
 					controller, pending = o, mine
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -359,7 +359,7 @@
 	var all []decided
 	for _, controller := range env.controllers {
 		controller.Lock()
-		for _, write := range controller.scheduler.Schedule() {
+		for _, write := range controller.scheduler.PlanPass() {
 			all = append(all, decided{controller, write})
 		}
 		controller.Unlock()
@@ -389,7 +389,7 @@
 		controller.receiveHeartbeat(env.heartbeat("h1", 1, controller.fencingToken()))
 		start := time.Now()
 		controller.Lock()
-		pending := controller.scheduler.Schedule()
+		pending := controller.scheduler.PlanPass()
 		controller.Unlock()
 		if duration := time.Since(start); duration > 2*time.Second {
 			t.Errorf("a pass took %v", duration)
--- a/internal/controller/write_budget_test.go
+++ b/internal/controller/write_budget_test.go
@@ -53,7 +53,7 @@
 	wrote := map[string]int{}
 	for range jobsEach {
 		controller.Lock()
-		pending := controller.scheduler.Schedule()
+		pending := controller.scheduler.PlanPass()
 		controller.Unlock()
 		if len(pending) != 1 {
 			t.Fatalf("%d writes in a pass with room for one", len(pending))
--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -19,7 +19,7 @@
 func (b *planBuilder) addNotScheduledYet() {
 	scheduler := b.loop.scheduler
 	for jobID, job := range b.loop.Table.Open {
-		reason := scheduler.PendingReasons[jobID]
+		reason := scheduler.UnplacedReasons[jobID]
 		count := job.Counts[jobs.Pending]
 		if reason != placement.ReasonJobLimit {
 			count -= scheduler.Unplaced[jobID]
@@ -40,7 +40,7 @@
 	scheduler := b.loop.scheduler
 	for _, jobID := range b.loop.unplacedByAge() {
 		job := b.loop.Table.Open[jobID]
-		if job == nil || scheduler.PendingReasons[jobID] != placement.ReasonNoRoom {
+		if job == nil || scheduler.UnplacedReasons[jobID] != placement.ReasonNoRoom {
 			continue
 		}
 		count := scheduler.Unplaced[jobID]
--- a/internal/observability/status.go
+++ b/internal/observability/status.go
@@ -126,7 +126,7 @@
 // cancelled because of a job that they depend on.
 func (ob *Observer) writeWaitingJobs(page *strings.Builder) {
 	writeRows(page, "waiting", ob.scheduler.Unplaced, func(jobID string) string {
-		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, ob.scheduler.Unplaced[jobID], ob.scheduler.PendingReasons[jobID])
+		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, ob.scheduler.Unplaced[jobID], ob.scheduler.UnplacedReasons[jobID])
 	})
 	writeRows(page, "awaits", ob.Table.Waiting, func(jobID string) string {
 		return fmt.Sprintf("awaits %s: %s", jobID, strings.Join(ob.Table.Unfinished(ob.Table.Waiting[jobID]), " "))
@@ -163,6 +163,6 @@
 	case job.Phase == jobs.Cancelled && job.CancelledWith != "":
 		fmt.Fprintf(page, "cancelled with %s\n", job.CancelledWith)
 	case ob.scheduler.Unplaced[jobID] > 0:
-		fmt.Fprintf(page, "waiting tasks %d because %s\n", ob.scheduler.Unplaced[jobID], ob.scheduler.PendingReasons[jobID])
+		fmt.Fprintf(page, "waiting tasks %d because %s\n", ob.scheduler.Unplaced[jobID], ob.scheduler.UnplacedReasons[jobID])
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -31,7 +31,7 @@
 	BackoffUntil    map[string]time.Time // end of the backoff after a failed write, by job
 	preemptedFor    map[string]time.Time // time of the last preemption for a job, by job
 	Unplaced        map[string]int       // number of tasks that the last pass could not place, by job
-	PendingReasons  map[string]string    // why those tasks could not be placed, by job
+	UnplacedReasons map[string]string    // why those tasks could not be placed, by job
 	UnplacedSince   map[string]time.Time // since when a job has unplaced tasks
 }
 
@@ -45,7 +45,7 @@
 		BackoffUntil:    map[string]time.Time{},
 		preemptedFor:    map[string]time.Time{},
 		Unplaced:        map[string]int{},
-		PendingReasons:  map[string]string{},
+		UnplacedReasons: map[string]string{},
 		UnplacedSince:   map[string]time.Time{},
 	}
 }
@@ -81,12 +81,12 @@
 func (sc *Scheduler) runPass() []*PendingWrite {
 	sc.Lock()
 	defer sc.Unlock()
-	return sc.Schedule()
+	return sc.PlanPass()
 }
 
-// Schedule runs a pass. It returns the writes to commit, and sends the due commands to workers.
+// PlanPass runs a pass. It returns the writes to commit, and sends the due commands to workers.
 // The caller holds the lock.
-func (sc *Scheduler) Schedule() []*PendingWrite {
+func (sc *Scheduler) PlanPass() []*PendingWrite {
 	if !sc.IsMember() || !sc.StoreReadRecently() || sc.Draining() {
 		return nil
 	}
@@ -197,7 +197,7 @@
 // recordUnplaced records which tasks could not be placed, why, and since when. The caller holds the
 // lock.
 func (sc *Scheduler) recordUnplaced(output placement.Output, now time.Time) {
-	sc.Unplaced, sc.PendingReasons = output.Unplaced, output.UnplacedReasons
+	sc.Unplaced, sc.UnplacedReasons = output.Unplaced, output.UnplacedReasons
 	sc.recordShortages(output, now)
 	for jobID := range sc.UnplacedSince {
 		if output.Unplaced[jobID] == 0 {
--- a/internal/scheduler/write.go
+++ b/internal/scheduler/write.go
@@ -43,7 +43,7 @@
 )
 
 // PendingWrite is a compare-and-swap that a pass builds up: its compares, its operations and the
-// actions to take once its outcome is known. It is immutable once Schedule has returned it.
+// actions to take once its outcome is known. It is immutable once PlanPass has returned it.
 type PendingWrite struct {
 	Class      store.Class       // priority class in the queue for the write budget
 	Compares   map[string]uint64 // expected version by key
