--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -36,11 +36,11 @@
 	// SubmissionSlots limits the concurrent submissions: each admitted submission holds a slot until
 	// its response is sent.
 	SubmissionSlots chan struct{}
-	// Intake queues the submissions that wait for RunIntake to store them. It can be full while
-	// slots are free, because a submission stays queued after its request has timed out and its
-	// user was told to retry.
-	Intake        chan *Submission
-	intakeCounter atomic.Uint64 // number of intake keys that this process has created
+	// SubmissionQueue queues the submissions that wait for RunIntake to store them. It can be full
+	// while slots are free, because a submission stays queued after its request has timed out and
+	// its user was told to retry.
+	SubmissionQueue chan *Submission
+	intakeCounter   atomic.Uint64 // number of intake keys that this process has created
 }
 
 // New returns a user API for a controller's state. Submissions are only stored while RunIntake runs.
@@ -49,13 +49,13 @@
 		State:           state,
 		peers:           peers,
 		SubmissionSlots: make(chan struct{}, state.Settings.Operator.IntakeQueue),
-		Intake:          make(chan *Submission, state.Settings.Operator.IntakeQueue),
+		SubmissionQueue: make(chan *Submission, state.Settings.Operator.IntakeQueue),
 	}
 }
 
-// RefuseForNow responds immediately that the request can't be served now and may be retried after
-// the time in the Retry-After header.
-func (api *UserAPI) RefuseForNow(request *fasthttp.RequestCtx, status int, reason string) {
+// RespondRetryLater responds immediately that the request can't be served now and may be retried
+// after the time in the Retry-After header.
+func (api *UserAPI) RespondRetryLater(request *fasthttp.RequestCtx, status int, reason string) {
 	api.newHTTPResponse(jobResponse{}, retryLater(status, reason)).write(request)
 }
 
--- a/internal/api/groupcommit.go
+++ b/internal/api/groupcommit.go
@@ -16,7 +16,8 @@
 )
 
 // Submission is a new job that waits to be stored. The request handler creates it, sends it to
-// UserAPI.Intake and waits for Done. RunIntake stores it. It is immutable once it has been sent.
+// UserAPI.SubmissionQueue and waits for Done. RunIntake stores it. It is immutable once it has been
+// sent.
 type Submission struct {
 	// Spec is the user's description of the job.
 	Spec *wire.JobSpec
@@ -33,9 +34,9 @@
 // expired reports whether the deadline has passed, so that the user has been told to retry.
 func (s *Submission) expired() bool { return !time.Now().Before(s.Deadline) }
 
-// ErrStoreAlone is the outcome of a submission that was not stored with its group and can be stored
-// on its own.
-var ErrStoreAlone = errors.New("submission was not stored with its group and must be stored on its own")
+// ErrNotStoredInGroup is the outcome of a submission that was not stored with its group and can be
+// stored on its own.
+var ErrNotStoredInGroup = errors.New("submission was not stored with its group and must be stored on its own")
 
 // RunIntake stores submissions until ctx ends. Submissions that arrive while a write waits for the
 // write budget are stored together in the next one. Stored one by one, the hundreds of jobs that
@@ -47,11 +48,11 @@
 			select {
 			case <-ctx.Done():
 				return nil
-			case first = <-api.Intake:
+			case first = <-api.SubmissionQueue:
 			}
 		}
 		var group []*Submission
-		group, first = api.BatchSubmissions(first)
+		group, first = api.NextSubmissionGroup(first)
 		api.commitGroup(ctx, group)
 	}
 	return nil
@@ -72,10 +73,10 @@
 	}
 }
 
-// BatchSubmissions takes queued submissions, as many as fit into one record and one write. next is a
-// submission that did not fit or has the job ID of one in the group; it starts the next group, and
-// is nil if there is none. Submissions past their deadlines are dropped.
-func (api *UserAPI) BatchSubmissions(first *Submission) (group []*Submission, next *Submission) {
+// NextSubmissionGroup takes queued submissions, as many as fit into one record and one write. next
+// is a submission that did not fit or has the job ID of one in the group; it starts the next group,
+// and is nil if there is none. Submissions past their deadlines are dropped.
+func (api *UserAPI) NextSubmissionGroup(first *Submission) (group []*Submission, next *Submission) {
 	bytesLeft := api.MaxGroupBytes()
 	limit := api.groupLimit()
 	jobIDs := map[string]bool{}
@@ -92,7 +93,7 @@
 			return group, nil
 		}
 		select {
-		case submission = <-api.Intake:
+		case submission = <-api.SubmissionQueue:
 		default:
 			return group, nil
 		}
@@ -121,7 +122,7 @@
 	err := api.storeNewJobs(storeCtx, compares, put)
 	if errors.Is(err, store.ErrConflict) {
 		// At least one of the jobs is already stored. Storing each on its own finds out which.
-		err = ErrStoreAlone
+		err = ErrNotStoredInGroup
 	}
 	for _, submission := range group {
 		submission.Done <- err
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -181,7 +181,7 @@
 	defer cancel()
 	submission := api.newSubmission(spec, phase)
 	select {
-	case api.Intake <- submission:
+	case api.SubmissionQueue <- submission:
 	default: // the queue still holds submissions whose users have been told to retry
 		return jobResponse{}, tooManySubmissions()
 	}
@@ -225,7 +225,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if errors.Is(err, ErrStoreAlone) {
+	if errors.Is(err, ErrNotStoredInGroup) {
 		return api.storeOne(ctx, submission)
 	}
 	return err
--- a/internal/controller/intake_test.go
+++ b/internal/controller/intake_test.go
@@ -29,11 +29,11 @@
 			}
 		})
 		// The lane takes the first; the others wait behind it.
-		for want := i; len(controller.api.Intake) < want || len(controller.api.SubmissionSlots) < i+1; {
+		for want := i; len(controller.api.SubmissionQueue) < want || len(controller.api.SubmissionSlots) < i+1; {
 			time.Sleep(time.Millisecond)
 		}
 		if i == 0 {
-			for len(controller.api.Intake) > 0 {
+			for len(controller.api.SubmissionQueue) > 0 {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -132,7 +132,7 @@
 	}
 	a.api.StoreGroup(context.Background(), group)
 	for _, s := range group {
-		if err := <-s.Done; !errors.Is(err, api.ErrStoreAlone) {
+		if err := <-s.Done; !errors.Is(err, api.ErrNotStoredInGroup) {
 			t.Fatalf("%s: %v", s.Spec.ID, err)
 		}
 	}
@@ -152,11 +152,11 @@
 	}
 	late := add("wk-late")
 	late.Deadline = time.Now()
-	controller.api.Intake <- late
+	controller.api.SubmissionQueue <- late
 	for i := range 40 {
-		controller.api.Intake <- add(fmt.Sprintf("wk-%d", i))
+		controller.api.SubmissionQueue <- add(fmt.Sprintf("wk-%d", i))
 	}
-	for group, next := controller.api.BatchSubmissions(add("wk-0")); ; group, next = controller.api.BatchSubmissions(next) {
+	for group, next := controller.api.NextSubmissionGroup(add("wk-0")); ; group, next = controller.api.NextSubmissionGroup(next) {
 		if len(group) < 1 {
 			t.Fatal("an empty group")
 		}
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -92,7 +92,7 @@
 		response.Error(request, fasthttp.StatusMethodNotAllowed, "method not allowed")
 		return kindOther
 	case matched.refusedWhileStopping && c.Draining():
-		c.api.RefuseForNow(request, fasthttp.StatusServiceUnavailable, "this node is stopping")
+		c.api.RespondRetryLater(request, fasthttp.StatusServiceUnavailable, "this node is stopping")
 		return kindStopping
 	}
 	matched.handle(c, request)
@@ -112,7 +112,7 @@
 // serveUp answers whether load balancers should send users here.
 func (c *Controller) serveUp(request *fasthttp.RequestCtx) {
 	if !c.healthy() {
-		c.api.RefuseForNow(request, fasthttp.StatusServiceUnavailable, "not ready")
+		c.api.RespondRetryLater(request, fasthttp.StatusServiceUnavailable, "not ready")
 		return
 	}
 	response.Write(request, fasthttp.StatusOK, nil)
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -50,7 +50,7 @@
 func (c *Controller) inFlight() int {
 	c.Lock()
 	defer c.Unlock()
-	return len(c.api.SubmissionSlots) + len(c.api.Intake) + len(c.scheduler.WritesInFlight) + len(c.Workers.CallSlots)
+	return len(c.api.SubmissionSlots) + len(c.api.SubmissionQueue) + len(c.scheduler.WritesInFlight) + len(c.Workers.CallSlots)
 }
 
 // revokeSession ends this controller's session, if it has one. From then on it answers
