--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -32,7 +32,7 @@
 		return jobResponse{}, refusal
 	case refusal != nil:
 		return api.rejectUnlessAccepted(jobID, refusal)
-	case !api.HasStore():
+	case !api.StoreReadRecently():
 		return jobResponse{}, retryLater(fasthttp.StatusServiceUnavailable, "the state service can't be reached")
 	}
 	phase := jobs.Open
@@ -181,7 +181,7 @@
 	defer cancel()
 	submission := api.newSubmission(spec, phase)
 	select {
-	case api.Intake <- submission:
+	case api.SubmissionQueue <- submission:
 	default: // full: it still holds submissions whose requests have timed out
 		return jobResponse{}, tooManySubmissions()
 	}
@@ -225,7 +225,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if errors.Is(err, ErrStoreAlone) {
+	if errors.Is(err, ErrNotStoredInGroup) {
 		return api.storeOne(ctx, submission)
 	}
 	return err
--- a/internal/controller/http_fixture_test.go
+++ b/internal/controller/http_fixture_test.go
@@ -134,7 +134,7 @@
 // rewriteMembership stores the membership once more, unseen: writes that compare its
 // version fail.
 func (env *httpEnv) rewriteMembership() {
-	env.store.Put(membership.Key, env.store.Keys[membership.Key].Value)
+	env.store.Put(membership.RecordKey, env.store.Keys[membership.RecordKey].Value)
 }
 
 // refreshMachineTypes lets the leader ask the cloud for the types of machines.
@@ -214,7 +214,7 @@
 	now := env.clock.now()
 	state, machines := controller.leaderLoop.CurrentTerm(), controller.MachineIndex.RefreshMachines(now)
 	controller.leaderLoop.RecordArrivals(state, now)
-	controller.leaderLoop.MoveRoles(state, machines, now)
+	controller.leaderLoop.PlanRoleMoves(state, machines, now)
 }
 
 // drainController stops a controller gracefully.
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -35,8 +35,8 @@
 	unpublished          map[string]bool            // machines that may differ from what siblings were sent
 	fullPublishAt        time.Time                  // when all machines were last compared with that
 
-	claims        map[string]machineClaims // what each machine has added to claimedTotals
-	claimedTotals quota.ClaimedByNode      // what the claims take, by owner and team
+	claims        map[string]machineClaims  // what each machine has added to claimedTotals
+	claimedTotals quota.ClaimedByController // what the claims take, by owner and team
 }
 
 // indexedMachine is one machine, and what it depends on whether it is schedulable.
@@ -66,7 +66,7 @@
 		Terminated:     map[string]bool{},
 		unpublished:    map[string]bool{},
 		claims:         map[string]machineClaims{},
-		claimedTotals:  quota.ClaimedByNode{},
+		claimedTotals:  quota.ClaimedByController{},
 	}
 }
 
@@ -189,14 +189,14 @@
 func (mi *MachineIndex) emptyMachine(machine string, record inventory.Record) *placement.Machine {
 	machineType := mi.MachineTypes[record.MachineType]
 	return &placement.Machine{
-		Name:        machine,
-		Type:        record.MachineType,
-		Zone:        record.Zone,
-		Spot:        record.Spot,
-		Role:        record.Role,
-		Owner:       mi.ShardOwner(machine),
-		FetchGBPerS: machineType.FetchGBPerS,
-		Total:       jobs.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAM: machineType.RAMGB},
+		Name:            machine,
+		Type:            record.MachineType,
+		Zone:            record.Zone,
+		Spot:            record.Spot,
+		Role:            record.Role,
+		Owner:           mi.ShardOwner(machine),
+		ImagePullGBPerS: machineType.FetchGBPerS,
+		Total:           jobs.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, RAM: machineType.RAMGB},
 	}
 }
 
@@ -230,7 +230,7 @@
 // aside what runs on it.
 func sameMachine(a, b *placement.Machine) bool {
 	return a.Type == b.Type && a.Zone == b.Zone && a.Spot == b.Spot && a.Role == b.Role && a.Owner == b.Owner &&
-		a.FetchGBPerS == b.FetchGBPerS && a.Total == b.Total
+		a.ImagePullGBPerS == b.ImagePullGBPerS && a.Total == b.Total
 }
 
 // applyChangedMachines applies the machines that something has changed on, and returns
--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -19,12 +19,12 @@
 func (b *planBuilder) addNotScheduledYet() {
 	scheduler := b.loop.scheduler
 	for jobID, job := range b.loop.Table.Open {
-		reason := scheduler.PendingReasons[jobID]
+		reason := scheduler.UnplacedReasons[jobID]
 		count := job.Counts[jobs.Pending]
-		if reason != placement.ReasonNoTurn {
+		if reason != placement.ReasonJobLimit {
 			count -= scheduler.Unplaced[jobID]
 		}
-		if count > 0 && (reason == "" || reason == placement.ReasonNoTurn || reason == placement.ReasonNoRoom) {
+		if count > 0 && (reason == "" || reason == placement.ReasonJobLimit || reason == placement.ReasonNoRoom) {
 			b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: job, Count: count, NotScheduledYet: true})
 		}
 	}
@@ -40,7 +40,7 @@
 	scheduler := b.loop.scheduler
 	for _, jobID := range b.loop.unplacedByAge() {
 		job := b.loop.Table.Open[jobID]
-		if job == nil || scheduler.PendingReasons[jobID] != placement.ReasonNoRoom {
+		if job == nil || scheduler.UnplacedReasons[jobID] != placement.ReasonNoRoom {
 			continue
 		}
 		count := scheduler.Unplaced[jobID]
--- a/internal/leader/roles.go
+++ b/internal/leader/rolemoves.go
@@ -16,7 +16,7 @@
 
 // RecordArrivals records new service jobs with the role balancers, and new batch jobs for the
 // batch headroom. The caller holds the lock.
-func (ld *Loop) RecordArrivals(state *State, now time.Time) {
+func (ld *Loop) RecordArrivals(state *TermState, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if state.roleBalancers[machineType.Label] == nil {
 			state.roleBalancers[machineType.Label] = roles.New(ld.Settings.Operator, now)
@@ -42,7 +42,7 @@
 
 // recordBatchArrival records the arrival of a job array, and updates the mean size of the arrays of
 // the typical class.
-func (ls *State) recordBatchArrival(job *jobs.Job, now time.Time) {
+func (ls *TermState) recordBatchArrival(job *jobs.Job, now time.Time) {
 	if ls.batchLoad.Spec == nil || ls.batchLoad.Spec.Class == job.Record.Spec.Class {
 		size := min(float64(job.Record.Tasks), tuning.TasksPerJob)
 		if ls.meanArraySize == 0 {
@@ -55,18 +55,18 @@
 
 // recordServiceArrival records the arrival of a service job with the role balancer of every
 // machine type that the job may use. The caller holds the lock.
-func (ld *Loop) recordServiceArrival(state *State, job *jobs.Job, now time.Time) {
+func (ld *Loop) recordServiceArrival(state *TermState, job *jobs.Job, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if jobs.AllowsMachineType(job.Record.Spec, machineType.Label) {
 			load := job.Need.Share(machineCapacity(machineType)) * float64(job.Record.Tasks)
-			state.roleBalancers[machineType.Label].Arrive(now, load)
+			state.roleBalancers[machineType.Label].RecordArrival(now, load)
 		}
 	}
 }
 
-// MoveRoles evaluates the role split of every machine type and returns the record changes of the
-// resulting moves. The caller holds the lock.
-func (ld *Loop) MoveRoles(state *State, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
+// PlanRoleMoves evaluates the role split of every machine type and returns the record changes of
+// the resulting moves. The caller holds the lock.
+func (ld *Loop) PlanRoleMoves(state *TermState, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var moves []inventory.RecordChange
 	for _, machineType := range ld.MachineTypeList {
 		controller := state.roleBalancers[machineType.Label]
@@ -143,7 +143,7 @@
 		if !isOpenServiceTask(task) {
 			continue
 		}
-		target := placement.FitElsewhere(fleet, task.Job, task.ID.Task, from.Name)
+		target := placement.FindOtherMachine(fleet, task.Job, task.ID.Task, from.Name)
 		if target == nil || withImage && !target.HasImage(task.Job.Record.Spec.Image) {
 			return false
 		}
@@ -157,7 +157,7 @@
 // scaled out; else a role that is below its floor; else the batch role if only batch tasks are
 // unplaced and it has fewer machines; else the service role. added holds the record changes from
 // the same list, which are not stored yet. The caller holds the lock.
-func (ld *Loop) initialRole(state *State, machine wire.Machine, added []inventory.RecordChange) placement.Role {
+func (ld *Loop) initialRole(state *TermState, machine wire.Machine, added []inventory.RecordChange) placement.Role {
 	if machine.Spot {
 		return placement.Batch
 	}
--- a/internal/observability/status.go
+++ b/internal/observability/status.go
@@ -55,7 +55,7 @@
 // writeControllerStatus shows this controller, its session, and for how long it could
 // go on without the store.
 func (ob *Observer) writeControllerStatus(page *strings.Builder) {
-	fmt.Fprintf(page, "node %s version %s session %s state_service %v\n", ob.Self.Label, tuning.Version, ob.Session, ob.HasStore())
+	fmt.Fprintf(page, "node %s version %s session %s state_service %v\n", ob.Self.Label, tuning.Version, ob.Session, ob.StoreReadRecently())
 	if at := ob.Peers.CancellationsKnownUntil(); !at.IsZero() {
 		// An outage of the store is survived while this stays below the bound: it is
 		// short as long as all siblings attest.
@@ -117,7 +117,7 @@
 			continue
 		}
 		fmt.Fprintf(page, "split %s batch %d service %d batch_load %.2f service_load %.2f demand_short %.4f demand_long %.4f evidence_open %v proposal %q rule %q confirmations %d gate %q\n",
-			decision.Type, decision.Batch, decision.Service, decision.BatchLoad, decision.ServiceLoad, decision.Short, decision.Long, decision.EvidenceOpen,
+			decision.MachineType, decision.Batch, decision.Service, decision.BatchLoad, decision.ServiceLoad, decision.ShortRate, decision.LongRate, decision.EvidenceOpen,
 			decision.Proposal.Direction, decision.Proposal.Rule, decision.Confirmations, decision.Gate)
 	}
 }
@@ -126,7 +126,7 @@
 // cancelled because of a job that they depend on.
 func (ob *Observer) writeWaitingJobs(page *strings.Builder) {
 	writeRows(page, "waiting", ob.scheduler.Unplaced, func(jobID string) string {
-		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, ob.scheduler.Unplaced[jobID], ob.scheduler.PendingReasons[jobID])
+		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, ob.scheduler.Unplaced[jobID], ob.scheduler.UnplacedReasons[jobID])
 	})
 	writeRows(page, "awaits", ob.Table.Waiting, func(jobID string) string {
 		return fmt.Sprintf("awaits %s: %s", jobID, strings.Join(ob.Table.Unfinished(ob.Table.Waiting[jobID]), " "))
@@ -163,6 +163,6 @@
 	case job.Phase == jobs.Cancelled && job.CancelledWith != "":
 		fmt.Fprintf(page, "cancelled with %s\n", job.CancelledWith)
 	case ob.scheduler.Unplaced[jobID] > 0:
-		fmt.Fprintf(page, "waiting tasks %d because %s\n", ob.scheduler.Unplaced[jobID], ob.scheduler.PendingReasons[jobID])
+		fmt.Fprintf(page, "waiting tasks %d because %s\n", ob.scheduler.Unplaced[jobID], ob.scheduler.UnplacedReasons[jobID])
 	}
 }
--- a/internal/scheduler/write.go
+++ b/internal/scheduler/write.go
@@ -43,7 +43,7 @@
 )
 
 // PendingWrite is a compare-and-swap that a pass builds up: its compares, its operations and the
-// actions to take once its outcome is known. It is immutable once Schedule has returned it.
+// actions to take once its outcome is known. It is immutable once PlanPass has returned it.
 type PendingWrite struct {
 	Class      store.Class       // priority class in the queue for the write budget
 	Compares   map[string]uint64 // expected version by key
@@ -79,7 +79,7 @@
 // a controller that was fenced out can't store decisions it made before.
 func (sc *Scheduler) newWrite(kind writeKind) *PendingWrite {
 	write := &PendingWrite{Class: store.ClassClaim, Kind: string(kind), Compares: map[string]uint64{}}
-	sc.compareCurrent(write, membership.Key)
+	sc.compareCurrent(write, membership.RecordKey)
 	return write
 }
 
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -97,7 +97,7 @@
 
 // stopCommand returns the command that kills or reaps a listed task, if one is due. job is the
 // job of the task's claim, or nil if the task is not claimed.
-func stopCommand(stop recovery.Stop, job *jobs.Job, status wire.TaskStatus) (command wire.Command, due bool) {
+func stopCommand(stop recovery.StopCommand, job *jobs.Job, status wire.TaskStatus) (command wire.Command, due bool) {
 	command = wire.Command{Task: status.Task, Attempt: status.Attempt}
 	switch stop {
 	case recovery.Kill:
