--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,47 +14,47 @@
 const (
 	// StatusPath is where controllers post their status.
 	StatusPath = "/peer/status"
-	// ForwardPath is where controllers post users' requests that they can't serve.
+	// ForwardPath is where controllers post the user requests that they can't serve.
 	ForwardPath = "/peer/forward"
 )
 
-// Client sends messages to one sibling. It repeats none: callers know what a lost
-// answer means.
+// Client sends messages to one sibling. It never retries: what a lost response means depends
+// on the message, so the caller decides.
 type Client struct {
 	address string
 	client  *fasthttp.HostClient
 }
 
-// NewClient returns a client of the sibling at address.
+// NewClient returns a client for the sibling at address.
 func NewClient(address string) *Client {
 	return &Client{address: address, client: httpclient.NewHostClient(address, tuning.PeerConns)}
 }
 
-// Exchange posts an encoded status and returns the sibling's.
+// Exchange posts this controller's encoded status and returns the sibling's status.
 func (c *Client) Exchange(ownStatus []byte, timeout time.Duration) (Status, error) {
-	answer, err := c.post(StatusPath, ownStatus, timeout)
+	response, err := c.post(StatusPath, ownStatus, timeout)
 	if err != nil {
 		return Status{}, err
 	}
-	return DecodeStatus(answer)
+	return DecodeStatus(response)
 }
 
-// Forward passes a user's request on and returns the sibling's answer.
+// Forward forwards a user's request and returns the sibling's response.
 func (c *Client) Forward(request ForwardRequest, timeout time.Duration) (ForwardResponse, error) {
-	answer, err := c.post(ForwardPath, request.Encode(), timeout)
+	response, err := c.post(ForwardPath, request.Encode(), timeout)
 	if err != nil {
 		return ForwardResponse{}, err
 	}
-	return DecodeForwardResponse(answer)
+	return DecodeForwardResponse(response)
 }
 
 func (c *Client) post(path string, body []byte, timeout time.Duration) ([]byte, error) {
-	status, answer, err := httpclient.Do(c.client, fasthttp.MethodPost, c.address, path, body, timeout)
+	status, response, err := httpclient.Do(c.client, fasthttp.MethodPost, c.address, path, body, timeout)
 	if err != nil {
 		return nil, err
 	}
 	if status != fasthttp.StatusOK {
-		return nil, fmt.Errorf("sibling: status %d", status)
+		return nil, fmt.Errorf("sibling returned HTTP status %d", status)
 	}
-	return answer, nil
+	return response, nil
 }
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// newSibling serves a handler on the loopback and returns a client of it.
-func newSibling(t *testing.T, handler fasthttp.RequestHandler) *Client {
+// newTestSibling serves handler on a loopback listener and returns a client for it.
+func newTestSibling(t *testing.T, handler fasthttp.RequestHandler) *Client {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -32,25 +32,25 @@
 
 const testTimeout = 5 * time.Second
 
-func TestExchangeReturnsTheSiblingsStatus(t *testing.T) {
-	own, theirs := Status{Label: "n0"}, sampleStatus()
-	client := newSibling(t, func(c *fasthttp.RequestCtx) {
+func TestExchangeReturnsSiblingStatus(t *testing.T) {
+	ownStatus, siblingStatus := Status{Label: "n0"}, sampleStatus()
+	client := newTestSibling(t, func(c *fasthttp.RequestCtx) {
 		posted, err := DecodeStatus(c.PostBody())
 		if string(c.Method()) != "POST" || string(c.Path()) != StatusPath || err != nil || posted.Label != "n0" {
 			c.SetStatusCode(fasthttp.StatusBadRequest)
 			return
 		}
-		c.SetBody(theirs.Encode())
+		c.SetBody(siblingStatus.Encode())
 	})
-	got, err := client.Exchange(own.Encode(), testTimeout)
-	if err != nil || !reflect.DeepEqual(got, theirs) {
+	got, err := client.Exchange(ownStatus.Encode(), testTimeout)
+	if err != nil || !reflect.DeepEqual(got, siblingStatus) {
 		t.Fatalf("%+v %v", got, err)
 	}
 }
 
-func TestForwardReturnsTheSiblingsAnswer(t *testing.T) {
+func TestForwardReturnsSiblingResponse(t *testing.T) {
 	response := ForwardResponse{Status: 503, RetryAfter: "2", Body: []byte{9}}
-	client := newSibling(t, func(c *fasthttp.RequestCtx) {
+	client := newTestSibling(t, func(c *fasthttp.RequestCtx) {
 		request, err := DecodeForwardRequest(c.PostBody())
 		if string(c.Path()) != ForwardPath || err != nil || request.Path != "/work" {
 			c.SetStatusCode(fasthttp.StatusBadRequest)
@@ -64,13 +64,13 @@
 	}
 }
 
-func TestSiblingsRefusalIsAnError(t *testing.T) {
-	client := newSibling(t, func(c *fasthttp.RequestCtx) { c.SetStatusCode(fasthttp.StatusServiceUnavailable) })
+func TestUnexpectedHTTPStatusIsAnError(t *testing.T) {
+	client := newTestSibling(t, func(c *fasthttp.RequestCtx) { c.SetStatusCode(fasthttp.StatusServiceUnavailable) })
 	_, exchangeErr := client.Exchange(nil, testTimeout)
 	_, forwardErr := client.Forward(ForwardRequest{}, testTimeout)
 	for call, err := range map[string]error{"exchange": exchangeErr, "forward": forwardErr} {
 		t.Run(call, func(t *testing.T) {
-			if want := "sibling: status 503"; err == nil || err.Error() != want {
+			if want := "sibling returned HTTP status 503"; err == nil || err.Error() != want {
 				t.Errorf("got %v, want %s", err, want)
 			}
 		})
