--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,13 +1,14 @@
-// Package peer owns the messages that controllers send each other, as
-// FlatBuffers, and the client that sends them. Every controller posts its status
-// to its siblings and gets theirs back, with the machines that have changed since
-// the view that it has; and it forwards users' requests that it can't serve.
+// Package peer defines the messages that controllers send each other, encoded as FlatBuffers,
+// and the client that sends them. Every controller posts its status to its siblings. The
+// response is the sibling's status, with the machines that have changed since the version that
+// the sender knows. Controllers also forward user requests that they can't serve.
 //
-// Messages may be lost, late or repeated, and none is stored: what a status says
-// is advice about liveness, and an attestation of the last cancellation that the
-// sender knows. What follows from a status is decided by package controller.
-// Package fb and its schema, status.fbs, are the wire format: the protocol's words
-// stand there and nowhere else.
+// Messages may be lost, late or duplicated, and none is stored. A status is a hint about
+// liveness, and attests the last cancellation that the sender knows. Package fleet decides
+// what follows from a status.
+//
+// The schema status.fbs defines the wire format, and package fb is generated from it. Some of
+// its names differ from those in this package. Only this package uses them.
 package peer
 
 //go:generate flatc --go status.fbs
