--- a/internal/peer/flatbuffers.go
+++ b/internal/peer/flatbuffers.go
@@ -8,19 +8,19 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-// ErrMalformed says that a message could not be read.
+// ErrMalformed is returned for a message that can't be decoded.
 var ErrMalformed = errors.New("malformed peer message")
 
-// minMessageSize is the size of the shortest message: the offset of its root
-// table, and that table's offset of its vtable.
+// minMessageSize is the size of the shortest message: the offset of the root table, and the
+// offset of that table's vtable.
 const minMessageSize = flatbuffers.SizeUOffsetT + flatbuffers.SizeSOffsetT
 
-// noDuration stands for an absent duration in a message. Any negative number is
-// read as one.
+// noDuration is the encoding of an absent duration. Every negative number is decoded as
+// noDuration.
 const noDuration = -1
 
-// recoverMalformed turns the panic of a bad offset into an error: FlatBuffers for
-// Go has no verifier.
+// recoverMalformed turns the panic caused by an invalid offset into an error, because
+// FlatBuffers for Go has no verifier.
 func recoverMalformed(err *error) {
 	switch cause := recover().(type) {
 	case nil:
@@ -31,8 +31,8 @@
 	}
 }
 
-// checkVectorLength refuses a vector of offsets that is longer than its message
-// could hold, before anything is allocated for it.
+// checkVectorLength rejects a vector of offsets that is longer than its message can hold,
+// before any memory is allocated for it.
 func checkVectorLength(length int, message []byte) error {
 	if length > len(message)/flatbuffers.SizeUOffsetT {
 		return ErrMalformed
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// offsetVector writes a vector of offsets, which are prepended, so the last first.
+// offsetVector writes a vector of offsets. The builder prepends elements, so the last one is
+// written first.
 func offsetVector(b *flatbuffers.Builder, offsets []flatbuffers.UOffsetT, start func(*flatbuffers.Builder, int) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	start(b, len(offsets))
 	for i := len(offsets) - 1; i >= 0; i-- {
--- a/internal/peer/flatbuffers_test.go
+++ b/internal/peer/flatbuffers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestMalformedMessagesAreRefused(t *testing.T) {
+func TestDecodeRejectsMalformedMessages(t *testing.T) {
 	decoders := map[string]func([]byte) error{
 		"status":           func(message []byte) error { _, err := DecodeStatus(message); return err },
 		"forward request":  func(message []byte) error { _, err := DecodeForwardRequest(message); return err },
@@ -28,7 +28,8 @@
 	}
 }
 
-// FlatBuffers for Go has no verifier: damaged messages must end as errors.
+// FlatBuffers for Go has no verifier, so decoding a damaged message must return an error and
+// not panic.
 func FuzzDecode(f *testing.F) {
 	status := sampleStatus()
 	f.Add(status.Encode())
