--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -6,8 +6,8 @@
 	"wheatspur/internal/peer/fb"
 )
 
-// Sizes of a forwarded message without its body, so that the builder's buffer
-// rarely grows.
+// Initial buffer sizes of forwarded messages, without their bodies. They are large enough that
+// the buffer rarely grows.
 const (
 	forwardRequestOverhead  = 128
 	forwardResponseOverhead = 64
@@ -19,7 +19,7 @@
 	Body         []byte
 }
 
-// Encode returns the FlatBuffers form.
+// Encode returns the request as a FlatBuffers message.
 func (r *ForwardRequest) Encode() []byte {
 	b := flatbuffers.NewBuilder(len(r.Body) + forwardRequestOverhead)
 	body, path, method := b.CreateByteVector(r.Body), b.CreateString(r.Path), b.CreateString(r.Method)
@@ -31,25 +31,25 @@
 	return b.FinishedBytes()
 }
 
-// DecodeForwardRequest reads a forwarded request. It shares no memory with the
+// DecodeForwardRequest decodes a forwarded request. The result shares no memory with the
 // message.
 func DecodeForwardRequest(message []byte) (r ForwardRequest, err error) {
 	defer recoverMalformed(&err)
 	if len(message) < minMessageSize {
 		return r, ErrMalformed
 	}
-	f := fb.GetRootAsRequest(message, 0)
-	return ForwardRequest{Method: string(f.Method()), Path: string(f.Path()), Body: append([]byte(nil), f.BodyBytes()...)}, nil
+	table := fb.GetRootAsRequest(message, 0)
+	return ForwardRequest{Method: string(table.Method()), Path: string(table.Path()), Body: append([]byte(nil), table.BodyBytes()...)}, nil
 }
 
-// ForwardResponse is the sibling's answer, as the user should get it.
+// ForwardResponse is the sibling's response, which is passed on to the user.
 type ForwardResponse struct {
-	Status     int    // of HTTP
-	RetryAfter string // header of this name; empty: none
+	Status     int    // HTTP status code
+	RetryAfter string // value of the Retry-After header; empty if absent
 	Body       []byte
 }
 
-// Encode returns the FlatBuffers form.
+// Encode returns the response as a FlatBuffers message.
 func (r *ForwardResponse) Encode() []byte {
 	b := flatbuffers.NewBuilder(len(r.Body) + forwardResponseOverhead)
 	body, retryAfter := b.CreateByteVector(r.Body), b.CreateString(r.RetryAfter)
@@ -61,13 +61,13 @@
 	return b.FinishedBytes()
 }
 
-// DecodeForwardResponse reads the answer to a forwarded request. It shares no
+// DecodeForwardResponse decodes the response to a forwarded request. The result shares no
 // memory with the message.
 func DecodeForwardResponse(message []byte) (r ForwardResponse, err error) {
 	defer recoverMalformed(&err)
 	if len(message) < minMessageSize {
 		return r, ErrMalformed
 	}
-	f := fb.GetRootAsReply(message, 0)
-	return ForwardResponse{Status: int(f.Status()), RetryAfter: string(f.RetryAfter()), Body: append([]byte(nil), f.BodyBytes()...)}, nil
+	table := fb.GetRootAsReply(message, 0)
+	return ForwardResponse{Status: int(table.Status()), RetryAfter: string(table.RetryAfter()), Body: append([]byte(nil), table.BodyBytes()...)}, nil
 }
