--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -8,9 +8,9 @@
 	"wheatspur/internal/golden"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden bytes")
+var update = flag.Bool("update", false, "rewrite the golden file")
 
-// Controllers of two versions work side by side.
+// The encoding of the messages must not change: controllers of two versions run side by side.
 func TestGoldenMessages(t *testing.T) {
 	status := Status{Label: "node-1", Incarnation: 91, FencingToken: 92, Revision: 93, HasStore: true, QueuedWrites: 94, MachinesVersion: 95, AllMachines: true,
 		KnownMachines: MachinesVersion{Number: 96, FencingToken: 97, Incarnation: 98}, ReportsCancellations: true, LastCancellation: 99,
@@ -19,14 +19,14 @@
 	request := ForwardRequest{Method: "POST", Path: "/work", Body: []byte{1, 2, 0, 3}}
 	response := ForwardResponse{Status: 503, RetryAfter: "2", Body: []byte{9, 0, 8}}
 	golden.Check(t, []golden.Sample{
-		message("status", &status, status.Encode, DecodeStatus),
-		message("request", &request, request.Encode, DecodeForwardRequest),
-		message("reply", &response, response.Encode, DecodeForwardResponse),
+		messageSample("status", &status, status.Encode, DecodeStatus),
+		messageSample("request", &request, request.Encode, DecodeForwardRequest),
+		messageSample("reply", &response, response.Encode, DecodeForwardResponse),
 	}, *update)
 }
 
-// message returns the sample of a FlatBuffers format.
-func message[T any](name string, value *T, encode func() []byte, decode func([]byte) (T, error)) golden.Sample {
+// messageSample returns the golden sample of a message.
+func messageSample[T any](name string, value *T, encode func() []byte, decode func([]byte) (T, error)) golden.Sample {
 	return golden.Sample{
 		Name:   name,
 		Value:  value,
