--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -8,46 +8,46 @@
 	"wheatspur/internal/peer/fb"
 )
 
-// MachineStatus is what a controller says about one of its machines.
+// MachineStatus is what a controller reports about one of its machines.
 type MachineStatus struct {
 	Name              string
-	Incarnation       uint64        // of its worker
-	SilentFor         time.Duration // since its last message, if silent
-	Silent            bool          // not heard for longer than its heartbeats allow
-	TokenAcknowledged bool          // has acknowledged the current fencing token in its incarnation
-	TerminationNotice time.Duration // until the cloud terminates it; negative: no notice
+	Incarnation       uint64        // incarnation of its worker
+	SilentFor         time.Duration // time since its last message; valid only if Silent is set
+	Silent            bool          // sent no message for longer than the heartbeat interval allows
+	TokenAcknowledged bool          // the worker has acknowledged the current fencing token in this incarnation
+	TerminationNotice time.Duration // time until the cloud terminates the machine; negative if there is no notice
 	Quarantined       bool
 	Images            []string
 }
 
-// Status is what a controller says about itself.
+// Status is what a controller reports about itself and its machines.
 type Status struct {
 	Label           string
 	Incarnation     uint64
 	FencingToken    uint64
-	Revision        uint64          // of its cache of the key-value store
-	HasStore        bool            // has had a fresh read lately
-	QueuedWrites    uint32          // writes that wait for its part of the store's rate limit
-	MachinesVersion uint64          // number of the sender's view of its machines
-	AllMachines     bool            // Machines are all of them, not those that changed
-	KnownMachines   MachinesVersion // the view that the sender has of the receiver's machines
+	Revision        uint64          // revision of its cache of the key-value store
+	HasStore        bool            // has recently read the key-value store
+	QueuedWrites    uint32          // writes that wait for its share of the store's write rate
+	MachinesVersion uint64          // Number of the sender's MachinesVersion
+	AllMachines     bool            // Machines holds all machines, not only the changed ones
+	KnownMachines   MachinesVersion // version of the receiver's machines that the sender knows
 	Machines        []MachineStatus
-	// LastCancellation is the version of the last cancellation that the sender
-	// knows, if ReportsCancellations is set: earlier versions don't report it.
+	// LastCancellation is the version of the last cancellation that the sender knows. It is
+	// valid only if ReportsCancellations is set: earlier releases do not report it.
 	ReportsCancellations bool
 	LastCancellation     uint64
-	// Recovering says that the sender does not know its machines yet.
+	// Recovering reports that the sender does not know the state of all its machines yet.
 	Recovering bool
 }
 
-// MachinesVersion is the view that a controller has of a sibling's machines. Its
-// Number counts within one incarnation and fencing token of the sibling.
+// MachinesVersion identifies a version of a controller's view of its machines. Number is
+// counted separately for each incarnation and fencing token of that controller.
 type MachinesVersion struct{ Number, FencingToken, Incarnation uint64 }
 
-// initialStatusSize is the builder's buffer at the start; it grows.
+// initialStatusSize is the initial size of the builder's buffer, which grows as needed.
 const initialStatusSize = 1024
 
-// Encode returns the FlatBuffers form.
+// Encode returns the status as a FlatBuffers message.
 func (s *Status) Encode() []byte {
 	b := flatbuffers.NewBuilder(initialStatusSize)
 	offsets := make([]flatbuffers.UOffsetT, len(s.Machines))
@@ -95,34 +95,34 @@
 	return fb.HostViewEnd(b)
 }
 
-// DecodeStatus reads a status.
+// DecodeStatus decodes a status. The result shares no memory with the message.
 func DecodeStatus(message []byte) (s Status, err error) {
 	defer recoverMalformed(&err)
 	if len(message) < minMessageSize {
 		return s, ErrMalformed
 	}
-	f := fb.GetRootAsStatus(message, 0)
+	table := fb.GetRootAsStatus(message, 0)
 	s = Status{
-		Label:                string(f.Label()),
-		Incarnation:          f.Incarnation(),
-		FencingToken:         f.Baton(),
-		Revision:             f.Epoch(),
-		HasStore:             f.HasState(),
-		QueuedWrites:         f.Want(),
-		MachinesVersion:      f.View(),
-		AllMachines:          f.Whole(),
-		KnownMachines:        MachinesVersion{Number: f.Seen(), FencingToken: f.SeenBaton(), Incarnation: f.SeenIncarnation()},
-		ReportsCancellations: f.Counts(),
-		LastCancellation:     f.Cancelled(),
-		Recovering:           f.Recovering(),
+		Label:                string(table.Label()),
+		Incarnation:          table.Incarnation(),
+		FencingToken:         table.Baton(),
+		Revision:             table.Epoch(),
+		HasStore:             table.HasState(),
+		QueuedWrites:         table.Want(),
+		MachinesVersion:      table.View(),
+		AllMachines:          table.Whole(),
+		KnownMachines:        MachinesVersion{Number: table.Seen(), FencingToken: table.SeenBaton(), Incarnation: table.SeenIncarnation()},
+		ReportsCancellations: table.Counts(),
+		LastCancellation:     table.Cancelled(),
+		Recovering:           table.Recovering(),
 	}
-	if err := checkVectorLength(f.HostsLength(), message); err != nil {
+	if err := checkVectorLength(table.HostsLength(), message); err != nil {
 		return Status{}, err
 	}
-	for i := range f.HostsLength() {
-		var view fb.HostView
-		f.Hosts(&view, i)
-		machine, err := decodeMachine(&view, message)
+	for i := range table.HostsLength() {
+		var hostTable fb.HostView
+		table.Hosts(&hostTable, i)
+		machine, err := decodeMachine(&hostTable, message)
 		if err != nil {
 			return Status{}, err
 		}
@@ -131,22 +131,22 @@
 	return s, nil
 }
 
-// decodeMachine reads a machine of a status, whose bytes are message.
-func decodeMachine(f *fb.HostView, message []byte) (MachineStatus, error) {
+// decodeMachine decodes one machine of the status in message.
+func decodeMachine(table *fb.HostView, message []byte) (MachineStatus, error) {
 	m := MachineStatus{
-		Name:              string(f.Name()),
-		Incarnation:       f.Stint(),
-		SilentFor:         millisToDuration(f.AgeMs()),
-		Silent:            f.Silent(),
-		TokenAcknowledged: f.Proven(),
-		TerminationNotice: millisToDuration(f.WarningMs()),
-		Quarantined:       f.Suspect(),
+		Name:              string(table.Name()),
+		Incarnation:       table.Stint(),
+		SilentFor:         millisToDuration(table.AgeMs()),
+		Silent:            table.Silent(),
+		TokenAcknowledged: table.Proven(),
+		TerminationNotice: millisToDuration(table.WarningMs()),
+		Quarantined:       table.Suspect(),
 	}
-	if err := checkVectorLength(f.ImagesLength(), message); err != nil {
+	if err := checkVectorLength(table.ImagesLength(), message); err != nil {
 		return MachineStatus{}, err
 	}
-	for i := range f.ImagesLength() {
-		m.Images = append(m.Images, string(f.Images(i)))
+	for i := range table.ImagesLength() {
+		m.Images = append(m.Images, string(table.Images(i)))
 	}
 	return m, nil
 }
--- a/internal/peer/status_test.go
+++ b/internal/peer/status_test.go
@@ -16,7 +16,7 @@
 	}}
 }
 
-func TestStatusIsDecodedAsItWasEncoded(t *testing.T) {
+func TestStatusRoundTrip(t *testing.T) {
 	status := sampleStatus()
 	got, err := DecodeStatus(status.Encode())
 	if err != nil || !reflect.DeepEqual(got, status) {
@@ -24,9 +24,9 @@
 	}
 }
 
-// Controllers of 0.2.0 do not tell whether they recover, which reads as that they
-// do not.
-func TestStatusOfVersion020IsDecoded(t *testing.T) {
+// Controllers of version 0.2.0 do not send the field "recovering", which must be decoded as
+// false.
+func TestDecodeStatusFromVersion020(t *testing.T) {
 	text, err := os.ReadFile("testdata/status-0.2.0.hex")
 	if err != nil {
 		t.Fatal(err)
