--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -92,9 +92,9 @@
 	mi.Changed[machine], mi.due[machine], mi.unpublished[machine] = true, true, true
 }
 
-// sweepDue reports whether it is time to look at all machines again, and if so sets
+// fullScanDue reports whether it is time to look at all machines again, and if so sets
 // last to now. A clock that was set back makes it due.
-func sweepDue(last *time.Time, now time.Time) bool {
+func fullScanDue(last *time.Time, now time.Time) bool {
 	if now.Sub(*last) < tuning.FullScanEvery && !now.Before(*last) {
 		return false
 	}
@@ -106,7 +106,7 @@
 // changed for or is due for, and every so often all, for what follows from time alone,
 // such as lease expiry. The lock is held.
 func (mi *MachineIndex) WorkersToScan(now time.Time) (workers map[string]*worker.Worker, all bool) {
-	if sweepDue(&mi.fullScanAt, now) {
+	if fullScanDue(&mi.fullScanAt, now) {
 		return mi.workers.ByMachine, true
 	}
 	return mi.workers.workersOf(mi.due), false
@@ -131,7 +131,7 @@
 		mi.rebuild()
 	}
 	machines := mi.applyChangedMachines()
-	if sweepDue(&mi.schedulableCheckedAt, now) {
+	if fullScanDue(&mi.schedulableCheckedAt, now) {
 		machines = mi.ordered
 	}
 	mi.updateSchedulable(machines, now)
--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -112,7 +112,7 @@
 func (px *PeerExchange) workersToPublish(now time.Time) map[string]*worker.Worker {
 	index := px.machineIndex
 	workers := px.workers.ByMachine
-	if !sweepDue(&index.fullPublishAt, now) {
+	if !fullScanDue(&index.fullPublishAt, now) {
 		workers = px.workers.workersOf(index.unpublished)
 	}
 	clear(index.unpublished)
