--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -1,16 +1,15 @@
-// This file divides the budget of requests to the key-value store between the
-// controllers.
+// This file divides the request budget of the key-value store between the controllers.
 
 package fleet
 
 import "wheatspur/internal/tuning"
 
-// UpdateBudgetShare sets this controller's share of the store's budget. All members
-// have equal parts of the requests. Half of the writes is shared out in equal parts,
-// two of them to the leader, which also stores machines, roles and quota; the other
-// half by the writes that each member has queued, while all of them are known.
-// Guards against most of the budget lying idle at controllers that have little to
-// store. The lock is held.
+// UpdateBudgetShare sets this controller's share of the store's budget. The request rate is
+// divided equally between the members. The write rate is divided into equal parts, of which
+// the leader gets two because it also stores machines, roles and quota. While the queued
+// writes of all members are known, only half of the write rate is divided this way, and the
+// other half in proportion to the queued writes. Equal parts alone would leave most of the
+// budget idle at controllers that have little to store. The lock is held.
 func (px *PeerExchange) UpdateBudgetShare() {
 	members := float64(max(1, len(px.Membership.Nodes)))
 	share := 1 / (members + 1)
@@ -23,8 +22,8 @@
 	px.Limiter.SetRate(px.Limits.RPS*tuning.BudgetShare/members, px.Limits.WriteRPS*tuning.BudgetShare*share)
 }
 
-// totalQueuedWrites adds up the queued writes of all members; known is false if the
-// status of one of them is not recent enough. The lock is held.
+// totalQueuedWrites returns the sum of the queued writes of all members. known is false if any
+// member has no fresh status. The lock is held.
 func (px *PeerExchange) totalQueuedWrites() (total float64, known bool) {
 	total = px.QueuedWrites
 	for _, node := range px.Membership.Nodes {
--- a/internal/fleet/claimtotals.go
+++ b/internal/fleet/claimtotals.go
@@ -2,14 +2,14 @@
 
 import "wheatspur/internal/quota"
 
-// machineClaims is what the claims on one machine take, by team.
+// machineClaims holds the resources that are claimed on one machine, by team.
 type machineClaims struct {
-	owner string // of the machine
+	owner string // owner of the machine
 	teams map[string]quota.Amount
 }
 
-// ClaimedByNode is what the claims take by owner of their machines and by team. The
-// lock is held, and the result is valid for as long.
+// ClaimedByNode returns the resources that are claimed, by owner of the machines and by team.
+// The lock is held, and the result is valid only while it is.
 func (mi *MachineIndex) ClaimedByNode() quota.ClaimedByNode {
 	for machine := range mi.Changed {
 		mi.refreshClaimTotals(machine)
@@ -17,8 +17,7 @@
 	return mi.claimedTotals
 }
 
-// refreshClaimTotals brings what a machine adds to claimedTotals up to date. The lock
-// is held.
+// refreshClaimTotals updates a machine's contribution to claimedTotals. The lock is held.
 func (mi *MachineIndex) refreshClaimTotals(machine string) {
 	mi.subtractClaims(machine)
 	if claimed := mi.Table.ClaimsByMachine[machine]; len(claimed) > 0 {
@@ -30,8 +29,7 @@
 	}
 }
 
-// subtractClaims takes what stands for a machine out of claimedTotals. The lock is
-// held.
+// subtractClaims removes a machine's contribution from claimedTotals. The lock is held.
 func (mi *MachineIndex) subtractClaims(machine string) {
 	claims, ok := mi.claims[machine]
 	if !ok {
@@ -44,7 +42,7 @@
 	delete(mi.claims, machine)
 }
 
-// addClaims adds what is claimed on a machine to claimedTotals. The lock is held.
+// addClaims adds the claims on a machine to claimedTotals. The lock is held.
 func (mi *MachineIndex) addClaims(machine string, claims machineClaims) {
 	mi.claims[machine] = claims
 	totals := mi.claimedTotals[claims.owner]
