--- a/internal/fleet/directcalls.go
+++ b/internal/fleet/directcalls.go
@@ -1,5 +1,5 @@
-// This file holds the direct calls to workers: what a worker should not wait for
-// its next heartbeat for.
+// This file holds the direct calls to workers, for commands that should not wait for the
+// worker's next heartbeat.
 
 package fleet
 
@@ -14,23 +14,23 @@
 	"wheatspur/wire"
 )
 
-// startRepeatPause is how long a start that went with the answer to a heartbeat is
-// not sent directly, too: by then the next heartbeat, which comes up to a quarter of
-// an interval late, has shown what came of it.
-func (wm *WorkerManager) startRepeatPause() time.Duration {
+// startResendDelay is how long a start that was sent in the response to a heartbeat is not
+// also sent in a direct call. The next heartbeat, which is up to a quarter of an interval
+// late, shows the effect of the start by then.
+func (wm *WorkerManager) startResendDelay() time.Duration {
 	return wm.Settings.HeartbeatInterval() * 3 / 2
 }
 
-// heartbeatOverdue is how long after the last message of a worker its next heartbeat
-// is overdue: they come up to a quarter of an interval late.
-func (wm *WorkerManager) heartbeatOverdue() time.Duration {
+// heartbeatOverdueAfter is how long after a worker's last message its next heartbeat is
+// overdue. Heartbeats are up to a quarter of an interval late.
+func (wm *WorkerManager) heartbeatOverdueAfter() time.Duration {
 	return wm.Settings.HeartbeatInterval() * 5 / 4
 }
 
-// sendDirectCommands calls a worker, if there are starts or kills that should not
-// wait for its next heartbeat, or if its acknowledgement of the fencing token is
-// wanted. Without a free slot it does nothing: the answer to the next heartbeat then
-// carries the commands. The lock is held.
+// sendDirectCommands calls a worker if there are starts or kills that should not wait for its
+// next heartbeat, or if the worker should acknowledge the fencing token. If no call slot is
+// free, it does nothing, and the commands are sent in the response to the next heartbeat. The
+// lock is held.
 func (wm *WorkerManager) sendDirectCommands(w *worker.Worker, now time.Time) {
 	if !wm.needsCall(w) || !wm.canCall(w) {
 		return
@@ -45,21 +45,21 @@
 	}
 }
 
-// needsCall reports whether there may be anything to send to a worker or to ask of
-// it. The lock is held.
+// needsCall reports whether there may be commands to send to a worker, or another reason to
+// call it. The lock is held.
 func (wm *WorkerManager) needsCall(w *worker.Worker) bool {
-	return !w.NoPendingCommands || w.State != worker.TokenAcknowledged || w.Unresponsive || wm.isTokenUnseen(w)
+	return !w.NoPendingCommands || w.State != worker.TokenAcknowledged || w.Unresponsive || wm.isRaisedTokenUnacknowledged(w)
 }
 
-// isTokenUnseen reports whether a worker has yet to acknowledge a fencing token that
-// was raised above the membership's for it alone. The lock is held.
-func (wm *WorkerManager) isTokenUnseen(w *worker.Worker) bool {
+// isRaisedTokenUnacknowledged reports whether a worker has yet to acknowledge a fencing token
+// that was raised above the membership's token for this worker only. The lock is held.
+func (wm *WorkerManager) isRaisedTokenUnacknowledged(w *worker.Worker) bool {
 	return w.FencingToken > max(w.AcknowledgedToken, wm.Membership.FencingToken)
 }
 
-// canCall reports whether a worker may be called now. While this controller recovers
-// it may not once the slots for starts are taken. Guards against starts that use up
-// the rate of starts and then can't go. The lock is held.
+// canCall reports whether a worker may be called now. During recovery it may not be called
+// once the call slots for starts are in use. Otherwise starts would be charged to the rate
+// limit for starts and then not be sent. The lock is held.
 func (wm *WorkerManager) canCall(w *worker.Worker) bool {
 	if w.CallInFlight || w.Address == "" || w.State == worker.LeaseExpired || !wm.HasStore() {
 		return false
@@ -67,8 +67,9 @@
 	return wm.recovery.Progress.Done() || len(wm.CallSlots) < wm.startSlotLimit()
 }
 
-// directCommands returns the commands that are due for a worker and may go by a
-// direct call now, and notes whether any are left for later. The lock is held.
+// directCommands returns the commands for a worker that may be sent in a direct call now. It
+// also updates w.NoPendingCommands, which stays false while such commands are due or starts
+// are postponed. The lock is held.
 func (wm *WorkerManager) directCommands(w *worker.Worker, silent bool, now time.Time) []wire.Command {
 	if w.NoPendingCommands || w.Incarnation == 0 {
 		return nil
@@ -78,13 +79,13 @@
 		AllowStarts:        wm.mayStartOn(w.Machine) && !silent,
 		Now:                now,
 		ResendAfterCall:    wm.Settings.HeartbeatInterval(),
-		RestartAfterAnswer: wm.startRepeatPause(),
+		RestartAfterAnswer: wm.startResendDelay(),
 		AdmitStart:         wm.recovery.admitStart,
 	})
 	w.NoPendingCommands = !postponed
 	var commands []wire.Command
 	for _, command := range due {
-		if !mayGoDirectly(command, silent) {
+		if !canSendDirectly(command, silent) {
 			continue
 		}
 		w.NoPendingCommands = false
@@ -95,35 +96,34 @@
 	return commands
 }
 
-// mayGoDirectly reports whether a command may go by a direct call. A reap never may:
-// see worker.Worker.Commands. A silent machine gets kills only: it may only be unable
-// to reach us, and run what was cancelled.
-func mayGoDirectly(command wire.Command, silent bool) bool {
+// canSendDirectly reports whether a command may be sent in a direct call. Reaps are never sent
+// this way; see worker.Worker.Commands. A silent machine is sent kills only: it may merely be
+// unable to reach this controller and still run cancelled tasks.
+func canSendDirectly(command wire.Command, silent bool) bool {
 	return command.Verb == wire.VerbKill || command.Verb != wire.VerbReap && !silent
 }
 
-// wantsAcknowledgement reports whether a worker is called although there is no
-// command for it, so that it acknowledges the fencing token, or shows that it hears
-// calls. The lock is held.
+// wantsAcknowledgement reports whether a worker is called even without commands, so that it
+// acknowledges the fencing token or shows that it receives calls. The lock is held.
 func (wm *WorkerManager) wantsAcknowledgement(w *worker.Worker, now time.Time) bool {
 	if now.Sub(w.LastCall) < tuning.TokenAnnouncePause {
 		return false
 	}
 	switch {
-	case w.State == worker.TokenUnacknowledged && now.Sub(w.LastHeard) > wm.heartbeatOverdue() && now.Sub(wm.MembershipChangedAt) > tuning.MembershipSettle:
+	case w.State == worker.TokenUnacknowledged && now.Sub(w.LastHeard) > wm.heartbeatOverdueAfter() && now.Sub(wm.MembershipChangedAt) > tuning.MembershipSettle:
 		return true
 	case w.Unresponsive && now.Sub(w.LastCall) > tuning.UnresponsivePause:
 		return true
 	}
-	// The sooner a worker acknowledges a raised token, the sooner the starts under
-	// lower ones are void.
-	return w.State == worker.TokenAcknowledged && wm.isTokenUnseen(w)
+	// The call speeds up the acknowledgement of the raised token, which voids all starts with
+	// lower tokens.
+	return w.State == worker.TokenAcknowledged && wm.isRaisedTokenUnacknowledged(w)
 }
 
-// callSlotLimit is how many of the slots for direct calls may be taken before a call
-// with these commands goes: kills may take the last one, starts leave some to kills,
-// and calls that only ask leave half to both, since each call to a machine that hangs
-// holds its slot for tuning.WorkerCallTimeout.
+// callSlotLimit returns how many call slots may be in use at most, including the slot of a
+// call with these commands. Kills may use the last slot, starts leave a quarter of the slots
+// to kills, and calls without commands or to silent machines leave half of the slots to both,
+// because each call to a machine that hangs occupies its slot for tuning.WorkerCallTimeout.
 func (wm *WorkerManager) callSlotLimit(commands []wire.Command, silent bool) int {
 	switch {
 	case len(commands) == 0, silent:
@@ -134,30 +134,30 @@
 	return cap(wm.CallSlots)
 }
 
-// startSlotLimit is how many of the slots for direct calls may be taken before a call
-// that holds starts goes.
+// startSlotLimit returns how many call slots may be in use at most, including the slot of a
+// call with starts and no kills.
 func (wm *WorkerManager) startSlotLimit() int { return cap(wm.CallSlots) * 3 / 4 }
 
-// startCall notes what a direct call to a worker sends, and makes the call in a
-// goroutine of its own. There are at most as many as slots, and each ends within the
-// client's timeout. A clean stop waits until all slots are free; nothing else waits
-// for them, since a worker that hangs would hold up the end of the process. The lock
-// is held.
+// startCall records the commands of a direct call to a worker and makes the call in a new
+// goroutine. The number of these goroutines is bounded by the number of call slots, and each
+// ends within the client's timeout. A graceful shutdown waits until all slots are free.
+// Nothing else waits for the goroutines, since a worker that hangs would delay the exit of the
+// process. The lock is held.
 func (wm *WorkerManager) startCall(w *worker.Worker, commands []wire.Command, now time.Time) {
-	wm.CallSlots <- struct{}{} // does not wait: filled with the lock held only, after a look at how many are taken
+	wm.CallSlots <- struct{}{} // never blocks: slots are taken with the lock held only, after a check that one is free
 	wm.recordSentCommands(w, commands, now)
 	starts := worker.StartedAttempts(commands)
 	w.FencingToken = max(w.FencingToken, wm.Membership.FencingToken)
 	w.StartsSent(starts, w.FencingToken)
 	w.LastCall, w.CallInFlight = now, true
 	if commands == nil {
-		commands = []wire.Command{} // an empty list on the wire, not null
+		commands = []wire.Command{} // encoded as an empty list, not as null
 	}
 	go wm.callWorker(w, w.Address, wire.CommandRequest{FencingToken: w.FencingToken, Incarnation: max(w.Incarnation, 1), Commands: commands}, starts)
 }
 
-// recordSentCommands notes when direct commands went, and forgets those sent long
-// ago. The lock is held.
+// recordSentCommands records when direct commands were sent, and drops records that are too
+// old to matter. The lock is held.
 func (wm *WorkerManager) recordSentCommands(w *worker.Worker, commands []wire.Command, now time.Time) {
 	for key, sentAt := range w.SentCommands {
 		if now.Sub(sentAt) > tuning.SentCommandHeartbeats*wm.Settings.HeartbeatInterval() {
@@ -169,21 +169,21 @@
 	}
 }
 
-// callWorker makes a direct call, enters what came of it, and then frees the slot. It
-// takes the lock.
+// callWorker makes a direct call, records its outcome, and then frees the call slot. It takes
+// the lock.
 func (wm *WorkerManager) callWorker(w *worker.Worker, address string, request wire.CommandRequest, starts []worker.Attempt) {
 	defer func() { <-wm.CallSlots }()
 	_, heartbeat, err := wm.Client.SendCommands(address, request)
 	wm.finishCall(w, request, starts, heartbeat, err)
 }
 
-// finishCall enters the outcome of a direct call. It takes the lock.
+// finishCall records the outcome of a direct call. It takes the lock.
 func (wm *WorkerManager) finishCall(w *worker.Worker, request wire.CommandRequest, starts []worker.Attempt, heartbeat *wire.Heartbeat, err error) {
 	wm.Lock()
 	defer wm.Unlock()
 	w.CallInFlight = false
 	if err != nil {
-		// The starts may yet be carried out: they stay pending.
+		// The worker may still execute the starts, so they stay pending.
 		wm.Log.Debug(logging.EventDirectCommandFailed, logging.KeyMachine, w.Machine, logging.KeyError, err)
 		return
 	}
@@ -195,14 +195,14 @@
 	cluster.Wake(wm.PassWake)
 }
 
-// fencePendingStarts makes void what may yet start tasks of cancelled jobs on a
-// machine: a start whose call was not answered may be delayed in the network, or by a
-// machine that hangs. The machine's fencing token is raised, which costs nobody else
-// anything; once its worker acknowledges it, the start is void and its claim is
-// released. The lock is held.
+// fencePendingStarts fences off starts that may still launch tasks of cancelled jobs on a
+// machine: a start whose call got no response may be delayed in the network or by a machine
+// that hangs. It raises the fencing token of this machine, which affects no other machine.
+// Once the worker acknowledges the raised token, the start is void and its claim is released.
+// The lock is held.
 func (wm *WorkerManager) fencePendingStarts(w *worker.Worker) {
 	if w.CallInFlight {
-		return // its answer may come yet
+		return // the response may still arrive
 	}
 	for _, attempt := range w.ClaimsBlockedByStarts(wm.Table.ClaimsByMachine[w.Machine]) {
 		if w.FencePendingStarts(wm.Membership.LastToken()) {
