--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,14 +1,14 @@
-// Package fleet holds what a controller knows of the machines and their workers at run
-// time: heartbeats and direct commands, the exchange with sibling controllers, the
-// index of machines that placement starts from, and recovery after a start. Stored
-// machine records are package inventory's, decisions about one worker package
-// worker's, and which tasks go where package placement's.
+// Package fleet holds what a controller knows about machines and their workers at run time:
+// heartbeats and direct commands, the exchange of status with sibling controllers, the index
+// of machines that placement uses, and recovery after a start. Package inventory holds the
+// stored machine records, package worker decides about a single worker, and package placement
+// decides where tasks run.
 package fleet
 
 import "wheatspur/internal/cluster"
 
-// Fleet is what a controller knows of the machines and their workers: by their
-// heartbeats, from its siblings and from the store. Its components never change.
+// Fleet holds the components that track machines and workers by heartbeats, by the siblings'
+// status and by the store. Its fields never change.
 type Fleet struct {
 	Workers      *WorkerManager
 	Peers        *PeerExchange
@@ -16,7 +16,7 @@
 	Recovery     *RecoveryTracker
 }
 
-// New builds the components and connects them.
+// New creates the components and connects them to each other.
 func New(state *cluster.State, client WorkerClient) *Fleet {
 	workers := newWorkerManager(state, client)
 	peers := newPeerExchange(state)
@@ -29,8 +29,8 @@
 	return &Fleet{Workers: workers, Peers: peers, MachineIndex: index, Recovery: tracker}
 }
 
-// MarkChanged notes that the claims on a machine, or their jobs, have changed. The
-// lock is held.
+// MarkChanged records that the claims on a machine, or the jobs of these claims, have changed.
+// The lock is held.
 func (f *Fleet) MarkChanged(machine string) {
 	f.MachineIndex.MarkChanged(machine)
 	if w := f.Workers.ByMachine[machine]; w != nil {
