--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -13,10 +13,10 @@
 	"wheatspur/wire"
 )
 
-// MachineIndex is the view of all machines that scheduling passes, capacity plans and
-// role decisions start from, and the sums of the claims on them. It is kept from one
-// to the next: only the machines that something has changed on are applied again.
-// With thousands of machines, applying all of them took most of a pass.
+// MachineIndex is the view of all machines that scheduling passes, capacity plans and role
+// decisions use, with the totals of the claims on the machines. It is updated incrementally:
+// only machines with changes are applied again. With thousands of machines, applying all of
+// them took most of a scheduling pass.
 type MachineIndex struct {
 	*cluster.State
 	workers *WorkerManager
@@ -25,26 +25,26 @@
 	Fleet                *placement.Fleet           // nil until the first refresh
 	ordered              []*indexedMachine          // in the order of Fleet.Machines
 	machines             map[string]*indexedMachine // by name
-	Rebuild              bool                       // Fleet does not hold the machines that are stored now
-	changedRecords       map[string]bool            // machines whose records have changed
-	Changed              map[string]bool            // machines whose claims, worker or owner's status has changed
-	due                  map[string]bool            // machines of this controller that the next pass looks at
-	fullScanAt           time.Time                  // when a pass last looked at all of them
-	schedulableCheckedAt time.Time                  // when it was last determined for all machines whether they are schedulable
+	Rebuild              bool                       // Fleet does not match the stored machines
+	changedRecords       map[string]bool            // machines whose stored records have changed
+	Changed              map[string]bool            // machines whose claims, worker or status from their owner has changed
+	pendingScan          map[string]bool            // machines of this controller that the next pass scans
+	fullScanAt           time.Time                  // when a pass last scanned all workers
+	schedulableCheckedAt time.Time                  // when updateSchedulable was last applied to all machines
 	Terminated           map[string]bool            // machines that are stored as terminated
-	unpublished          map[string]bool            // machines that may differ from what siblings were sent
-	fullPublishAt        time.Time                  // when all machines were last compared with that
+	unpublished          map[string]bool            // machines whose status may differ from the one that siblings were sent
+	fullPublishAt        time.Time                  // when the status of all machines was last compared with the one that siblings were sent
 
-	claims        map[string]machineClaims // what each machine has added to claimedTotals
-	claimedTotals quota.ClaimedByNode      // what the claims take, by owner and team
+	claims        map[string]machineClaims // contribution of each machine to claimedTotals
+	claimedTotals quota.ClaimedByNode      // claimed resources by owner and team
 }
 
-// indexedMachine is one machine, and what it depends on whether it is schedulable.
+// indexedMachine is a machine of the index, with the conditions on which it is schedulable.
 type indexedMachine struct {
 	*placement.Machine
-	worker        *worker.Worker // nil: another controller's machine, or never heard
-	inService     bool           // its record lets it take tasks
-	usableByOwner bool           // another controller's machine, which lets it take tasks
+	worker             *worker.Worker // nil if another controller owns the machine, or if its worker is not known
+	active             bool           // the stored record is in phase Active
+	schedulableByOwner bool           // for another controller's machine: its owner reports that it can take tasks
 }
 
 func newMachineIndex(state *cluster.State) *MachineIndex {
@@ -53,7 +53,7 @@
 	return mi
 }
 
-// clear empties the index.
+// clear empties the index and keeps its links to the other components.
 func (mi *MachineIndex) clear() {
 	*mi = MachineIndex{
 		State:          mi.State,
@@ -62,7 +62,7 @@
 		machines:       map[string]*indexedMachine{},
 		changedRecords: map[string]bool{},
 		Changed:        map[string]bool{},
-		due:            map[string]bool{},
+		pendingScan:    map[string]bool{},
 		Terminated:     map[string]bool{},
 		unpublished:    map[string]bool{},
 		claims:         map[string]machineClaims{},
@@ -70,8 +70,8 @@
 	}
 }
 
-// Reset empties the index and marks everything as changed, since the machines have
-// other owners. The lock is held.
+// Reset empties the index and marks all machines as changed, because their owners have
+// changed. The lock is held.
 func (mi *MachineIndex) Reset() {
 	mi.clear()
 	for machine := range mi.Table.ClaimsByMachine {
@@ -82,18 +82,17 @@
 	}
 }
 
-// MarkRecordChanged notes that the stored record of a machine has changed. The lock is
-// held.
+// MarkRecordChanged records that the stored record of a machine has changed. The lock is held.
 func (mi *MachineIndex) MarkRecordChanged(machine string) { mi.changedRecords[machine] = true }
 
-// MarkChanged notes that the claims on a machine have changed, or what is known of its
-// worker. The lock is held.
+// MarkChanged records that the claims on a machine, or what is known about its worker, have
+// changed. The lock is held.
 func (mi *MachineIndex) MarkChanged(machine string) {
-	mi.Changed[machine], mi.due[machine], mi.unpublished[machine] = true, true, true
+	mi.Changed[machine], mi.pendingScan[machine], mi.unpublished[machine] = true, true, true
 }
 
-// fullScanDue reports whether it is time to look at all machines again, and if so sets
-// last to now. A clock that was set back makes it due.
+// fullScanDue reports whether a full scan of the machines is due, and if so sets last to now.
+// A scan is also due if the clock was set back.
 func fullScanDue(last *time.Time, now time.Time) bool {
 	if now.Sub(*last) < tuning.FullScanEvery && !now.Before(*last) {
 		return false
@@ -102,29 +101,28 @@
 	return true
 }
 
-// WorkersToScan returns the workers that a pass looks at: those that something has
-// changed for or is due for, and every so often all, for what follows from time alone,
-// such as lease expiry. The lock is held.
+// WorkersToScan returns the workers that a pass scans: those of machines with changes or
+// pending work, and periodically all of them, for conditions that depend on time alone, such
+// as the expiry of a lease. The lock is held.
 func (mi *MachineIndex) WorkersToScan(now time.Time) (workers map[string]*worker.Worker, all bool) {
 	if fullScanDue(&mi.fullScanAt, now) {
 		return mi.workers.ByMachine, true
 	}
-	return mi.workers.workersOf(mi.due), false
+	return mi.workers.workersOf(mi.pendingScan), false
 }
 
-// RemoveQuiescent takes the machines that nothing is due for out of those that the
-// next pass looks at. The lock is held.
+// RemoveQuiescent removes machines without pending work from those that the next pass scans.
+// The lock is held.
 func (mi *MachineIndex) RemoveQuiescent() {
-	for machine := range mi.due {
+	for machine := range mi.pendingScan {
 		if w := mi.workers.ByMachine[machine]; w == nil || w.Quiescent() {
-			delete(mi.due, machine)
+			delete(mi.pendingScan, machine)
 		}
 	}
 }
 
-// RefreshMachines brings the view of the machines up to date and returns it, without
-// what a former pass has placed. The lock is held, and the result is valid for as
-// long.
+// RefreshMachines updates the view of the machines and returns it, without the placements of
+// an earlier pass. The lock is held, and the result is valid only while it is.
 func (mi *MachineIndex) RefreshMachines(now time.Time) *placement.Fleet {
 	mi.ApplyRecordChanges()
 	if mi.Fleet == nil || mi.Rebuild {
@@ -139,34 +137,34 @@
 	return mi.Fleet
 }
 
-// updateSchedulable determines which of the machines take new tasks. The lock is held.
+// updateSchedulable determines which of the machines accept new tasks. The lock is held.
 func (mi *MachineIndex) updateSchedulable(machines []*indexedMachine, now time.Time) {
-	current := map[string]bool{} // owners whose view of their machines holds for this membership
+	freshOwners := map[string]bool{} // owners with a fresh status and a machine view of the current membership
 	for label, sibling := range mi.peers.Siblings {
-		current[label] = mi.peers.IsFresh(sibling) && sibling.MachinesVersion.FencingToken == mi.Membership.FencingToken
+		freshOwners[label] = mi.peers.IsFresh(sibling) && sibling.MachinesVersion.FencingToken == mi.Membership.FencingToken
 	}
-	silent := mi.SilenceTimeout()
+	silenceTimeout := mi.SilenceTimeout()
 	for _, m := range machines {
 		if m.Owner == mi.Self.Label {
-			m.SetSchedulable(m.inService && mi.isSchedulable(m.worker, now, silent))
+			m.SetSchedulable(m.active && mi.isSchedulable(m.worker, now, silenceTimeout))
 		} else {
-			m.SetSchedulable(m.inService && m.usableByOwner && current[m.Owner])
+			m.SetSchedulable(m.active && m.schedulableByOwner && freshOwners[m.Owner])
 		}
 	}
 }
 
-// isSchedulable reports whether the worker of one of this controller's machines may be
-// given new tasks: only one that has acknowledged our token, which guards against a
-// late copy of a heartbeat of a machine that is gone. And only one whose heartbeats
-// come: one that answers calls and can't send heartbeats ends when its lease expires.
-// The lock is held.
-func (mi *MachineIndex) isSchedulable(w *worker.Worker, now time.Time, silent time.Duration) bool {
-	return w != nil && w.State == worker.TokenAcknowledged && now.Sub(w.LastHeard) < silent && now.Sub(w.LeaseRenewedAt()) < silent &&
+// isSchedulable reports whether the worker of one of this controller's machines may be given
+// new tasks. The worker must have acknowledged the current token, because a late copy of a
+// heartbeat may be from a machine that is gone. It must also still send heartbeats, because a
+// worker that answers calls but can't send heartbeats ends when its lease expires. The lock is
+// held.
+func (mi *MachineIndex) isSchedulable(w *worker.Worker, now time.Time, silenceTimeout time.Duration) bool {
+	return w != nil && w.State == worker.TokenAcknowledged && now.Sub(w.LastHeard) < silenceTimeout && now.Sub(w.LeaseRenewedAt()) < silenceTimeout &&
 		w.TerminationAt.IsZero() && !mi.workers.isQuarantined(w, now)
 }
 
-// ApplyRecordChanges looks at the machine records that have changed: most of them only
-// in their phase, for which the index need not be rebuilt. The lock is held.
+// ApplyRecordChanges processes the changed machine records. Most of them have changed in their
+// phase only, which does not require rebuilding the index. The lock is held.
 func (mi *MachineIndex) ApplyRecordChanges() {
 	for machine := range mi.changedRecords {
 		record, stored := mi.Inventory.Machines[machine]
@@ -184,8 +182,8 @@
 	clear(mi.changedRecords)
 }
 
-// emptyMachine is a machine as placement takes it, without any tasks. The lock is
-// held.
+// emptyMachine returns a machine in the form that placement uses, without any tasks. The lock
+// is held.
 func (mi *MachineIndex) emptyMachine(machine string, record inventory.Record) *placement.Machine {
 	machineType := mi.MachineTypes[record.MachineType]
 	return &placement.Machine{
@@ -200,17 +198,17 @@
 	}
 }
 
-// rebuild builds Fleet of the machines that are stored, and keeps those that are what
-// they were. The lock is held.
+// rebuild builds Fleet from the stored machines, and reuses the entries of machines that have
+// not changed. The lock is held.
 func (mi *MachineIndex) rebuild() {
 	if mi.Fleet != nil {
-		mi.Fleet.Rollback() // the machines that are kept hold what the last pass placed
+		mi.Fleet.Rollback() // reused machines still hold the placements of the last pass
 	}
-	kept := mi.machines
+	previous := mi.machines
 	mi.machines = make(map[string]*indexedMachine, len(mi.Inventory.Machines))
 	machines := make([]*placement.Machine, 0, len(mi.Inventory.Machines))
 	for machine, record := range mi.Inventory.Machines {
-		next, indexed := mi.emptyMachine(machine, record), kept[machine]
+		next, indexed := mi.emptyMachine(machine, record), previous[machine]
 		if indexed == nil || !sameMachine(indexed.Machine, next) {
 			indexed = &indexedMachine{Machine: next}
 			mi.MarkChanged(machine)
@@ -226,15 +224,15 @@
 	mi.Rebuild = false
 }
 
-// sameMachine reports whether a and b are the same machine in the same place, leaving
-// aside what runs on it.
+// sameMachine reports whether two machines have the same properties, ignoring the tasks on
+// them.
 func sameMachine(a, b *placement.Machine) bool {
 	return a.Type == b.Type && a.Zone == b.Zone && a.Spot == b.Spot && a.Role == b.Role && a.Owner == b.Owner &&
 		a.FetchGBPerS == b.FetchGBPerS && a.Total == b.Total
 }
 
-// applyChangedMachines applies the machines that something has changed on, and returns
-// those of them that are indexed. The lock is held.
+// applyChangedMachines applies the machines with changes, and returns those of them that are
+// in the index. The lock is held.
 func (mi *MachineIndex) applyChangedMachines() []*indexedMachine {
 	var applied []*indexedMachine
 	for machine := range mi.Changed {
@@ -248,19 +246,19 @@
 	return applied
 }
 
-// applyMachine enters what its owner knows of a machine, and the claims on it. The
-// lock is held.
+// applyMachine updates a machine from its record, from its owner's view and from the claims on
+// it. The lock is held.
 func (mi *MachineIndex) applyMachine(m *indexedMachine) {
-	m.inService = mi.Inventory.Machines[m.Name].Phase == inventory.Active
-	mi.applyOwnersView(m)
+	m.active = mi.Inventory.Machines[m.Name].Phase == inventory.Active
+	mi.applyOwnerView(m)
 	mi.applyClaims(m)
 	m.Snapshot()
 }
 
-// applyOwnersView enters what the owner of a machine knows of its worker. The lock is
+// applyOwnerView updates a machine from what its owner knows about its worker. The lock is
 // held.
-func (mi *MachineIndex) applyOwnersView(m *indexedMachine) {
-	m.worker, m.usableByOwner, m.Incarnation, m.Images = nil, false, 0, nil
+func (mi *MachineIndex) applyOwnerView(m *indexedMachine) {
+	m.worker, m.schedulableByOwner, m.Incarnation, m.Images = nil, false, 0, nil
 	if m.Owner == mi.Self.Label {
 		if m.worker = mi.workers.ByMachine[m.Name]; m.worker != nil {
 			m.Incarnation, m.Images = m.worker.Incarnation, m.worker.Images
@@ -273,16 +271,16 @@
 	}
 	if status, known := sibling.Machines[m.Name]; known {
 		m.Incarnation, m.Images = status.Incarnation, status.Images
-		m.usableByOwner = status.TokenAcknowledged && !status.Silent && status.TerminationNotice < 0 && !status.Quarantined
+		m.schedulableByOwner = status.TokenAcknowledged && !status.Silent && status.TerminationNotice < 0 && !status.Quarantined
 	}
 }
 
-// applyClaims enters the claims on a machine, and the resources that they leave. The
-// lock is held.
+// applyClaims updates the tasks of a machine from the claims on it, and the resources that
+// they leave free. The lock is held.
 func (mi *MachineIndex) applyClaims(m *indexedMachine) {
 	m.Free, m.Freeing = m.Total.Sub(mi.Table.ResourcesByMachine[m.Name]), jobs.Resources{}
 	m.Tasks = m.Tasks[:0]
-	w := mi.workers.ByMachine[m.Name] // whoever owns the machine, unlike m.worker
+	w := mi.workers.ByMachine[m.Name] // also set if another controller owns the machine, unlike m.worker
 	for id, job := range mi.Table.ClaimsByMachine[m.Name] {
 		stopping := job.Phase != jobs.Open || w != nil && w.IsLeaving(id)
 		task := placement.ClaimedTask{ID: id, Job: job, Stopping: stopping}
@@ -296,8 +294,8 @@
 	}
 }
 
-// ApplyMachineTypes enters the machine types; without a record the known ones stay. The lock
-// is held.
+// ApplyMachineTypes replaces the machine types by those of the stored record. Without a
+// record, the known types stay. The lock is held.
 func (mi *MachineIndex) ApplyMachineTypes(value wire.Raw) error {
 	if value == nil {
 		return nil
