--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -1,5 +1,5 @@
-// This file holds the exchange with the sibling controllers: their statuses and
-// machines, and what they attest about cancellations.
+// This file holds the exchange of status with the sibling controllers: what they know about
+// their machines, and what they attest about cancellations.
 
 package fleet
 
@@ -18,35 +18,35 @@
 	"wheatspur/internal/tuning"
 )
 
-// Sibling is what is known of another controller.
+// Sibling is what is known about another controller.
 type Sibling struct {
-	Settings            config.Sibling                // never changes, like Client; neither needs the lock
-	Client              *peer.Client                  // of its peer server
-	Status              peer.Status                   // the newest, without machines
-	receivedAt          time.Time                     // when that arrived; zero before the first
-	MachinesVersion     peer.MachinesVersion          // of its view of its machines, as Machines holds it
-	machinesConfirmedAt time.Time                     // when that was last confirmed
+	Settings            config.Sibling                // immutable, like Client; neither needs the lock
+	Client              *peer.Client                  // client for its peer server
+	Status              peer.Status                   // its newest status, without machines
+	receivedAt          time.Time                     // when Status arrived; zero before the first status
+	MachinesVersion     peer.MachinesVersion          // version of its machines that Machines holds
+	machinesConfirmedAt time.Time                     // when the sibling last confirmed Machines
 	Machines            map[string]peer.MachineStatus // its machines, by name
 	Attestation         membership.Attestation        // what it attests about cancellations
 }
 
-// PeerExchange is what this controller and its siblings tell each other. But for the
-// attestations about cancellations, which let this controller renew leases while it
-// can't read the store, it is advice about liveness.
+// PeerExchange exchanges status between this controller and its siblings. The siblings' status
+// is only a hint about liveness, except for the attestations about cancellations, which allow
+// this controller to renew leases while it can't read the store.
 type PeerExchange struct {
 	*cluster.State
 	workers      *WorkerManager
 	machineIndex *MachineIndex
 	recovery     *RecoveryTracker
 
-	Siblings          map[string]*Sibling          // by label; the map never changes, so that reading it does not need the lock
-	PublishedMachines map[string]*publishedMachine // what siblings are sent about this controller's machines
-	publishedVersion  uint64                       // number of the last change of PublishedMachines
-	PublishedAt       time.Time                    // when PublishedMachines was last brought up to date
-	// OnSilent is called when the owner of a machine says that the machine is silent,
-	// and was last heard at heardAt. It is set when the controller is built, and called with the lock held.
+	Siblings          map[string]*Sibling          // by label; the map is immutable, and reading it does not need the lock
+	PublishedMachines map[string]*publishedMachine // what siblings are sent about this controller's machines, by name
+	publishedVersion  uint64                       // incremented with every change of PublishedMachines
+	PublishedAt       time.Time                    // when PublishedMachines was last updated
+	// OnSilent is called with the lock held when the owner of a machine reports that the
+	// machine is silent and was last heard at heardAt. It is set when the controller is built.
 	OnSilent      func(machine string, heardAt time.Time)
-	attestedUntil time.Time // up to when every cancellation is known here because all siblings attest it
+	attestedUntil time.Time // all siblings attest that every cancellation up to this time is known here
 }
 
 func newPeerExchange(state *cluster.State) *PeerExchange {
@@ -57,15 +57,14 @@
 	return px
 }
 
-// IsFresh reports whether a sibling's status is recent enough to be believed. The lock
-// is held.
+// IsFresh reports whether a sibling's status is recent enough to be used. The lock is held.
 func (px *PeerExchange) IsFresh(s *Sibling) bool {
 	return !s.receivedAt.IsZero() && px.Now().Sub(s.receivedAt) < tuning.PeerFresh
 }
 
-// statusOf returns the status of a member, nil if there is none of this incarnation
-// that is recent enough, or if the member is this controller. The lock is held, and the
-// result is valid for as long.
+// statusOf returns the status of a member. It returns nil if there is no fresh status of this
+// incarnation, or if the member is this controller. The lock is held, and the result is valid
+// only while it is.
 func (px *PeerExchange) statusOf(node membership.Node) *peer.Status {
 	sibling := px.Siblings[node.Label]
 	if sibling == nil || !px.IsFresh(sibling) || sibling.Status.Incarnation != node.Incarnation {
@@ -74,23 +73,22 @@
 	return &sibling.Status
 }
 
-// RunPeerExchange exchanges statuses with one sibling until ctx ends. It takes the
-// lock.
+// RunPeerExchange exchanges status with one sibling until ctx ends. It takes the lock.
 func (px *PeerExchange) RunPeerExchange(ctx context.Context, s *Sibling) error {
 	for ctx.Err() == nil {
-		own := px.statusToSend(s)
-		asked := px.Now()
-		if status, err := s.Client.Exchange(own.Encode(), tuning.PeerTimeout); err == nil {
-			px.ApplyPeerStatus(status, asked)
+		ownStatus := px.statusToSend(s)
+		sentAt := px.Now()
+		if status, err := s.Client.Exchange(ownStatus.Encode(), tuning.PeerTimeout); err == nil {
+			px.ApplyPeerStatus(status, sentAt)
 		}
 		timing.Sleep(ctx, tuning.PeerEvery)
 	}
 	return nil
 }
 
-// statusToSend is this controller's status and the version of the sibling's machines
-// that it knows. Its own machines go with the answer to the sibling's status. It takes
-// the lock.
+// statusToSend returns this controller's status, with the version of the sibling's machines
+// that this controller knows. It does not contain this controller's machines, which are sent
+// in the response to the sibling's status. It takes the lock.
 func (px *PeerExchange) statusToSend(s *Sibling) peer.Status {
 	px.Lock()
 	defer px.Unlock()
@@ -99,7 +97,7 @@
 	return status
 }
 
-// ServeStatus enters a sibling's status, and answers with this controller's. It takes
+// ServeStatus applies a sibling's status and responds with this controller's status. It takes
 // the lock.
 func (px *PeerExchange) ServeStatus(c *fasthttp.RequestCtx) {
 	status, err := peer.DecodeStatus(c.PostBody())
@@ -108,21 +106,22 @@
 		return
 	}
 	px.ApplyPeerStatus(status, time.Time{})
-	own := px.lockAndReadOwnStatus(status.KnownMachines)
-	c.SetBody(own.Encode())
+	ownStatus := px.lockAndReadOwnStatus(status.KnownMachines)
+	c.SetBody(ownStatus.Encode())
 }
 
-// lockAndReadOwnStatus takes the lock for OwnStatus.
+// lockAndReadOwnStatus takes the lock and calls OwnStatus.
 func (px *PeerExchange) lockAndReadOwnStatus(known peer.MachinesVersion) peer.Status {
 	px.Lock()
 	defer px.Unlock()
 	return px.OwnStatus(known)
 }
 
-// ApplyPeerStatus enters a sibling's status. If it answers this controller's own, asked
-// is when that was sent, and it holds the machines that have changed since the version
-// that this controller knows; else asked is zero. It takes the lock.
-func (px *PeerExchange) ApplyPeerStatus(status peer.Status, asked time.Time) {
+// ApplyPeerStatus applies a sibling's status. If the status is the response to this
+// controller's own, sentAt is when that was sent, and the status contains the machines that
+// have changed since the version that this controller knows. Otherwise sentAt is zero. It
+// takes the lock.
+func (px *PeerExchange) ApplyPeerStatus(status peer.Status, sentAt time.Time) {
 	px.Lock()
 	defer px.Unlock()
 	s := px.Siblings[status.Label]
@@ -130,8 +129,8 @@
 		return
 	}
 	now := px.Now()
-	if !asked.IsZero() {
-		px.applyAttestation(s, &status, asked, now)
+	if !sentAt.IsZero() {
+		px.applyAttestation(s, &status, sentAt, now)
 		px.applyPeerMachines(s, &status, now)
 	}
 	status.Machines = nil
@@ -141,9 +140,9 @@
 	}
 }
 
-// applyPeerMachines enters the machines of a sibling that have changed, or all of them
-// in place of those known before. Changes since a version of another membership or
-// incarnation fit nothing that is known here, and are left out. The lock is held.
+// applyPeerMachines applies the changed machines of a sibling, or replaces all of its known
+// machines. Changes since a version of another membership or incarnation can't be applied to
+// the known machines and are ignored. The lock is held.
 func (px *PeerExchange) applyPeerMachines(s *Sibling, status *peer.Status, now time.Time) {
 	version := peer.MachinesVersion{Number: status.MachinesVersion, FencingToken: status.FencingToken, Incarnation: status.Incarnation}
 	if !status.AllMachines && (version.FencingToken != s.MachinesVersion.FencingToken || version.Incarnation != s.MachinesVersion.Incarnation) {
@@ -165,14 +164,14 @@
 	s.MachinesVersion, s.machinesConfirmedAt = version, now
 }
 
-// applyAttestation enters what a sibling attests about cancellations, and how far all
-// of them are known by what all siblings attest. The lock is held.
-func (px *PeerExchange) applyAttestation(s *Sibling, status *peer.Status, asked, now time.Time) {
+// applyAttestation records what a sibling attests about cancellations, and updates the time up
+// to which all cancellations are known by the attestations of all siblings. The lock is held.
+func (px *PeerExchange) applyAttestation(s *Sibling, status *peer.Status, sentAt, now time.Time) {
 	if !status.ReportsCancellations || status.Incarnation == 0 {
 		s.Attestation = membership.Attestation{}
 		return
 	}
-	s.Attestation = s.Attestation.Update(status.Incarnation, status.LastCancellation, asked, now)
+	s.Attestation = s.Attestation.Update(status.Incarnation, status.LastCancellation, sentAt, now)
 	attestations := make([]membership.Attestation, 0, len(px.Siblings))
 	for _, sibling := range px.Siblings {
 		attestations = append(attestations, sibling.Attestation)
@@ -182,18 +181,18 @@
 	}
 }
 
-// CancellationsKnownUntil is the time up to which every cancellation that was confirmed
-// to a user is in the cache: that of the last read of the store, or what the siblings
-// attest. The lock is held.
+// CancellationsKnownUntil returns the time up to which every cancellation that was confirmed
+// to a user is in the cache: the time of the last read of the store or the time that the
+// siblings attest, whichever is later. The lock is held.
 func (px *PeerExchange) CancellationsKnownUntil() time.Time {
-	if read := px.Syncer.LastReadAt(); read.After(px.attestedUntil) {
-		return read
+	if lastRead := px.Syncer.LastReadAt(); lastRead.After(px.attestedUntil) {
+		return lastRead
 	}
 	return px.attestedUntil
 }
 
-// isFencedOut reports whether a sibling that reads the store knows a newer membership,
-// so that this controller should redirect its workers. The lock is held.
+// isFencedOut reports whether a sibling that can read the store knows a newer membership. If
+// so, this controller should redirect its workers. The lock is held.
 func (px *PeerExchange) isFencedOut() bool {
 	if px.Membership == nil {
 		return false
@@ -206,8 +205,8 @@
 	return false
 }
 
-// SiblingHearsWorkers reports whether any sibling hears a machine of its own. The lock
-// is held.
+// SiblingHearsWorkers reports whether any sibling receives messages from one of its machines.
+// The lock is held.
 func (px *PeerExchange) SiblingHearsWorkers() bool {
 	for _, sibling := range px.Siblings {
 		if !px.IsFresh(sibling) {
@@ -222,8 +221,8 @@
 	return false
 }
 
-// LastHeardByOwners is how long ago each machine was heard by its owner, without those
-// that siblings hold to be silent: OnSilent was called for these. The lock is held.
+// LastHeardByOwners returns how long ago the owner of each machine last heard it. Machines
+// that siblings report as silent are omitted: OnSilent was called for these. The lock is held.
 func (px *PeerExchange) LastHeardByOwners(now time.Time) map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	for machine, w := range px.workers.ByMachine {
