--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -1,5 +1,5 @@
-// This file builds the status that siblings are sent, with the machines that have
-// changed since they last got it.
+// This file builds the status that siblings are sent, with the machines that have changed
+// since the version that they know.
 
 package fleet
 
@@ -16,13 +16,14 @@
 // publishedMachine is what siblings are sent about one of this controller's machines.
 type publishedMachine struct {
 	status  peer.MachineStatus
-	version uint64 // of its last change
+	version uint64 // publishedVersion at the last change of status
 }
 
-// noTerminationNotice says that the cloud has not announced to terminate a machine.
+// noTerminationNotice is the TerminationNotice of a machine without a termination notice from
+// the cloud.
 const noTerminationNotice = -1
 
-// OwnStatus is this controller's status, with the machines that have changed since the
+// OwnStatus returns this controller's status, with the machines that have changed since the
 // version that a sibling knows. The lock is held.
 func (px *PeerExchange) OwnStatus(known peer.MachinesVersion) peer.Status {
 	status := px.ownSummary()
@@ -37,8 +38,8 @@
 	return status
 }
 
-// ownSummary is this controller's status without any machines, which it first brings
-// up to date. The lock is held.
+// ownSummary returns this controller's status without machines. It first updates
+// PublishedMachines if that is due. The lock is held.
 func (px *PeerExchange) ownSummary() peer.Status {
 	status := peer.Status{
 		Label:       px.Self.Label,
@@ -60,7 +61,7 @@
 	return status
 }
 
-// refreshPublished brings PublishedMachines up to date. The lock is held.
+// refreshPublished updates PublishedMachines. The lock is held.
 func (px *PeerExchange) refreshPublished(now time.Time) {
 	for machine, w := range px.workersToPublish(now) {
 		if w.LastHeard.IsZero() {
@@ -81,8 +82,8 @@
 	}
 }
 
-// machineStatus is the status of one of this controller's machines, without the time
-// since it was heard; it shares the images with the worker. The lock is held.
+// machineStatus returns the status of one of this controller's machines, without SilentFor.
+// Its Images share memory with the worker's. The lock is held.
 func (px *PeerExchange) machineStatus(w *worker.Worker, machine string, now time.Time) peer.MachineStatus {
 	status := peer.MachineStatus{
 		Name:              machine,
@@ -99,16 +100,15 @@
 	return status
 }
 
-// sameStatus reports whether two statuses of a machine say the same, leaving aside the
-// time since it was heard.
+// sameStatus reports whether two statuses of a machine are equal, ignoring SilentFor.
 func sameStatus(a, b *peer.MachineStatus) bool {
 	return a.Incarnation == b.Incarnation && a.Silent == b.Silent && a.TokenAcknowledged == b.TokenAcknowledged &&
 		a.TerminationNotice == b.TerminationNotice && a.Quarantined == b.Quarantined && slices.Equal(a.Images, b.Images)
 }
 
-// workersToPublish returns the workers whose machines may differ from what siblings
-// were sent: those that something has changed for, and every so often all, for those
-// that have fallen silent. The lock is held.
+// workersToPublish returns the workers of machines whose status may differ from the one that
+// siblings were sent: machines with changes, and periodically all of them, to include those
+// that have become silent. The lock is held.
 func (px *PeerExchange) workersToPublish(now time.Time) map[string]*worker.Worker {
 	index := px.machineIndex
 	workers := px.workers.ByMachine
