--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -1,5 +1,5 @@
-// This file carries out what package recovery decides: how far this controller is in
-// knowing its machines, and which starts may go now.
+// This file applies the decisions of package recovery: how far this controller knows the state
+// of its machines, and which starts may be sent now.
 
 package fleet
 
@@ -15,15 +15,15 @@
 	"wheatspur/internal/worker"
 )
 
-// RecoveryTracker follows how far this controller is in knowing its machines after a
-// start, and paces the starts of tasks meanwhile.
+// RecoveryTracker tracks, after a start of this controller, how far it knows the state of its
+// machines, and limits the rate of task starts until recovery is over.
 type RecoveryTracker struct {
 	*cluster.State
 	workers *WorkerManager
 	peers   *PeerExchange
 
 	Progress *recovery.Progress
-	pacer    *recovery.Pacer // of the starts of tasks until recovery is over
+	pacer    *recovery.Pacer // limits the rate of task starts until recovery is over
 }
 
 func newRecoveryTracker(state *cluster.State) *RecoveryTracker {
@@ -34,8 +34,8 @@
 	}
 }
 
-// AdvanceRecovery takes this controller's recovery a step further. It looks at all of
-// the controller's machines, and only until recovery is over. The lock is held.
+// AdvanceRecovery updates the phase of this controller's recovery. It scans all of the
+// controller's machines, but only until recovery is over. The lock is held.
 func (rt *RecoveryTracker) AdvanceRecovery(now time.Time) {
 	progress := rt.Progress
 	if progress.Done() {
@@ -57,21 +57,21 @@
 	}
 }
 
-// caughtUp reports whether the starts that recovery waits for are over: none has been
-// due for a while, or they can't be sent for as long as a lease, so that no rate of
-// starts would help them. The lock is held.
+// caughtUp reports whether recovery has no more starts to wait for. Either no start has been
+// due for a while, or the remaining ones could not be sent for as long as a worker's lease, so
+// that the rate limit is not what delays them. The lock is held.
 func (rt *RecoveryTracker) caughtUp(now time.Time) bool {
-	overdue := rt.Progress.Phase == recovery.CatchingUp && now.Sub(rt.Progress.Since) > rt.Settings.WorkerLease()
-	return overdue || rt.Progress.Quiet(now, rt.heartbeats(tuning.RecoveryQuietHeartbeats))
+	timedOut := rt.Progress.Phase == recovery.CatchingUp && now.Sub(rt.Progress.Since) > rt.Settings.WorkerLease()
+	return timedOut || rt.Progress.Quiet(now, rt.heartbeatIntervals(tuning.RecoveryQuietHeartbeats))
 }
 
-// heartbeats is how long that many heartbeat intervals are.
-func (rt *RecoveryTracker) heartbeats(intervals float64) time.Duration {
+// heartbeatIntervals returns the duration of a number of heartbeat intervals.
+func (rt *RecoveryTracker) heartbeatIntervals(intervals float64) time.Duration {
 	return time.Duration(intervals * float64(rt.Settings.HeartbeatInterval()))
 }
 
-// applyEvent enters an event of the recovery, and logs a change of its phase. The lock
-// is held.
+// applyEvent applies an event to the recovery, and logs a change of its phase. The lock is
+// held.
 func (rt *RecoveryTracker) applyEvent(event recovery.Event, now time.Time) {
 	before, since := rt.Progress.Phase, rt.Progress.Since
 	if rt.Progress.Apply(event, now) {
@@ -80,19 +80,19 @@
 	}
 }
 
-// countMachines counts this controller's machines by what is known of them, and the
-// starts that are due on those that were heard. The lock is held.
+// countMachines counts this controller's machines by their recovery state, and the starts that
+// are due on those that were heard. The lock is held.
 func (rt *RecoveryTracker) countMachines(now time.Time) (count recovery.Count, backlog recovery.Backlog) {
 	count = recovery.Count{}
 	waited := now.Sub(rt.Progress.Began)
-	patience := rt.heartbeats(tuning.RecoveryHeartbeats)
+	timeout := rt.heartbeatIntervals(tuning.RecoveryHeartbeats)
 	for machine, record := range rt.Inventory.Machines {
 		if record.Phase == inventory.Terminated || rt.ShardOwner(machine) != rt.Self.Label {
 			continue
 		}
 		w := rt.workers.ByMachine[machine]
 		heard := w != nil && !w.LastHeard.IsZero()
-		count[recovery.StateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, patience)]++
+		count[recovery.StateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, timeout)]++
 		if heard {
 			rt.countDueStarts(w, machine, &backlog)
 		}
@@ -111,7 +111,7 @@
 	}
 }
 
-// startClass is the class in which the starts of a job's tasks are paced.
+// startClass returns the class that is used to pace the starts of a job's tasks.
 func startClass(job *jobs.Job) recovery.Class {
 	if job.Service() {
 		return recovery.ServiceStart
@@ -119,24 +119,24 @@
 	return recovery.ArrayStart
 }
 
-// admitStart takes a start from this controller's rate of starts until its recovery is
-// over, if operators have set one; false says that the start has to wait. The lock is
-// held.
+// admitStart takes a start from this controller's rate limit, which applies until recovery is
+// over and only if operators have set one. It returns false if the start has to wait. The lock
+// is held.
 func (rt *RecoveryTracker) admitStart(job *jobs.Job) bool {
 	class := startClass(job)
 	switch {
 	case rt.Progress.Done():
 		return true
 	case rt.Progress.Phase == recovery.Loading && class != recovery.ServiceStart && rt.Settings.Operator.RecoveryStarts > 0:
-		return false // the starts that are more urgent have not been counted yet
+		return false // more urgent starts have not been counted yet
 	}
 	return rt.pacer.Admit(class, rt.Now())
 }
 
-// MachinesUnknown reports whether decisions that need to know all machines have to
-// wait, since this controller or another member does not know its own yet. Guards
-// against work that is preempted or moved, and machines that are scaled out, only
-// because free machines have not sent a heartbeat yet. The lock is held.
+// MachinesUnknown reports whether decisions that require the state of all machines have to
+// wait, because this controller or another member does not know its machines yet. Otherwise
+// work would be preempted or moved, and machines would be added, only because free machines
+// have not sent a heartbeat yet. The lock is held.
 func (rt *RecoveryTracker) MachinesUnknown() bool {
 	if !rt.Settings.Operator.RecoveryHold {
 		return false
