--- a/internal/fleet/workerclient.go
+++ b/internal/fleet/workerclient.go
@@ -10,24 +10,26 @@
 	"wheatspur/wire"
 )
 
-// WorkerClient calls workers. A call ends within tuning.WorkerCallTimeout.
+// WorkerClient calls workers. Every call ends within tuning.WorkerCallTimeout.
 type WorkerClient interface {
-	// SendCommands sends a direct command request and returns the status and the
-	// heartbeat of the answer. A worker that has seen a higher fencing token
-	// refuses the commands with a conflict, and a heartbeat that shows it.
+	// SendCommands sends a direct command request, and returns the HTTP status and the
+	// heartbeat of the response. A worker that has seen a higher fencing token refuses the
+	// commands with status 409 and a heartbeat that contains the higher token.
 	SendCommands(address string, request wire.CommandRequest) (int, *wire.Heartbeat, error)
-	// Probe asks whether the worker answers at all.
+	// Probe checks whether the worker responds at all.
 	Probe(address string) error
 }
 
-// WorkerStatusError is the answer of a worker with a status that says that it
-// did not do what it was asked.
+// WorkerStatusError reports a response of a worker whose HTTP status shows that the worker did
+// not execute the request.
 type WorkerStatusError struct {
-	Status int // of the HTTP answer
+	Status int // HTTP status code
 }
 
-// Error returns the text for the log.
-func (e *WorkerStatusError) Error() string { return fmt.Sprintf("worker answered %d", e.Status) }
+// Error implements the error interface.
+func (e *WorkerStatusError) Error() string {
+	return fmt.Sprintf("worker returned HTTP status %d", e.Status)
+}
 
 // Paths of a worker's HTTP server.
 const (
@@ -43,7 +45,7 @@
 	return &HTTPWorkerClient{client: httpclient.NewClient(tuning.WorkerConns)}
 }
 
-// SendCommands sends a direct command request.
+// SendCommands implements WorkerClient.
 func (wc *HTTPWorkerClient) SendCommands(address string, request wire.CommandRequest) (int, *wire.Heartbeat, error) {
 	status, body, err := httpclient.Do(wc.client, fasthttp.MethodPost, address, workerCommandPath, wire.MustMarshal(request), tuning.WorkerCallTimeout)
 	if err != nil {
@@ -59,7 +61,7 @@
 	return status, &heartbeat, nil
 }
 
-// Probe asks whether the worker answers at all.
+// Probe implements WorkerClient.
 func (wc *HTTPWorkerClient) Probe(address string) error {
 	status, _, err := httpclient.Do(wc.client, fasthttp.MethodGet, address, workerProbePath, nil, tuning.WorkerCallTimeout)
 	if err != nil {
