--- a/internal/fake/link.go
+++ b/internal/fake/link.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Link is the network path from one client to a fake, with the faults on it.
+// Link is the network path from one client to a fake. It injects faults into requests.
 type Link struct {
 	mu     sync.Mutex // guards the two below
 	random *rand.Rand
 	faults Faults
 }
 
-// Faults are the faults that a link injects; the shares are of requests, from 0 to
-// 1.
+// Faults configures the faults that a link injects. Lost and Late are shares of the requests,
+// from 0 to 1.
 type Faults struct {
-	Refuse bool          // requests get 503 and do nothing
-	Cut    bool          // requests get no answer and do nothing
-	Lost   float64       // share that is carried out and gets no answer
-	Late   float64       // share that gets no answer and is carried out later
-	Delay  time.Duration // of every request
+	Refuse bool          // requests are not carried out and get status 503, or no response on a Machine's link
+	Cut    bool          // requests are not carried out and get no response
+	Lost   float64       // share of requests that are carried out but get no response
+	Late   float64       // share of requests that get no response and are carried out later
+	Delay  time.Duration // added to every request
 }
 
 // NewLink returns a link without faults; the seed decides which requests fail.
@@ -33,22 +33,22 @@
 	l.faults = f
 }
 
-// requestFault is what a link injects into one request.
+// requestFault is the set of faults that a link injects into one request.
 type requestFault struct {
 	refuse, cut, lost, late bool
 	delay                   time.Duration
 }
 
-// draw decides on the fault of the next request.
-func (l *Link) draw() requestFault {
+// nextFault returns the faults of the next request, chosen at random by the configured shares.
+func (l *Link) nextFault() requestFault {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	share := l.random.Float64()
+	sample := l.random.Float64()
 	return requestFault{
 		refuse: l.faults.Refuse,
 		cut:    l.faults.Cut,
-		lost:   share < l.faults.Lost,
-		late:   share >= l.faults.Lost && share < l.faults.Lost+l.faults.Late,
+		lost:   sample < l.faults.Lost,
+		late:   sample >= l.faults.Lost && sample < l.faults.Lost+l.faults.Late,
 		delay:  l.faults.Delay,
 	}
 }
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -13,38 +13,39 @@
 	"wheatspur/wire"
 )
 
-// heartbeatPath is where controllers take heartbeats.
+// heartbeatPath is the path on which controllers accept heartbeats.
 const heartbeatPath = "/checkin"
 
-// Times of a machine.
+// Intervals and timeouts of a machine.
 const (
-	// advanceInterval is how often a machine looks whether a task or its lease is
-	// due, and the least time between its heartbeats.
+	// advanceInterval is how often a machine advances its tasks and checks its lease, and the
+	// minimum time between its heartbeats.
 	advanceInterval = 40 * time.Millisecond
-	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// nextControllerPause is the pause before the next controller is tried.
-	nextControllerPause = 200 * time.Millisecond
+	// controllerFailoverDelay is the delay before a heartbeat is sent to the next controller.
+	controllerFailoverDelay = 200 * time.Millisecond
 )
 
-// ControllerEndpoint is where a controller takes heartbeats.
+// ControllerEndpoint is the label of a controller and the address at which it accepts
+// heartbeats.
 type ControllerEndpoint struct{ Label, Address string }
 
-// Machine runs a worker over HTTP: it sends heartbeats to the controllers and
-// takes direct calls.
+// Machine runs a worker over HTTP: it sends heartbeats to the controllers and accepts direct
+// calls from them.
 type Machine struct {
 	worker            *Worker
-	mu                *sync.Mutex // guards the worker; machines that are watched together share it
+	mu                *sync.Mutex // guards the worker; machines of one cluster may share it
 	controllers       []ControllerEndpoint
-	links             map[string]*Link // to each controller, by label
+	links             map[string]*Link // link to each controller, by label
 	lease             time.Duration
 	heartbeatInterval time.Duration
 	client            *fasthttp.Client
-	current           int // index of the controller that gets the heartbeats; of Run's goroutine
+	current           int // index of the controller that gets the heartbeats; used only by Run's goroutine
 }
 
-// NewMachine returns a machine for a worker in its first incarnation. mu guards
-// the worker.
+// NewMachine returns a machine for a worker, and resets the worker to its first incarnation
+// without tasks. mu guards the worker.
 func NewMachine(w *Worker, mu *sync.Mutex, controllers []ControllerEndpoint, seed uint64, heartbeatInterval, lease time.Duration) *Machine {
 	links := map[string]*Link{}
 	for i, controller := range controllers {
@@ -62,13 +63,14 @@
 	}
 }
 
-// Link is the machine's network path to a controller.
+// Link returns the machine's network path to a controller.
 func (m *Machine) Link(label string) *Link { return m.links[label] }
 
-// Serve takes direct calls until the listener is closed.
+// Serve accepts direct calls until the listener is closed.
 func (m *Machine) Serve(l net.Listener) error { return serve(l, NewLink(0), m.handleDirectCall) }
 
-// handleDirectCall answers with a heartbeat, after the commands if there are any.
+// handleDirectCall responds with the worker's next heartbeat. For a POST it first carries out
+// the commands in the request.
 func (m *Machine) handleDirectCall(ctx *fasthttp.RequestCtx) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,21 +104,21 @@
 	return nil
 }
 
-// advance ends the incarnation if its lease has expired, and lets the worker's
-// tasks go on. It returns the time it did so for, and whether any state of a task
-// has changed.
+// advance ends the incarnation if its lease has expired, and then advances the worker's tasks.
+// It returns the time to which it advanced them, and whether the state of any task has changed.
 func (m *Machine) advance() (now time.Time, changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now = time.Now() // with mu held: waiting for it may take long
+	now = time.Now() // read with mu held, because acquiring mu may take long
 	if now.Sub(m.worker.LeaseRenewedAt) > m.lease {
 		m.worker.EndIncarnation(now)
 	}
 	return now, m.worker.Advance(now)
 }
 
-// sendHeartbeat sends a heartbeat and follows the answer: its commands, or its
-// redirect. Without a usable answer the next controller is tried after a pause.
+// sendHeartbeat sends a heartbeat and carries out the commands in the response or follows its
+// redirect. Without a valid response it switches to the next controller and waits for
+// controllerFailoverDelay.
 func (m *Machine) sendHeartbeat(ctx context.Context) {
 	sent, heartbeat := m.nextHeartbeat()
 	status, body := m.post(m.controllers[m.current], wire.MustMarshal(heartbeat))
@@ -126,24 +128,24 @@
 		return
 	case fasthttp.StatusMisdirectedRequest:
 		var redirect wire.Redirect
-		if wire.Unmarshal(body, &redirect) == nil && m.redirectTo(redirect.Controller) {
+		if wire.Unmarshal(body, &redirect) == nil && m.followRedirect(redirect.Controller) {
 			return
 		}
 	}
 	m.current = (m.current + 1) % len(m.controllers)
-	timing.Sleep(ctx, nextControllerPause)
+	timing.Sleep(ctx, controllerFailoverDelay)
 }
 
-// nextHeartbeat returns the next heartbeat and when it was made: the lease runs
-// from then, not from the answer.
+// nextHeartbeat returns the next heartbeat and the time of its creation: the lease runs from
+// then, not from the response.
 func (m *Machine) nextHeartbeat() (time.Time, wire.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Now(), m.worker.NextHeartbeat()
 }
 
-// handleResponse carries out the commands of an answer, unless the worker has
-// begun another incarnation since it sent the heartbeat.
+// handleResponse renews the lease and carries out the commands in a response, unless the
+// worker has begun another incarnation since it sent the heartbeat.
 func (m *Machine) handleResponse(sent time.Time, incarnation uint64, body []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -153,9 +155,9 @@
 	}
 }
 
-// redirectTo turns to the controller that was named. It reports false if that is
-// the present one or unknown.
-func (m *Machine) redirectTo(label string) bool {
+// followRedirect switches to the controller with a label. It returns false if that is the
+// current one or unknown.
+func (m *Machine) followRedirect(label string) bool {
 	i := slices.IndexFunc(m.controllers, func(controller ControllerEndpoint) bool { return controller.Label == label })
 	if i < 0 || i == m.current {
 		return false
@@ -164,10 +166,10 @@
 	return true
 }
 
-// post sends a heartbeat over the link to a controller; the status is 0 if there
-// is no answer.
+// post sends a heartbeat over the link to a controller. The status is 0 if there is no
+// response.
 func (m *Machine) post(controller ControllerEndpoint, body []byte) (int, []byte) {
-	fault := m.links[controller.Label].draw()
+	fault := m.links[controller.Label].nextFault()
 	time.Sleep(fault.delay)
 	if fault.cut || fault.refuse {
 		return 0, nil
--- a/internal/fake/serve.go
+++ b/internal/fake/serve.go
@@ -11,14 +11,14 @@
 	"wheatspur/wire"
 )
 
-// unansweredDelay is how long a request without an answer keeps its client
-// waiting: longer than the timeout of any client in a controller.
+// unansweredDelay is how long the server holds a request that gets no response: longer than
+// the timeout of any client in a controller.
 const unansweredDelay = 6 * time.Second
 
-// lateDelay is how much later a late request is carried out.
+// lateDelay is how long the server delays a late request before carrying it out.
 const lateDelay = 2500 * time.Millisecond
 
-// serve serves a handler behind a link until the listener is closed.
+// serve serves requests that pass through a link with a handler, until the listener is closed.
 func serve(l net.Listener, link *Link, handler fasthttp.RequestHandler) error {
 	server := &fasthttp.Server{
 		Handler:               func(ctx *fasthttp.RequestCtx) { link.handle(ctx, handler) },
@@ -28,9 +28,11 @@
 	return server.Serve(l)
 }
 
-// handle carries out a request as far as the link's faults let it.
+// handle injects the link's faults into a request. It calls the handler unless a fault
+// prevents that; only POST requests are carried out late. A request without a response is
+// held for unansweredDelay and then gets status 503, when its client has timed out.
 func (l *Link) handle(ctx *fasthttp.RequestCtx, handler fasthttp.RequestHandler) {
-	fault := l.draw()
+	fault := l.nextFault()
 	time.Sleep(fault.delay)
 	switch {
 	case fault.refuse:
@@ -51,7 +53,7 @@
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 }
 
-// respond writes a result, or the status of an error in the store's protocol.
+// respond writes a result, or the status that the store's protocol has for an error.
 func respond(ctx *fasthttp.RequestCtx, result any, err error) {
 	switch {
 	case err == nil:
