--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,9 +1,9 @@
-// Package fake holds fakes of what controllers talk to: the key-value store (the
-// protocol's state service), the cloud, and the workers. They follow the
-// protocol's page and are for tests alone: called directly in one process with a
-// fake clock, or served over HTTP on loopback behind links that fail. The package
-// also records what controllers do to them: commands and quota usage.
-// It runs no controllers: package testcluster does.
+// Package fake provides fakes of the services that controllers call: the key-value store (the
+// protocol's state service), the cloud, and the workers. They follow the documented protocol
+// and are for tests only. A test calls them directly in one process with a fake clock, or
+// serves them over HTTP on loopback behind links that inject faults. The package also records
+// what controllers do to the fakes: commands and quota usage. It runs no controllers; package
+// testcluster does.
 package fake
 
 import (
@@ -20,43 +20,42 @@
 	"wheatspur/wire"
 )
 
-// comparesPerOperation is how many compares the store takes in a transaction for
-// each operation that OpsLimit allows.
+// comparesPerOperation is how many compares a transaction may have for each operation that
+// OpsLimit allows.
 const comparesPerOperation = 4
 
 // Entry is a stored value.
 type Entry struct {
 	Value   wire.Raw
 	Version uint64 // revision of the last write
-	LeaseID uint64 // the lease whose end deletes the key; 0: none
+	LeaseID uint64 // the lease whose expiry deletes the key; 0: none
 }
 
-// Store is a fake key-value store that keeps everything in memory. Its own lease
-// clock stands still: a lease ends with RevokeLease or Expire alone.
+// Store is a fake key-value store that keeps everything in memory. It ignores lease TTLs: a
+// lease ends only with RevokeLease or Expire.
 type Store struct {
 	Mu          sync.Mutex // guards all below
 	Revision    uint64
 	Keys        map[string]Entry
 	Events      []wire.WatchEvent // in the order of their versions
-	Leases      map[uint64]bool   // that are alive
-	Watches     int               // watches asked for
+	Leases      map[uint64]bool   // leases that have not ended
+	Watches     int               // number of calls to Watch
 	Unavailable bool              // lists, watches and transactions are rejected
-	LoseAnswers int               // so many transactions will be applied without their answer arriving
-	OverLimit   int               // transactions that were beyond the limits
+	LoseAnswers int               // how many more transactions are applied but return ErrOutcomeUnknown
+	OverLimit   int               // number of transactions rejected for exceeding the limits
 
-	// ValueLimit is the largest value in bytes of its JSON form, OpsLimit the most
-	// operations of a transaction; 0: no limit.
+	// ValueLimit is the maximum size of a value in bytes of its JSON form, OpsLimit the
+	// maximum number of operations in a transaction; 0: no limit.
 	ValueLimit, OpsLimit int
 	// KeepEvents is how many events are kept for watches; 0: all.
 	KeepEvents int
 
-	// Applied is called with Mu held after every transaction that was applied;
-	// nil: by nobody.
+	// Applied, if set, is called with Mu held after every transaction that was applied.
 	Applied func(changes []wire.Operation)
 
-	lastLease        uint64
-	changed          chan struct{} // closed with the next change
-	compactedVersion uint64        // version of the newest event that is not kept
+	lastLeaseID      uint64
+	changed          chan struct{} // closed on the next change
+	compactedVersion uint64        // version of the newest event that was dropped
 }
 
 var _ store.KeyValueStore = (*Store)(nil)
@@ -66,7 +65,7 @@
 	return &Store{Keys: map[string]Entry{}, Leases: map[uint64]bool{}, changed: make(chan struct{})}
 }
 
-// List returns the keys with a prefix, after a key, in their order.
+// List returns the keys with a prefix that sort after a key, in ascending order.
 func (s *Store) List(_ context.Context, prefix, after string) (wire.ListResponse, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -83,8 +82,8 @@
 	return out, nil
 }
 
-// CompareAndSwap applies all operations of a transaction if all its compares hold,
-// else none.
+// CompareAndSwap applies all operations of a transaction if all its compares hold, otherwise
+// none.
 func (s *Store) CompareAndSwap(_ context.Context, _ store.Class, compares []wire.Compare, operations []wire.Operation) (uint64, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -119,7 +118,7 @@
 	return s.Revision, nil
 }
 
-// apply applies one operation at the present revision and wakes the watches; Mu is
+// apply applies one operation at the current revision and wakes the waiting watches; Mu is
 // held.
 func (s *Store) apply(operation wire.Operation) {
 	if operation.Delete != "" {
@@ -134,8 +133,8 @@
 	s.changed = make(chan struct{})
 }
 
-// compactEvents drops the oldest events once twice as many are there as are kept,
-// so that the copy is rare; Mu is held.
+// compactEvents drops all but the newest KeepEvents events once there are more than twice as
+// many, so that the copy is rare; Mu is held.
 func (s *Store) compactEvents() {
 	if s.KeepEvents == 0 || len(s.Events) <= 2*s.KeepEvents {
 		return
@@ -145,8 +144,7 @@
 	s.Events = slices.Clone(s.Events[dropped:])
 }
 
-// exceedsLimits reports whether a transaction is larger than the store takes; Mu
-// is held.
+// exceedsLimits reports whether a transaction exceeds ValueLimit or OpsLimit; Mu is held.
 func (s *Store) exceedsLimits(compares []wire.Compare, operations []wire.Operation) bool {
 	if s.OpsLimit > 0 && (len(operations) > s.OpsLimit || len(compares) > comparesPerOperation*s.OpsLimit) {
 		return true
@@ -156,8 +154,8 @@
 	})
 }
 
-// JSONSize is the size of a value's JSON form, by which the store measures it; 0
-// if it can't be decoded.
+// JSONSize returns the size in bytes of a value's JSON form, to which the store's value limit
+// applies. It returns 0 if the value can't be decoded.
 func JSONSize(raw wire.Raw) int {
 	var value any
 	if err := wire.Unmarshal(raw, &value); err != nil {
@@ -170,8 +168,7 @@
 	return len(encoded)
 }
 
-// withStringKeys gives the maps of a decoded value the string keys that JSON asks
-// for.
+// withStringKeys converts the keys of all maps in a decoded value to strings, as JSON requires.
 func withStringKeys(value any) any {
 	switch value := value.(type) {
 	case map[any]any:
@@ -188,7 +185,8 @@
 	return value
 }
 
-// Put stores a value of any size without compares, as an earlier version did.
+// Put stores a value without compares and without checking the limits, as an earlier version
+// of the controllers did.
 func (s *Store) Put(key string, value wire.Raw) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -196,13 +194,13 @@
 	s.apply(wire.Operation{Put: key, Value: value})
 }
 
-// GrantLease grants a lease, which does not run out by itself.
+// GrantLease grants a lease. The lease does not expire by itself: the TTL is ignored.
 func (s *Store) GrantLease(context.Context, time.Duration) (uint64, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	s.lastLease++
-	s.Leases[s.lastLease] = true
-	return s.lastLease, nil
+	s.lastLeaseID++
+	s.Leases[s.lastLeaseID] = true
+	return s.lastLeaseID, nil
 }
 
 // RenewLease fails if the lease has ended.
@@ -215,7 +213,7 @@
 	return nil
 }
 
-// RevokeLease ends a lease at its holder's wish.
+// RevokeLease ends a lease at the request of its holder. It fails if the lease has ended.
 func (s *Store) RevokeLease(ctx context.Context, leaseID uint64) error {
 	if err := s.RenewLease(ctx, leaseID); err != nil {
 		return err
@@ -237,7 +235,7 @@
 	}
 }
 
-// Watch returns at once what has changed after a revision.
+// Watch returns the changes after a revision without waiting for one.
 func (s *Store) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -248,8 +246,8 @@
 	return s.eventsSince(prefix, after)
 }
 
-// poll returns what has changed below a prefix after a revision, and a channel that
-// is closed with the next change.
+// poll returns the changes to keys with a prefix after a revision, and a channel that is
+// closed on the next change.
 func (s *Store) poll(prefix string, after uint64) (wire.WatchResponse, <-chan struct{}, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -257,7 +255,7 @@
 	return events, s.changed, err
 }
 
-// eventsSince returns what has changed below a prefix after a revision; Mu is held.
+// eventsSince returns the changes to keys with a prefix after a revision; Mu is held.
 func (s *Store) eventsSince(prefix string, after uint64) (wire.WatchResponse, error) {
 	if after < s.compactedVersion {
 		return wire.WatchResponse{}, store.ErrCompacted
--- a/internal/fake/store_server.go
+++ b/internal/fake/store_server.go
@@ -13,9 +13,8 @@
 	"wheatspur/wire"
 )
 
-// servedEvents is how many events a store keeps for watches according to the
-// protocol.
-const servedEvents = 10_000
+// retainedEvents is how many events the protocol requires a store to keep for watches.
+const retainedEvents = 10_000
 
 // Paths of the store's protocol.
 const (
@@ -27,32 +26,31 @@
 	watchPath       = "/watch"
 )
 
-// StoreServer serves a store over HTTP, each client over a link of its own. It
-// adds what the store itself lacks: leases that expire with time, and watches
-// that wait.
+// StoreServer serves a store over HTTP, with a separate link for each client. It adds what
+// the store itself lacks: leases that expire after their TTL, and watches that wait for changes.
 type StoreServer struct {
 	store  *Store
 	mu     sync.Mutex // guards timers
 	timers map[uint64]*leaseTimer
 }
 
-// leaseTimer expires a lease that nobody renews.
+// leaseTimer expires a lease that is not renewed within its TTL.
 type leaseTimer struct {
 	timer *time.Timer
 	ttl   time.Duration
 }
 
-// NewStoreServer returns a server of the store, and lets the store keep as many
-// events as the protocol says.
+// NewStoreServer returns a server for a store, and sets the number of events that the store
+// keeps to the protocol's.
 func NewStoreServer(s *Store) *StoreServer {
-	s.KeepEvents = servedEvents
+	s.KeepEvents = retainedEvents
 	return &StoreServer{store: s, timers: map[uint64]*leaseTimer{}}
 }
 
 // Serve serves one client's link until the listener is closed.
 func (s *StoreServer) Serve(l net.Listener, link *Link) error { return serve(l, link, s.handle) }
 
-// handle answers one request in the store's protocol.
+// handle responds to one request of the store's protocol.
 func (s *StoreServer) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -73,8 +71,8 @@
 	}
 }
 
-// parseLeaseID returns the lease that a path names, and for any other path 0,
-// which is never granted.
+// parseLeaseID returns the ID of the lease that a path names. For any other path it returns
+// 0, an ID that is never granted.
 func parseLeaseID(path string) uint64 {
 	leaseID, err := strconv.ParseUint(strings.TrimPrefix(path, leasePrefix), 10, 64)
 	if err != nil {
@@ -127,28 +125,28 @@
 	respond(ctx, struct{}{}, err)
 }
 
-// watch answers with the changes after a revision, and waits for one as long as
-// the client holds the request.
+// watch responds with the changes after a revision. If there are none, it waits for one until
+// the hold time of the request (hold_ms) has passed.
 func (s *StoreServer) watch(ctx *fasthttp.RequestCtx) {
 	query := ctx.QueryArgs()
 	after, err := strconv.ParseUint(string(query.Peek("after")), 10, 64)
 	if err != nil {
-		after = 0 // a watch from the beginning
+		after = 0 // an absent or invalid revision: watch from the beginning
 	}
 	holdMs := query.GetUintOrZero("hold_ms")
-	held := holdMs > 0
+	waiting := holdMs > 0
 	holdTimer := time.NewTimer(time.Duration(holdMs) * time.Millisecond)
 	defer holdTimer.Stop()
 	for {
 		events, changed, err := s.store.poll(string(query.Peek("starts")), after)
-		if err != nil || len(events.Events) > 0 || !held {
+		if err != nil || len(events.Events) > 0 || !waiting {
 			respond(ctx, events, err)
 			return
 		}
 		select {
 		case <-changed:
 		case <-holdTimer.C:
-			held = false
+			waiting = false
 		}
 	}
 }
