--- a/internal/fake/command_log.go
+++ b/internal/fake/command_log.go
@@ -11,16 +11,16 @@
 // CommandLog records the commands that workers receive.
 type CommandLog struct {
 	mu           sync.Mutex     // guards all below
-	starts       map[string]int // start commands, by attempt (attemptKey)
-	startTimes   []time.Time    // of each start command, in their order
-	startedTasks []string       // of each start command, in their order
-	kills        []string       // attempts that ran when they were told to stop
+	starts       map[string]int // number of start commands, by attemptKey
+	startTimes   []time.Time    // time of each start command, in order
+	startedTasks []string       // task of each start command, in order
+	kills        []string       // attempts that were running when a kill command was received
 }
 
 // NewCommandLog returns an empty log.
 func NewCommandLog() *CommandLog { return &CommandLog{starts: map[string]int{}} }
 
-// Record records commands that a worker is about to carry out.
+// Record records commands that a worker has received but not yet carried out.
 func (l *CommandLog) Record(now time.Time, w *Worker, commands []wire.Command) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,15 +39,15 @@
 	}
 }
 
-// CommandCounts is what a log of commands holds.
+// CommandCounts is the content of a CommandLog.
 type CommandCounts struct {
-	Starts   int      // attempts that were started
+	Starts   int      // number of attempts that got a start command
 	Repeated []string // attempts for which more than one start command was received
-	Kills    []string // attempts that ran when they were told to stop
-	Tasks    []string // of the start commands, in their order
+	Kills    []string // attempts that were running when a kill command was received
+	Tasks    []string // task of each start command, in order
 }
 
-// Snapshot returns what the log holds.
+// Snapshot returns the content of the log.
 func (l *CommandLog) Snapshot() CommandCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +60,8 @@
 	return out
 }
 
-// MaxStartsWithin is the most start commands that were received in any window of a length.
+// MaxStartsWithin returns the maximum number of start commands received within any time window
+// of a length.
 func (l *CommandLog) MaxStartsWithin(window time.Duration) (most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -12,37 +12,38 @@
 	"wheatspur/wire"
 )
 
-// Worker is a machine's worker: its incarnation and tasks, and how it carries out
-// commands. It does no I/O, has no clock of its own, and needs a lock around it.
+// Worker is a fake worker: it holds the incarnation and tasks of one machine and carries out
+// commands. It does no I/O and has no clock; callers pass the time and synchronize access.
 type Worker struct {
 	Machine        string // name of the machine
 	Address        string // for direct calls
-	Type           string // of the machine
+	Type           string // machine type
 	Zone           string
 	Spot           bool
-	Incarnation    uint64           // the incarnation
-	Sequence       uint64           // of the last heartbeat
+	Incarnation    uint64           // current incarnation
+	Sequence       uint64           // sequence number of the last heartbeat
 	FencingToken   uint64           // highest fencing token seen
-	Tasks          map[string]*Task // by attempt (task name, "#", attempt)
-	LeaseRenewedAt time.Time        // when the last answered heartbeat was sent: the lease runs from then
-	ImagePullTime  time.Duration    // of an image pull
-	// OnTaskStart is called when a task is about to run, and returns for how long it
-	// will; 0: until it is told to stop.
+	Tasks          map[string]*Task // by attemptKey
+	LeaseRenewedAt time.Time        // send time of the last answered heartbeat, from which the lease runs
+	ImagePullTime  time.Duration    // duration of an image pull
+	// OnTaskStart is called when a task is about to run and returns its run time; 0: the task
+	// runs until a kill command. It must be set.
 	OnTaskStart func(w *Worker, t *Task) time.Duration
-	Commands    *CommandLog // records the commands; nil: nothing does
-	// OnTaskEnd is called when a task that ran has ended; nil: by nobody.
+	Commands    *CommandLog // records the commands; may be nil
+	// OnTaskEnd, if set, is called when a running task has ended.
 	OnTaskEnd func(w *Worker, t *Task)
 }
 
-// Task is an attempt on a worker.
+// Task is an attempt of a task on a worker.
 type Task struct {
 	wire.TaskStatus
 	JobID string
-	Ready time.Time // when its image is pulled
-	Ends  time.Time // when it ends by itself; zero: never
+	Ready time.Time // when its image pull completes
+	Ends  time.Time // when it completes by itself; zero: never
 }
 
-// attemptKey is the key in Worker.Tasks of the attempt that a command is for.
+// attemptKey returns the key in Worker.Tasks of the attempt that a command addresses: the task
+// name, "#" and the attempt number.
 func attemptKey(command wire.Command) string {
 	return fmt.Sprintf("%s#%d", command.Task, command.Attempt)
 }
@@ -66,7 +67,7 @@
 	return heartbeat
 }
 
-// CarryOut carries out commands in their order.
+// CarryOut carries out commands in order.
 func (w *Worker) CarryOut(now time.Time, commands []wire.Command) {
 	if w.Commands != nil {
 		w.Commands.Record(now, w, commands)
@@ -91,9 +92,9 @@
 	}
 }
 
-// startTask begins the image pull of a new attempt.
+// startTask adds a new attempt and starts its image pull.
 func (w *Worker) startTask(now time.Time, key string, command wire.Command) {
-	jobID, _, _ := jobs.ParseTaskName(command.Task) // a name that is none belongs to no job
+	jobID, _, _ := jobs.ParseTaskName(command.Task) // an invalid name belongs to no job
 	w.Tasks[key] = &Task{
 		TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskPulling},
 		JobID:      jobID,
@@ -102,8 +103,8 @@
 	w.Advance(now)
 }
 
-// Advance lets tasks that have their image run, and ends those whose time is up.
-// It reports whether any state has changed.
+// Advance starts the tasks whose image pull is complete and ends those whose run time is over.
+// It reports whether the state of any task has changed.
 func (w *Worker) Advance(now time.Time) (changed bool) {
 	for _, task := range w.Tasks {
 		if task.State == wire.TaskPulling && !now.Before(task.Ready) {
@@ -121,7 +122,8 @@
 	return changed
 }
 
-// endTask is the one place where a task ends.
+// endTask marks a task as exited and calls OnTaskEnd if the task was running. Every task ends
+// here.
 func (w *Worker) endTask(task *Task, cause string) {
 	ran := task.State == wire.TaskRunning
 	task.State, task.ExitCause = wire.TaskExited, cause
@@ -130,8 +132,8 @@
 	}
 }
 
-// EndIncarnation ends the incarnation, as a worker does whose lease has expired: its
-// tasks are stopped and forgotten, and the next incarnation begins.
+// EndIncarnation ends the incarnation, as a worker does when its lease expires: it stops and
+// removes all tasks and begins the next incarnation.
 func (w *Worker) EndIncarnation(now time.Time) {
 	for _, task := range w.Tasks {
 		if task.State != wire.TaskExited {
@@ -143,8 +145,8 @@
 	w.LeaseRenewedAt = now
 }
 
-// RenewLease renews the lease by the answer to a heartbeat that was sent at a time.
-// It reports false, and does nothing, if the fencing token is lower than one seen.
+// RenewLease renews the lease with the response to a heartbeat, from the time the heartbeat was
+// sent. If the fencing token is lower than one already seen, it does nothing and returns false.
 func (w *Worker) RenewLease(sent time.Time, response wire.HeartbeatResponse) bool {
 	if response.FencingToken < w.FencingToken {
 		return false
@@ -153,8 +155,9 @@
 	return true
 }
 
-// HandleDirectCall carries out the commands of a direct call unless the call is fenced out or
-// for another incarnation. It returns the HTTP status and the heartbeat after it.
+// HandleDirectCall carries out the commands of a direct call from a controller, unless its
+// fencing token is lower than one already seen or it is for another incarnation. It returns the
+// HTTP status and the next heartbeat.
 func (w *Worker) HandleDirectCall(now time.Time, request wire.CommandRequest) (int, wire.Heartbeat) {
 	if request.FencingToken < w.FencingToken || request.Incarnation != w.Incarnation {
 		return fasthttp.StatusConflict, w.NextHeartbeat()
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -16,7 +16,7 @@
 
 var startCommand = wire.Command{Verb: wire.VerbStart, Task: "wk-1/0", Attempt: 1}
 
-func TestWorkerRefusesDirectCallsThatAreFencedOut(t *testing.T) {
+func TestWorkerRejectsFencedDirectCalls(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		token, incarnation uint64
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestWorkerIgnoresAHeartbeatResponseThatIsFencedOut(t *testing.T) {
+func TestWorkerIgnoresResponseWithLowerFencingToken(t *testing.T) {
 	w := newWorker()
 	if w.RenewLease(time.Unix(1, 0), wire.HeartbeatResponse{FencingToken: 4}) || !w.LeaseRenewedAt.IsZero() || w.FencingToken != 5 {
 		t.Errorf("a lower token renewed the lease: %+v", w)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestWorkerForgetsItsTasksWithTheIncarnation(t *testing.T) {
+func TestEndIncarnationDropsTasks(t *testing.T) {
 	w, ended := newWorker(), 0
 	w.OnTaskEnd = func(*Worker, *Task) { ended++ }
 	w.CarryOut(time.Unix(1, 0), []wire.Command{startCommand})
