--- a/internal/fake/usage_checker.go
+++ b/internal/fake/usage_checker.go
@@ -14,89 +14,92 @@
 	"wheatspur/wire"
 )
 
-// UsageChecker checks the usage that the store and the workers see against the
-// teams' limits, at every instant.
+// UsageChecker compares each team's claims in the store and its running tasks on the workers
+// with the team's limit, on every change.
 type UsageChecker struct {
 	mu     sync.Mutex         // guards all below
 	limits map[string]float64 // GPUs, by team
 	jobs   map[string]wire.JobSpec
 
-	claimedByChunk map[string]float64 // GPUs of claims in the store, by key of a chunk
-	claimedByTeam  map[string]float64 // GPUs of claims in the store
-	highestClaimed map[string]float64 // most GPUs ever claimed, by team
-	runningOn      map[string]string  // machine of each task that runs
-	runningByTeam  map[string]float64 // GPUs of running tasks
+	claimedByChunk map[string]float64 // GPUs of claims in the store, by chunk key
+	claimedByTeam  map[string]float64 // GPUs of claims in the store, by team
+	peakClaimed    map[string]float64 // most GPUs ever claimed at once, by team
+	machineByTask  map[string]string  // machine of each running task
+	runningByTeam  map[string]float64 // GPUs of running tasks, by team
 	admittedTasks  int
 	startedTasks   int
 	violations     []string
 
-	begun           time.Time
-	lastChange      time.Time              // of claimedByTeam
-	claimedSeconds  map[string]float64     // GPU seconds claimed until lastChange, by team
-	freedAt         map[string][]time.Time // when GPUs were freed that are not claimed again, by team
-	reuseDelay      *hdrhistogram.Histogram
-	lastAtFullLimit map[string]time.Time // when each team last had claimed all of its limit
+	startedAt         time.Time
+	lastClaimChange   time.Time              // last change of claimedByTeam
+	claimedGPUSeconds map[string]float64     // GPU seconds claimed until lastClaimChange, by team
+	unclaimedSince    map[string][]time.Time // release times of GPUs not claimed again, oldest first, by team
+	reuseDelay        *hdrhistogram.Histogram
+	lastAtLimit       map[string]time.Time // last change that left claims at or above the limit, by team
 }
 
-// Range and precision of the delays from capacity freed to capacity claimed again,
-// in milliseconds.
+// Range in milliseconds and significant digits of the histogram of reuse delays: the time from
+// the release of a GPU until it is claimed again.
 const (
 	reuseDelayMin    = 1
 	reuseDelayMax    = 600_000
 	reuseDelayDigits = 3
 )
 
-// NewUsageChecker returns a checker of limits, in GPUs by team.
+// NewUsageChecker returns a checker of limits, which are in GPUs by team.
 func NewUsageChecker(limits map[string]float64) *UsageChecker {
 	now := time.Now()
 	return &UsageChecker{
-		limits:          limits,
-		jobs:            map[string]wire.JobSpec{},
-		claimedByChunk:  map[string]float64{},
-		claimedByTeam:   map[string]float64{},
-		highestClaimed:  map[string]float64{},
-		runningOn:       map[string]string{},
-		runningByTeam:   map[string]float64{},
-		begun:           now,
-		lastChange:      now,
-		claimedSeconds:  map[string]float64{},
-		freedAt:         map[string][]time.Time{},
-		reuseDelay:      hdrhistogram.New(reuseDelayMin, reuseDelayMax, reuseDelayDigits),
-		lastAtFullLimit: map[string]time.Time{},
+		limits:            limits,
+		jobs:              map[string]wire.JobSpec{},
+		claimedByChunk:    map[string]float64{},
+		claimedByTeam:     map[string]float64{},
+		peakClaimed:       map[string]float64{},
+		machineByTask:     map[string]string{},
+		runningByTeam:     map[string]float64{},
+		startedAt:         now,
+		lastClaimChange:   now,
+		claimedGPUSeconds: map[string]float64{},
+		unclaimedSince:    map[string][]time.Time{},
+		reuseDelay:        hdrhistogram.New(reuseDelayMin, reuseDelayMax, reuseDelayDigits),
+		lastAtLimit:       map[string]time.Time{},
 	}
 }
 
-// Submitted makes a job known, before it is submitted.
+// Submitted registers a job. It must be called before the job is submitted, so that the job is
+// known when its first claims are stored.
 func (u *UsageChecker) Submitted(spec wire.JobSpec) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.jobs[spec.ID] = spec
 }
 
-// Applied takes the operations of a transaction that the store has applied.
+// Applied records the operations of a transaction that the store has applied, and checks the
+// claims of every team against its limit.
 func (u *UsageChecker) Applied(operations []wire.Operation) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, operation := range operations {
 		if key := operation.Put + operation.Delete; strings.HasPrefix(key, jobs.ChunkPrefix) {
-			u.applyChunk(key, operation)
+			u.recordChunkClaims(key, operation)
 		}
 	}
 	for team, claimed := range u.claimedByTeam {
-		u.highestClaimed[team] = max(u.highestClaimed[team], claimed)
+		u.peakClaimed[team] = max(u.peakClaimed[team], claimed)
 		if claimed > u.limits[team] {
-			u.violation("%s has claims of %v GPUs, its limit is %v", team, claimed, u.limits[team])
+			u.addViolation("team %s has claims of %v GPUs, over its limit of %v", team, claimed, u.limits[team])
 		}
 	}
 }
 
-// applyChunk takes an operation on a chunk of a job's tasks; mu is held.
-func (u *UsageChecker) applyChunk(key string, operation wire.Operation) {
-	jobID, _, _ := jobs.ParseChunkKey(key) // a key that is none belongs to no known job
+// recordChunkClaims records the claims in a written or deleted chunk of a job's tasks; mu is
+// held.
+func (u *UsageChecker) recordChunkClaims(key string, operation wire.Operation) {
+	jobID, _, _ := jobs.ParseChunkKey(key) // an invalid key belongs to no known job
 	spec, known := u.jobs[jobID]
 	var chunk jobs.ChunkRecord
 	if !known || operation.Put != "" && wire.Unmarshal(operation.Value, &chunk) != nil {
-		u.violation("%s holds nothing that a user asked for", key)
+		u.addViolation("chunk %s is invalid or belongs to a job that was not submitted", key)
 		return
 	}
 	claims := 0
@@ -109,7 +112,7 @@
 	if after > before {
 		u.admittedTasks += int((after - before) / spec.GPUs)
 	}
-	u.changeClaimed(spec.Team, after-before)
+	u.updateClaimed(spec.Team, after-before)
 	if claims == 0 {
 		delete(u.claimedByChunk, key)
 	} else {
@@ -117,90 +120,90 @@
 	}
 }
 
-// changeClaimed enters a change of what a team has claimed, in GPUs; mu is held.
-// Each GPU that is claimed takes the place of the one that was freed longest ago.
-func (u *UsageChecker) changeClaimed(team string, change float64) {
+// updateClaimed records a change of a team's claims, in GPUs; mu is held. A newly claimed GPU
+// is matched with the GPU that was released longest ago, to measure the reuse delay.
+func (u *UsageChecker) updateClaimed(team string, change float64) {
 	now := time.Now()
 	for other, claimed := range u.claimedByTeam {
-		u.claimedSeconds[other] += claimed * now.Sub(u.lastChange).Seconds()
+		u.claimedGPUSeconds[other] += claimed * now.Sub(u.lastClaimChange).Seconds()
 	}
-	u.lastChange = now
+	u.lastClaimChange = now
 	u.claimedByTeam[team] += change
 	if u.claimedByTeam[team] >= u.limits[team] {
-		u.lastAtFullLimit[team] = now
+		u.lastAtLimit[team] = now
 	}
 	for ; change < 0; change++ {
-		u.freedAt[team] = append(u.freedAt[team], now)
+		u.unclaimedSince[team] = append(u.unclaimedSince[team], now)
 	}
-	for ; change > 0 && len(u.freedAt[team]) > 0; change-- {
-		delay := now.Sub(u.freedAt[team][0]).Milliseconds()
-		// The clamp keeps the value in the histogram's range, its only error.
+	for ; change > 0 && len(u.unclaimedSince[team]) > 0; change-- {
+		delay := now.Sub(u.unclaimedSince[team][0]).Milliseconds()
+		// RecordValue fails only for values out of range, which the clamp prevents.
 		_ = u.reuseDelay.RecordValue(min(max(reuseDelayMin, delay), reuseDelayMax))
-		u.freedAt[team] = u.freedAt[team][1:]
+		u.unclaimedSince[team] = u.unclaimedSince[team][1:]
 	}
 }
 
-// TaskStarted takes the start of a task on a machine.
+// TaskStarted records the start of a task on a machine. It checks that the task runs nowhere
+// else and that the team's running tasks are within its limit.
 func (u *UsageChecker) TaskStarted(machine, task, jobID string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.startedTasks++
-	if other := u.runningOn[task]; other != "" {
-		u.violation("%s starts on %s while it is on %s", task, machine, other)
+	if other := u.machineByTask[task]; other != "" {
+		u.addViolation("task %s starts on %s while it is running on %s", task, machine, other)
 	}
-	u.runningOn[task] = machine
+	u.machineByTask[task] = machine
 	spec := u.jobs[jobID]
 	u.runningByTeam[spec.Team] += spec.GPUs
 	if running := u.runningByTeam[spec.Team]; running > u.limits[spec.Team] {
-		u.violation("%s uses %v GPUs, its limit is %v", spec.Team, running, u.limits[spec.Team])
+		u.addViolation("team %s runs tasks with %v GPUs, over its limit of %v", spec.Team, running, u.limits[spec.Team])
 	}
 }
 
-// TaskEnded takes the end of a task that ran.
+// TaskEnded records the end of a task that was running.
 func (u *UsageChecker) TaskEnded(task, jobID string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.runningOn[task] == "" {
+	if u.machineByTask[task] == "" {
 		return
 	}
-	delete(u.runningOn, task)
+	delete(u.machineByTask, task)
 	spec := u.jobs[jobID]
 	u.runningByTeam[spec.Team] -= spec.GPUs
 }
 
-// violation records what must never happen; mu is held.
-func (u *UsageChecker) violation(format string, args ...any) {
+// addViolation records a violation of an invariant; mu is held.
+func (u *UsageChecker) addViolation(format string, args ...any) {
 	u.violations = append(u.violations, fmt.Sprintf(format, args...))
 }
 
-// AllAtLimitSince reports whether every team has had claimed all of its limit at some
-// time after the given one.
+// AllAtLimitSince reports whether every team has reached its limit, in claims, after a time.
 func (u *UsageChecker) AllAtLimitSince(since time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for team := range u.limits {
-		if !u.lastAtFullLimit[team].After(since) {
+		if !u.lastAtLimit[team].After(since) {
 			return false
 		}
 	}
 	return true
 }
 
-// Usage is what a checker has seen.
+// Usage is what a checker has recorded.
 type Usage struct {
-	Admitted   int                // claims that were stored
-	Started    int                // tasks that began to run
+	Admitted   int                // number of claims that were stored
+	Started    int                // number of tasks that began to run
 	Claimed    map[string]float64 // GPUs claimed now, by team
-	Highest    map[string]float64 // most GPUs ever claimed, by team
-	Violations []string           // violations of a limit, and tasks that ran twice at once
-	// Share is the mean share of its limit that each team had claimed.
+	Highest    map[string]float64 // most GPUs ever claimed at once, by team
+	Violations []string           // exceeded limits, tasks that ran on two machines at once, and invalid chunks
+	// Share is the mean share of its limit that each team had claimed over time.
 	Share map[string]float64
-	// Reuse has the delays from capacity freed to capacity claimed again, in
-	// milliseconds.
+	// Reuse is a histogram of the delays from the release of a GPU until it is claimed
+	// again, in milliseconds.
 	Reuse *hdrhistogram.Snapshot
 }
 
-// Usage returns what the checker has seen.
+// Usage returns what the checker has recorded so far.
 func (u *UsageChecker) Usage() Usage {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -213,10 +216,10 @@
 		Share:      map[string]float64{},
 		Reuse:      u.reuseDelay.Export(),
 	}
-	seconds := u.lastChange.Sub(u.begun).Seconds()
+	seconds := u.lastClaimChange.Sub(u.startedAt).Seconds()
 	for team, limit := range u.limits {
-		out.Claimed[team], out.Highest[team] = u.claimedByTeam[team], u.highestClaimed[team]
-		out.Share[team] = math.Round(100*u.claimedSeconds[team]/seconds/limit) / 100
+		out.Claimed[team], out.Highest[team] = u.claimedByTeam[team], u.peakClaimed[team]
+		out.Share[team] = math.Round(100*u.claimedGPUSeconds[team]/seconds/limit) / 100
 	}
 	return out
 }
--- a/internal/fake/usage_checker_test.go
+++ b/internal/fake/usage_checker_test.go
@@ -8,7 +8,8 @@
 	"wheatspur/wire"
 )
 
-// chunkOperation stores the first chunk of a job with claimed tasks.
+// chunkOperation returns the operation that stores the first chunk of a job, with a number
+// of claimed tasks.
 func chunkOperation(jobID string, claimed int) []wire.Operation {
 	tasks := make([][5]any, claimed)
 	for i := range tasks {
@@ -17,12 +18,13 @@
 	return []wire.Operation{{Put: jobs.ChunkPrefix + jobID + "/0", Value: wire.MustMarshal(map[string]any{"t": tasks})}}
 }
 
-// The checker must see what it is there for.
-func TestUsageCheckerReportsPlantedViolations(t *testing.T) {
+// Guards against a checker that reports no violations: tests that rely on it would then pass
+// whatever the controllers do.
+func TestUsageCheckerReportsInjectedViolations(t *testing.T) {
 	spec := wire.JobSpec{ID: "wk-1", Team: "x", GPUs: 2}
 	for _, c := range []struct {
-		name  string
-		plant func(*UsageChecker)
+		name   string
+		inject func(*UsageChecker)
 	}{
 		{"claims beyond the limit", func(u *UsageChecker) { u.Applied(chunkOperation("wk-1", 4)) }},
 		{"a task on two machines", func(u *UsageChecker) {
@@ -34,7 +36,7 @@
 				u.TaskStarted("h1", fmt.Sprintf("wk-1/%d", i), "wk-1")
 			}
 		}},
-		{"a job that nobody submitted", func(u *UsageChecker) { u.Applied(chunkOperation("wk-2", 0)) }},
+		{"a job that was not submitted", func(u *UsageChecker) { u.Applied(chunkOperation("wk-2", 0)) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			checker := NewUsageChecker(map[string]float64{"x": 7})
@@ -43,9 +45,9 @@
 			checker.TaskStarted("h1", "wk-1/7", "wk-1")
 			checker.TaskEnded("wk-1/7", "wk-1")
 			if seen := checker.Usage(); len(seen.Violations) != 0 || seen.Admitted != 3 || seen.Highest["x"] != 6 {
-				t.Errorf("before the violation: %+v", seen)
+				t.Errorf("usage before the violation: %+v", seen)
 			}
-			c.plant(checker)
+			c.inject(checker)
 			if len(checker.Usage().Violations) == 0 {
 				t.Error("the violation is not reported")
 			}
