--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -8,32 +8,31 @@
 	"wheatspur/wire"
 )
 
-// Cloud is a fake cloud that has no capacity beside the machines it lists.
+// Cloud is a fake cloud that has no capacity beyond the machines it lists.
 type Cloud struct {
 	Mu               sync.Mutex // guards all below
 	Types            []wire.MachineType
 	Machines         []wire.Machine
-	Terminated       []string               // machines that were terminated
-	ScaleOutRequests []wire.ScaleOutRequest // requests, all of which were refused
-	// OnTerminate is called with Mu held with the machines that are terminated; nil:
-	// by nobody.
+	Terminated       []string               // names of the machines that were terminated
+	ScaleOutRequests []wire.ScaleOutRequest // all scale-out requests; each was rejected
+	// OnTerminate, if set, is called with the names of terminated machines, with Mu held.
 	OnTerminate func(machines []string)
 
-	keepsList bool // terminated machines stay listed
+	keepTerminated bool // terminated machines stay listed
 }
 
 var _ cloud.Provider = (*Cloud)(nil)
 
-// NewCloud returns a cloud with the types of machines. With keepsList, machines
-// stay listed when they are terminated.
-func NewCloud(types []wire.MachineType, keepsList bool) *Cloud {
-	return &Cloud{Types: types, keepsList: keepsList}
+// NewCloud returns a cloud that offers the machine types. With keepTerminated, terminated
+// machines stay listed.
+func NewCloud(types []wire.MachineType, keepTerminated bool) *Cloud {
+	return &Cloud{Types: types, keepTerminated: keepTerminated}
 }
 
-// MachineTypes lists the types of machines.
+// MachineTypes returns the machine types.
 func (c *Cloud) MachineTypes() ([]wire.MachineType, error) { return c.Types, nil }
 
-// ScaleOut records the request and refuses it.
+// ScaleOut records the request and rejects it with ErrNoCapacity.
 func (c *Cloud) ScaleOut(request wire.ScaleOutRequest) ([]string, error) {
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
@@ -41,7 +40,8 @@
 	return nil, cloud.ErrNoCapacity
 }
 
-// Terminate terminates machines.
+// Terminate records machines as terminated and removes them from the list, unless the cloud
+// keeps terminated machines listed.
 func (c *Cloud) Terminate(machines []string) error {
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
@@ -49,17 +49,17 @@
 	if c.OnTerminate != nil {
 		c.OnTerminate(machines)
 	}
-	if c.keepsList {
+	if c.keepTerminated {
 		return nil
 	}
-	// A new slice: callers of ListMachines hold the one before.
-	var left []wire.Machine
+	// A new slice, because callers of ListMachines may still use the previous one.
+	var remaining []wire.Machine
 	for _, machine := range c.Machines {
 		if !slices.Contains(machines, machine.Name) {
-			left = append(left, machine)
+			remaining = append(remaining, machine)
 		}
 	}
-	c.Machines = left
+	c.Machines = remaining
 	return nil
 }
 
--- a/internal/fake/cloud_server.go
+++ b/internal/fake/cloud_server.go
@@ -9,14 +9,14 @@
 	"wheatspur/wire"
 )
 
-// noCapacity is the protocol's text for a type, zone and kind of machine that the
-// cloud has none of.
+// noCapacity is the protocol's error text for a scale-out when the cloud has no machine of the
+// type, zone and kind (spot or ordinary).
 const noCapacity = "no capacity"
 
 // ServeCloud serves a cloud behind a link until the listener is closed.
 func ServeCloud(l net.Listener, link *Link, cloud *Cloud) error { return serve(l, link, cloud.handle) }
 
-// handle answers one request in the cloud's protocol.
+// handle responds to one request of the cloud's protocol.
 func (c *Cloud) handle(ctx *fasthttp.RequestCtx) {
 	switch path := string(ctx.Path()); {
 	case path == "/machine_types":
@@ -35,7 +35,7 @@
 			respond(ctx, nil, store.ErrMalformed)
 			return
 		}
-		_, _ = c.ScaleOut(request) // always refused
+		_, _ = c.ScaleOut(request) // the error is always ErrNoCapacity
 		respondStatus(ctx, fasthttp.StatusServiceUnavailable, wire.ErrorResponse{Error: noCapacity})
 	default:
 		machines, err := c.ListMachines()
