--- a/internal/golden/cbor.go
+++ b/internal/golden/cbor.go
@@ -2,7 +2,7 @@
 
 import "wheatspur/wire"
 
-// CBOR returns the sample of a CBOR format: package wire encodes and decodes it.
+// CBOR returns a sample of a CBOR format, which package wire encodes and decodes.
 func CBOR[T any](name string, value T) Sample {
 	return Sample{
 		Name:   name,
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden checks that the encoding of messages and records does not change:
-// it compares each sample with bytes that are kept in a file. It is for tests. The
-// samples, and so which formats are checked, belong to the packages under test.
+// Package golden checks that the encoding of messages and records does not change: it compares
+// the encoding of samples with golden bytes in a file. It is for tests only. The packages under
+// test define the samples, and so which formats are checked.
 package golden
 
 import (
@@ -15,11 +15,11 @@
 	"testing"
 )
 
-// File is where a package keeps its golden bytes, relative to the package: a JSON
-// object of hexadecimal strings by the name of their sample.
+// File is the path of a package's golden bytes, relative to the package. The file is a JSON
+// object that maps the name of each sample to a hexadecimal string.
 const File = "testdata/golden.json"
 
-// Sample is a value of one format, with every field filled.
+// Sample is a value of one format, with every field set.
 type Sample struct {
 	// Name is the key of the sample in the file.
 	Name string
@@ -31,8 +31,8 @@
 	Decode func([]byte) (any, error)
 }
 
-// Check encodes and decodes every sample and compares both results with the
-// golden bytes. With update it rewrites the file instead.
+// Check checks that every sample encodes to its golden bytes and that these decode to the
+// sample. With update it rewrites the file instead.
 func Check(t *testing.T, samples []Sample, update bool) {
 	t.Helper()
 	if update {
@@ -44,19 +44,19 @@
 		t.Run(s.Name, func(t *testing.T) {
 			golden, ok := want[s.Name]
 			if !ok {
-				t.Fatalf("%s holds no golden bytes of it", File)
+				t.Fatalf("%s has no golden bytes for this sample", File)
 			}
 			checkSample(t, s, golden)
 		})
 		delete(want, s.Name)
 	}
 	if len(want) > 0 {
-		t.Errorf("%s holds golden bytes without a sample: %v", File, slices.Sorted(maps.Keys(want)))
+		t.Errorf("%s has golden bytes without a sample: %v", File, slices.Sorted(maps.Keys(want)))
 	}
 }
 
-// checkSample checks one sample in both directions. A field that the sample leaves
-// zero would hide a change of its encoding.
+// checkSample checks one sample in both directions. It also checks that the sample sets every
+// field, because a zero field would hide a change of its encoding.
 func checkSample(t *testing.T, s Sample, golden []byte) {
 	t.Helper()
 	for _, problem := range Unfilled(s.Value) {
@@ -67,7 +67,7 @@
 		t.Fatalf("encode: %v", err)
 	}
 	if !bytes.Equal(encoded, golden) {
-		t.Errorf("encoded as\n%x, golden is\n%x", encoded, golden)
+		t.Errorf("encoded as\n%x, want\n%x", encoded, golden)
 	}
 	decoded, err := s.Decode(golden)
 	if err != nil {
@@ -78,38 +78,38 @@
 	}
 }
 
-// readFile returns the golden bytes by the name of their sample.
+// readFile returns the golden bytes by sample name.
 func readFile(t *testing.T) map[string][]byte {
 	t.Helper()
 	content, err := os.ReadFile(File)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var texts map[string]string
-	if err := json.Unmarshal(content, &texts); err != nil {
+	var hexByName map[string]string
+	if err := json.Unmarshal(content, &hexByName); err != nil {
 		t.Fatal(err)
 	}
-	out := make(map[string][]byte, len(texts))
-	for name, text := range texts {
-		if out[name], err = hex.DecodeString(text); err != nil {
+	out := make(map[string][]byte, len(hexByName))
+	for name, encoded := range hexByName {
+		if out[name], err = hex.DecodeString(encoded); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
 	return out
 }
 
-// writeFile replaces the golden bytes by those that the samples encode to.
+// writeFile replaces the golden bytes with the encodings of the samples.
 func writeFile(t *testing.T, samples []Sample) {
 	t.Helper()
-	texts := make(map[string]string, len(samples))
+	hexByName := make(map[string]string, len(samples))
 	for _, s := range samples {
 		encoded, err := s.Encode()
 		if err != nil {
 			t.Fatalf("%s: %v", s.Name, err)
 		}
-		texts[s.Name] = hex.EncodeToString(encoded)
+		hexByName[s.Name] = hex.EncodeToString(encoded)
 	}
-	content, err := json.MarshalIndent(texts, "", "  ")
+	content, err := json.MarshalIndent(hexByName, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/golden/text.go
+++ b/internal/golden/text.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// heading starts the line that names a section of a golden text.
-const heading = "## "
+// sectionPrefix starts a line that names a section of a golden text.
+const sectionPrefix = "## "
 
-// Text compares a text with the one that the package keeps in testdata under a
-// name, line by line. With update it rewrites that file instead.
+// Text compares a text line by line with the file of that name in the package's testdata
+// directory. With update it rewrites that file instead.
 func Text(t *testing.T, name, text string, update bool) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -28,34 +28,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if fault := Difference(string(want), text); fault != "" {
-		t.Errorf("%s: %s", path, fault)
+	if difference := Difference(string(want), text); difference != "" {
+		t.Errorf("%s: %s", path, difference)
 	}
 }
 
-// Difference describes the first line in which a text differs from the golden
-// one, and the section that holds it; empty if there is none.
+// Difference describes the first line in which two texts differ and the section that contains
+// it. It returns an empty string if the texts are equal.
 func Difference(want, got string) string {
 	if want == got {
 		return ""
 	}
-	wanted, lines := strings.Split(want, "\n"), strings.Split(got, "\n")
+	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
 	section := ""
-	for i := range max(len(wanted), len(lines)) {
-		w, g := line(wanted, i), line(lines, i)
+	for i := range max(len(wantLines), len(gotLines)) {
+		w, g := lineAt(wantLines, i), lineAt(gotLines, i)
 		if w == g {
-			if name, ok := strings.CutPrefix(w, heading); ok {
+			if name, ok := strings.CutPrefix(w, sectionPrefix); ok {
 				section = name
 			}
 			continue
 		}
 		return "section " + section + "\ngot  " + g + "\nwant " + w
 	}
-	return "" // not reached: texts that differ, differ in a line
+	return "" // not reached: unequal texts differ in at least one line
 }
 
-// line is a line of a text, or says that the text has ended.
-func line(lines []string, i int) string {
+// lineAt returns a line of a text, or a placeholder beyond the last one.
+func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
 	}
--- a/internal/golden/text_test.go
+++ b/internal/golden/text_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-func TestDifferenceNamesTheSectionAndTheLine(t *testing.T) {
+func TestDifferenceReportsSectionAndLine(t *testing.T) {
 	const want = "## one\na\n## two\nb\n"
-	for got, fault := range map[string]string{
+	for got, wantDifference := range map[string]string{
 		want:                         "",
 		"## one\na\n## two\nc\n":     "section two\ngot  c\nwant b",
 		"## one\nb\n## two\nb\n":     "section one\ngot  b\nwant a",
@@ -12,8 +12,8 @@
 		"## one\na\n## two\nb\n\n":   "section two\ngot  \nwant (end of the text)",
 		"## one\na\n## three\nb\n\n": "section one\ngot  ## three\nwant ## two",
 	} {
-		if d := Difference(want, got); d != fault {
-			t.Errorf("%q: %q, want %q", got, d, fault)
+		if difference := Difference(want, got); difference != wantDifference {
+			t.Errorf("difference of %q: %q, want %q", got, difference, wantDifference)
 		}
 	}
 }
--- a/internal/golden/unfilled.go
+++ b/internal/golden/unfilled.go
@@ -5,9 +5,8 @@
 	"reflect"
 )
 
-// Unfilled lists the fields of a value that are zero and those that share a
-// value with another field, so that a swap of the two would go unseen.
-// Booleans need only be true.
+// Unfilled lists the fields of a value that are zero, and those that have the same value as
+// another field: a swap of the two would go undetected. Booleans need only be true.
 func Unfilled(value any) []string {
 	w := fieldWalker{pathByValue: map[string]string{}}
 	w.walk("", reflect.ValueOf(value))
@@ -16,13 +15,13 @@
 
 // fieldWalker visits all fields below a value.
 type fieldWalker struct {
-	pathByValue map[string]string // of the values seen so far, in their printed form
+	pathByValue map[string]string // path of each value visited so far, by the value's printed form
 	problems    []string
 }
 
 func (w *fieldWalker) walk(path string, v reflect.Value) {
 	if v.IsZero() {
-		w.problem("%s is zero", path)
+		w.addProblem("%s is zero", path)
 		return
 	}
 	switch v.Kind() {
@@ -34,7 +33,7 @@
 		w.walkMap(path, v)
 	case reflect.Slice:
 		w.walkSlice(path, v)
-	case reflect.Bool: // true, or it would be zero
+	case reflect.Bool: // true, since false is zero
 	default:
 		w.checkDistinct(path, v)
 	}
@@ -50,7 +49,7 @@
 
 func (w *fieldWalker) walkMap(path string, v reflect.Value) {
 	if v.Len() == 0 {
-		w.problem("%s is empty", path)
+		w.addProblem("%s is empty", path)
 	}
 	for _, key := range v.MapKeys() {
 		w.walk(path+" key", key)
@@ -60,7 +59,7 @@
 
 func (w *fieldWalker) walkSlice(path string, v reflect.Value) {
 	if v.Len() == 0 {
-		w.problem("%s is empty", path)
+		w.addProblem("%s is empty", path)
 	}
 	if v.Type().Elem().Kind() == reflect.Uint8 {
 		w.checkDistinct(path, v)
@@ -71,17 +70,17 @@
 	}
 }
 
-// checkDistinct compares a value with all before it in their printed form, so that
-// also values of different types may not look alike.
+// checkDistinct reports a value whose printed form equals that of an earlier value, also if
+// their types differ.
 func (w *fieldWalker) checkDistinct(path string, v reflect.Value) {
 	value := fmt.Sprint(v)
 	if other, ok := w.pathByValue[value]; ok {
-		w.problem("%s has the value of %s: %s", path, other, value)
+		w.addProblem("%s has the same value as %s: %s", path, other, value)
 		return
 	}
 	w.pathByValue[value] = path
 }
 
-func (w *fieldWalker) problem(format string, args ...any) {
+func (w *fieldWalker) addProblem(format string, args ...any) {
 	w.problems = append(w.problems, fmt.Sprintf(format, args...))
 }
--- a/internal/golden/unfilled_test.go
+++ b/internal/golden/unfilled_test.go
@@ -20,11 +20,11 @@
 		return &outer{Count: 1, Inner: &inner{"a", true}, List: []uint64{2, 3}, ByKey: map[string]inner{"b": {"c", true}}}
 	}
 	if problems := Unfilled(filled()); problems != nil {
-		t.Errorf("a filled value: %v", problems)
+		t.Errorf("problems in a filled value: %v", problems)
 	}
 	for _, c := range []struct {
-		name  string
-		spoil func(*outer)
+		name   string
+		modify func(*outer)
 	}{
 		{"zero field", func(o *outer) { o.Count = 0 }},
 		{"nil pointer", func(o *outer) { o.Inner = nil }},
@@ -37,9 +37,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o := filled()
-			c.spoil(o)
+			c.modify(o)
 			if problems := Unfilled(o); len(problems) != 1 {
-				t.Errorf("%v, want one problem", problems)
+				t.Errorf("problems %v, want exactly one", problems)
 			}
 		})
 	}
