--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -42,11 +42,10 @@
 	// AwaitCall omits a start from the answer to a heartbeat while a direct call that contains it
 	// is in flight and has just been sent.
 	AwaitCall bool
-	// ResendAfterCall is how long after a direct call a start from it is not sent in another direct
-	// call.
+	// ResendAfterCall is the shortest time between two direct calls that contain the same start.
 	ResendAfterCall time.Duration
-	// RestartAfterAnswer is how long after the answer to a heartbeat a start from it is not sent in
-	// a direct call: until the next heartbeat shows its effect.
+	// RestartAfterAnswer is the shortest time between the answer to a heartbeat that contains a start
+	// and a direct call that repeats it, unless a later heartbeat shows first that it had no effect.
 	RestartAfterAnswer time.Duration
 	// AdmitStart reports whether the limit on the rate of starts admits a due start of a job now, and
 	// counts it if so. If nil, the rate is not limited.
--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -8,9 +8,9 @@
 	"wheatspur/wire"
 )
 
-// IsStale reports whether a heartbeat is the newest one that this controller has answered, or older:
-// the network may deliver copies of heartbeats minutes late. Accepting one would make a dead machine
-// look alive and its lease look renewed.
+// IsStale reports whether a heartbeat is no newer than the newest one that this controller has
+// answered, or is from an earlier incarnation: the network may deliver copies of heartbeats minutes
+// late. Accepting one would make a dead machine look alive and its lease look renewed.
 func (w *Worker) IsStale(heartbeat *wire.Heartbeat) bool {
 	return w.isNotNewer(heartbeat, w.HeartbeatSequence)
 }
--- a/internal/worker/lease.go
+++ b/internal/worker/lease.go
@@ -6,8 +6,9 @@
 	"wheatspur/internal/tuning"
 )
 
-// LeaseRenewedAt returns the latest time at which we may have renewed the lease of an incarnation
-// that has acknowledged our token: the last heartbeat that we answered had arrived by then.
+// LeaseRenewedAt returns an upper bound on the time from which the lease of an incarnation that has
+// acknowledged our token runs: the arrival of the last heartbeat that we answered or, if later, of
+// the message that acknowledged the token.
 func (w *Worker) LeaseRenewedAt() time.Time {
 	if w.LastAnswered.After(w.AcknowledgedAt) {
 		return w.LastAnswered
@@ -19,7 +20,7 @@
 // The worker must have acknowledged our token, so that only our answers renew the lease, and the
 // last heartbeat that we answered must have arrived longer ago than the lease lasts, with margins
 // for clock drift and late timers. The worker counts from when it sent that heartbeat, before we
-// received it, so its lease expires no later than the time computed here.
+// received it, so its lease has expired by the time this function reports it.
 func (w *Worker) ExpireLease(now time.Time, lease time.Duration) bool {
 	if w.State != TokenAcknowledged {
 		return w.State == LeaseExpired
