--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -23,7 +23,7 @@
 	// of them is cancelled.
 	Phase         Phase
 	CancelledWith string // the dependency whose cancellation cancelled the job
-	ReadyAtMs     int64  // earliest time at which it may have started, Unix milliseconds
+	ReadyAtMs     int64  // time from which its tasks may run: acceptance or last dependency's end, Unix milliseconds
 	Priority      int    // highest of its own and those of its unfinished dependents, as PriorityOrder
 	DeadlineMs    int64  // earliest deadline that it or its unfinished dependents impose, Unix milliseconds; 0: none
 
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -42,7 +42,7 @@
 }
 
 // ChunkRecord is the stored form of a chunk: ChunkSize tasks of a job with consecutive numbers. The
-// tasks of a chunk without a record are new.
+// tasks of a chunk without a record are pending and have never been claimed.
 type ChunkRecord struct {
 	Tasks []Task `cbor:"t"`
 }
