--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -107,8 +107,10 @@
 	// RetryPause is the pause before a call to the store is retried after a rejection or a
 	// lost answer.
 	RetryPause = 250 * time.Millisecond
-	// StoreStaleAfter is the time without a fresh read after which a controller considers
-	// the store unavailable. Two watches would have returned by then.
+	// StoreStaleAfter is how long after its last read from the store a controller considers
+	// the store unavailable: it starts no tasks, makes no scheduling or capacity decisions, and
+	// forwards user requests before it tries to serve them (compare StoreLostAfter). Two watches
+	// would have returned by then.
 	StoreStaleAfter = 2500 * time.Millisecond
 	// MinRenewPause is the shortest pause before a renewal, so that overdue renewals do not
 	// run in a busy loop.
@@ -272,10 +274,11 @@
 	MaxEvictionTries = 16
 )
 
-// Role control. Most values are those of the role control design.
+// Role control. Most values are those of the role control of the Narwhal paper, called the design
+// below (see docs/design.md).
 const (
-	// RoleStep is the interval between evaluations of adjacent role splits, as the role
-	// control design sets it.
+	// RoleStep is the interval between evaluations of adjacent role splits, as the design
+	// sets it.
 	RoleStep = 5 * time.Second
 	// RoleExpand is the batch load (ratio) from which a mixed-pressure move may start. Such a
 	// move takes a machine from services that are under load as well.
@@ -290,10 +293,10 @@
 	// RoleCooldown is the shortest pause between batch-to-service moves.
 	RoleCooldown = 10 * time.Second
 	// MinRoleEvidence is the age at which the evidence window closes if it has
-	// RoleEvidenceArrivals. The role control design has 60 s.
+	// RoleEvidenceArrivals. The design has 60 s.
 	MinRoleEvidence = 20 * time.Second
 	// MaxRoleEvidence is the age at which the evidence window closes even without enough
-	// arrivals. The role control design has 120 s.
+	// arrivals. The design has 120 s.
 	MaxRoleEvidence = 40 * time.Second
 	// RoleEvidenceArrivals is the number of service arrivals that closes the evidence window
 	// early.
@@ -305,7 +308,7 @@
 	// MinRoleEvidence.
 	RoleShortWindow = 20 * time.Second
 	// RoleLongWindow is the window over which long-term demand is measured: the demand window
-	// of the role control design.
+	// of the design.
 	RoleLongWindow = 120 * time.Second
 	// RoleUsable is the fraction of a machine that counts as usable for services.
 	RoleUsable = 0.8
@@ -495,9 +498,10 @@
 	// PeerViewLifetimes is the multiple of PeerFresh for which the last view of a sibling's
 	// machines is used to tell when they were last heard.
 	PeerViewLifetimes = 5
-	// StoreLostAfter is how long after its last read from the store a controller assumes
-	// that it has lost the store, and forwards requests that it cannot serve. Two watches have
-	// gone unanswered by then.
+	// StoreLostAfter is how long after its last read from the store a controller begins to
+	// forward user requests that it has tried and could not serve. Two watches have gone
+	// unanswered by then. It is shorter than StoreStaleAfter: in between, the controller still
+	// makes decisions and starts tasks.
 	StoreLostAfter = 2 * WatchHold
 	// PeerConnectionsEach is the number of connections that the peer server accepts per
 	// sibling: twice as many as a sibling opens at the same time.
