--- a/internal/autoscale/scalein.go
+++ b/internal/autoscale/scalein.go
@@ -156,8 +156,9 @@
 
 // isNeeded reports whether a role floor or the headroom needs the machine.
 func (s *scaleInSelector) isNeeded(m Machine) bool {
-	// Spot machines can satisfy the role's floor. Without this check, short batch work
-	// that may not use them would wait for a machine to boot each time.
+	// An on-demand machine may be needed although spot machines fill the role's floor:
+	// without the headroom for on-demand batch work, short batch work that may not use
+	// spot machines would wait for a machine to boot each time.
 	if m.Role == placement.Batch && !m.Kind.Spot && !s.onDemandSlots.canRemove(m) {
 		return true
 	}
--- a/internal/autoscale/types.go
+++ b/internal/autoscale/types.go
@@ -78,8 +78,8 @@
 	Demands  []Demand
 	Service  Load
 	Batch    Load
-	// OnDemand is the batch work that may not use spot machines. Its Spec is nil if no
-	// such job is open, waits for other jobs, or was present recently.
+	// OnDemand is the batch work that may not use spot machines. Its Spec is set if such a
+	// job is open, waits for other jobs, or was present recently; otherwise it is nil.
 	OnDemand Load
 	// LastNoCapacity is when the cloud last had no capacity for a kind of machine.
 	LastNoCapacity map[MachineKind]time.Time
@@ -102,13 +102,14 @@
 	Reason string
 }
 
-// ScaleIn is a machine to terminate once it holds no tasks.
+// ScaleIn is a machine to terminate: at once if HoldsNothing, otherwise once it is drained.
 type ScaleIn struct {
 	Machine string
 	Reason  string
 }
 
-// HoldsNothing reports whether the machine holds no tasks any more, or never came up.
+// HoldsNothing reports whether there is nothing to drain: the machine holds no tasks any more, or
+// never came up.
 func (s ScaleIn) HoldsNothing() bool {
 	return s.Reason == ReasonNotListed || s.Reason == ReasonSilent || s.Reason == ReasonSlowBoot
 }
