--- a/internal/store/cache.go
+++ b/internal/store/cache.go
@@ -108,9 +108,9 @@
 
 // ApplyOwnWrite applies a transaction of this controller, to which the store assigned
 // the given revision. It ignores a transaction that the watch has already delivered:
-// another controller may have deleted a key since. Applied late, the transaction
-// restored such a key, with claims that were never released, and every write that
-// involved the key failed.
+// another controller may have deleted a key since. Otherwise a late transaction would
+// restore the deleted key: its claims would never be released, and every write that
+// involves the key would fail.
 func (c *Cache) ApplyOwnWrite(operations []wire.Operation, revision uint64) {
 	if revision <= c.revision {
 		return
--- a/internal/store/limiter.go
+++ b/internal/store/limiter.go
@@ -25,7 +25,7 @@
 const grantInterval = 10 * time.Millisecond
 
 // submissionBacklog is the number of waiting submissions from which claims may use
-// claimReserve, instead of only what the reserve for submissions leaves.
+// claimAllowance even if that cuts into the reserve for submissions.
 const submissionBacklog = 3
 
 // budget is a number of requests and of writes. It is used for a rate, the tokens in
@@ -49,9 +49,9 @@
 	rate       budget // per second
 	tokens     budget // in the bucket; below 0 after calls that do not wait for budget
 	refilledAt time.Time
-	// claimReserve is the number of writes that claims and releases may make even while
+	// claimAllowance is the number of writes that claims and releases may make even while
 	// submissions or machine records wait; it grows at half the rate of writes.
-	claimReserve     float64
+	claimAllowance   float64
 	queues           [classCount][]*waiter
 	queueLimit       int
 	grantLoopRunning bool // the goroutine of grantLoop runs
@@ -98,7 +98,7 @@
 	burst := l.rate.burst()
 	l.tokens.requests = min(l.tokens.requests+elapsed*l.rate.requests, burst.requests)
 	l.tokens.writes = min(l.tokens.writes+elapsed*l.rate.writes, burst.writes)
-	l.claimReserve = min(l.claimReserve+elapsed*l.rate.writes/2, max(l.rate.writes/2, 1))
+	l.claimAllowance = min(l.claimAllowance+elapsed*l.rate.writes/2, max(l.rate.writes/2, 1))
 }
 
 // affordable reports whether the bucket covers the cost. The caller holds mu.
@@ -123,21 +123,21 @@
 // with little wait. Code that decides on the stored state calls it before deciding, so
 // that the decision is not stale when it is written.
 //
-// The reserve is left to submissions, so that they do not wait behind claims. If
+// submissionReserve is left to submissions, so that they do not wait behind claims. If
 // several submissions wait nevertheless, claims get half of the write rate, or accepted
 // jobs would not run. Claims also get it while machine records wait: hundreds of these
 // in a row, after many machines were lost at once, kept the leader from storing the
 // end of a job for 15 s.
-func (l *Limiter) AvailableWrites(reserve float64) float64 {
+func (l *Limiter) AvailableWrites(submissionReserve float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refill()
 	if l.queuedUpTo(ClassClaim) > 0 {
 		return 0
 	}
-	available := max(l.tokens.writes-reserve, 0)
+	available := max(l.tokens.writes-submissionReserve, 0)
 	if len(l.queues[ClassIntake]) >= submissionBacklog || len(l.queues[ClassRecords]) > 0 {
-		available = max(available, math.Floor(l.claimReserve))
+		available = max(available, math.Floor(l.claimAllowance))
 	}
 	return available
 }
@@ -181,7 +181,7 @@
 	defer l.mu.Unlock()
 	l.refill()
 	if class == ClassClaim {
-		l.claimReserve = max(l.claimReserve-cost.writes, 0)
+		l.claimAllowance = max(l.claimAllowance-cost.writes, 0)
 	}
 	// A session expires if its renewal waits, so lease calls may overdraw the bucket.
 	if class == ClassLease || l.isNext(class, cost) && l.affordable(cost) {
--- a/internal/store/limiter_test.go
+++ b/internal/store/limiter_test.go
@@ -154,7 +154,7 @@
 	clock := newManualClock()
 	l := NewLimiter(100, 4, 8, clock.now)
 	l.take(budget{writes: 4})
-	l.claimReserve = 0
+	l.claimAllowance = 0
 	records, claims := 0, 0.0
 	for range 40 { // 10 s
 		if len(l.queues[ClassRecords]) == 0 {
@@ -167,7 +167,7 @@
 			for range int(available) {
 				enqueue(l, ClassClaim)
 			}
-			l.claimReserve = max(l.claimReserve-available, 0)
+			l.claimAllowance = max(l.claimAllowance-available, 0)
 		}
 		l.refill()
 		l.grant()
--- a/internal/store/syncer.go
+++ b/internal/store/syncer.go
@@ -26,7 +26,7 @@
 
 	barrierMu      sync.Mutex
 	barrierWaiters []chan error  // each has a buffer for its one result
-	barrierWake    chan struct{} // buffers one signal that callers wait
+	barrierWake    chan struct{} // holds at most one signal that callers are waiting
 	barrierLimit   int           // maximum number of callers that wait
 
 	readMu     sync.Mutex
