--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -25,8 +25,8 @@
 
 // Errors of a call to the cloud, for errors.Is.
 var (
-	// ErrNoCapacity is returned when the cloud has no machine of the requested type,
-	// zone and kind (spot or ordinary).
+	// ErrNoCapacity is returned when the cloud has no machine of the requested type and
+	// zone, spot or on-demand as requested.
 	ErrNoCapacity = errors.New("no capacity")
 	// ErrUnavailable is returned when the cloud rejected the call or sent no valid
 	// response, or when the client's rate limit did not allow the call.
