--- a/internal/quota/rebalance.go
+++ b/internal/quota/rebalance.go
@@ -13,8 +13,8 @@
 // not allow admissions, it takes two steps: the first freezes the shares, so that
 // the claims of all controllers become known, and the second divides what the
 // claims leave of the limit. pending yields what each waiting job of the team takes.
-// Without write budget (budget is false) it serves only a new membership, since all
-// admissions wait for that.
+// Without write budget (budget is false) it only divides the limit for a new
+// membership, since all admissions wait for that.
 func (l *Ledger) Rebalance(now time.Time, v View, pending iter.Seq[Amount], budget bool) *Write {
 	phase := l.Phase(v.FencingToken)
 	if l.writeInFlight || phase == Unlimited || !budget && phase != Unshared {
