--- a/internal/leader/roles.go
+++ b/internal/leader/roles.go
@@ -69,14 +69,14 @@
 func (ld *Loop) MoveRoles(state *State, machines *placement.Fleet, now time.Time) []inventory.RecordChange {
 	var moves []inventory.RecordChange
 	for _, machineType := range ld.MachineTypeList {
-		controller := state.roleBalancers[machineType.Label]
-		if controller == nil {
+		balancer := state.roleBalancers[machineType.Label]
+		if balancer == nil {
 			continue
 		}
 		service, batch := ld.movableMachines(machineType.Label, machines)
 		serviceMachine := roles.ServiceMachineToMove(service)
 		fits := func() bool { return serviceMachine != nil && tasksFitElsewhere(machines, serviceMachine, false) }
-		decision := controller.Evaluate(now, ld.describeSplit(machineType, machines), fits)
+		decision := balancer.Evaluate(now, ld.describeSplit(machineType, machines), fits)
 		state.RoleDecisions[machineType.Label] = decision
 		ld.logRoleDecision(machineType.Label, decision)
 		switch decision.Move {
