--- a/internal/testrunner/events.go
+++ b/internal/testrunner/events.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// Actions of go test -json that the judgement needs (go doc test2json).
+// Actions in the output of go test -json that the test runner evaluates; see go doc test2json.
 const (
 	actionOutput      = "output"
 	actionBuildOutput = "build-output"
@@ -18,32 +18,32 @@
 	actionSkip        = "skip"
 )
 
-// testEvent is an event that go test -json prints.
+// testEvent is one event in the output of go test -json.
 type testEvent struct {
 	Action, Package, Test, Output string
 }
 
-// testID names a test; without a test, its package.
+// testID identifies a test, or a package if test is empty.
 type testID struct{ pkg, test string }
 
 func compareTestIDs(a, b testID) int {
 	return cmp.Or(cmp.Compare(a.pkg, b.pkg), cmp.Compare(a.test, b.test))
 }
 
-// testResults are the last action and the output of each test and package.
+// testResults holds the final action and the output of each test and package.
 type testResults struct {
 	actions map[testID]string
 	outputs map[testID]string
 }
 
-// failures lists what failed, in a fixed order.
+// failures returns the failed tests and packages, sorted by package and test.
 func (r testResults) failures() []testID {
 	ids := slices.SortedFunc(maps.Keys(r.actions), compareTestIDs)
 	return slices.DeleteFunc(ids, func(id testID) bool { return r.actions[id] != actionFail })
 }
 
-// readEvents reads what go test -json prints, and passes on the output of packages
-// and of builds; that of tests is kept until they are judged.
+// readEvents reads the output of go test -json. It writes package and build output to w at once, and
+// stores test output until the results are evaluated.
 func readEvents(r io.Reader, w io.Writer) (testResults, error) {
 	results := testResults{actions: map[testID]string{}, outputs: map[testID]string{}}
 	for decoder := json.NewDecoder(r); ; {
