--- a/internal/testrunner/main.go
+++ b/internal/testrunner/main.go
@@ -1,9 +1,8 @@
-// Command testrunner runs go test with its arguments and judges the outcome. Every
-// test must pass, but those that KNOWN-RED.txt lists: they run like all others,
-// and their failures are printed as known. It guards against faults that are known
-// and not mended keeping everything else from being checked, and against the list
-// growing old: a name that matches no test, and a fourth line, fail the run. Which
-// packages are tested, and how, is the caller's choice.
+// Command testrunner runs go test with its arguments and evaluates the results. Every test must pass
+// except the known failures listed in KNOWN-RED.txt: these run like all other tests, and their failures
+// are reported as known. A known fault that is not fixed yet therefore does not keep everything else
+// from being checked. To keep the list current, the run fails if an entry matches no test or if there
+// are more than three entries. The caller chooses the packages and flags.
 package main
 
 import (
@@ -17,21 +16,21 @@
 // Exit codes.
 const (
 	exitTestsFailed = 1
-	exitNotRun      = 2 // the list is wrong, or go test could not be run or read
+	exitError       = 2 // the list of known failures is invalid, or go test could not be run or its output not read
 )
 
 func main() {
 	ok, err := run(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(exitNotRun)
+		os.Exit(exitError)
 	}
 	if !ok {
 		os.Exit(exitTestsFailed)
 	}
 }
 
-// run runs go test and reports whether its outcome is as it must be.
+// run runs go test and reports whether every test passed except the known failures.
 func run(arguments []string) (ok bool, err error) {
 	text, err := os.ReadFile(knownFailuresFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -45,10 +44,10 @@
 	if err != nil {
 		return false, err
 	}
-	return judge(results, known, failed, os.Stdout), nil
+	return evaluate(results, known, failed, os.Stdout), nil
 }
 
-// runGoTest runs go test; failed tells whether it exited with a failure.
+// runGoTest runs go test and returns its results; failed reports whether it exited with an error code.
 func runGoTest(arguments []string) (results testResults, failed bool, err error) {
 	command := exec.Command("go", append([]string{"test", "-json"}, arguments...)...)
 	command.Stderr = os.Stderr
@@ -63,7 +62,7 @@
 	waitErr := command.Wait()
 	var exit *exec.ExitError
 	if readErr != nil || waitErr != nil && !errors.As(waitErr, &exit) {
-		return results, false, fmt.Errorf("go test could not be read: %w", errors.Join(readErr, waitErr))
+		return results, false, fmt.Errorf("run go test and read its output: %w", errors.Join(readErr, waitErr))
 	}
 	return results, waitErr != nil, nil
 }
