--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,8 +1,8 @@
-// Package testcluster runs controllers as real processes on loopback, between
-// fakes of the key-value store, the cloud and the workers (package fake). It owns
-// the processes, their settings files and their links: processes are killed and
-// started, and each link can fail by itself. What the fakes do is package fake's.
-// It is for tests: the test's own program is started again as a controller (Main).
+// Package testcluster runs controllers as real processes on loopback, connected to the fakes of the
+// key-value store, the cloud and the workers in package fake. It manages the controller processes,
+// their settings files and their network links: it can kill and restart each process, and each link
+// can fail independently. Package fake defines how the fakes behave. This package is for tests only:
+// the test binary starts itself again as a controller, see RunControllerIfRequested.
 package testcluster
 
 import (
@@ -23,54 +23,54 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats of a worker.
+	// heartbeatInterval is the interval between the heartbeats of a worker.
 	heartbeatInterval = 500 * time.Millisecond
-	// requestTimeout is how long a user waits for an answer.
+	// requestTimeout is how long a user waits for a response.
 	requestTimeout = 2 * time.Second
-	// machineAgeS is the age of the machines when a cluster starts, in seconds:
-	// none is starting up.
+	// machineAgeS is the age of the machines when the cluster starts, in seconds. It is high enough
+	// that no machine counts as starting up.
 	machineAgeS = 100
-	// seedsPerMachine is the distance between the seeds of two machines, larger
-	// than the number of links of a machine.
+	// seedsPerMachine is the difference between the seeds of consecutive machines. It is larger than
+	// the number of links of a machine, each of which uses a seed of its own.
 	seedsPerMachine = 1000
 )
 
-// Options say what a cluster consists of.
+// Options configures a cluster.
 type Options struct {
 	Controllers int
 	Machines    int
 	Teams       []config.Team
-	Types       []wire.MachineType // machines are of the first
-	Properties  string             // text of the operators' properties file
-	Seed        uint64             // of the faults on links
-	Lease       time.Duration      // of the workers
-	Log         io.Writer          // of the controllers; nil: nowhere
-	Commands    *fake.CommandLog   // records the commands to workers; nil: nothing does
-	// Begins and Ended watch the tasks (see fake.Worker).
+	Types       []wire.MachineType // all machines have the first type
+	Properties  string             // content of the operator properties file
+	Seed        uint64             // seed of the random link faults
+	Lease       time.Duration      // lease of the workers
+	Log         io.Writer          // receives the logs of the controllers; nil discards them
+	Commands    *fake.CommandLog   // records the commands to workers; nil records none
+	// Begins and Ended are called when a task starts and ends; see fake.Worker.
 	Begins func(w *fake.Worker, t *fake.Task) time.Duration
 	Ended  func(w *fake.Worker, t *fake.Task)
 }
 
-// Cluster is controllers with the fakes around them.
+// Cluster is a set of controller processes with the fakes that they talk to.
 type Cluster struct {
 	Store    *fake.Store
 	Cloud    *fake.Cloud
 	Machines []*fake.Machine
 
 	options     Options
-	dir         string // of the settings files
+	dir         string // contains the settings files
 	controllers []*controllerProcess
-	workers     sync.Mutex // guards the workers of all machines
-	users       fasthttp.Client
+	workersMu   sync.Mutex // guards the workers of all machines
+	httpClient  fasthttp.Client
 
-	// What Close ends: the machines by cancel, the servers by their listeners.
+	// Close stops the machines through cancel, and the servers by closing their listeners.
 	group     errgroup.Group
 	cancel    context.CancelFunc
 	listeners []net.Listener
 }
 
-// Start starts a cluster, which Close ends. dir is for settings files; applied is
-// called with every transaction that the store has applied, nil: nothing is.
+// Start starts a cluster, which Close stops. The settings files are written to dir. If applied is not
+// nil, it is called with the operations of every transaction that the store has applied.
 func Start(dir string, o Options, applied func([]wire.Operation)) (*Cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Cluster{Store: fake.NewStore(), Cloud: fake.NewCloud(o.Types, false), options: o, dir: dir, cancel: cancel}
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// listen opens a listener on loopback that Close closes.
+// listen opens a loopback listener, which Close closes.
 func (c *Cluster) listen() (net.Listener, error) {
 	l, err := listenLoopback()
 	if err == nil {
@@ -109,7 +109,7 @@
 	return l, err
 }
 
-// startMachine adds a spot machine that is up.
+// startMachine adds a running spot machine with a worker on it.
 func (c *Cluster) startMachine(ctx context.Context, i int) error {
 	l, err := c.listen()
 	if err != nil {
@@ -135,14 +135,14 @@
 		AgeS:        machineAgeS,
 	})
 	seed := c.options.Seed + uint64(seedsPerMachine*(i+1))
-	machine := fake.NewMachine(w, &c.workers, c.heartbeatEndpoints(), seed, heartbeatInterval, c.options.Lease)
+	machine := fake.NewMachine(w, &c.workersMu, c.heartbeatEndpoints(), seed, heartbeatInterval, c.options.Lease)
 	c.Machines = append(c.Machines, machine)
 	c.group.Go(func() error { return machine.Serve(l) })
 	c.group.Go(func() error { return machine.Run(ctx) })
 	return nil
 }
 
-// heartbeatEndpoints are where the controllers take heartbeats.
+// heartbeatEndpoints returns the addresses to which workers send heartbeats.
 func (c *Cluster) heartbeatEndpoints() (endpoints []fake.ControllerEndpoint) {
 	for _, p := range c.controllers {
 		endpoints = append(endpoints, fake.ControllerEndpoint{Label: p.settings.Label, Address: p.settings.Bind})
@@ -150,28 +150,27 @@
 	return endpoints
 }
 
-// StartController starts a controller's process.
+// StartController starts the process of controller i.
 func (c *Cluster) StartController(i int) error { return c.controllers[i].start() }
 
-// Kill ends a controller's process without a signal that it could handle, and
-// reports whether it was running until then.
+// Kill ends the process of controller i with SIGKILL, and reports whether it was still running.
 func (c *Cluster) Kill(i int) bool { return c.controllers[i].kill() }
 
-// Terminate asks a controller's process to stop, waits for its exit, and returns
-// its exit code.
+// Terminate sends SIGTERM to the process of controller i, waits for it to exit, and returns its exit
+// code.
 func (c *Cluster) Terminate(i int) (int, error) { return c.controllers[i].terminate() }
 
-// StoreLink is a controller's link to the store.
-func (c *Cluster) StoreLink(i int) *fake.Link { return c.controllers[i].store }
+// StoreLink returns the link from controller i to the store.
+func (c *Cluster) StoreLink(i int) *fake.Link { return c.controllers[i].storeLink }
 
-// Address is where a controller takes users' requests.
+// Address returns the address at which controller i serves user requests.
 func (c *Cluster) Address(i int) string { return c.controllers[i].settings.Bind }
 
-// Label is a controller's label.
+// Label returns the label of controller i.
 func (c *Cluster) Label(i int) string { return c.controllers[i].settings.Label }
 
-// Request sends a user's request to a controller; the status is 0 if there is no
-// answer.
+// Request sends a user request to controller i and returns the HTTP status and the body of the
+// response. The status is 0 if there was no response.
 func (c *Cluster) Request(i int, method, path string, body any) (int, []byte) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -181,21 +180,20 @@
 	if body != nil {
 		req.SetBody(wire.MustMarshal(body))
 	}
-	if err := c.users.DoTimeout(req, resp, requestTimeout); err != nil {
+	if err := c.httpClient.DoTimeout(req, resp, requestTimeout); err != nil {
 		return 0, nil
 	}
 	return resp.StatusCode(), slices.Clone(resp.Body())
 }
 
-// Close ends the controllers' processes, the machines and the servers, and waits
-// for them.
+// Close kills the controller processes, stops the machines and the servers, and waits for all of them.
 func (c *Cluster) Close() {
 	for i := range c.controllers {
 		c.Kill(i)
 	}
 	c.cancel()
 	for _, l := range c.listeners {
-		_ = l.Close() // it fails only if its server has closed it
+		_ = l.Close() // fails only if the server has already closed it
 	}
-	_ = c.group.Wait() // a server's error is that of its closed listener
+	_ = c.group.Wait() // servers fail only because their listeners are closed
 }
--- a/internal/testcluster/controller.go
+++ b/internal/testcluster/controller.go
@@ -17,10 +17,10 @@
 	"wheatspur/internal/fake"
 )
 
-// zone is the one zone and domain of a cluster.
+// zone is the only zone and the only domain of a cluster.
 const zone = "z"
 
-// Limits that controllers are told. They are wide: the tests are not about them.
+// Limits in the settings of the controllers. They are generous, because no test exercises them.
 const (
 	timeBoundMs         = 25
 	storeCallsPerSecond = 2000
@@ -32,23 +32,23 @@
 	processorShare      = 1
 	memoryMB            = 512
 	maxConnections      = 2000
-	cancelLeases        = 3 // so many worker leases until a cancellation is final
+	cancelLeases        = 3 // a cancellation is final after this many worker leases
 )
 
-// settingsMode is the mode of the settings files.
+// settingsMode is the file mode of the settings files.
 const settingsMode = 0o600
 
-// controllerProcess is one controller's process and its link to the store.
+// controllerProcess is the process of one controller, with its settings and its link to the store.
 type controllerProcess struct {
 	settings       config.Settings
 	configPath     string
 	propertiesPath string
 	log            *logTail
-	store          *fake.Link
+	storeLink      *fake.Link
 
 	mu      sync.Mutex    // guards all below
-	command *exec.Cmd     // nil: not running
-	stdin   io.Closer     // its end ends the process
+	command *exec.Cmd     // nil while no process is started
+	stdin   io.Closer     // the process exits when it is closed
 	exited  chan struct{} // closed when the process has exited
 }
 
@@ -57,7 +57,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil {
-		return errors.New("testcluster: controller runs already")
+		return errors.New("testcluster: controller is already running")
 	}
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), configVariable+"="+p.configPath, propertiesVariable+"="+p.propertiesPath)
@@ -73,13 +73,12 @@
 	p.command, p.stdin, p.exited = command, stdin, exited
 	go func() {
 		defer close(exited)
-		_ = command.Wait() // how it exited is read from its state
+		_ = command.Wait() // reap reads the exit code from the process state
 	}()
 	return nil
 }
 
-// kill ends the process without a signal that it could handle, and reports
-// whether it was running until then.
+// kill ends the process with SIGKILL, and reports whether it was still running.
 func (p *controllerProcess) kill() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,18 +91,17 @@
 		running = false
 	default:
 	}
-	_ = p.command.Process.Kill() // it fails only if the process has exited
+	_ = p.command.Process.Kill() // fails only if the process has already exited
 	p.reap()
 	return running
 }
 
-// terminate asks the process to stop, waits for its exit, and returns its exit
-// code.
+// terminate sends SIGTERM to the process, waits for it to exit, and returns its exit code.
 func (p *controllerProcess) terminate() (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command == nil {
-		return 0, errors.New("testcluster: controller does not run")
+		return 0, errors.New("testcluster: controller is not running")
 	}
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
 		return 0, err
@@ -111,17 +109,17 @@
 	return p.reap(), nil
 }
 
-// reap waits for the exit of the process and returns its exit code; mu is held.
+// reap waits for the process to exit, releases it and returns its exit code. The caller must hold mu.
 func (p *controllerProcess) reap() int {
 	<-p.exited
-	_ = p.stdin.Close() // nobody reads it any more
+	_ = p.stdin.Close() // the process that read from it has exited
 	code := p.command.ProcessState.ExitCode()
 	p.command = nil
 	return code
 }
 
-// prepareControllers writes the settings of all controllers, and serves the store
-// and the cloud to each over links of its own.
+// prepareControllers writes the settings of all controllers, and serves the store and the cloud to each
+// controller over separate links.
 func (c *Cluster) prepareControllers() error {
 	addresses, err := controllerAddresses(2 * c.options.Controllers)
 	if err != nil {
@@ -145,11 +143,11 @@
 		c.group.Go(func() error { return server.Serve(storeListener, link) })
 		c.group.Go(func() error { return fake.ServeCloud(cloudListener, fake.NewLink(0), c.Cloud) })
 		p := &controllerProcess{
-			settings:       c.settings(i, addresses, storeListener.Addr().String(), cloudListener.Addr().String()),
+			settings:       c.controllerSettings(i, addresses, storeListener.Addr().String(), cloudListener.Addr().String()),
 			configPath:     filepath.Join(c.dir, controllerLabel(i)+".toml"),
 			propertiesPath: propertiesPath,
-			log:            &logTail{next: c.options.Log},
-			store:          link,
+			log:            &logTail{output: c.options.Log},
+			storeLink:      link,
 		}
 		if err := p.writeSettings(); err != nil {
 			return err
@@ -159,7 +157,7 @@
 	return nil
 }
 
-// writeSettings writes the controller's settings file.
+// writeSettings writes the settings file of the controller.
 func (p *controllerProcess) writeSettings() error {
 	text, err := toml.Marshal(p.settings)
 	if err != nil {
@@ -168,12 +166,12 @@
 	return os.WriteFile(p.configPath, text, settingsMode)
 }
 
-// controllerLabel names a controller.
+// controllerLabel returns the label of controller i.
 func controllerLabel(i int) string { return fmt.Sprintf("n%d", i) }
 
-// settings are those of one controller. Of its two addresses, the first is for
-// users and workers, the second for the other controllers.
-func (c *Cluster) settings(i int, addresses []string, storeAddress, cloudAddress string) config.Settings {
+// controllerSettings returns the settings of controller i. Each controller has two consecutive entries
+// of addresses: the first for users and workers, the second for the other controllers.
+func (c *Cluster) controllerSettings(i int, addresses []string, storeAddress, cloudAddress string) config.Settings {
 	s := config.Settings{Label: controllerLabel(i), Domain: zone, Bind: addresses[2*i], PeerListen: addresses[2*i+1]}
 	for sibling := range c.options.Controllers {
 		if sibling != i {
@@ -191,14 +189,13 @@
 	return s
 }
 
-// controllerAddresses finds addresses for controllers that nothing listens on: on
-// the loopback address of this process. A controller that is down leaves its
-// addresses free, and every connection that is opened meanwhile, by any program,
-// may get one of the ports of 127.0.0.1. Guards against a controller that could
-// not start again, or a stranger that answered in its place.
+// controllerAddresses returns free addresses for the controllers, on the loopback address of this test
+// process. While a controller is down its ports are free, and any connection that any program opens in
+// the meantime may be assigned one of the ports of 127.0.0.1. On that address, a controller might be
+// unable to start again, or another program might answer in its place.
 func controllerAddresses(count int) ([]string, error) {
 	var addresses []string
-	var listeners []net.Listener // all stay open until all are found, so that no two are the same
+	var listeners []net.Listener // kept open until all addresses are found, so that the addresses differ
 	var err error
 	for range count {
 		var l net.Listener
@@ -214,11 +211,11 @@
 	return addresses, err
 }
 
-// processLoopback is the loopback address of a process: one of 127.1.0.0 to
-// 127.64.255.255, by the 22 bits that its id has at most.
+// processLoopback returns the loopback address of a process, between 127.1.0.0 and 127.64.255.255. It
+// is derived from the process ID, which has at most 22 bits.
 func processLoopback(pid int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// listenLoopback opens a listener on a free loopback address.
+// listenLoopback opens a listener on a free port of 127.0.0.1.
 func listenLoopback() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
--- a/internal/testcluster/log_tail.go
+++ b/internal/testcluster/log_tail.go
@@ -5,25 +5,25 @@
 	"sync"
 )
 
-// logTailSize is how much of a controller's log is kept, in bytes.
+// logTailSize is the size of the kept end of a controller log, in bytes.
 const logTailSize = 4096
 
-// logTail passes a controller's log on and keeps its end, which says why a process
-// has ended that nobody stopped.
+// logTail forwards the log of a controller and keeps its end, which shows why a process exited
+// unexpectedly.
 type logTail struct {
-	next io.Writer // nil: nowhere
+	output io.Writer // nil discards the log
 
-	mu   sync.Mutex // guards the one below
+	mu   sync.Mutex // guards tail
 	tail []byte
 }
 
 // Write implements io.Writer.
 func (l *logTail) Write(text []byte) (int, error) {
 	l.keep(text)
-	if l.next == nil {
+	if l.output == nil {
 		return len(text), nil
 	}
-	return l.next.Write(text)
+	return l.output.Write(text)
 }
 
 func (l *logTail) keep(text []byte) {
@@ -33,7 +33,7 @@
 	l.tail = l.tail[max(0, len(l.tail)-logTailSize):]
 }
 
-// String returns the end of the log.
+// String returns the kept end of the log.
 func (l *logTail) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testcluster/main.go
+++ b/internal/testcluster/main.go
@@ -13,14 +13,14 @@
 	"wheatspur/internal/tuning"
 )
 
-// Environment variables that make a test's program a controller.
+// Environment variables that make the test binary run as a controller.
 const (
 	configVariable     = "WHEATSPUR_TEST_CONFIG"
 	propertiesVariable = "WHEATSPUR_TEST_PROPERTIES"
 )
 
-// RunControllerIfRequested runs a controller if this process was started as one, and does not return
-// then. Tests call it from TestMain.
+// RunControllerIfRequested runs a controller and exits if the environment variables request it, and
+// returns otherwise. Tests call it from TestMain.
 func RunControllerIfRequested() {
 	configPath := os.Getenv(configVariable)
 	if configPath == "" {
@@ -34,10 +34,10 @@
 	os.Exit(0)
 }
 
-// exitWithParent exits when standard input ends. The parent holds its other end:
-// if the parent dies without stopping this process, nobody else would.
+// exitWithParent exits when standard input ends. The parent process holds the other end of it, so the
+// controller also exits if the parent dies without stopping it.
 func exitWithParent() {
-	_, _ = io.Copy(io.Discard, os.Stdin) // an error is an end too
+	_, _ = io.Copy(io.Discard, os.Stdin) // an error means that the input ended, too
 	os.Exit(0)
 }
 
@@ -48,12 +48,12 @@
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With(logging.KeyController, settings.Label)
-	service := process{controller.New(settings, log)}
+	service := controllerService{controller.New(settings, log)}
 	return daemon.Run(service, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.SystemdManager{Log: log}})
 }
 
-// process adds a reload to a controller, so that it is a daemon.Service.
-type process struct{ *controller.Controller }
+// controllerService adds Reload to a controller to implement daemon.Service.
+type controllerService struct{ *controller.Controller }
 
-// Reload does nothing: a test's settings do not change.
-func (process) Reload() error { return nil }
+// Reload does nothing, because the settings of a test do not change.
+func (controllerService) Reload() error { return nil }
