--- a/internal/testcluster/address_test.go
+++ b/internal/testcluster/address_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// Two processes that run tests at the same time have different addresses.
-func TestProcessLoopbackDiffersByProcess(t *testing.T) {
-	seen := map[string]int{}
+// Test processes that run at the same time must have different loopback addresses.
+func TestProcessLoopbackIsUniquePerProcess(t *testing.T) {
+	pidByAddress := map[string]int{}
 	for _, pid := range []int{1, 255, 256, 300, 1 << 16, 1<<16 + 1, 2 << 16, 63<<16 + 255, 1<<22 - 1} {
 		address := processLoopback(pid)
-		if other, known := seen[address]; known {
-			t.Errorf("processes %d and %d both have %s", other, pid, address)
+		if other, exists := pidByAddress[address]; exists {
+			t.Errorf("processes %d and %d both have address %s", other, pid, address)
 		}
-		seen[address] = pid
+		pidByAddress[address] = pid
 	}
 	if address := processLoopback(1<<22 - 1); address != "127.64.255.255" {
-		t.Errorf("the last process has %s", address)
+		t.Errorf("the highest process ID has address %s", address)
 	}
 }
--- a/internal/testcluster/main_test.go
+++ b/internal/testcluster/main_test.go
@@ -12,12 +12,12 @@
 	m.Run()
 }
 
-// machineTypes are the types of the tests' machines: one, with 8 GPUs.
+// machineTypes has the one machine type of the tests, with 8 GPUs.
 var machineTypes = []wire.MachineType{{
 	Label: "g", CPUs: 64, GPUs: 8, RAMGB: 64, FetchGBPerS: 10, Price: 1, SpotPrice: 1, StartupS: 30, Zones: []string{zone},
 }}
 
-// jobArray is a job array of tasks with one GPU each.
+// jobArray returns the specification of a job array whose tasks use one GPU each.
 func jobArray(jobID, team string, tasks int, estimateS float64) wire.JobSpec {
 	return wire.JobSpec{
 		ID: jobID, Class: "c", Team: team, Kind: wire.KindArray, Priority: wire.PriorityNormal,
@@ -25,17 +25,17 @@
 	}
 }
 
-// eventually waits until a condition holds and returns how long that took; the
-// test fails if it does not hold within a limit. The clusters run in real
-// processes, so that no fake clock serves.
-func eventually(t *testing.T, what string, within, interval time.Duration, holds func() bool) time.Duration {
+// eventually polls a condition until it holds and returns how long that took. The test fails if the
+// condition does not hold within the timeout. The clusters run in real processes, which cannot use a
+// fake clock.
+func eventually(t *testing.T, description string, timeout, interval time.Duration, condition func() bool) time.Duration {
 	t.Helper()
-	begun := time.Now()
-	for !holds() {
-		if time.Since(begun) > within {
-			t.Fatalf("%s: not within %v", what, within)
+	start := time.Now()
+	for !condition() {
+		if time.Since(start) > timeout {
+			t.Fatalf("%s: condition not met within %v", description, timeout)
 		}
 		time.Sleep(interval)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
