--- a/internal/testcluster/cold_start_test.go
+++ b/internal/testcluster/cold_start_test.go
@@ -12,15 +12,15 @@
 	"wheatspur/internal/fake"
 )
 
-// coldStartPoll is how often a cold start's conditions are looked at.
+// coldStartPoll is the interval at which the conditions of a cold start are polled.
 const coldStartPoll = 50 * time.Millisecond
 
-// coldStartCluster is a cluster whose tasks run until the test is over.
+// coldStartCluster is a cluster whose tasks run until the test ends.
 type coldStartCluster struct {
 	*Cluster
 	commands *fake.CommandLog
 
-	mu      sync.Mutex // guards the two below
+	mu      sync.Mutex // guards running and ended
 	running map[string]bool
 	ended   int
 }
@@ -37,7 +37,7 @@
 		Seed:        1,
 		Lease:       time.Minute,
 		Commands:    c.commands,
-		Begins:      c.taskBegins,
+		Begins:      c.taskStarted,
 		Ended:       c.taskEnded,
 	}, nil)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return c
 }
 
-// taskBegins records the start of a task, which does not end by itself.
-func (c *coldStartCluster) taskBegins(_ *fake.Worker, task *fake.Task) time.Duration {
+// taskStarted records the start of a task. It returns 0, so the task does not end by itself.
+func (c *coldStartCluster) taskStarted(_ *fake.Worker, task *fake.Task) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running[task.TaskStatus.Task] = true
@@ -63,14 +63,14 @@
 	c.ended++
 }
 
-// count is how many tasks run, and how many have ended.
-func (c *coldStartCluster) count() (running, ended int) {
+// taskCounts returns the number of running tasks and of ended tasks.
+func (c *coldStartCluster) taskCounts() (running, ended int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.running), c.ended
 }
 
-// recovered reports whether every controller is in ordinary operation.
+// recovered reports whether every controller has finished recovery.
 func (c *coldStartCluster) recovered() bool {
 	for i := range c.controllers {
 		status, page := c.Request(i, http.MethodGet, "/status", nil)
@@ -81,22 +81,21 @@
 	return true
 }
 
-// submit submits job arrays, each to one controller after the other until one has
-// accepted it.
+// submit submits job arrays. It tries the controllers in turn for each until one accepts it.
 func (c *coldStartCluster) submit(t *testing.T, jobCount, tasks int) {
 	t.Helper()
 	for i := range jobCount {
 		spec := jobArray(fmt.Sprintf("wk-%d", i), "x", tasks, 1000)
-		next := i
+		controller := i
 		eventually(t, "submission of "+spec.ID, 30*time.Second, coldStartPoll, func() bool {
-			next++
-			status, _ := c.Request(next%len(c.controllers), http.MethodPost, "/work", spec)
+			controller++
+			status, _ := c.Request(controller%len(c.controllers), http.MethodPost, "/work", spec)
 			return status == http.StatusOK || status == http.StatusCreated
 		})
 	}
 }
 
-// restart kills all controllers, and starts them after a pause.
+// restart kills all controllers, and starts them again after a pause.
 func (c *coldStartCluster) restart(t *testing.T, pause time.Duration) {
 	t.Helper()
 	for i := range c.controllers {
@@ -110,30 +109,29 @@
 	}
 }
 
-// All controllers are killed at the same moment, twice, the second time in the
-// middle of recovery, and are back before any worker's lease has expired: every
-// task runs on, and no worker gets a command.
+// All controllers are killed at once, and again while they recover. They restart before any worker
+// lease expires, so every task must keep running and no worker may get another command.
 func TestColdStartOfAllControllersKeepsRunningTasks(t *testing.T) {
 	c := newColdStartCluster(t)
 	const jobCount, tasks = 30, 4
 	c.submit(t, jobCount, tasks)
-	eventually(t, "starts", 60*time.Second, coldStartPoll, func() bool {
-		running, _ := c.count()
+	eventually(t, "start of all tasks", 60*time.Second, coldStartPoll, func() bool {
+		running, _ := c.taskCounts()
 		return running == jobCount*tasks
 	})
 	if before := c.commands.Snapshot(); len(before.Repeated) != 0 {
-		t.Errorf("%d starts were repeated in ordinary operation: %v", len(before.Repeated), before.Repeated)
+		t.Errorf("%d start commands were repeated before the restart: %v", len(before.Repeated), before.Repeated)
 	}
-	begun := time.Now()
+	firstKill := time.Now()
 	for _, pause := range []time.Duration{500 * time.Millisecond, time.Second} {
 		c.restart(t, pause)
 		time.Sleep(pause)
 	}
-	took := eventually(t, "recovery", 60*time.Second, coldStartPoll, c.recovered)
-	t.Logf("recovered %v after the last start, %v after the first end", took, time.Since(begun))
-	time.Sleep(2 * time.Second) // commands that should not come would come now
-	seen := c.commands.Snapshot()
-	if running, ended := c.count(); running != jobCount*tasks || ended != 0 || seen.Starts != jobCount*tasks || len(seen.Repeated) != 0 || len(seen.Kills) != 0 {
-		t.Errorf("%d tasks run, %d have ended, %d starts, repeated %v, killed %v", running, ended, seen.Starts, seen.Repeated, seen.Kills)
+	elapsed := eventually(t, "recovery", 60*time.Second, coldStartPoll, c.recovered)
+	t.Logf("recovered %v after the last pause, %v after the first kill", elapsed, time.Since(firstKill))
+	time.Sleep(2 * time.Second) // gives unexpected commands time to arrive
+	counts := c.commands.Snapshot()
+	if running, ended := c.taskCounts(); running != jobCount*tasks || ended != 0 || counts.Starts != jobCount*tasks || len(counts.Repeated) != 0 || len(counts.Kills) != 0 {
+		t.Errorf("%d tasks are running, %d have ended, %d attempts started, repeated starts %v, kills %v", running, ended, counts.Starts, counts.Repeated, counts.Kills)
 	}
 }
