--- a/internal/testcluster/graceful_stop_test.go
+++ b/internal/testcluster/graceful_stop_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// statusPage is a controller's status page; empty if it does not answer.
+// statusPage returns the status page of controller i, or an empty string if it does not respond.
 func (c *Cluster) statusPage(i int) string {
 	status, page := c.Request(i, http.MethodGet, "/status", nil)
 	if status != http.StatusOK {
@@ -18,7 +18,7 @@
 	return string(page)
 }
 
-// members are the labels in the membership line of a controller's status page.
+// members returns the labels in the membership line on the status page of controller i.
 func (c *Cluster) members(i int) []string {
 	for line := range strings.Lines(c.statusPage(i)) {
 		if strings.HasPrefix(line, "membership ") {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// leader is the controller that leads according to the first one.
+// leader returns the index of the leader according to controller 0, or 0 if that reports none.
 func (c *Cluster) leader() int {
 	page := c.statusPage(0)
 	for i := range c.controllers {
@@ -40,32 +40,31 @@
 	return 0
 }
 
-// awaitRemoval waits until a controller knows a membership without another, and
-// returns how long that took since a moment.
-func (l *quotaLoad) awaitRemoval(asked, removed int, since time.Time) time.Duration {
+// awaitRemoval waits until the membership that one controller reports no longer includes another, and
+// returns the time since the given one.
+func (l *quotaLoad) awaitRemoval(observer, removed int, since time.Time) time.Duration {
 	l.t.Helper()
 	eventually(l.t, "membership without "+l.Label(removed), time.Until(since.Add(30*time.Second)), 10*time.Millisecond, func() bool {
-		members := l.members(asked)
+		members := l.members(observer)
 		return len(members) > 0 && !strings.Contains(strings.Join(members, " "), l.Label(removed))
 	})
 	return time.Since(since)
 }
 
-// stopGracefully terminates a controller, which must exit with code 0.
+// stopGracefully terminates controller i, and fails the test unless it exits with code 0.
 func (l *quotaLoad) stopGracefully(i int) {
 	l.t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	code, err := l.Terminate(i)
 	if err != nil || code != 0 {
 		l.t.Errorf("%s stopped with exit code %d, %v", l.Label(i), code, err)
 	}
-	l.t.Logf("%s stopped in %v", l.Label(i), time.Since(begun))
+	l.t.Logf("%s stopped in %v", l.Label(i), time.Since(start))
 }
 
-// Controllers are stopped and killed one after the other under load, the leader
-// too. A graceful stop exits with code 0 and hands the shards over at once, a kill
-// when the controller's session expires; what was accepted is done, and no limit
-// is exceeded.
+// Controllers, including the leader, are stopped and killed one at a time under load. A controller that
+// stops gracefully must exit with code 0 and hand over its shards at once, without waiting for its
+// session to expire as after a kill. All accepted jobs must complete, and no limit may be exceeded.
 func TestGracefulStopFailsOverWithoutWaitingForLeaseExpiry(t *testing.T) {
 	l := newQuotaLoad(t, 3, "")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -81,14 +80,14 @@
 		if !c.leader {
 			stopped = (stopped + 1) % len(l.controllers)
 		}
-		asked := (stopped + 2) % len(l.controllers)
+		observer := (stopped + 2) % len(l.controllers)
 		if c.graceful {
 			l.stopGracefully(stopped)
-			afterStop = append(afterStop, l.awaitRemoval(asked, stopped, time.Now()))
+			afterStop = append(afterStop, l.awaitRemoval(observer, stopped, time.Now()))
 		} else {
-			begun := time.Now()
+			start := time.Now()
 			l.Kill(stopped)
-			afterKill = append(afterKill, l.awaitRemoval(asked, stopped, begun))
+			afterKill = append(afterKill, l.awaitRemoval(observer, stopped, start))
 		}
 		if err := l.StartController(stopped); err != nil {
 			t.Fatal(err)
@@ -97,14 +96,14 @@
 	}
 	cancel()
 	users.Wait()
-	t.Logf("membership without it: %v after a stop, %v after a kill", afterStop, afterKill)
+	t.Logf("time until removal from the membership: %v after a graceful stop, %v after a kill", afterStop, afterKill)
 	for i := range afterStop {
 		if afterStop[i] > 2*time.Second || afterStop[i] > afterKill[i] {
-			t.Errorf("%v after the end of a stopped controller, %v after a kill", afterStop[i], afterKill[i])
+			t.Errorf("removal from the membership took %v after the exit of a stopped controller, %v after a kill", afterStop[i], afterKill[i])
 		}
 	}
 	unfinished := l.awaitAllDone(200 * time.Millisecond)
-	if seen := l.checker.Usage(); len(unfinished) > 0 || len(seen.Violations) > 0 || seen.Admitted == 0 {
-		t.Errorf("%d jobs are not done, %d admissions, violations: %v", len(unfinished), seen.Admitted, seen.Violations)
+	if usage := l.checker.Usage(); len(unfinished) > 0 || len(usage.Violations) > 0 || usage.Admitted == 0 {
+		t.Errorf("%d jobs are not done, %d admissions, violations: %v", len(unfinished), usage.Admitted, usage.Violations)
 	}
 }
