--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -11,8 +11,9 @@
 	"wheatspur/wire"
 )
 
-// After a controller's crash another owns its machines under a higher fencing token;
-// the former owner, which has not noticed, is fenced out by workers that have seen it.
+// TestFailoverMovesMachinesAndRaisesTheFencingToken expires a controller's session: another one must
+// own its machines under a higher fencing token. The former owner, which has not noticed, must not
+// renew the leases of workers that have seen the new token.
 func TestFailoverMovesMachinesAndRaisesTheFencingToken(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
@@ -24,22 +25,22 @@
 		env.stepMembership()
 	}
 	if other.fencingToken() <= old {
-		t.Fatalf("token %d after %d", other.fencingToken(), old)
+		t.Fatalf("fencing token %d after a failover, was %d", other.fencingToken(), old)
 	}
 	if code, _ := other.receiveHeartbeat(env.heartbeat("h1", 1, old)); code != http.StatusOK {
 		t.Fatalf("the new owner answered %d", code)
 	}
-	// The former owner has not noticed: it must not renew the lease of a worker that has.
+	// The former owner has not noticed the failover, the worker has.
 	if code, _ := owner.receiveHeartbeat(env.heartbeat("h1", 1, other.fencingToken())); code == http.StatusOK {
 		t.Fatal("the former owner answered 200")
 	}
 }
 
-// A process comes back within a fraction of a second during an election: the session
-// of the former process is still held, its writes of the leader key and of the
-// membership have unknown outcomes, its late calls still arrive. None of these may
-// count for the new process.
-func TestAControllerRestartsDuringAnElection(t *testing.T) {
+// TestControllerRestartDuringElection restarts a controller within a fraction of a second during an
+// election. The session of the former process has not expired, its writes of the leader key and of
+// the membership have unknown outcomes, and its late calls still arrive. None of these may count for
+// the new process.
+func TestControllerRestartDuringElection(t *testing.T) {
 	labels := []string{"a", "b", "c"}
 	env := newTestEnv(t, labels...)
 	old := env.leader()
@@ -47,53 +48,53 @@
 	env.addMachine("h1", "batch")
 	// A write of the old process that is still in flight.
 	old.Lock()
-	held := env.store.Keys[membership.RecordKey].Version
+	version := env.store.Keys[membership.RecordKey].Version
 	stale := *old.Membership
 	stale.FencingToken++
 	old.Unlock()
-	fresh := env.startController(label, labels) // its old session and leader key still stand
+	restarted := env.startController(label, labels) // its old session and leader key have not expired
 	for range 6 {
 		env.stepMembership()
 	}
 	leader := env.leader()
 	if leader.fencingToken() <= token {
-		t.Fatal("the restart did not raise the token")
+		t.Fatal("the restart did not raise the fencing token")
 	}
-	if leader.Membership.Contains(old.Self) || !leader.Membership.Contains(fresh.Self) {
+	if leader.Membership.Contains(old.Self) || !leader.Membership.Contains(restarted.Self) {
 		t.Fatalf("members %+v", leader.Membership.Nodes)
 	}
 	// The old process's write arrives late and changes nothing.
-	if _, err := env.store.CompareAndSwap(context.Background(), 0, []wire.Compare{{Key: membership.RecordKey, Version: held}},
+	if _, err := env.store.CompareAndSwap(context.Background(), 0, []wire.Compare{{Key: membership.RecordKey, Version: version}},
 		[]wire.Operation{{Put: membership.RecordKey, Value: wire.MustMarshal(stale)}}); err == nil {
-		t.Fatal("a membership of the old process was stored")
+		t.Fatal("a late membership write of the old process was stored")
 	}
 	// A membership write whose answer is lost is not written twice.
-	env.store.Expire(fresh.Self.Incarnation)
+	env.store.Expire(restarted.Self.Incarnation)
 	env.refreshAll()
 	env.store.LoseAnswers = 1
 	for range 6 {
 		env.stepMembership()
 	}
-	seen := map[uint64]bool{}
+	tokens := map[uint64]bool{}
 	for _, controller := range env.controllers {
-		if controller != fresh {
-			seen[controller.fencingToken()] = true
+		if controller != restarted {
+			tokens[controller.fencingToken()] = true
 		}
 	}
-	if len(seen) != 1 {
-		t.Fatalf("tokens %v", seen)
+	if len(tokens) != 1 {
+		t.Fatalf("controllers have different fencing tokens: %v", tokens)
 	}
-	// The old process, if it still ran, is no member.
-	_ = old.Syncer.ReadBarrier(time.Second) // whether it still reads the store makes no difference
+	// The old process is no member, even if it still runs.
+	_ = old.Syncer.ReadBarrier(time.Second) // the outcome makes no difference
 	if code, _ := old.receiveHeartbeat(env.heartbeat("h1", 1, token)); code == http.StatusOK {
 		t.Fatal("the old process answers workers")
 	}
 }
 
-// Controllers are upgraded one after the other while tasks run; the leader's process
-// crashes during the election that its own upgrade causes, and comes back with the
+// TestRollingUpgradeWithCrashDuringElection upgrades the controllers one after the other while tasks
+// run. The leader crashes during the election that its own upgrade causes, and restarts with the
 // older version. No task may lose its claim or restart.
-func TestARollingUpgradeWithACrashDuringAnElection(t *testing.T) {
+func TestRollingUpgradeWithCrashDuringElection(t *testing.T) {
 	labels := []string{"a", "b", "c"}
 	env := newTestEnv(t, labels...)
 	for _, label := range labels {
@@ -107,7 +108,7 @@
 	restart := func(label string, old bool) {
 		env.store.Expire(env.controllers[label].Self.Incarnation)
 		env.startController(label, labels)
-		env.stepMembership() // during the election: its session is stored, nothing more is certain
+		env.stepMembership() // a single step: only its session is certainly stored, the election goes on
 		if old {
 			env.setOldVersion(label, true)
 		}
@@ -119,13 +120,13 @@
 			got := controller.DependenciesSupported()
 			controller.Unlock()
 			if got != want {
-				t.Fatalf("%s: pipelines %v, want %v", label, got, want)
+				t.Fatalf("%s: dependencies supported: %v, want %v", label, got, want)
 			}
 		}
 	}
 	leaderLabel := env.leader().Self.Label
 	restart(leaderLabel, false)
-	restart(leaderLabel, true) // killed again before it is a member; it comes back with the older version
+	restart(leaderLabel, true) // it crashes before it is a member, and restarts with the older version
 	for _, label := range labels {
 		for range 4 {
 			env.stepMembership()
@@ -138,21 +139,21 @@
 		env.acknowledgeToken("h1", 1, running...)
 		env.runPasses()
 		if controller := env.controllers[label]; controller.claimsOn("h1") != 2 || controller.Table.Jobs["wk-1"].Task(0).Attempt != 1 {
-			t.Fatalf("%s is renewed: %d claims, attempt %d", label, controller.claimsOn("h1"), controller.Table.Jobs["wk-1"].Task(0).Attempt)
+			t.Fatalf("after the upgrade of %s: %d claims, attempt %d", label, controller.claimsOn("h1"), controller.Table.Jobs["wk-1"].Task(0).Attempt)
 		}
 	}
 	checkDependenciesSupported(true)
 	code, body := env.controllers["a"].receiveHeartbeat(env.heartbeat("h1", 1, env.controllers["a"].fencingToken(), running...))
 	if response, ok := body.(wire.HeartbeatResponse); code == http.StatusOK && (!ok || len(response.Commands) != 0) {
-		t.Fatalf("the commands for healthy tasks are %v", body)
+		t.Fatalf("a heartbeat with healthy tasks is answered with %v", body)
 	}
 	env.submit(env.controllers["b"], arrayJob("wk-2", 1))
 	env.submit(env.controllers["c"], dependentJob(arrayJob("wk-3", 1), "wk-2"))
 }
 
-// After a controller's crash its peers hear nothing of its machines for a while.
-// Guards against a leader that takes them for silent and terminates them all, as it
-// once did.
+// TestMachinesOfACrashedControllerAreNotSilent clears a controller's workers, as a restart does, so
+// that its peers get no news of its machines for a while. The leader once considered such machines
+// silent and terminated all of them.
 func TestMachinesOfACrashedControllerAreNotSilent(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	leader := env.leader()
@@ -172,14 +173,14 @@
 	plannedMachine := func() autoscale.Machine {
 		leader.Lock()
 		defer leader.Unlock()
-		for _, u := range leader.leaderLoop.PlanInput(leader.leaderLoop.CurrentTerm(), leader.MachineIndex.RefreshMachines(env.clock.now()), env.clock.now()).Machines {
-			if u.Name == machineName {
-				return u
+		for _, machine := range leader.leaderLoop.PlanInput(leader.leaderLoop.CurrentTerm(), leader.MachineIndex.RefreshMachines(env.clock.now()), env.clock.now()).Machines {
+			if machine.Name == machineName {
+				return machine
 			}
 		}
 		return autoscale.Machine{}
 	}
-	for range 40 { // heard for a long time
+	for range 40 { // the machine sends heartbeats for a long time
 		env.clock.add(5 * time.Second)
 		env.refreshAll()
 		other.receiveHeartbeat(env.heartbeat(machineName, 1, other.fencingToken()))
@@ -191,7 +192,7 @@
 	other.Unlock()
 	env.sendPeerStatus(other, leader)
 	env.clock.add(2 * time.Second)
-	if u := plannedMachine(); u.Silent || u.Missing {
-		t.Fatalf("a machine that sent a heartbeat seconds ago: %+v", u)
+	if machine := plannedMachine(); machine.Silent || machine.Missing {
+		t.Fatalf("a machine that sent a heartbeat seconds ago is silent or missing: %+v", machine)
 	}
 }
