--- a/internal/controller/combined_faults_test.go
+++ b/internal/controller/combined_faults_test.go
@@ -47,7 +47,8 @@
 }
 
 // partitionZone cuts a controller and its machine off from the rest for longer than a lease: the
-// machine reaches only that controller, whose store calls are rejected. Afterwards all tasks must run.
+// machine reaches only that controller, whose store calls are rejected. Afterwards all tasks must
+// run.
 func partitionZone(sim *simulation) {
 	controller := sim.otherControllers(sim.leader())[0]
 	isolatedMachine := sim.machineOf(controller)
--- a/internal/controller/linearizability_test.go
+++ b/internal/controller/linearizability_test.go
@@ -10,9 +10,9 @@
 )
 
 // TestResponsesAreLinearizableAcrossControllers asks every controller as soon as another one has
-// answered that a job is accepted, done or cancelled, and repeats the submission and the cancellation.
-// Some controllers have not read the change yet, and some answers of the store are lost: no response
-// may show an older state.
+// answered that a job is accepted, done or cancelled, and repeats the submission and the
+// cancellation. Some controllers have not read the change yet, and some answers of the store are
+// lost: no response may show an older state.
 func TestResponsesAreLinearizableAcrossControllers(t *testing.T) {
 	type response struct {
 		code  int
