--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -17,8 +17,8 @@
 	"wheatspur/wire"
 )
 
-// newQuotaPair returns an environment of two controllers with machines that send
-// heartbeats, and a team limit.
+// newQuotaPair returns an environment of two controllers, a number of batch machines that have
+// sent heartbeats, and a GPU limit of team x.
 func newQuotaPair(t *testing.T, limit float64, machines int) *testEnv {
 	t.Helper()
 	env := newTestEnv(t, "a", "b")
@@ -38,7 +38,7 @@
 	return env
 }
 
-// enableTransfers switches quota transfers on at all controllers.
+// enableTransfers enables quota transfers at all controllers.
 func (env *testEnv) enableTransfers() {
 	for _, controller := range env.controllers {
 		controller.Lock()
@@ -48,68 +48,70 @@
 	}
 }
 
-// A job that fits the limit, but no controller's share of it, is claimed by the leader
-// with what its peers transfer; with transfers the shares are never frozen for it.
+// A job fits the team's limit but not the share of any single controller. All its tasks are
+// claimed, with quota that peers transfer or after the shares were rebalanced. With transfers
+// enabled, the shares are never frozen for it.
 func TestQuotaTransfersCoverAShortfall(t *testing.T) {
-	for _, on := range []bool{false, true} {
-		t.Run(fmt.Sprintf("transfers %v", on), func(t *testing.T) {
+	for _, enabled := range []bool{false, true} {
+		t.Run(fmt.Sprintf("transfers %v", enabled), func(t *testing.T) {
 			env := newQuotaPair(t, 12, 8)
-			if on {
+			if enabled {
 				env.enableTransfers()
 			}
 			env.submit(env.leader(), arrayJob("wk-1", 12))
-			begun := env.store.Revision
+			startRevision := env.store.Revision
 			rounds := 0
 			for ; rounds < 12 && env.checkTeamLimit(12) < 12; rounds++ {
 				env.clock.add(tuning.TransferPause)
 				env.heartbeatAll()
 				env.runPasses()
 			}
-			frozen, written := 0, 0
-			for _, e := range env.store.Events {
-				var rec quota.Record
-				if e.Version <= begun || e.Put != jobs.TeamKey("x") || wire.Unmarshal(e.Value, &rec) != nil {
+			frozen, writes := 0, 0
+			for _, event := range env.store.Events {
+				var record quota.Record
+				if event.Version <= startRevision || event.Put != jobs.TeamKey("x") || wire.Unmarshal(event.Value, &record) != nil {
 					continue
 				}
-				written++
-				if rec.Frozen {
+				writes++
+				if record.Frozen {
 					frozen++
 				}
 			}
-			if got := env.checkTeamLimit(12); got != 12 || on && frozen != 0 {
-				t.Errorf("transfers %v: %v claimed after %d rounds, the shares were written %d times, %d of them frozen", on, got, rounds, written, frozen)
+			if claimed := env.checkTeamLimit(12); claimed != 12 || enabled && frozen != 0 {
+				t.Errorf("transfers %v: %v GPUs claimed after %d rounds with %d writes of the shares, %d of them frozen; want 12 claimed and, with transfers, none frozen", enabled, claimed, rounds, writes, frozen)
 			}
-			t.Logf("transfers %v: %d rounds, the shares were written %d times, %d of them frozen", on, rounds, written, frozen)
+			t.Logf("transfers %v: %d rounds with %d writes of the shares, %d of them frozen", enabled, rounds, writes, frozen)
 		})
 	}
 }
 
-// checkTeamLimit checks the shares and claims of the team as they are stored.
+// checkTeamLimit checks that the stored claims of team x are within the controllers' shares, and
+// that both the shares and the claims are within the limit. It returns the number of claimed GPUs.
 func (env *testEnv) checkTeamLimit(limit float64) (claimed float64) {
 	env.t.Helper()
 	controller := env.leader()
 	env.refreshAll()
 	controller.Lock()
 	defer controller.Unlock()
-	held, sum := controller.MachineIndex.ClaimedByNode(), 0.0
-	rec := controller.Quota.Ledger("x").Record()
-	for label, by := range held {
-		claimed += by["x"].GPUs
-		if g := rec.Shares[label].GPUs; rec.FencingToken == controller.Membership.FencingToken && !rec.Frozen && by["x"].GPUs > g+1e-6 {
-			env.t.Fatalf("%s holds %v, its share is %v", label, by["x"].GPUs, g)
+	claimedByNode, shareSum := controller.MachineIndex.ClaimedByNode(), 0.0
+	record := controller.Quota.Ledger("x").Record()
+	for label, claims := range claimedByNode {
+		claimed += claims["x"].GPUs
+		if share := record.Shares[label].GPUs; record.FencingToken == controller.Membership.FencingToken && !record.Frozen && claims["x"].GPUs > share+1e-6 {
+			env.t.Fatalf("controller %s has claimed %v GPUs, its share is %v", label, claims["x"].GPUs, share)
 		}
 	}
-	for _, g := range rec.Shares {
-		sum += g.GPUs
+	for _, share := range record.Shares {
+		shareSum += share.GPUs
 	}
-	if sum > limit+1e-6 || claimed > limit+1e-6 {
-		env.t.Fatalf("shares of %v and claims of %v under a limit of %v", sum, claimed, limit)
+	if shareSum > limit+1e-6 || claimed > limit+1e-6 {
+		env.t.Fatalf("the shares add up to %v GPUs and the claims to %v, the limit is %v", shareSum, claimed, limit)
 	}
 	return claimed
 }
 
-// Controllers race for a team's quota: after every write the shares and the claims are
-// within the limit, and in the end all of it is used.
+// Two controllers claim from the same team's quota concurrently. After every write, the shares and
+// the claims are within the limit; in the end, as much of the limit is used as the jobs need.
 func TestQuotaSharesNeverExceedTheLimitAndAllOfItIsUsed(t *testing.T) {
 	for _, tc := range []struct {
 		limit       float64
@@ -121,18 +123,18 @@
 				env.submit(env.leader(), arrayJob(fmt.Sprintf("wk-%d", i), tc.tasks))
 			}
 			for range 12 {
-				// Writes of one round are computed before any is stored.
-				var all []*scheduler.PendingWrite
-				var by []*Controller
+				// All controllers plan their writes before any of them is stored.
+				var writes []*scheduler.PendingWrite
+				var writers []*Controller
 				for _, controller := range env.controllers {
 					controller.Lock()
 					for _, write := range controller.scheduler.PlanPass() {
-						all, by = append(all, write), append(by, controller)
+						writes, writers = append(writes, write), append(writers, controller)
 					}
 					controller.Unlock()
 				}
-				for i, write := range all {
-					by[i].scheduler.Commit(context.Background(), write)
+				for i, write := range writes {
+					writers[i].scheduler.Commit(context.Background(), write)
 					env.checkTeamLimit(tc.limit)
 				}
 				env.clock.add(tuning.RebalancePause)
@@ -141,14 +143,14 @@
 			want := min(tc.limit, float64(tc.jobs*tc.tasks))
 			if got := env.checkTeamLimit(tc.limit); got != want {
 				controller := env.leader()
-				t.Errorf("limit %v, %d jobs of %d: %v claimed, want %v; %v %v %v", tc.limit, tc.jobs, tc.tasks, got, want, controller.scheduler.Unplaced, controller.scheduler.UnplacedReasons, controller.Quota.Ledger("x").Record())
+				t.Errorf("limit %v, %d jobs of %d tasks: %v GPUs claimed, want %v; unplaced %v, reasons %v, shares %v", tc.limit, tc.jobs, tc.tasks, got, want, controller.scheduler.Unplaced, controller.scheduler.UnplacedReasons, controller.Quota.Ledger("x").Record())
 			}
 		})
 	}
 }
 
-// A claim whose answer was lost may yet be applied: its quota must not be claimed by
-// another job meanwhile.
+// The write of a claim gets no response and can still be applied later. Its quota must not be
+// claimed by another job meanwhile, or both claims together exceed the limit.
 func TestAClaimOfUnknownOutcomeCountsAgainstTheQuota(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
@@ -156,17 +158,17 @@
 		env.addMachine(fmt.Sprintf("h%d", i), "batch")
 		controller.receiveHeartbeat(env.heartbeat(fmt.Sprintf("h%d", i), 1, controller.fencingToken()))
 	}
-	env.submit(controller, arrayJob("wk-9", 8)) // the team's whole limit
+	env.submit(controller, arrayJob("wk-9", 8)) // uses the team's whole limit
 	controller.Lock()
 	pending := controller.scheduler.PlanPass()
 	controller.Unlock()
 	if len(pending) != 1 {
-		t.Fatalf("%d writes", len(pending))
+		t.Fatalf("%d writes are planned, want 1", len(pending))
 	}
-	late := pending[0]
-	env.store.Unavailable = true // never applied so far, and no answer
+	delayed := pending[0]
+	env.store.Unavailable = true // the write is neither applied nor answered
 	controller.Lock()
-	controller.scheduler.ResolveQuota(late, context.DeadlineExceeded)
+	controller.scheduler.ResolveQuota(delayed, context.DeadlineExceeded)
 	delete(controller.scheduler.WritesInFlight, "wk-9")
 	controller.scheduler.BackoffUntil["wk-9"] = env.clock.now().Add(time.Second)
 	controller.Unlock()
@@ -174,37 +176,37 @@
 	env.submit(controller, arrayJob("wk-2", 8))
 	env.runPasses()
 	if controller.Table.Jobs["wk-2"].Counts[jobs.Claimed] != 0 {
-		t.Fatal("the room of a claim in doubt was given to another job")
+		t.Fatal("the quota of a claim with unknown outcome was given to another job")
 	}
-	// It arrives late; the limit stands.
+	// The write is applied late. The limit must still hold.
 	var compares []wire.Compare
-	for k, s := range late.Compares {
-		compares = append(compares, wire.Compare{Key: k, Version: s})
+	for key, version := range delayed.Compares {
+		compares = append(compares, wire.Compare{Key: key, Version: version})
 	}
-	_, _ = env.store.CompareAndSwap(context.Background(), late.Class, compares, late.Operations)
+	_, _ = env.store.CompareAndSwap(context.Background(), delayed.Class, compares, delayed.Operations)
 	for range 6 {
 		env.clock.add(tuning.RebalancePause)
 		env.heartbeatAll()
 		env.runPasses()
 	}
 	if got := env.checkTeamLimit(8); got != 8 {
-		t.Fatalf("%v claimed", got)
+		t.Fatalf("%v GPUs claimed, want 8", got)
 	}
 	controller.Lock()
 	defer controller.Unlock()
 	controller.scheduler.Allowances()
-	if _, inDoubt := controller.Quota.Ledger("x").Pending(); !inDoubt.IsZero() {
-		t.Fatal("it stays in doubt after its claim was applied")
+	if _, uncertain := controller.Quota.Ledger("x").Pending(); !uncertain.IsZero() {
+		t.Fatal("the admission still counts as uncertain after its claim was applied")
 	}
 }
 
-// A controller computes a claim, and before it is stored the leader rewrites the
-// team's shares: the claim must fail, whatever has changed.
+// The leader rewrites a team's shares after a controller planned a claim and before the claim is
+// stored. The claim must fail, even if the shares have the same values as before.
 func TestAClaimUnderAnOutdatedQuotaShareFails(t *testing.T) {
 	for name, next := range map[string]quota.Record{
 		"frozen":    {Frozen: true},
 		"shrunk":    {Shares: map[string]quota.Share{"a": {GPUs: 1}, "b": {GPUs: 7}}},
-		"as before": {},
+		"unchanged": {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			env := newQuotaPair(t, 8, 4)
@@ -212,36 +214,36 @@
 			env.submit(controller, arrayJob("wk-1", 2))
 			env.exchangePeerStatus()
 			var pending []*scheduler.PendingWrite
-			for _, o := range []*Controller{env.controllers["a"], env.controllers["b"]} {
-				o.Lock()
-				mine := o.scheduler.PlanPass()
-				o.Unlock()
-				if len(mine) > 0 && pending == nil {
-					controller, pending = o, mine
+			for _, candidate := range []*Controller{env.controllers["a"], env.controllers["b"]} {
+				candidate.Lock()
+				planned := candidate.scheduler.PlanPass()
+				candidate.Unlock()
+				if len(planned) > 0 && pending == nil {
+					controller, pending = candidate, planned
 				}
 			}
 			if len(pending) != 1 || pending[0].Admission == nil || pending[0].Admission.Team != "x" {
-				t.Fatalf("%s: %d writes", name, len(pending))
+				t.Fatalf("%s: want one planned write with an admission of team x, got %d writes", name, len(pending))
 			}
 			controller.Lock()
-			rec := controller.Quota.Ledger("x").Record()
-			next.FencingToken = rec.FencingToken
+			record := controller.Quota.Ledger("x").Record()
+			next.FencingToken = record.FencingToken
 			if next.Shares == nil {
-				next.Shares = rec.Shares
+				next.Shares = record.Shares
 			}
 			controller.Unlock()
 			env.store.Put(jobs.TeamKey("x"), wire.MustMarshal(next))
 			controller.scheduler.Commit(context.Background(), pending[0])
 			env.refreshAll()
 			if got := controller.Table.Jobs["wk-1"].Counts[jobs.Claimed]; got != 0 {
-				t.Errorf("%s: %d tasks claimed by an older share", name, got)
+				t.Errorf("%s: %d tasks were claimed under an outdated share", name, got)
 			}
 		})
 	}
 }
 
-// newGuaranteeSimulation returns a simulation whose machines are full of a team's
-// endless borrowing jobs.
+// newGuaranteeSimulation returns a simulation whose machines are full of jobs that never end and
+// run on capacity that team x borrows. Team y has a guarantee of 8 GPUs.
 func newGuaranteeSimulation(t *testing.T, reservations bool) *simulation {
 	t.Helper()
 	sim := newSimulation(t, 2, 0)
@@ -260,12 +262,13 @@
 	return sim
 }
 
-// timeUntilServed returns how long the team with a guarantee waits for all of it,
-// while every process is replaced at the given times.
+// timeUntilServed submits a job of team y that needs its whole guarantee and returns how long it
+// takes until all tasks of the job run. All controllers are restarted, one after the other, at each
+// of the given times. The result is 10 minutes if the tasks do not all run before that.
 func timeUntilServed(sim *simulation, restarts ...time.Duration) time.Duration {
-	spec := arrayJob("wk-2", 8)
-	spec.Team = "y"
-	sim.submit(sim.leader(), spec)
+	job := arrayJob("wk-2", 8)
+	job.Team = "y"
+	sim.submit(sim.leader(), job)
 	for waited := time.Duration(0); waited < 10*time.Minute; waited += time.Second {
 		if sim.runningTasksOf("wk-2") == 8 {
 			return waited
@@ -282,10 +285,10 @@
 	return 10 * time.Minute
 }
 
-// Jobs within a guarantee get their resources back from borrowers within a bound: the
-// time of two machine starts, and what preemption and starts take. With reservations
-// the bound also holds when all controllers are replaced meanwhile, the leader too;
-// without them the wait begins anew.
+// A job within a guarantee gets its resources back from borrowers within a bound: the time of two
+// machine boots, plus the time to preempt and to start tasks. With reservations, the bound also
+// holds when all controllers, including the leader, restart during the wait. Without reservations,
+// the wait starts again at each restart.
 func TestAGuaranteeIsServedWithinItsBound(t *testing.T) {
 	const bound = tuning.GuaranteePreemptAfter + 20*time.Second
 	restarts := []time.Duration{40 * time.Second, 90 * time.Second}
@@ -304,19 +307,19 @@
 			t.Parallel()
 			sim := newGuaranteeSimulation(t, tc.reservations)
 			took := timeUntilServed(sim, tc.restarts...)
-			t.Logf("served after %v", took)
+			t.Logf("all tasks run after %v", took)
 			if (took <= bound) != tc.within {
-				t.Errorf("served after %v, the bound is %v", took, bound)
+				t.Errorf("all tasks run after %v, the bound is %v, want within the bound: %v", took, bound, tc.within)
 			}
-			if left := sim.runningTasksOf("wk-10"); took < 10*time.Minute && left > 4 {
-				t.Errorf("%d tasks of a job of 4", left)
+			if running := sim.runningTasksOf("wk-10"); took < 10*time.Minute && running > 4 {
+				t.Errorf("%d tasks of wk-10 run, the job has 4", running)
 			}
 		})
 	}
 }
 
-// Operators see a team's shares, what is borrowed and what waits, on the status page
-// and in the metrics; a record that can't be decoded is named.
+// The status page and the metrics show each team's shares and its borrowed and waiting amounts. A
+// quota record that cannot be decoded is shown as damaged until it is rebuilt.
 func TestStatusAndMetricsShowTeamQuotas(t *testing.T) {
 	sim := newGuaranteeSimulation(t, true)
 	sim.quotaLimit = 30
@@ -324,9 +327,9 @@
 		controller.Settings.Params.Teams[0].GPUsMax = sim.quotaLimit
 		controller.Quota.Configure(cluster.QuotaTeams(controller.Settings.Params.Teams), cluster.QuotaOptions(controller.Settings))
 	}
-	spec := arrayJob("wk-2", 8)
-	spec.Team = "y"
-	sim.submit(sim.leader(), spec)
+	job := arrayJob("wk-2", 8)
+	job.Team = "y"
+	sim.submit(sim.leader(), job)
 	sim.run(20 * time.Second)
 	controller := sim.leader()
 	page := func(path string) string {
@@ -351,7 +354,7 @@
 		text := page(path)
 		for _, line := range lines {
 			if !strings.Contains(text, line) {
-				t.Errorf("%s does not hold %q:\n%s", path, line, text)
+				t.Errorf("%s does not contain %q:\n%s", path, line, text)
 			}
 		}
 	}
