--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -16,13 +16,15 @@
 	"wheatspur/wire"
 )
 
-// recoveryStartRate is how many starts a second a controller may send in recovery.
+// recoveryStartRate is the number of task starts per second that each controller may send during
+// its recovery.
 const recoveryStartRate = 20
 
-// controllerLabels are the controllers of a simulation.
+// controllerLabels are the labels of a simulation's controllers.
 var controllerLabels = []string{"a", "b", "c"}
 
-// newColdStart returns a simulation of three controllers and many machines in use.
+// newColdStart returns a simulation of three controllers and the given number of machines,
+// with running jobs that use three quarters of the machines.
 func newColdStart(t testing.TB, machines int, operator func(*config.Settings)) *simulation {
 	sim := newSimulation(t, 0, 0)
 	sim.configure = operator
@@ -42,23 +44,23 @@
 	return sim
 }
 
-// recordCommands records what the workers are told from here on.
+// recordCommands starts to record the commands that workers receive.
 func (sim *simulation) recordCommands() *fake.CommandLog {
 	log := fake.NewCommandLog()
 	sim.forEachMachine(func(machine *simMachine) { machine.Commands = log })
 	return log
 }
 
-// stopAllControllers ends all processes at the same moment.
+// stopAllControllers stops all controllers at the same time.
 func (sim *simulation) stopAllControllers() {
 	for _, controller := range sim.controllers {
-		controller.awaitDirectCalls() // else one may reach its machine after the links are repaired
+		controller.awaitDirectCalls() // otherwise one may reach its machine after the links are restored
 		sim.expireSession(controller)
 	}
 	sim.controllers = map[string]*Controller{}
 }
 
-// runWithoutControllers lets the machines go on without any controller.
+// runWithoutControllers advances the machines for a duration without any controller.
 func (sim *simulation) runWithoutControllers(duration time.Duration) {
 	for range int(duration / time.Second) {
 		sim.clock.add(time.Second)
@@ -70,58 +72,58 @@
 	}
 }
 
-// startAllControllers starts a new process of every controller.
+// startAllControllers starts every controller with a new incarnation.
 func (sim *simulation) startAllControllers() {
 	for _, label := range controllerLabels {
 		sim.restartController(label)
 	}
 }
 
-// countRunningTasks counts the tasks that run.
-func (sim *simulation) countRunningTasks() (k int) {
+// countRunningTasks returns the number of running tasks on all machines.
+func (sim *simulation) countRunningTasks() (count int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, machine := range sim.machines {
 		for _, task := range machine.Tasks {
 			if task.State == wire.TaskRunning {
-				k++
+				count++
 			}
 		}
 	}
-	return k
+	return count
 }
 
-// allRecovered reports whether every controller has ended its recovery.
+// allRecovered reports whether every controller has completed its recovery.
 func (sim *simulation) allRecovered() bool {
 	for _, controller := range sim.controllers {
 		controller.Lock()
-		over := controller.Recovery.Progress.IsRecovered()
+		recovered := controller.Recovery.Progress.IsRecovered()
 		controller.Unlock()
-		if !over {
+		if !recovered {
 			return false
 		}
 	}
 	return true
 }
 
-// recoveryBound is how long after the start of all controllers recovery ends at the
-// latest: the election, the time that machines have to send heartbeats, and the quiet
-// time without pending starts, or a lease if there are some.
-func (sim *simulation) recoveryBound(starts bool) time.Duration {
+// recoveryBound returns the longest time from the start of all controllers to the end of recovery.
+// It is the sum of the election, the time in which machines have to send heartbeats, and the time
+// without pending starts that ends recovery. If starts are pending, a lease replaces the last part.
+func (sim *simulation) recoveryBound(startsPending bool) time.Duration {
 	bound := time.Duration(tuning.RecoveryHeartbeats*float64(3*time.Second)) + 8*time.Second
-	if starts {
+	if startsPending {
 		return bound + leaseDuration
 	}
 	return bound + time.Duration(tuning.RecoveryQuietHeartbeats*float64(3*time.Second))
 }
 
-// All controllers go down and come back, also again and again during recovery, for
-// less than a lease and for more. No start is received twice, no running task is
-// killed, none is lost within a lease, and recovery is over by a stated time.
+// All controllers stop and start again, after less and after more than a lease, and in some cases
+// again during the recovery. No worker receives a start twice, no running task is killed, and
+// recovery ends within its bound. After an outage shorter than a lease, no task is restarted.
 func TestAColdStartKeepsRunningTasksAndRepeatsNoStart(t *testing.T) {
 	for _, tc := range []struct {
 		outage   time.Duration
-		again    []time.Duration // after the start, controllers go down once more
+		again    []time.Duration // times from a start to the next stop
 		keepsAll bool
 	}{
 		{5 * time.Second, nil, true},
@@ -136,9 +138,9 @@
 			sim := newColdStart(t, 200, func(s *config.Settings) { s.Operator.RecoveryHold, s.Operator.RecoveryStarts = true, recoveryStartRate })
 			before := sim.countRunningTasks()
 			if before < 500 {
-				t.Fatalf("only %d tasks run", before)
+				t.Fatalf("only %d tasks run before the outage, want at least 500", before)
 			}
-			log := sim.recordCommands()
+			commands := sim.recordCommands()
 			sim.stopAllControllers()
 			sim.runWithoutControllers(tc.outage)
 			sim.startAllControllers()
@@ -155,20 +157,20 @@
 			if bound := sim.recoveryBound(!tc.keepsAll); took > bound {
 				t.Errorf("recovery took %v, the bound is %v", took, bound)
 			}
-			seen := log.Snapshot()
-			if tc.keepsAll && (seen.Starts != 0 || sim.countEndedIncarnations() != 0) {
-				t.Errorf("%d starts and %d incarnations ended after an outage shorter than the lease", seen.Starts, sim.countEndedIncarnations())
+			received := commands.Snapshot()
+			if tc.keepsAll && (received.Starts != 0 || sim.countEndedIncarnations() != 0) {
+				t.Errorf("%d starts and %d incarnations ended after an outage shorter than the lease", received.Starts, sim.countEndedIncarnations())
 			}
 			sim.run(90 * time.Second)
-			seen = log.Snapshot()
-			if len(seen.Repeated) != 0 || len(seen.Kills) != 0 {
-				t.Errorf("%d starts repeated, %d tasks that ran were killed: %v %v", len(seen.Repeated), len(seen.Kills), seen.Repeated, seen.Kills)
+			received = commands.Snapshot()
+			if len(received.Repeated) != 0 || len(received.Kills) != 0 {
+				t.Errorf("%d starts were repeated and %d running tasks were killed: %v %v", len(received.Repeated), len(received.Kills), received.Repeated, received.Kills)
 			}
-			if !tc.keepsAll && seen.Starts < 500 {
-				t.Errorf("%d starts after an outage longer than the lease", seen.Starts)
+			if !tc.keepsAll && received.Starts < 500 {
+				t.Errorf("%d starts after an outage longer than the lease, want at least 500", received.Starts)
 			}
-			if most, bound := log.MaxStartsWithin(5*time.Second), 6*recoveryStartRate*len(controllerLabels); most > bound {
-				t.Errorf("%d starts in 5 s, the bound is %d", most, bound)
+			if starts, bound := commands.MaxStartsWithin(5*time.Second), 6*recoveryStartRate*len(controllerLabels); starts > bound {
+				t.Errorf("%d starts in 5 s, the bound is %d", starts, bound)
 			}
 			sim.run(400 * time.Second)
 			sim.checkAllDone()
@@ -176,12 +178,12 @@
 	}
 }
 
-// countEndedIncarnations counts the incarnations that machines have ended.
-func (sim *simulation) countEndedIncarnations() (k int) {
+// countEndedIncarnations returns the number of machine incarnations that have ended.
+func (sim *simulation) countEndedIncarnations() (count int) {
 	for _, machine := range sim.machines {
-		k += len(machine.endedIncarnations)
+		count += len(machine.endedIncarnations)
 	}
-	return k
+	return count
 }
 
 // checkAllDone checks that every job is done.
@@ -197,8 +199,8 @@
 	}
 }
 
-// All controllers go down when hundreds of claims are stored that no worker has heard
-// of. The starts go out at a bounded rate, services before arrays, each once.
+// All controllers stop while hundreds of claims are stored whose starts no worker has received.
+// After the restart, each task is started once, at a bounded rate, and services before arrays.
 func TestStartsAfterAnOutageAreRateLimited(t *testing.T) {
 	const rate = 20
 	sim := newSimulation(t, 0, 0)
@@ -230,43 +232,44 @@
 		claimed += job.Counts[jobs.Claimed]
 	}
 	if claimed != 400 || sim.countRunningTasks() != 0 {
-		t.Fatalf("%d tasks are claimed, %d run", claimed, sim.countRunningTasks())
+		t.Fatalf("%d tasks are claimed and %d run, want 400 and 0", claimed, sim.countRunningTasks())
 	}
 	sim.stopAllControllers()
 	sim.forEachMachine(func(machine *simMachine) { machine.inboundCut, machine.delayedCalls = false, nil })
 	sim.runWithoutControllers(2 * time.Second)
-	log := sim.recordCommands()
+	commands := sim.recordCommands()
 	sim.startAllControllers()
-	for took := 0; !sim.allRecovered() && took < 120; took++ {
+	for elapsed := 0; !sim.allRecovered() && elapsed < 120; elapsed++ {
 		sim.step()
 	}
 	sim.run(10 * time.Second)
-	seen := log.Snapshot()
-	if len(seen.Repeated) != 0 || seen.Starts != 400 {
-		t.Errorf("%d starts, repeated: %v", seen.Starts, seen.Repeated)
+	received := commands.Snapshot()
+	if len(received.Repeated) != 0 || received.Starts != 400 {
+		t.Errorf("%d starts, want 400; repeated: %v", received.Starts, received.Repeated)
 	}
 	for _, seconds := range []int{1, 2, 5} {
-		// A second's worth may go at once at each controller.
-		if most, bound := log.MaxStartsWithin(time.Duration(seconds)*time.Second), rate*len(controllerLabels)*(seconds+1); most > bound {
-			t.Errorf("%d starts in %d s, the bound is %d", most, seconds, bound)
+		// Each controller may send the starts of one second at once.
+		if starts, bound := commands.MaxStartsWithin(time.Duration(seconds)*time.Second), rate*len(controllerLabels)*(seconds+1); starts > bound {
+			t.Errorf("%d starts in %d s, the bound is %d", starts, seconds, bound)
 		}
 	}
-	// 100 starts of services among 400. An array starts before a service only if
-	// its machine has sent a heartbeat before the service's has.
+	// 100 of the 400 starts are of services. A task of an array starts before one of a service
+	// only if its machine sent a heartbeat earlier.
 	isService := func(task string) bool { return sim.leader().Table.Jobs[strings.Split(task, "/")[0]].Service() }
-	early := 0
-	for _, task := range seen.Tasks[:len(seen.Tasks)/2] {
+	earlyServices := 0
+	for _, task := range received.Tasks[:len(received.Tasks)/2] {
 		if isService(task) {
-			early++
+			earlyServices++
 		}
 	}
-	if early < 80 {
-		t.Errorf("only %d services start in the first half", early)
+	if earlyServices < 80 {
+		t.Errorf("only %d of the first half of the starts are of services, want at least 80", earlyServices)
 	}
 }
 
-// Free machines send their first heartbeat later than full ones. Until then no running
-// task is preempted for a pending one; without recovery.hold it is.
+// After a restart of all controllers, free machines send their first heartbeats later than full
+// ones. With recovery.hold, no running task is preempted for a pending one before that; without it,
+// tasks are preempted although free machines exist.
 func TestNothingIsPreemptedBeforeMachinesHaveSentHeartbeats(t *testing.T) {
 	for _, hold := range []bool{true, false} {
 		t.Run(fmt.Sprintf("hold %v", hold), func(t *testing.T) {
@@ -283,85 +286,84 @@
 				sim.submit(sim.leader(), arrayJob(fmt.Sprintf("wk-%d", 1000+i), 4))
 			}
 			sim.run(15 * time.Second)
-			log := sim.recordCommands()
-			free := func(machine *simMachine) bool { return len(machine.Tasks) == 0 }
-			var quiet []*simMachine
+			commands := sim.recordCommands()
+			isFree := func(machine *simMachine) bool { return len(machine.Tasks) == 0 }
+			var freeMachines []*simMachine
 			sim.forEachMachine(func(machine *simMachine) {
-				if free(machine) {
-					quiet = append(quiet, machine)
+				if isFree(machine) {
+					freeMachines = append(freeMachines, machine)
 				}
 			})
-			if len(quiet) < 4 {
-				t.Fatalf("%d machines are free", len(quiet))
+			if len(freeMachines) < 4 {
+				t.Fatalf("%d machines are free, want at least 4", len(freeMachines))
 			}
 			urgent := arrayJob("wk-1", 4)
 			urgent.Priority = wire.PriorityUrgent
 			sim.stopAllControllers()
 			sim.runWithoutControllers(3 * time.Second)
-			for _, machine := range quiet {
+			for _, machine := range freeMachines {
 				machine.outboundCut = true
 			}
 			sim.startAllControllers()
 			sim.step()
 			sim.submit(sim.controllers["a"], urgent)
 			sim.run(6 * time.Second)
-			for _, machine := range quiet {
+			for _, machine := range freeMachines {
 				machine.outboundCut = false
 			}
 			sim.run(20 * time.Second)
-			kills := len(log.Snapshot().Kills)
+			kills := len(commands.Snapshot().Kills)
 			if (kills == 0) != hold || sim.runningTasksOf("wk-1") != 4 {
-				t.Errorf("hold %v: %d tasks that ran were stopped, %d urgent ones run", hold, kills, sim.runningTasksOf("wk-1"))
+				t.Errorf("hold %v: %d running tasks were killed, %d of 4 tasks of the urgent job run", hold, kills, sim.runningTasksOf("wk-1"))
 			}
 		})
 	}
 }
 
-// The status page and the metrics are served at any time, also before a controller has
-// read anything.
+// The status page and the metrics are served even before a controller has read the stored state.
 func TestTheStatusPageIsServedBeforeTheFirstRead(t *testing.T) {
 	env := newTestEnv(t, "a")
-	set := settings("b", []string{"a", "b"})
-	set.Operator.RecoveryHold, set.Operator.QuotaReservations = true, true
-	controller := env.newUnreadController(set)
+	controllerSettings := settings("b", []string{"a", "b"})
+	controllerSettings.Operator.RecoveryHold, controllerSettings.Operator.QuotaReservations = true, true
+	controller := env.newUnreadController(controllerSettings)
 	code, _, response := sendRequest(controller, "GET", "/status", nil)
 	if page := string(response.Response.Body()); code != http.StatusOK || !strings.Contains(page, `recovery "loading"`) || !strings.Contains(page, "hold true") {
-		t.Fatalf("%d %s", code, page)
+		t.Fatalf("status page: %d %s", code, page)
 	}
 	if code, _, _ := sendRequest(controller, "GET", "/metrics", nil); code != http.StatusOK {
 		t.Fatalf("metrics: %d", code)
 	}
 }
 
-// Cold starts at random: machines hang, reboot or stay away, tasks end meanwhile, jobs
-// are cancelled in the last second, controllers come back one by one and go down
-// again. The invariants hold (simulation.checkInvariants), and every job is over in
-// the end.
+// All controllers stop and start again three times, in a random order and with random pauses, and
+// some of them restart once more. Meanwhile, machines hang or lose their connections, tasks end, and
+// one job is cancelled just before each stop. The invariants hold (simulation.checkInvariants), and
+// in the end every job has reached a final phase.
 func TestInvariantsUnderRandomColdStarts(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			r := rand.New(rand.NewPCG(seed, 3))
+			random := rand.New(rand.NewPCG(seed, 3))
 			sim := newColdStart(t, 30, func(s *config.Settings) {
 				s.Operator.RecoveryHold, s.Operator.RecoveryStarts = seed%2 == 0, int(seed%3)*10
 			})
 			sim.startGrace = leaseDuration + 3*time.Second
 			for range 3 {
-				victim := fmt.Sprintf("wk-%d", 1000+r.IntN(22))
-				sim.cancelAt(sim.leader(), victim)
+				cancelledJob := fmt.Sprintf("wk-%d", 1000+random.IntN(22))
+				sim.cancelAt(sim.leader(), cancelledJob)
 				sim.forEachMachine(func(machine *simMachine) {
-					machine.hung, machine.outboundCut, machine.callsDelayed = r.IntN(8) == 0, r.IntN(8) == 0, r.IntN(8) == 0
+					machine.hung, machine.outboundCut, machine.callsDelayed = random.IntN(8) == 0, random.IntN(8) == 0, random.IntN(8) == 0
 				})
 				sim.stopAllControllers()
-				sim.runWithoutControllers(time.Duration(1+r.IntN(45)) * time.Second)
-				for _, i := range r.Perm(len(controllerLabels)) {
+				sim.runWithoutControllers(time.Duration(1+random.IntN(45)) * time.Second)
+				for _, i := range random.Perm(len(controllerLabels)) {
 					sim.restartController(controllerLabels[i])
-					sim.run(time.Duration(r.IntN(5)) * time.Second)
-					if r.IntN(3) == 0 {
+					sim.run(time.Duration(random.IntN(5)) * time.Second)
+					if random.IntN(3) == 0 {
 						sim.restartController(controllerLabels[i])
 					}
 				}
-				sim.run(time.Duration(r.IntN(15)) * time.Second)
+				sim.run(time.Duration(random.IntN(15)) * time.Second)
 				sim.forEachMachine(func(machine *simMachine) {
 					machine.hung, machine.outboundCut, machine.callsDelayed = false, false, false
 				})
@@ -382,10 +384,10 @@
 	}
 }
 
-// BenchmarkColdStart measures a start of all controllers after an outage longer than
-// the lease, in simulated time: seconds until the last task that a free machine
-// could run does, starts that were repeated, the most starts in a second, and
-// changes of the store; in real time, what the controllers' passes take.
+// BenchmarkColdStart measures a start of all controllers after an outage longer than the lease. In
+// simulated time, it reports the seconds until recovery ends and until 90% of the tasks run again,
+// the repeated starts, the killed tasks, the most starts in a second, and the changes of the store.
+// The real time per operation includes the controllers' passes.
 //
 //	go test -run xxx -bench ColdStart -benchtime 1x ./internal/controller
 func BenchmarkColdStart(b *testing.B) {
@@ -396,29 +398,29 @@
 					sim := newColdStart(b, machines, func(s *config.Settings) { s.Operator.RecoveryHold, s.Operator.RecoveryStarts = rate > 0, rate })
 					sim.run(60 * time.Second)
 					before := sim.countRunningTasks()
-					log := sim.recordCommands()
+					commands := sim.recordCommands()
 					sim.stopAllControllers()
 					sim.runWithoutControllers(leaseDuration + 5*time.Second)
-					changes := sim.store.Revision
+					startRevision := sim.store.Revision
 					sim.startAllControllers()
-					recovered, again := 0, 0
+					recoveredAt, runningAt := 0, 0
 					for second := 1; second <= 120; second++ {
 						sim.step()
-						if recovered == 0 && sim.allRecovered() {
-							recovered = second
+						if recoveredAt == 0 && sim.allRecovered() {
+							recoveredAt = second
 						}
-						if again == 0 && sim.countRunningTasks() >= before*9/10 {
-							again = second
+						if runningAt == 0 && sim.countRunningTasks() >= before*9/10 {
+							runningAt = second
 						}
 					}
-					seen := log.Snapshot()
+					received := commands.Snapshot()
 					b.ReportMetric(float64(before), "tasks")
-					b.ReportMetric(float64(recovered), "recovered-s")
-					b.ReportMetric(float64(again), "90%-running-s")
-					b.ReportMetric(float64(len(seen.Repeated)), "repeated")
-					b.ReportMetric(float64(len(seen.Kills)), "kills")
-					b.ReportMetric(float64(log.MaxStartsWithin(time.Second)), "most-starts/s")
-					b.ReportMetric(float64(sim.store.Revision-changes), "changes")
+					b.ReportMetric(float64(recoveredAt), "recovered-s")
+					b.ReportMetric(float64(runningAt), "90%-running-s")
+					b.ReportMetric(float64(len(received.Repeated)), "repeated")
+					b.ReportMetric(float64(len(received.Kills)), "kills")
+					b.ReportMetric(float64(commands.MaxStartsWithin(time.Second)), "most-starts/s")
+					b.ReportMetric(float64(sim.store.Revision-startRevision), "changes")
 				}
 			})
 		}
