--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -122,9 +122,9 @@
 // recovery ends within its bound. After an outage shorter than a lease, no task is restarted.
 func TestAColdStartKeepsRunningTasksAndRepeatsNoStart(t *testing.T) {
 	for _, tc := range []struct {
-		outage   time.Duration
-		again    []time.Duration // times from a start to the next stop
-		keepsAll bool
+		outage       time.Duration
+		furtherStops []time.Duration // times from a start to the next stop
+		keepsTasks   bool
 	}{
 		{5 * time.Second, nil, true},
 		{20 * time.Second, nil, true},
@@ -133,7 +133,7 @@
 		{5 * time.Second, []time.Duration{5 * time.Second, 8 * time.Second}, true},
 		{60 * time.Second, []time.Duration{4 * time.Second, 7 * time.Second, 13 * time.Second}, false},
 	} {
-		t.Run(fmt.Sprint(tc.outage, " ", tc.again), func(t *testing.T) {
+		t.Run(fmt.Sprint(tc.outage, " ", tc.furtherStops), func(t *testing.T) {
 			t.Parallel()
 			sim := newColdStart(t, 200, func(s *config.Settings) { s.Operator.RecoveryHold, s.Operator.RecoveryStarts = true, recoveryStartRate })
 			before := sim.countRunningTasks()
@@ -144,7 +144,7 @@
 			sim.stopAllControllers()
 			sim.runWithoutControllers(tc.outage)
 			sim.startAllControllers()
-			for _, after := range tc.again {
+			for _, after := range tc.furtherStops {
 				sim.run(after)
 				sim.stopAllControllers()
 				sim.runWithoutControllers(2 * time.Second)
@@ -154,11 +154,11 @@
 			for ; !sim.allRecovered() && took < time.Minute; took += time.Second {
 				sim.step()
 			}
-			if bound := sim.recoveryBound(!tc.keepsAll); took > bound {
+			if bound := sim.recoveryBound(!tc.keepsTasks); took > bound {
 				t.Errorf("recovery took %v, the bound is %v", took, bound)
 			}
 			received := commands.Snapshot()
-			if tc.keepsAll && (received.Starts != 0 || sim.countEndedIncarnations() != 0) {
+			if tc.keepsTasks && (received.Starts != 0 || sim.countEndedIncarnations() != 0) {
 				t.Errorf("%d starts and %d incarnations ended after an outage shorter than the lease", received.Starts, sim.countEndedIncarnations())
 			}
 			sim.run(90 * time.Second)
@@ -166,7 +166,7 @@
 			if len(received.Repeated) != 0 || len(received.Kills) != 0 {
 				t.Errorf("%d starts were repeated and %d running tasks were killed: %v %v", len(received.Repeated), len(received.Kills), received.Repeated, received.Kills)
 			}
-			if !tc.keepsAll && received.Starts < 500 {
+			if !tc.keepsTasks && received.Starts < 500 {
 				t.Errorf("%d starts after an outage longer than the lease, want at least 500", received.Starts)
 			}
 			if starts, bound := commands.MaxStartsWithin(5*time.Second), 6*recoveryStartRate*len(controllerLabels); starts > bound {
