--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -225,7 +225,7 @@
 
 // A draining machine fails, and its owner crashes. The machine never acknowledges the fencing token
 // of its new owner, which therefore cannot determine that the lease has expired. Guards against
-// tasks that stay claimed for ever: the machine is terminated, which releases them.
+// tasks that stay claimed permanently: the machine is terminated, which releases them.
 func TestALostDrainingMachineIsTerminatedToReleaseItsTasks(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -81,12 +81,12 @@
 	env := newTestEnv(t, "a", "b", "c")
 	env.liftTeamLimit()
 	env.raiseFencingToken()
-	checkWrites := func(what string, limit uint64, step func()) {
+	checkWrites := func(name string, limit uint64, step func()) {
 		t.Helper()
 		before := env.store.Revision
 		step()
 		if writes := env.store.Revision - before; writes > limit {
-			t.Errorf("%s: %d transactions, want at most %d", what, writes, limit)
+			t.Errorf("%s: %d transactions, want at most %d", name, writes, limit)
 		}
 	}
 	leader := env.leader()
@@ -234,7 +234,7 @@
 
 // A write of machine groups gets no response, conflicts, or is done only in part because the leader
 // stops. The next cloud list must complete the records, without a repeated write.
-func TestMachineGroupWritesSurviveLostAnswersConflictsAndPartialWrites(t *testing.T) {
+func TestMachineGroupWritesSurviveLostResponsesConflictsAndPartialWrites(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	ctx := context.Background()
@@ -273,7 +273,7 @@
 	}
 	// The leader stops after it has stored the first of several groups.
 	controller.Lock()
-	writes := controller.Inventory.PlanWrites(joinRecords(list[12:]), nil, controller.MaxGroupBytes(), controller.Limits.TxnOps)
+	writes := controller.Inventory.PlanWrites(joinChanges(list[12:]), nil, controller.MaxGroupBytes(), controller.Limits.TxnOps)
 	controller.Unlock()
 	if len(writes) < 3 {
 		t.Fatalf("%d writes are planned, want at least 3", len(writes))
@@ -290,8 +290,8 @@
 	}
 }
 
-// joinRecords returns the changes that add the listed machines with the batch role.
-func joinRecords(list []wire.Machine) []inventory.RecordChange {
+// joinChanges returns the changes that add the listed machines with the batch role.
+func joinChanges(list []wire.Machine) []inventory.RecordChange {
 	var changes []inventory.RecordChange
 	for _, listed := range list {
 		changes = append(changes, inventory.RecordChange{Machine: listed.Name, After: &inventory.Record{MachineType: listed.MachineType, Zone: listed.Zone, Role: placement.Batch, Phase: inventory.Active}})
