--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,8 +1,7 @@
-// Package controller is one controller process: it builds the components, connects
-// them, runs their loops and servers, routes requests to them and hands them what
-// changes in the store, and stops them cleanly. It decides nothing about jobs,
-// machines or quota, and keeps no state of its own: the shared state, and the lock
-// that guards it, are package cluster's.
+// Package controller assembles one controller process. It builds and connects the components, runs
+// their loops and servers, routes requests to them, dispatches changed store records to them, and
+// shuts them down gracefully. It makes no decisions about jobs, machines or quota and keeps no
+// state of its own: package cluster holds the shared state and the lock that guards it.
 package controller
 
 import (
@@ -29,8 +28,8 @@
 	"wheatspur/internal/tuning"
 )
 
-// Controller is one controller process: it owns the components and runs their
-// loops. Their shared state, and the lock that guards it, is cluster.State.
+// Controller is one controller process: it owns the components and runs their loops. The components
+// share cluster.State, which includes the lock that guards it.
 type Controller struct {
 	*cluster.State
 	*fleet.Fleet
@@ -44,9 +43,9 @@
 // New returns a controller that is ready to run.
 func New(settings *config.Settings, log *slog.Logger) *Controller {
 	now := time.Now
-	share := tuning.BudgetShare / float64(max(1, len(settings.Siblings)+1))
+	storeShare := tuning.BudgetShare / float64(max(1, len(settings.Siblings)+1))
 	limits := settings.StoreLimits()
-	limiter := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.BudgetQueue, now)
+	limiter := store.NewLimiter(limits.RPS*storeShare, limits.WriteRPS*storeShare, tuning.BudgetQueue, now)
 	return newController(dependencies{
 		Environment:  cluster.NewEnvironment(settings, log, now, store.NewClient(settings.Endpoints.State, limiter), limiter),
 		cloud:        cloud.NewClient(settings.Endpoints.Cloud, settings.Params.Cloud.RPS*tuning.BudgetShare, now),
@@ -54,7 +53,7 @@
 	})
 }
 
-// dependencies is what a controller is built from.
+// dependencies holds the environment and the clients that a controller is built from.
 type dependencies struct {
 	cluster.Environment
 	cloud        cloud.Provider
@@ -83,53 +82,53 @@
 	return c
 }
 
-// Run serves until ctx ends, or a server or a loop fails. It returns nil in the
-// first case, and in both only when all that it started has ended.
+// Run serves until ctx ends or a server or loop fails. It returns only after every goroutine that
+// it started has ended, and returns nil if ctx ended.
 func (c *Controller) Run(ctx context.Context) error {
 	userListener, peerListener, err := c.listen()
 	if err != nil {
 		return err
 	}
-	group, running := errgroup.WithContext(ctx)
+	group, groupCtx := errgroup.WithContext(ctx)
 	c.startServers(group, userListener, peerListener)
 	group.Go(func() error {
-		<-running.Done()
+		<-groupCtx.Done()
 		return errors.Join(userListener.Close(), peerListener.Close())
 	})
 	for _, loop := range c.loops() {
-		group.Go(func() error { return loop(running) })
+		group.Go(func() error { return loop(groupCtx) })
 	}
 	c.Log.Info(logging.EventServing, logging.KeyController, c.Settings.Label, logging.KeyAddress, c.Settings.Bind, logging.KeyPeers, len(c.Peers.Siblings))
 	if err := group.Wait(); ctx.Err() == nil {
 		return err
 	}
-	return nil // the servers report that their listeners were closed
+	return nil // on shutdown the servers return errors because their listeners were closed
 }
 
-// listen opens the ports for users and workers, and for the other controllers.
+// listen opens the port for users and workers and the port for the other controllers.
 func (c *Controller) listen() (userListener, peerListener net.Listener, err error) {
 	if userListener, err = net.Listen("tcp4", c.Settings.Bind); err != nil {
 		return nil, nil, fmt.Errorf("bind: %w", err)
 	}
 	if peerListener, err = net.Listen("tcp4", c.Settings.PeerListen); err != nil {
-		_ = userListener.Close() // nothing was accepted from it; the other error is the cause
+		_ = userListener.Close() // it has accepted no connection; the error to report is err
 		return nil, nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	return userListener, peerListener, nil
 }
 
-// startServers serves both ports in the group.
+// startServers starts the servers of both ports in the group.
 func (c *Controller) startServers(group *errgroup.Group, userListener, peerListener net.Listener) {
-	bounded := &boundedListener{Listener: userListener, max: int64(c.MaxConnections()), retryAfterS: c.Settings.Operator.RetryAfterSeconds}
+	bounded := &boundedListener{Listener: userListener, limit: int64(c.MaxConnections()), retryAfterS: c.Settings.Operator.RetryAfterSeconds}
 	c.Workers.OpenConnections = func() int { return int(bounded.open.Load()) }
-	users := c.httpServer(c.serveUser, c.MaxConnections())
-	peers := c.httpServer(c.servePeer, tuning.PeerConnectionsEach*(len(c.Peers.Siblings)+1))
-	peers.MaxRequestBodySize = tuning.MaxPeerBody
-	group.Go(func() error { return users.Serve(bounded) })
-	group.Go(func() error { return peers.Serve(peerListener) })
+	userServer := c.httpServer(c.serveUser, c.MaxConnections())
+	peerServer := c.httpServer(c.servePeer, tuning.PeerConnectionsEach*(len(c.Peers.Siblings)+1))
+	peerServer.MaxRequestBodySize = tuning.MaxPeerBody
+	group.Go(func() error { return userServer.Serve(bounded) })
+	group.Go(func() error { return peerServer.Serve(peerListener) })
 }
 
-// loops are all loops of the components. Each runs until its context ends.
+// loops returns the loops of all components. Each runs until its context ends.
 func (c *Controller) loops() []func(context.Context) error {
 	loops := []func(context.Context) error{
 		c.Syncer.Run,
