--- a/internal/controller/http_fixture_test.go
+++ b/internal/controller/http_fixture_test.go
@@ -292,7 +292,7 @@
 // seconds.
 func serveUsersBounded(controller *Controller, ln net.Listener, most, retryAfterS int) {
 	s := controller.httpServer(controller.serveUser, most)
-	bounded := &boundedListener{Listener: ln, max: int64(most), retryAfterS: retryAfterS}
+	bounded := &boundedListener{Listener: ln, limit: int64(most), retryAfterS: retryAfterS}
 	go func() { _ = s.Serve(bounded) }()
 }
 
@@ -301,7 +301,7 @@
 func serveFullPort(t *testing.T, after int) *portClient {
 	t.Helper()
 	ln := listenOnLoopback(t)
-	full := &boundedListener{Listener: ln, max: 0, retryAfterS: after}
+	full := &boundedListener{Listener: ln, limit: 0, retryAfterS: after}
 	go func() { _, _ = full.Accept() }()
 	return &portClient{t, dialer(ln.Addr().String())}
 }
--- a/internal/controller/listener.go
+++ b/internal/controller/listener.go
@@ -10,25 +10,24 @@
 	"wheatspur/internal/tuning"
 )
 
-// boundedListener accepts so many connections at a time, and answers each beyond
-// them at once with a 503 that says when to come back. Guards against a controller
-// that serves the workers and users of all the others and runs out of sockets for its
-// own calls.
+// boundedListener limits the number of open connections and immediately refuses each further one
+// with status 503 and a Retry-After header. This keeps a controller that takes over the workers and
+// users of all other controllers from running out of sockets for its own calls.
 type boundedListener struct {
 	net.Listener
-	max         int64
+	limit       int64
 	open        atomic.Int64
-	retryAfterS int // seconds after which a refused client should come back
+	retryAfterS int // Retry-After for refused clients, in seconds
 }
 
-// Accept returns the next connection that there is room for.
+// Accept returns the next connection within the limit and refuses those beyond it.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
 		connection, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.max {
+		if l.open.Add(1) <= l.limit {
 			return &countedConn{Conn: connection, open: &l.open}, nil
 		}
 		l.open.Add(-1)
@@ -36,24 +35,24 @@
 	}
 }
 
-// refuse answers without reading: the answer fits any socket's buffer, so that
-// it does not hold up the next connection. A client that does not get it sees a
-// closed connection, which is all that could be done about an error.
+// refuse responds without reading the request. The response fits into any socket send buffer, so
+// writing it does not delay the next connection. Errors are ignored: a client that does not receive
+// the response sees a closed connection, and nothing more could be done for it.
 func (l *boundedListener) refuse(connection net.Conn) {
 	_ = connection.SetWriteDeadline(time.Now().Add(tuning.RefuseTimeout))
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: %d\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", l.retryAfterS)
 	_ = connection.Close()
 }
 
-// countedConn is a connection that counts as open until it is closed.
+// countedConn is a connection that counts toward its listener's limit until it is closed.
 type countedConn struct {
 	net.Conn
-	open    *atomic.Int64 // of the listener
-	uncount sync.Once     // a connection may be closed more than once
+	open        *atomic.Int64 // the listener's number of open connections
+	releaseOnce sync.Once     // Close may be called more than once
 }
 
-// Close closes the connection and makes room for another.
+// Close closes the connection and removes it from the listener's count.
 func (c *countedConn) Close() error {
-	c.uncount.Do(func() { c.open.Add(-1) })
+	c.releaseOnce.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
