--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -1,13 +1,15 @@
 package controller
 
-// Ready reports whether users are served.
+// Ready reports whether this controller can serve users, as GET /up does.
 func (c *Controller) Ready() bool { return c.healthy() }
 
-// healthy decides GET /up: a controller that does not read the store forwards users
-// while a sibling reads it; if none does, there is nobody better. A controller that
-// hears no sibling either can't tell, and assumes that it alone is cut off.
-// Guards against a controller that is cut off, refuses every request and closes its
-// connections, drawing all users as the one with the fewest.
+// healthy determines the response to GET /up. A controller that cannot read the store is unhealthy
+// while a sibling can, because that sibling serves users better; if no sibling can, it stays
+// healthy. A controller that also receives no status from any sibling cannot know, and assumes that
+// it alone is disconnected.
+// Without this check, a disconnected controller that refuses every request and closes its
+// connections would have the fewest connections, and a least-connections load balancer would send
+// it all users.
 func (c *Controller) healthy() bool {
 	if c.Draining() {
 		return false
