--- a/internal/controller/httpserver.go
+++ b/internal/controller/httpserver.go
@@ -8,12 +8,12 @@
 	"wheatspur/wire"
 )
 
-// httpServer returns a server of one port, with room for so many connections.
+// httpServer returns a server for one port that allows the given number of connections.
 func (c *Controller) httpServer(handler fasthttp.RequestHandler, connections int) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: handler,
 		Name:    "wheatspur",
-		// fasthttp counts a connection until a little after its end.
+		// The limit is doubled because fasthttp counts a connection until shortly after it closes.
 		Concurrency:           2 * max(connections, tuning.MinConnections),
 		ReadTimeout:           tuning.ReadTimeout,
 		WriteTimeout:          tuning.WriteTimeout,
@@ -30,8 +30,8 @@
 	}
 }
 
-// discardLogger drops fasthttp's own lines; what matters is logged by the handlers.
+// discardLogger discards fasthttp's log lines; the handlers log what operators need.
 type discardLogger struct{}
 
-// Printf drops a line.
+// Printf discards a log line.
 func (discardLogger) Printf(string, ...any) {}
