--- a/internal/controller/membershipchange.go
+++ b/internal/controller/membershipchange.go
@@ -6,9 +6,10 @@
 	"wheatspur/wire"
 )
 
-// applyMembership enters the stored membership, and lets the components drop what
-// followed from the last one: published machines, workers of other shards, the index
-// that placement starts from, the share of the store's budget. The lock is held.
+// applyMembership applies the stored membership record and resets the state that was derived from
+// the previous one: the machines published by peers, the workers of shards that this controller no
+// longer owns, the machine index that placement uses, and this controller's share of the store's
+// rate limit. The lock is held.
 func (c *Controller) applyMembership(value wire.Raw) error {
 	if value == nil {
 		c.Membership = nil
--- a/internal/controller/recorddispatch.go
+++ b/internal/controller/recorddispatch.go
@@ -12,16 +12,16 @@
 	"wheatspur/wire"
 )
 
-// applyOrLog hands a changed value of the cache to its owner; a value that is not
-// readable is logged and otherwise ignored. The lock is held.
+// applyOrLog applies a record that changed in the cache; a record that cannot be decoded is logged
+// and otherwise ignored. The lock is held.
 func (c *Controller) applyOrLog(key string, value wire.Raw, version uint64) {
 	if err := c.applyRecord(key, value, version); err != nil {
 		c.Log.Error(logging.EventRecordUnreadable, logging.KeyStoreKey, key, logging.KeyVersion, version, logging.KeyError, err)
 	}
 }
 
-// applyRecord hands one stored value to the component that owns its kind of record; nil
-// says that the key was deleted. Keys of no known kind are ignored. The lock is held.
+// applyRecord passes a stored record to the component that owns its kind. A nil value means that
+// the key was deleted. Unknown keys are ignored. The lock is held.
 func (c *Controller) applyRecord(key string, value wire.Raw, version uint64) error {
 	switch {
 	case strings.HasPrefix(key, jobs.JobPrefix):
