--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -10,7 +10,8 @@
 	"wheatspur/internal/response"
 )
 
-// requestKind is a kind of request, as the metric of answers counts it.
+// requestKind is the kind of a request, used as a label value of the wheatspur_answers_total
+// metric.
 type requestKind string
 
 // Kinds of requests.
@@ -20,19 +21,18 @@
 	kindSubmission   requestKind = "submission"
 	kindCancellation requestKind = "cancellation"
 	kindPoll         requestKind = "poll"
-	kindStopping     requestKind = "stopping" // refused because of a clean stop
-	kindOther        requestKind = "other"    // no route takes it
+	kindStopping     requestKind = "stopping" // refused because the controller is shutting down
+	kindOther        requestKind = "other"    // no route matches
 )
 
 // handler serves the requests of a route.
 type handler func(*Controller, *fasthttp.RequestCtx)
 
-// route says which requests go to a handler.
+// route describes the requests that a handler serves.
 type route struct {
 	method string
 	path   string
-	// prefix and suffix, where there is no path, are what a path has to begin and end
-	// with. They may overlap.
+	// prefix and suffix match paths if path is empty. They may overlap within a path.
 	prefix, suffix       string
 	kind                 requestKind
 	refusedWhileStopping bool
@@ -46,8 +46,7 @@
 	return strings.HasPrefix(path, r.prefix) && strings.HasSuffix(path, r.suffix)
 }
 
-// userRoutes are those of the port for users, workers and operators; the first that
-// matches a path counts.
+// userRoutes are the routes of the port for users, workers and operators. The first match applies.
 var userRoutes = []route{
 	{method: fasthttp.MethodGet, path: "/up", kind: kindOperator, handle: (*Controller).serveUp},
 	{method: fasthttp.MethodGet, path: "/status", kind: kindOperator, handle: (*Controller).serveStatus},
@@ -58,13 +57,13 @@
 	{method: fasthttp.MethodGet, prefix: api.JobPathPrefix, kind: kindPoll, handle: (*Controller).serveWork},
 }
 
-// peerRoutes are those of the port for the other controllers.
+// peerRoutes are the routes of the port for the other controllers.
 var peerRoutes = []route{
 	{method: fasthttp.MethodPost, path: peer.StatusPath, handle: (*Controller).servePeerStatus},
 	{method: fasthttp.MethodPost, path: peer.ForwardPath, handle: (*Controller).serveForwarded},
 }
 
-// routeFor is the first route that matches a path; nil if none does.
+// routeFor returns the first route that matches a path, or nil if none does.
 func routeFor(routes []route, path string) *route {
 	for i := range routes {
 		if routes[i].matches(path) {
@@ -74,7 +73,7 @@
 	return nil
 }
 
-// serveUser serves the port for users, workers and operators, and counts the answers.
+// serveUser serves a request on the port for users, workers and operators and counts its response.
 func (c *Controller) serveUser(request *fasthttp.RequestCtx) {
 	kind := c.routeUser(request)
 	c.Metrics.CountAnswer(string(kind), request.Response.StatusCode())
@@ -99,7 +98,7 @@
 	return matched.kind
 }
 
-// servePeer serves the port for the other controllers.
+// servePeer serves a request on the port for the other controllers.
 func (c *Controller) servePeer(request *fasthttp.RequestCtx) {
 	matched := routeFor(peerRoutes, string(request.Path()))
 	if matched == nil || string(request.Method()) != matched.method {
@@ -109,7 +108,7 @@
 	matched.handle(c, request)
 }
 
-// serveUp answers whether load balancers should send users here.
+// serveUp serves GET /up, which tells load balancers whether to send users to this controller.
 func (c *Controller) serveUp(request *fasthttp.RequestCtx) {
 	if !c.healthy() {
 		c.api.RespondRetryLater(request, fasthttp.StatusServiceUnavailable, "not ready")
