--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -1,5 +1,3 @@
-// This file stops the controller cleanly.
-
 package controller
 
 import (
@@ -13,68 +11,67 @@
 	"wheatspur/internal/tuning"
 )
 
-// ErrWritesInFlight says that writes were still under way when the time for a clean
-// stop was over.
-var ErrWritesInFlight = errors.New("writes are under way")
+// ErrWritesInFlight is returned by Drain if writes were still in flight when its context ended.
+var ErrWritesInFlight = errors.New("writes still in flight")
 
-// Drain stops the controller cleanly: it takes nothing new, lets what is under way
-// end, and ends its session, so that the others take over its machines, and the
-// leadership if it has it, at once instead of when its session expires. What runs on
-// the machines goes on. What is not ended within ctx is reconciled as after a crash.
+// Drain shuts the controller down gracefully: it rejects new requests, waits for operations in
+// flight and revokes the session lease. The other controllers then take over its machines, and its
+// leadership if it is the leader, at once instead of after the session expires. Tasks on the
+// machines keep running. Operations that do not finish before ctx ends are reconciled by the other
+// controllers, as after a crash.
 func (c *Controller) Drain(ctx context.Context) error {
 	c.Stopping.Store(true)
-	left := c.awaitInFlight(ctx)
+	remaining := c.awaitInFlight(ctx)
 	if err := c.revokeSession(); err != nil {
-		return fmt.Errorf("session not ended, it runs out by itself: %w", err)
+		return fmt.Errorf("session not revoked and left to expire: %w", err)
 	}
-	if left > 0 {
-		return fmt.Errorf("%w: %d", ErrWritesInFlight, left)
+	if remaining > 0 {
+		return fmt.Errorf("%w: %d", ErrWritesInFlight, remaining)
 	}
 	return nil
 }
 
-// awaitInFlight waits for what is in flight to end, or for ctx, and returns how much
-// is left.
+// awaitInFlight waits until no operation is in flight or ctx ends, and returns the number of
+// operations still in flight.
 func (c *Controller) awaitInFlight(ctx context.Context) int {
 	for {
-		left := c.inFlight()
-		if left == 0 || ctx.Err() != nil {
-			return left
+		remaining := c.inFlight()
+		if remaining == 0 || ctx.Err() != nil {
+			return remaining
 		}
 		timing.Sleep(ctx, tuning.ShutdownPoll)
 	}
 }
 
-// inFlight counts the submissions, decision writes and direct calls that have not
-// ended.
+// inFlight returns the number of submissions, scheduler writes and direct calls to workers that
+// have not finished.
 func (c *Controller) inFlight() int {
 	c.Lock()
 	defer c.Unlock()
 	return len(c.api.SubmissionSlots) + len(c.api.SubmissionQueue) + len(c.scheduler.WritesInFlight) + len(c.Workers.CallSlots)
 }
 
-// revokeSession ends this controller's session, if it has one. From then on it answers
-// no heartbeat.
+// revokeSession ends this controller's session, if it has one, and revokes its lease. From then on
+// the controller accepts no heartbeats.
 func (c *Controller) revokeSession() error {
 	leaseID, session := c.leaveSession()
 	if session == membership.NoLease {
 		return nil
 	}
-	// Not the context of Drain, which may be over: the session is ended in any case.
-	ctx, stop := context.WithTimeout(context.Background(), tuning.StoreCallTimeout)
-	defer stop()
+	// The context of Drain may already have ended; the session is revoked in any case.
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.StoreCallTimeout)
+	defer cancel()
 	if err := c.Store.RevokeLease(ctx, leaseID); err != nil && !errors.Is(err, store.ErrLeaseExpired) {
 		return err
 	}
 	return nil
 }
 
-// leaveSession sets the session's state to that without a lease, and returns the lease
-// and the state that it had.
-func (c *Controller) leaveSession() (leaseID uint64, was membership.SessionState) {
+// leaveSession sets the session state to NoLease and returns the previous lease and state.
+func (c *Controller) leaveSession() (leaseID uint64, previous membership.SessionState) {
 	c.Lock()
 	defer c.Unlock()
-	leaseID, was = c.Self.Incarnation, c.Session
+	leaseID, previous = c.Self.Incarnation, c.Session
 	c.Session = membership.NoLease
-	return leaseID, was
+	return leaseID, previous
 }
