--- a/internal/controller/store_fixture_test.go
+++ b/internal/controller/store_fixture_test.go
@@ -14,11 +14,11 @@
 type storeLink struct {
 	*fake.Store
 	mu                 sync.Mutex
-	rejecting          bool     // calls fail, at this controller alone or in an outage of all
-	rejectAfterDelayed bool     // calls fail after the last delayed write
-	delayNext          int      // so many writes get no answer and wait in delayed
+	rejecting          bool     // calls fail, whether for this controller alone or in a general outage
+	rejectAfterDelayed bool     // calls fail from the last delayed write on
+	delayNext          int      // number of next writes that get no response and are kept in delayed
 	delayed            []func() // each applies one write
-	afterWatch         func()   // runs between a watch's answer and its arrival
+	afterWatch         func()   // runs once, between the response to a watch and its receipt
 }
 
 func (link *storeLink) isRejecting() bool {
@@ -27,12 +27,11 @@
 	return link.rejecting
 }
 
-// setRejecting lets the store reject the calls of this controller, or serve them
-// again.
-func (link *storeLink) setRejecting(refuse bool) {
+// setRejecting sets whether the store rejects the calls of this controller.
+func (link *storeLink) setRejecting(rejecting bool) {
 	link.mu.Lock()
 	defer link.mu.Unlock()
-	link.rejecting = refuse
+	link.rejecting = rejecting
 }
 
 func (link *storeLink) List(ctx context.Context, prefix, after string) (wire.ListResponse, error) {
@@ -63,24 +62,24 @@
 	if link.isRejecting() {
 		return wire.WatchResponse{}, store.ErrRejected
 	}
-	ev, err := link.Store.Watch(ctx, prefix, after, hold)
+	response, err := link.Store.Watch(ctx, prefix, after, hold)
 	link.mu.Lock()
-	slow := link.afterWatch
+	afterWatch := link.afterWatch
 	link.afterWatch = nil
 	link.mu.Unlock()
-	if slow != nil {
-		slow()
+	if afterWatch != nil {
+		afterWatch()
 	}
-	return ev, err
+	return response, err
 }
 
-// applyDelayed applies the writes that were delayed.
+// applyDelayed applies the delayed writes.
 func (link *storeLink) applyDelayed() {
 	link.mu.Lock()
-	held := link.delayed
+	delayed := link.delayed
 	link.delayed = nil
 	link.mu.Unlock()
-	for _, f := range held {
-		f()
+	for _, write := range delayed {
+		write()
 	}
 }
