--- a/internal/controller/http_fixture_test.go
+++ b/internal/controller/http_fixture_test.go
@@ -32,22 +32,21 @@
 	"wheatspur/wire"
 )
 
-// This file drives controllers by requests to their two ports, for the tests of
-// answers, pages and metrics. What those tests need of a controller's inside stands
-// here and nowhere else in them.
+// This file sends requests to the two ports of controllers, for the tests of responses, pages and
+// metrics. It holds all access of those tests to the internals of a controller.
 
-var update = stdflag.Bool("update", false, "rewrite the golden texts")
+var update = stdflag.Bool("update", false, "rewrite the golden files")
 
-// httpEnv is an environment whose controllers are asked over HTTP.
+// httpEnv is an environment whose controllers are accessed over HTTP.
 type httpEnv struct{ *testEnv }
 
-// newHTTPEnv returns an environment of the controller a, which leads. change alters
-// the settings; nil: nothing.
-func newHTTPEnv(t *testing.T, change func(*config.Settings)) *httpEnv {
+// newHTTPEnv returns an environment of one controller, a, which is the leader. configure, if not
+// nil, changes the settings.
+func newHTTPEnv(t *testing.T, configure func(*config.Settings)) *httpEnv {
 	t.Helper()
 	env := &httpEnv{newTestEnv(t, "a")}
-	if change != nil {
-		env.configure = change
+	if configure != nil {
+		env.configure = configure
 		env.restartController()
 		env.refreshMachineTypes()
 	}
@@ -60,8 +59,7 @@
 	env.restartAll("a")
 }
 
-// newHTTPEnvWithoutTypes returns an environment of the controller a, which knows no
-// machine types.
+// newHTTPEnvWithoutTypes returns an environment of one controller, a, which knows no machine types.
 func newHTTPEnvWithoutTypes(t *testing.T) *httpEnv {
 	t.Helper()
 	env := newHTTPEnv(t, nil)
@@ -70,11 +68,11 @@
 	return env
 }
 
-// newHTTPPair returns an environment of the controllers a, which leads, and b.
-func newHTTPPair(t *testing.T, change func(*config.Settings)) *httpEnv {
+// newHTTPPair returns an environment of two controllers, a, which is the leader, and b.
+func newHTTPPair(t *testing.T, configure func(*config.Settings)) *httpEnv {
 	t.Helper()
 	env := &httpEnv{newTestEnv(t, "a")}
-	env.configure = change
+	env.configure = configure
 	labels := []string{"a", "b"}
 	env.store.Expire(env.controllers["a"].Self.Incarnation)
 	delete(env.controllers, "a")
@@ -89,10 +87,10 @@
 	return env
 }
 
-// labels are the names of the controllers, in order.
+// labels returns the sorted labels of the controllers.
 func (env *httpEnv) labels() []string { return slices.Sorted(maps.Keys(env.controllers)) }
 
-// stepMembershipInOrder gives every controller, in order, a step of its membership.
+// stepMembershipInOrder runs one membership step on every controller, in order of their labels.
 func (env *httpEnv) stepMembershipInOrder() {
 	env.t.Helper()
 	for _, label := range env.labels() {
@@ -102,12 +100,13 @@
 	env.refreshAll()
 }
 
-// stepMembershipOf gives one controller a step of its membership.
+// stepMembershipOf runs one membership step on one controller.
 func (env *httpEnv) stepMembershipOf(label string) {
 	_ = env.controllers[label].election.MembershipStep(context.Background())
 }
 
-// runPassesInOrder lets every controller, in order, make its decisions and store them.
+// runPassesInOrder runs one scheduling pass on every controller, in order of their labels, and
+// commits its writes.
 func (env *httpEnv) runPassesInOrder() {
 	env.t.Helper()
 	for _, label := range env.labels() {
@@ -116,28 +115,30 @@
 	}
 }
 
-// finishTasksInOrder lets tasks on a machine end, and stores their ends.
+// finishTasksInOrder reports that tasks on a machine have exited, and makes the controllers store
+// it.
 func (env *httpEnv) finishTasksInOrder(machineName string, tasks ...string) {
 	env.t.Helper()
 	env.finishTasks(machineName, tasks...)
-	env.clock.add(2 * time.Second) // ends are gathered for a while
+	env.clock.add(2 * time.Second) // releases are collected for tuning.ReleaseGather before they are stored
 	env.runPassesInOrder()
 }
 
-// runPassOf lets one controller make its decisions and store them.
+// runPassOf runs one scheduling pass on one controller, commits its writes and waits for its direct
+// calls.
 func (env *httpEnv) runPassOf(label string) {
 	controller := env.controllers[label]
 	env.runPass(controller)
 	controller.awaitDirectCalls()
 }
 
-// rewriteMembership stores the membership once more, unseen: writes that compare its
-// version fail.
+// rewriteMembership stores the same membership again without refreshing the controllers, so that
+// their writes that compare its version fail.
 func (env *httpEnv) rewriteMembership() {
 	env.store.Put(membership.RecordKey, env.store.Keys[membership.RecordKey].Value)
 }
 
-// refreshMachineTypes lets the leader ask the cloud for the types of machines.
+// refreshMachineTypes makes the leader request the machine types from the cloud.
 func (env *httpEnv) refreshMachineTypes() {
 	env.t.Helper()
 	if err := env.leader().leaderLoop.RefreshMachineTypes(context.Background()); err != nil {
@@ -146,7 +147,7 @@
 	env.refreshAll()
 }
 
-// refreshController lets one controller read what is stored.
+// refreshController makes one controller read the latest state from the store.
 func (env *httpEnv) refreshController(label string) {
 	env.t.Helper()
 	if err := env.controllers[label].Syncer.Refresh(context.Background()); err != nil {
@@ -159,7 +160,7 @@
 	env.sendPeerStatus(env.controllers[from], env.controllers[to])
 }
 
-// rejectStoreCalls lets the store reject all calls of one controller.
+// rejectStoreCalls makes the store reject all calls of one controller.
 func (env *httpEnv) rejectStoreCalls(label string) {
 	link := env.links[label]
 	link.mu.Lock()
@@ -167,15 +168,15 @@
 	link.rejecting = true
 }
 
-// expireSession expires the session of a controller; its process does not notice.
+// expireSession expires the session lease of a controller without telling the controller.
 func (env *httpEnv) expireSession(label string) {
 	env.store.Expire(env.controllers[label].Self.Incarnation)
 }
 
-// fencingTokenOf is the fencing token that a controller knows.
+// fencingTokenOf returns the fencing token that a controller knows.
 func (env *httpEnv) fencingTokenOf(label string) uint64 { return env.controllers[label].fencingToken() }
 
-// machineOwnedBy is the n-th machine name that a controller owns.
+// machineOwnedBy returns the n-th machine name, counted from 0, that a controller owns.
 func (env *httpEnv) machineOwnedBy(label string, nth int) string {
 	for i := 0; ; i++ {
 		machineName := fmt.Sprintf("host-%03d", i)
@@ -189,9 +190,9 @@
 	}
 }
 
-// storeWaitingJobs stores jobs that wait for a job.
-func (env *httpEnv) storeWaitingJobs(number int, dependsOn string) {
-	for i := range number {
+// storeWaitingJobs stores jobs that depend on the given job.
+func (env *httpEnv) storeWaitingJobs(count int, dependsOn string) {
+	for i := range count {
 		spec := arrayJob(fmt.Sprintf("wk-%d", 1000+i), 1)
 		spec.DependsOn = []string{dependsOn}
 		env.store.Put(jobs.JobKey(spec.ID), wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, Tasks: 1, ChunkSize: 70, Spec: &spec}))
@@ -199,22 +200,22 @@
 	env.refreshAll()
 }
 
-// corruptTeamRecord stores a record of a team's shares that can't be read.
+// corruptTeamRecord replaces the record of a team's shares by one that cannot be decoded.
 func (env *httpEnv) corruptTeamRecord(team string) {
 	env.store.Put(jobs.TeamKey(team), wire.Raw{0xff})
 	env.refreshAll()
 }
 
-// decideRoleSplits lets the leader decide how the machines of each type are split
-// between the roles.
+// decideRoleSplits makes the leader decide how to split the machines of each type between the
+// roles.
 func (env *httpEnv) decideRoleSplits() {
 	controller := env.leader()
 	controller.Lock()
 	defer controller.Unlock()
 	now := env.clock.now()
-	state, machines := controller.leaderLoop.CurrentTerm(), controller.MachineIndex.RefreshMachines(now)
-	controller.leaderLoop.RecordArrivals(state, now)
-	controller.leaderLoop.PlanRoleMoves(state, machines, now)
+	term, machines := controller.leaderLoop.CurrentTerm(), controller.MachineIndex.RefreshMachines(now)
+	controller.leaderLoop.RecordArrivals(term, now)
+	controller.leaderLoop.PlanRoleMoves(term, machines, now)
 }
 
 // drainController stops a controller gracefully.
@@ -227,36 +228,34 @@
 
 // newStandaloneController returns a controller that has read nothing from the store yet.
 func newStandaloneController(t *testing.T) *Controller {
-	clk := &fakeClock{t: time.Unix(100000, 0)}
-	limiter := store.NewLimiter(1000, 1000, 64, clk.now)
-	environment := cluster.NewEnvironment(settings("a", []string{"a"}), slog.New(slog.NewTextHandler(io.Discard, nil)), clk.now, fake.NewStore(), limiter)
+	clock := &fakeClock{t: time.Unix(100000, 0)}
+	limiter := store.NewLimiter(1000, 1000, 64, clock.now)
+	environment := cluster.NewEnvironment(settings("a", []string{"a"}), slog.New(slog.NewTextHandler(io.Discard, nil)), clock.now, fake.NewStore(), limiter)
 	return newController(dependencies{Environment: environment, cloud: fake.NewCloud(machineTypes, true), workerClient: unreachableWorkers{}})
 }
 
-// exceedMaxConnections makes a controller count more open connections than it allows.
+// exceedMaxConnections makes a controller count one open connection more than it allows.
 func exceedMaxConnections(controller *Controller) {
 	controller.Workers.OpenConnections = func() int { return controller.MaxConnections() + 1 }
 }
 
 // portClient sends requests to a port of a controller.
 type portClient struct {
-	t  *testing.T
-	ln interface{ Dial() (net.Conn, error) }
+	t      *testing.T
+	dialer interface{ Dial() (net.Conn, error) }
 }
 
-// userClient serves a controller's port for users and workers, and returns a client of
-// it.
+// userClient serves a controller's port for users and workers, and returns a client for it.
 func (env *httpEnv) userClient(t *testing.T, label string) *portClient {
 	return serveUserPort(t, env.controllers[label])
 }
 
-// serveUserPort serves a controller's port for users and workers, and returns a client
-// of it.
+// serveUserPort serves a controller's port for users and workers, and returns a client for it.
 func serveUserPort(t *testing.T, controller *Controller) *portClient {
 	return servePort(t, controller.httpServer(controller.serveUser, 64))
 }
 
-// peerClient serves a controller's port for peers, and returns a client of it.
+// peerClient serves a controller's port for peers, and returns a client for it.
 func (env *httpEnv) peerClient(t *testing.T, label string) *portClient {
 	controller := env.controllers[label]
 	return servePort(t, controller.httpServer(controller.servePeer, 64))
@@ -287,37 +286,36 @@
 	go func() { _ = s.Serve(ln) }()
 }
 
-// serveUsersBounded serves a controller's port for users and workers on a listener
-// with room for so many connections; those beyond are asked to retry after so many
-// seconds.
-func serveUsersBounded(controller *Controller, ln net.Listener, most, retryAfterS int) {
-	s := controller.httpServer(controller.serveUser, most)
-	bounded := &boundedListener{Listener: ln, limit: int64(most), retryAfterS: retryAfterS}
+// serveUsersBounded serves a controller's port for users and workers on a listener, which allows up
+// to limit connections and asks further clients to retry after retryAfterS seconds.
+func serveUsersBounded(controller *Controller, ln net.Listener, limit, retryAfterS int) {
+	s := controller.httpServer(controller.serveUser, limit)
+	bounded := &boundedListener{Listener: ln, limit: int64(limit), retryAfterS: retryAfterS}
 	go func() { _ = s.Serve(bounded) }()
 }
 
-// serveFullPort serves a port that has no room for another connection and asks those
-// it refuses to retry after so many seconds.
-func serveFullPort(t *testing.T, after int) *portClient {
+// serveFullPort serves a port that refuses every connection and asks clients to retry after
+// retryAfterS seconds.
+func serveFullPort(t *testing.T, retryAfterS int) *portClient {
 	t.Helper()
 	ln := listenOnLoopback(t)
-	full := &boundedListener{Listener: ln, limit: 0, retryAfterS: after}
+	full := &boundedListener{Listener: ln, limit: 0, retryAfterS: retryAfterS}
 	go func() { _, _ = full.Accept() }()
-	return &portClient{t, dialer(ln.Addr().String())}
+	return &portClient{t, tcpDialer(ln.Addr().String())}
 }
 
-// dialer connects to an address.
-type dialer string
+// tcpDialer connects to an address.
+type tcpDialer string
 
-func (d dialer) Dial() (net.Conn, error) { return net.Dial("tcp4", string(d)) }
+func (d tcpDialer) Dial() (net.Conn, error) { return net.Dial("tcp4", string(d)) }
 
-// forwarded returns a user's request as a peer forwards it.
+// forwarded returns the encoding of a user request that a peer forwards.
 func forwarded(method, path string, body any) []byte {
-	r := peer.ForwardRequest{Method: method, Path: path, Body: encoded(body)}
+	r := peer.ForwardRequest{Method: method, Path: path, Body: encodeBody(body)}
 	return r.Encode()
 }
 
-// replyText shows the answer to a request that was passed on.
+// replyText formats the response to a forwarded request.
 func replyText(t *testing.T, body []byte) string {
 	t.Helper()
 	r, err := peer.DecodeForwardResponse(body)
@@ -327,15 +325,15 @@
 	return fmt.Sprintf("status %d retry_after %q\n%s", r.Status, r.RetryAfter, bodyText(wire.ContentType, r.Body))
 }
 
-// request is a request in a table; a nil body is none, bytes are sent as they
-// are, and anything else is encoded as CBOR.
+// request is a request of a test table. A nil body sends none, a []byte body is sent as it is, and
+// any other body is encoded as CBOR.
 type request struct {
 	name, method, path string
 	body               any
 }
 
-// encoded is the body of a request.
-func encoded(body any) []byte {
+// encodeBody returns the bytes of a request body.
+func encodeBody(body any) []byte {
 	switch b := body.(type) {
 	case nil:
 		return nil
@@ -346,17 +344,17 @@
 	}
 }
 
-// answer is the answer to a request as it came over the connection.
+// answer is an HTTP response as received over the connection.
 type answer struct {
 	status  string
 	headers textproto.MIMEHeader
 	body    []byte
 }
 
-// send sends a request.
+// send sends a request and returns its response.
 func (client *portClient) send(r request) answer {
 	client.t.Helper()
-	body := encoded(r.body)
+	body := encodeBody(r.body)
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\n", r.method, r.path)
 	if body != nil || r.method == "POST" {
 		head += fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -364,7 +362,7 @@
 	return client.sendRaw(head+"\r\n"+string(body), r.method)
 }
 
-// sendRaw sends the bytes of a request on a connection of its own.
+// sendRaw sends the bytes of a request on a new connection and returns the response.
 func (client *portClient) sendRaw(raw, method string) answer {
 	client.t.Helper()
 	a, err := client.roundTrip(raw, method)
@@ -375,15 +373,15 @@
 }
 
 func (client *portClient) roundTrip(raw, method string) (a answer, err error) {
-	conn, err := client.ln.Dial()
+	conn, err := client.dialer.Dial()
 	if err != nil {
 		return a, err
 	}
-	defer func() { _ = conn.Close() }() // what was read counts
+	defer func() { _ = conn.Close() }() // an error here does not affect what was read
 	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		return a, err
 	}
-	go func() { _, _ = io.WriteString(conn, raw) }() // who refuses need not read it
+	go func() { _, _ = io.WriteString(conn, raw) }() // the write may fail if the server refuses the connection unread
 	r := textproto.NewReader(bufio.NewReader(conn))
 	if a.status, err = r.ReadLine(); err != nil {
 		return a, err
@@ -403,13 +401,13 @@
 	return a, err
 }
 
-// code is the status code of an answer.
+// code returns the status code of the response, or 0 if the status line has none.
 func (a answer) code() int {
 	code, _ := strconv.Atoi(strings.Fields(a.status + " 0 0")[1])
 	return code
 }
 
-// String shows an answer: status, headers by name, body.
+// String formats the status line, the headers sorted by name, and the body.
 func (a answer) String() string {
 	var b strings.Builder
 	fmt.Fprintln(&b, a.status)
@@ -424,8 +422,8 @@
 	return b.String()
 }
 
-// bodyText shows a body: CBOR in diagnostic notation, text as it is, and other
-// bytes in hex.
+// bodyText formats a body: CBOR in diagnostic notation, text unchanged, and other bytes in
+// hexadecimal.
 func bodyText(contentType string, body []byte) string {
 	if len(body) == 0 {
 		return ""
@@ -445,10 +443,10 @@
 	return strings.TrimSuffix(string(body), "\n") + "\n"
 }
 
-// transcript collects requests and their answers for a golden text.
+// transcript collects requests and their responses for comparison with a golden file.
 type transcript struct{ strings.Builder }
 
-// add enters a request and what came of it.
+// add appends a request and its outcome.
 func (s *transcript) add(name, request, outcome string) {
 	s.WriteString("## " + name + "\n")
 	if request != "" {
@@ -458,7 +456,7 @@
 	s.WriteByte('\n')
 }
 
-// sendEach sends requests one after the other.
+// sendEach sends requests one after the other and appends their responses.
 func (s *transcript) sendEach(client *portClient, list ...request) {
 	client.t.Helper()
 	for _, r := range list {
@@ -466,21 +464,22 @@
 	}
 }
 
-// concurrentRequests is how many requests sendAll sends at once: fewer than a port
-// serves.
+// concurrentRequests is the number of requests that sendAll sends at once. It is lower than the
+// number of connections that a port allows.
 const concurrentRequests = 32
 
-// sendAll sends requests, some at once: they share reads of the store.
+// sendAll sends requests concurrently in batches, so that they share reads of the store, and appends
+// their responses in order.
 func (s *transcript) sendAll(client *portClient, list ...request) {
 	client.t.Helper()
-	for some := range slices.Chunk(list, concurrentRequests) {
-		answers := make([]answer, len(some))
-		var g sync.WaitGroup
-		for i, r := range some {
-			g.Go(func() { answers[i] = client.send(r) })
+	for batch := range slices.Chunk(list, concurrentRequests) {
+		answers := make([]answer, len(batch))
+		var group sync.WaitGroup
+		for i, r := range batch {
+			group.Go(func() { answers[i] = client.send(r) })
 		}
-		g.Wait()
-		for i, r := range some {
+		group.Wait()
+		for i, r := range batch {
 			s.add(r.name, r.method+" "+r.path, answers[i].String())
 		}
 	}
