--- a/internal/controller/connections_test.go
+++ b/internal/controller/connections_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Over real connections: workers hold as many as there is room for; a user beyond them
-// is refused at once with a time to come back, and gets in as soon as one closes.
-// Guards against users that wait in the accept queue.
-func TestConnectionsBeyondTheLimitAreRefusedAtOnceUntilOneCloses(t *testing.T) {
+// With all allowed connections in use, a further connection is refused at once with a Retry-After
+// header, and accepted again once another connection has closed. Guards against users left waiting
+// in the accept queue. Uses real TCP connections.
+func TestConnectionsBeyondLimitAreRefusedUntilOneCloses(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
-	const most = 8
-	ln := listenOnLoopback(t)
-	serveUsersBounded(controller, ln, most, 2)
+	const limit = 8
+	listener := listenOnLoopback(t)
+	serveUsersBounded(controller, listener, limit, 2)
 
 	get := func(path string) (*http.Response, net.Conn) {
 		t.Helper()
-		c, err := net.DialTimeout("tcp4", ln.Addr().String(), time.Second)
+		c, err := net.DialTimeout("tcp4", listener.Addr().String(), time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,26 +31,26 @@
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			t.Fatalf("no answer: %v", err)
+			t.Fatalf("no response: %v", err)
 		}
 		return resp, c
 	}
-	var held []net.Conn
-	for range most {
+	var open []net.Conn
+	for range limit {
 		resp, c := get("/up")
 		if resp.StatusCode != http.StatusOK {
-			t.Fatalf("%d within the limit", resp.StatusCode)
+			t.Fatalf("status %d within the limit", resp.StatusCode)
 		}
-		held = append(held, c)
+		open = append(open, c)
 	}
 	for range 3 {
 		resp, c := get("/up")
 		if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "2" || !resp.Close {
-			t.Fatalf("beyond the limit: %d, Retry-After %q, close %v", resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
+			t.Fatalf("beyond the limit: status %d, Retry-After %q, close %v", resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
 		}
 		_ = c.Close()
 	}
-	_ = held[0].Close()
+	_ = open[0].Close()
 	for deadline := time.Now().Add(5 * time.Second); ; {
 		resp, c := get("/up")
 		_ = c.Close()
@@ -58,31 +58,31 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("a place that came free is not used")
+			t.Fatal("no connection is accepted after one has closed")
 		}
 	}
-	for _, c := range held[1:] {
+	for _, c := range open[1:] {
 		_ = c.Close()
 	}
 }
 
-// With its peers down a controller holds the connections of all workers. Guards
-// against workers that, between their heartbeats, keep users and health checks out.
-func TestManyOpenConnectionsCloseThoseOfWorkersNotUsers(t *testing.T) {
+// If its peers are down, a controller holds the connections of all workers. Guards against idle
+// worker connections, held open between heartbeats, that leave none for users and health checks.
+func TestConnectionPressureClosesOnlyWorkerConnections(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	controller.Settings.Params.Limits.MaxConnections = 1000
 	env.addMachine("h1", "batch")
 	for _, tc := range []struct {
-		open  int
-		close bool
+		open      int
+		wantClose bool
 	}{{100, false}, {700, true}} {
 		controller.Workers.OpenConnections = func() int { return tc.open }
-		if _, _, ctx := sendRequest(controller, "POST", "/checkin", env.heartbeat("h1", 1, controller.fencingToken())); ctx.Response.ConnectionClose() != tc.close {
-			t.Errorf("%d open connections: a worker's is closed %v", tc.open, ctx.Response.ConnectionClose())
+		if _, _, ctx := sendRequest(controller, "POST", "/checkin", env.heartbeat("h1", 1, controller.fencingToken())); ctx.Response.ConnectionClose() != tc.wantClose {
+			t.Errorf("%d open connections: worker connection closed: %v", tc.open, ctx.Response.ConnectionClose())
 		}
 		if code, _, ctx := sendRequest(controller, "GET", "/up", nil); code != http.StatusOK || ctx.Response.ConnectionClose() {
-			t.Errorf("%d open connections: health check %d", tc.open, code)
+			t.Errorf("%d open connections: health check status %d", tc.open, code)
 		}
 	}
 }
