--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -12,7 +12,7 @@
 	"wheatspur/wire"
 )
 
-// hangingStore is a store whose writes hang while leases are renewed.
+// hangingStore is a store whose writes block until release is closed, while lease renewals succeed.
 type hangingStore struct {
 	*storeLink
 	writes  atomic.Int64
@@ -34,9 +34,9 @@
 	return store.storeLink.RenewLease(ctx, id)
 }
 
-// A write of the membership that gets no answer must not hold up the renewal of the
-// session: it did, and slow controllers lost their sessions again and again.
-func TestAHangingMembershipWriteDoesNotDelayLeaseRenewal(t *testing.T) {
+// A membership write that gets no response must not delay the renewal of the session lease.
+// Previously it did, and slow controllers lost their sessions repeatedly.
+func TestHangingMembershipWriteDoesNotDelayLeaseRenewal(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	controller := env.controllers["b"]
 	hanging := &hangingStore{storeLink: env.links["b"], release: make(chan struct{})}
@@ -51,7 +51,7 @@
 	deadline := time.Now().Add(20 * time.Second)
 	for hanging.renewed.Load() < 2 || hanging.writes.Load() < 1 {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d renewals and %d writes while a write hangs", hanging.renewed.Load(), hanging.writes.Load())
+			t.Fatalf("%d lease renewals and %d writes while a write hangs", hanging.renewed.Load(), hanging.writes.Load())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -60,30 +60,31 @@
 	loops.Wait()
 }
 
-// A step that was taken under a former lease and fails for its expiry says nothing of
-// the present one.
-func TestTheEndOfAFormerLeaseDoesNotEndTheSession(t *testing.T) {
+// A membership step that was started under a previous lease and fails because that lease expired
+// must not end the session of the current lease.
+func TestExpiryOfPreviousLeaseDoesNotEndSession(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
-	former := controller.Self.Incarnation
-	controller.election.EndSession(former)
+	previousLease := controller.Self.Incarnation
+	controller.election.EndSession(previousLease)
 	if controller.Session != membership.NoLease {
-		t.Fatalf("session %s after its lease has ended", controller.Session)
+		t.Fatalf("session state %s after its lease has expired", controller.Session)
 	}
 	controller.election.OpenSession(context.Background())
-	controller.election.EndSession(former)
+	controller.election.EndSession(previousLease)
 	if controller.Session != membership.Leased {
-		t.Errorf("session %s: the end of a former lease ended it", controller.Session)
+		t.Errorf("session state %s after the expiry of a previous lease", controller.Session)
 	}
 }
 
-// A former process's late write of the session key must not stand.
-func TestASessionIsStoredAgainAfterALateWriteOfAFormerProcess(t *testing.T) {
+// A session key that is overwritten by a late write of the controller's previous process must be
+// replaced by the current session.
+func TestSessionIsRestoredAfterLateWriteOfPreviousProcess(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
-	old := membership.Node{Label: "a", Incarnation: 777}
+	previousNode := membership.Node{Label: "a", Incarnation: 777}
 	env.store.Leases[777] = true
-	_, err := env.store.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: membership.SessionKey("a"), Value: wire.MustMarshal(old), LeaseID: 777}})
+	_, err := env.store.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: membership.SessionKey("a"), Value: wire.MustMarshal(previousNode), LeaseID: 777}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,6 +94,6 @@
 	controller.Lock()
 	defer controller.Unlock()
 	if controller.Sessions["a"] != controller.Self || !controller.IsMember() {
-		t.Fatalf("session %+v, self %+v", controller.Sessions["a"], controller.Self)
+		t.Fatalf("stored session %+v, own node %+v", controller.Sessions["a"], controller.Self)
 	}
 }
