--- a/internal/controller/benchmark_test.go
+++ b/internal/controller/benchmark_test.go
@@ -9,7 +9,7 @@
 	"wheatspur/wire"
 )
 
-func BenchmarkPass(b *testing.B) {
+func BenchmarkSchedulingPass(b *testing.B) {
 	env := newFleetEnv(b, "a", "b", "c")
 	env.liftTeamLimit()
 	env.submitJobs(120, 40)
@@ -25,13 +25,13 @@
 	}
 }
 
-func BenchmarkPassWithWorkWaiting(b *testing.B) {
+func BenchmarkSchedulingPassWithoutCapacity(b *testing.B) {
 	env := newFleetEnv(b, "a", "b", "c")
 	env.liftTeamLimit()
 	env.submitJobs(300, 0)
 	controller := env.leader()
-	for _, m := range controller.Workers.ByMachine {
-		m.TerminationAt = env.clock.now() // no machine takes tasks
+	for _, worker := range controller.Workers.ByMachine {
+		worker.TerminationAt = env.clock.now() // no machine accepts tasks
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -41,7 +41,7 @@
 	}
 }
 
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	env := newFleetEnv(b, "a")
 	controller := env.leader()
 	var tasks []wire.TaskStatus
@@ -55,7 +55,7 @@
 	}
 }
 
-func BenchmarkWatchDecode(b *testing.B) {
+func BenchmarkApplyChunk(b *testing.B) {
 	env := newTestEnv(b, "a")
 	controller := env.leader()
 	env.submit(controller, arrayJob("wk-1", 60))
@@ -63,16 +63,16 @@
 	for i := range tasks {
 		tasks[i] = jobs.Task{State: jobs.Claimed, Attempt: 1, Machine: fmt.Sprintf("host-%06d", i/8), Incarnation: 1}
 	}
-	v := wire.MustMarshal(jobs.ChunkRecord{Tasks: tasks})
+	encoded := wire.MustMarshal(jobs.ChunkRecord{Tasks: tasks})
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := controller.Table.ApplyChunk(jobs.ChunkKey("wk-1", 0), v); err != nil {
+		if err := controller.Table.ApplyChunk(jobs.ChunkKey("wk-1", 0), encoded); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-func BenchmarkPlan(b *testing.B) {
+func BenchmarkAutoscalePlan(b *testing.B) {
 	env := newFleetEnv(b, "a")
 	env.liftTeamLimit()
 	env.submitJobs(300, 60)
