--- a/internal/controller/operator_pages_test.go
+++ b/internal/controller/operator_pages_test.go
@@ -11,15 +11,14 @@
 	"wheatspur/wire"
 )
 
-// httpWorker is a scripted worker that sends its heartbeats to one controller over
-// HTTP.
+// httpWorker is a scripted worker that sends its heartbeats to one controller over HTTP.
 type httpWorker struct {
 	fake.Worker
 	controller string
 }
 
-// newWorker returns a worker on the n-th machine of a controller. Tasks of the job
-// wk-10 end after a second, others never.
+// newWorker returns a worker on the nth machine, counted from 0, that a controller owns. Tasks of
+// the job wk-10 end after a second, others never.
 func (env *httpEnv) newWorker(label string, nth int) *httpWorker {
 	return &httpWorker{controller: label, Worker: fake.Worker{Machine: env.machineOwnedBy(label, nth), Address: "10.9.9.9:1", Type: "g", Zone: "z",
 		Incarnation: 1, Tasks: map[string]*fake.Task{}, OnTaskStart: func(_ *fake.Worker, task *fake.Task) time.Duration {
@@ -30,8 +29,7 @@
 		}}}
 }
 
-// sendHeartbeat sends the worker's heartbeat and carries out the commands in its
-// response.
+// sendHeartbeat sends the worker's next heartbeat and carries out the commands in the response.
 func (w *httpWorker) sendHeartbeat(env *httpEnv, client *portClient) {
 	client.t.Helper()
 	now := env.clock.now()
@@ -46,10 +44,9 @@
 	}
 }
 
-// newBusyPair returns a pair of controllers with machines of both roles, teams with
-// limits and guarantees, and jobs in every phase: done, running, without room, beyond
-// the team's limit, waiting for dependencies, cancelled, and cancelled with a
-// dependency.
+// newBusyPair returns a pair of controllers with machines of both roles, teams with limits and
+// guarantees, and jobs in every state: done, running, pending because no machine has room or the
+// team is at its limit, waiting for dependencies, cancelled, and cancelled along with a dependency.
 func newBusyPair(t *testing.T) *httpEnv {
 	t.Helper()
 	env := newHTTPPair(t, func(s *config.Settings) {
@@ -62,7 +59,7 @@
 	})
 	workers := []*httpWorker{env.newWorker("a", 0), env.newWorker("b", 0), env.newWorker("a", 1)}
 	ports := map[string]*portClient{"a": env.userClient(t, "a"), "b": env.userClient(t, "b")}
-	turn := func() {
+	runCycles := func() {
 		for range 3 {
 			env.clock.add(time.Second)
 			env.refreshAll()
@@ -77,26 +74,26 @@
 	for i, role := range []string{"batch", "batch", "service"} {
 		env.addMachine(workers[i].Machine, role)
 	}
-	turn()
+	runCycles()
 	submit := func(spec wire.JobSpec, team string, dependsOn ...string) {
 		spec.Team, spec.DependsOn = team, dependsOn
 		env.submit(env.controllers["a"], spec)
 	}
 	submit(arrayJob("wk-10", 1), "x")
-	turn()
-	turn()
+	runCycles()
+	runCycles()
 	submit(arrayJob("wk-11", 3), "x")
 	submit(serviceJob("wk-12", 2), "y")
-	turn()
+	runCycles()
 	submit(arrayJob("wk-13", 9), "x")
-	big := serviceJob("wk-14", 1)
-	big.CPUs, big.GPUs, big.RAMGB = 8, 4, 64
-	submit(big, "y")
+	wholeMachine := serviceJob("wk-14", 1)
+	wholeMachine.CPUs, wholeMachine.GPUs, wholeMachine.RAMGB = 8, 4, 64
+	submit(wholeMachine, "y")
 	submit(serviceJob("wk-15", 1), "z")
 	submit(arrayJob("wk-16", 1), "x", "wk-11", "wk-10", "wk-13")
 	submit(arrayJob("wk-17", 1), "y", "wk-16")
-	turn()
-	turn()
+	runCycles()
+	runCycles()
 	submit(arrayJob("wk-18", 1), "z", "wk-11")
 	submit(arrayJob("wk-19", 1), "z", "wk-18")
 	submit(arrayJob("wk-20", 1), "z", "wk-19")
@@ -108,8 +105,8 @@
 	return env
 }
 
-// The status page, of the leader and of another controller: whole, of every job and of
-// every team.
+// The status pages of the leader and of a controller that does not lead: of the whole cluster, of
+// each job and of each team, and with a damaged record of a team's quota shares.
 func TestStatusPages(t *testing.T) {
 	env := newBusyPair(t)
 	var record transcript
@@ -134,8 +131,8 @@
 	golden.Text(t, "status.golden", record.String(), *update)
 }
 
-// The status page before the first read, beside an older version, with more rows than
-// it shows, during a store outage, and during a graceful stop.
+// The status page before the first read of the store, while a member runs an older version, with
+// more rows than it shows, during a store outage, and during a graceful stop.
 func TestStatusPagesInUnusualStates(t *testing.T) {
 	var record transcript
 	page := func(name string, client *portClient) { record.sendEach(client, request{name, "GET", "/status", nil}) }
@@ -164,7 +161,7 @@
 	golden.Text(t, "status-unusual.golden", record.String(), *update)
 }
 
-// Every metric with its help, type, labels and values.
+// The metrics pages of both controllers: every metric with its help text, type, labels and values.
 func TestMetricsPages(t *testing.T) {
 	env := newBusyPair(t)
 	var record transcript
@@ -181,8 +178,8 @@
 	golden.Text(t, "metrics.golden", record.String(), *update)
 }
 
-// Metrics before the first read, after failed writes and during a graceful stop; and
-// metrics that can't be gathered.
+// The metrics page before the first read of the store, after failed writes, during a graceful stop,
+// and with metrics that can't be gathered because a team is configured twice.
 func TestMetricsPagesInUnusualStates(t *testing.T) {
 	var record transcript
 	page := func(name string, client *portClient) { record.sendEach(client, request{name, "GET", "/metrics", nil}) }
@@ -193,7 +190,7 @@
 	env.addMachine("h1", "batch")
 	for _, failure := range []struct {
 		name, jobID string
-		begin       func()
+		inject      func()
 	}{
 		{"refused", "wk-1", func() { env.store.Unavailable = true }},
 		{"in conflict", "wk-2", func() { env.rewriteMembership() }},
@@ -201,7 +198,7 @@
 	} {
 		env.acknowledgeToken("h1", 1)
 		env.submit(env.controllers["a"], arrayJob(failure.jobID, 1))
-		failure.begin()
+		failure.inject()
 		env.runPassOf("a")
 		page("a claim "+failure.name, client)
 		record.sendEach(client, request{"a team after a claim " + failure.name, "GET", "/status?team=x", nil})
