--- a/internal/controller/heartbeat_responses_test.go
+++ b/internal/controller/heartbeat_responses_test.go
@@ -10,7 +10,7 @@
 	"wheatspur/wire"
 )
 
-// heartbeatSender is a worker that sends heartbeats, numbered in order.
+// heartbeatSender builds the heartbeats of one worker, with consecutive sequence numbers.
 type heartbeatSender struct {
 	machine     string
 	incarnation uint64
@@ -24,18 +24,18 @@
 	return sender.repeat(name, tasks...)
 }
 
-// repeat returns a heartbeat with the sequence number of the last one.
+// repeat returns a heartbeat with the sequence number of the previous one.
 func (sender *heartbeatSender) repeat(name string, tasks ...wire.TaskStatus) request {
 	return request{name, "POST", "/checkin", wire.Heartbeat{Machine: sender.machine, Address: "10.9.9.9:1", MachineType: "g", Zone: "z",
 		Incarnation: sender.incarnation, Sequence: sender.sequence, FencingToken: sender.token, Tasks: tasks}}
 }
 
-// taskStatus returns a task as it stands in a heartbeat.
+// taskStatus returns the status of a task as a heartbeat reports it.
 func taskStatus(name string, attempt uint64, state, cause string) wire.TaskStatus {
 	return wire.TaskStatus{Task: name, Attempt: attempt, State: state, ExitCause: cause}
 }
 
-// Heartbeats that are refused before anything is looked up.
+// Malformed heartbeats get 400. Unknown fields and malformed task names are accepted.
 func TestResponsesToMalformedHeartbeats(t *testing.T) {
 	env := newHTTPEnv(t, nil)
 	client := env.userClient(t, "a")
@@ -60,8 +60,8 @@
 	golden.Text(t, "heartbeats-malformed.golden", record.String(), *update)
 }
 
-// Heartbeats of a machine from its first to its next incarnation, with the commands in
-// their responses.
+// Responses to the heartbeats of a machine from its first incarnation to the next, with the
+// commands that they carry.
 func TestResponsesToHeartbeats(t *testing.T) {
 	env := newHTTPPair(t, nil)
 	client := env.userClient(t, "a")
@@ -130,12 +130,13 @@
 	golden.Text(t, "heartbeats.golden", record.String(), *update)
 }
 
-// Heartbeats at controllers that may not, or should not, renew a lease.
+// Responses of controllers without the store, with an outdated membership, or with too many open
+// connections.
 func TestResponsesToHeartbeatsThatRenewNoLease(t *testing.T) {
 	var record transcript
 
-	// A controller without the store answers for a while, and then sends its
-	// workers on.
+	// A controller that cannot reach the store renews leases for a while. Once a renewed lease
+	// could outlast a cancellation, it redirects its workers.
 	env := newHTTPPair(t, nil)
 	client := env.userClient(t, "a")
 	sender := &heartbeatSender{machine: env.machineOwnedBy("a", 0), incarnation: 1, token: env.fencingTokenOf("a")}
@@ -147,7 +148,7 @@
 	env.clock.add(cancelBound - leaseDuration)
 	record.sendEach(client, sender.next("when a renewed lease could outlast a cancellation"))
 
-	// A peer knows a newer membership, which gives the machine to it.
+	// A peer knows a newer membership, under which it owns the machine.
 	env = newHTTPPair(t, nil)
 	client = env.userClient(t, "a")
 	sender = &heartbeatSender{machine: env.machineOwnedBy("a", 0), incarnation: 1, token: env.fencingTokenOf("a")}
@@ -165,7 +166,7 @@
 	sender.token = env.fencingTokenOf("b")
 	record.sendEach(client, sender.next("with the fencing token of a newer membership"))
 
-	// So many connections are open that a worker should not hold one.
+	// More connections are open than allowed, so the response closes the worker's connection.
 	env = newHTTPEnv(t, nil)
 	exceedMaxConnections(env.controllers["a"])
 	sender = &heartbeatSender{machine: env.machineOwnedBy("a", 0), incarnation: 1, token: env.fencingTokenOf("a")}
