--- a/internal/controller/peer_responses_test.go
+++ b/internal/controller/peer_responses_test.go
@@ -9,7 +9,7 @@
 	"wheatspur/wire"
 )
 
-// The port for peers: paths, methods and malformed messages.
+// Responses of the peer port to unknown paths, wrong methods and malformed messages.
 func TestResponsesOfThePeerPort(t *testing.T) {
 	env := newHTTPPair(t, nil)
 	client := env.peerClient(t, "a")
@@ -41,7 +41,8 @@
 	golden.Text(t, "peer.golden", record.String(), *update)
 }
 
-// Users' requests that a peer forwards.
+// Responses to user requests that a peer forwards, also without the store and during a graceful
+// stop.
 func TestResponsesToForwardedRequests(t *testing.T) {
 	env := newHTTPPair(t, nil)
 	client := env.peerClient(t, "a")
