--- a/internal/controller/index_test.go
+++ b/internal/controller/index_test.go
@@ -12,8 +12,7 @@
 	"wheatspur/wire"
 )
 
-// describeFleet returns what a pass sees of the machines, in a form that can be
-// compared.
+// describeFleet returns a line for each machine with the state that a pass reads, for comparisons.
 func describeFleet(f *placement.Fleet) []string {
 	var out []string
 	for _, m := range f.Machines {
@@ -23,16 +22,16 @@
 		})
 		line := fmt.Sprintf("%s %s %s %s %v %s open %v session %d images %v free %.3f freeing %.3f tasks", m.Name, m.Type, m.Zone, m.Owner,
 			m.Spot, m.Role, m.Schedulable, m.Incarnation, m.Images, m.Free, m.Freeing)
-		for _, r := range tasks {
-			line += fmt.Sprintf(" %s/%v", r.ID, r.Stopping)
+		for _, task := range tasks {
+			line += fmt.Sprintf(" %s/%v", task.ID, task.Stopping)
 		}
 		out = append(out, line)
 	}
 	return out
 }
 
-// checkMachineIndex compares the index of the fleet that is kept up to date, and the
-// sums of claims in it, with ones that are built anew.
+// checkMachineIndex compares the machine index that the controller updates incrementally, and its
+// sums of claims, with a rebuilt one.
 func checkMachineIndex(t testing.TB, controller *Controller) {
 	t.Helper()
 	controller.Lock()
@@ -41,30 +40,30 @@
 		return
 	}
 	now := controller.Now()
-	kept, held, view := describeFleet(controller.MachineIndex.RefreshMachines(now)), controller.MachineIndex.ClaimedByNode(), controller.MachineIndex
+	indexed, indexedClaims, index := describeFleet(controller.MachineIndex.RefreshMachines(now)), controller.MachineIndex.ClaimedByNode(), controller.MachineIndex
 	controller.MachineIndex.Reset()
-	anew, sums := describeFleet(controller.MachineIndex.RefreshMachines(now)), controller.MachineIndex.ClaimedByNode()
-	controller.MachineIndex = view // goes on, so that what it misses adds up
-	if !slices.Equal(kept, anew) {
-		for i := range anew {
-			if i >= len(kept) || kept[i] != anew[i] {
-				t.Fatalf("%s: %d machines are kept, %d are there; the first that differs:\n%s\n%s", controller.Self.Label, len(kept), len(anew), kept[min(i, len(kept)-1)], anew[i])
+	rebuilt, rebuiltClaims := describeFleet(controller.MachineIndex.RefreshMachines(now)), controller.MachineIndex.ClaimedByNode()
+	controller.MachineIndex = index // kept, so that missed updates accumulate until a later check
+	if !slices.Equal(indexed, rebuilt) {
+		for i := range rebuilt {
+			if i >= len(indexed) || indexed[i] != rebuilt[i] {
+				t.Fatalf("%s: %d machines in the index, %d in a rebuilt one; the first that differs:\n%s\n%s", controller.Self.Label, len(indexed), len(rebuilt), indexed[min(i, len(indexed)-1)], rebuilt[i])
 			}
 		}
-		t.Fatalf("%s: %d machines are kept, %d are there", controller.Self.Label, len(kept), len(anew))
+		t.Fatalf("%s: %d machines in the index, %d in a rebuilt one", controller.Self.Label, len(indexed), len(rebuilt))
 	}
 	for _, m := range controller.Membership.Nodes {
 		for _, team := range controller.Settings.Params.Teams {
-			if a, b := held[m.Label][team.Name], sums[m.Label][team.Name]; math.Abs(a.GPUs-b.GPUs) > 1e-6 || math.Abs(a.CPUs-b.CPUs) > 1e-6 {
-				t.Fatalf("%s: claims of %s on the machines of %s: %v kept, %v are there", controller.Self.Label, team.Name, m.Label, a, b)
+			if a, b := indexedClaims[m.Label][team.Name], rebuiltClaims[m.Label][team.Name]; math.Abs(a.GPUs-b.GPUs) > 1e-6 || math.Abs(a.CPUs-b.CPUs) > 1e-6 {
+				t.Fatalf("%s: claims of %s on the machines of %s: %v in the index, %v in a rebuilt one", controller.Self.Label, team.Name, m.Label, a, b)
 			}
 		}
 	}
 }
 
-// The end of one task on a fleet with thousands of claims reindexes one machine, not
-// all that the chunk's tasks run on. Guards against a pass that walks all tasks of the
-// fleet: it took half of a small machine's processor.
+// On a fleet with thousands of claims, the end of one task reindexes only its machine, not those of
+// the other tasks in its chunk. Guards against a pass that iterates over all tasks of the fleet, which
+// took half of the CPU time of a small machine.
 func TestAChangeOfOneTaskReindexesOneMachine(t *testing.T) {
 	env := newFleetEnv(t, "a")
 	env.liftTeamLimit()
@@ -78,30 +77,30 @@
 	job := controller.Table.Jobs["wk-200000"]
 	task := job.Task(0)
 	if len(job.Claims) != 60 || len(controller.MachineIndex.Changed) != 0 {
-		t.Fatalf("%d tasks are claimed, %d machines are to be entered", len(job.Claims), len(controller.MachineIndex.Changed))
+		t.Fatalf("%d tasks are claimed, %d machines are to be reindexed", len(job.Claims), len(controller.MachineIndex.Changed))
 	}
-	// Two copies of a chunk that differ in one task, as a watch brings them.
+	// A watch delivers a copy of the chunk in which one task differs, and then the same copy again.
 	tasks := job.ChunkCopy(0)
 	tasks[0], _ = tasks[0].Next(jobs.TaskEvent{Kind: jobs.Complete})
-	raw := wire.MustMarshal(jobs.ChunkRecord{Tasks: tasks})
-	if err := controller.Table.ApplyChunk(jobs.ChunkKey("wk-200000", 0), raw); err != nil {
+	value := wire.MustMarshal(jobs.ChunkRecord{Tasks: tasks})
+	if err := controller.Table.ApplyChunk(jobs.ChunkKey("wk-200000", 0), value); err != nil {
 		t.Fatal(err)
 	}
 	if len(controller.MachineIndex.Changed) != 1 || !controller.MachineIndex.Changed[task.Machine] {
-		t.Errorf("%d machines are to be entered, only %s has changed", len(controller.MachineIndex.Changed), task.Machine)
+		t.Errorf("%d machines are to be reindexed, only %s has changed", len(controller.MachineIndex.Changed), task.Machine)
 	}
-	if err := controller.Table.ApplyChunk(jobs.ChunkKey("wk-200000", 0), raw); err != nil {
+	if err := controller.Table.ApplyChunk(jobs.ChunkKey("wk-200000", 0), value); err != nil {
 		t.Fatal(err)
 	}
 	if len(controller.MachineIndex.Changed) != 1 {
-		t.Errorf("%d machines are to be entered after the same chunk came once more", len(controller.MachineIndex.Changed))
+		t.Errorf("%d machines are to be reindexed after the same chunk was applied again", len(controller.MachineIndex.Changed))
 	}
 	controller.Unlock()
 	checkMachineIndex(t, controller)
 }
 
-// What a pass plans on machines of other owners is rolled back: tasks that it would
-// preempt there are tasks like others in the next pass.
+// The next refresh of the machine index rolls back what a pass has planned. Guards against tasks that
+// a pass would preempt on machines of other owners counting as preempted in the next pass.
 func TestAPassRollsBackTheMachineIndex(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.liftTeamLimit()
@@ -114,9 +113,9 @@
 		owner.receiveHeartbeat(env.heartbeat(listed.Name, 1, owner.fencingToken()))
 	}
 	env.exchangePeerStatus()
-	low := serviceJob("wk-1", 24)
-	low.Priority = wire.PriorityLow
-	env.submit(env.leader(), low)
+	lowPriority := serviceJob("wk-1", 24)
+	lowPriority.Priority = wire.PriorityLow
+	env.submit(env.leader(), lowPriority)
 	for range 4 {
 		env.runPasses()
 	}
@@ -130,27 +129,27 @@
 		during := describeFleet(controller.MachineIndex.Fleet)
 		after := describeFleet(controller.MachineIndex.RefreshMachines(now))
 		placement.Schedule(controller.scheduler.PlacementInput(controller.MachineIndex.Fleet, now))
-		controller.MachineIndex.Rebuild = true // a machine has come: all are indexed anew
+		controller.MachineIndex.Rebuild = true // as after a machine has joined
 		rebuilt := describeFleet(controller.MachineIndex.RefreshMachines(now))
 		controller.Unlock()
 		if !slices.Equal(before, rebuilt) {
-			t.Errorf("%s: before a pass and in a new index:\n%v\n%v", controller.Self.Label, before, rebuilt)
+			t.Errorf("%s: before a pass and in a rebuilt index:\n%v\n%v", controller.Self.Label, before, rebuilt)
 		}
 		preempted += len(out.Preemptions)
 		if slices.Equal(before, during) {
-			t.Errorf("%s plans nothing: the test needs a pass that does", controller.Self.Label)
+			t.Errorf("%s plans nothing, so there is nothing to roll back", controller.Self.Label)
 		}
 		if !slices.Equal(before, after) {
 			t.Errorf("%s: before and after a pass:\n%v\n%v", controller.Self.Label, before, after)
 		}
 	}
 	if preempted != 12 {
-		t.Errorf("%d tasks are stopped for 12", preempted)
+		t.Errorf("%d tasks are preempted, want 12", preempted)
 	}
 }
 
-// A change on a machine reaches peers with the next status, not only when all machines
-// are compared with what peers know.
+// A change of a machine reaches peers with the next status. Guards against sending it only after the
+// next full comparison of all machines with what peers know.
 func TestAMachineChangeIsPublishedBeforeTheNextFullComparison(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.addMachine("h1", "batch")
@@ -158,14 +157,14 @@
 	controller.receiveHeartbeat(env.heartbeat("h1", 1, controller.fencingToken()))
 	env.exchangePeerStatus()
 	controller.Lock()
-	controller.Peers.OwnStatus(other.Peers.Siblings[controller.Self.Label].MachinesVersion) // the clock stands: all were compared now
+	controller.Peers.OwnStatus(other.Peers.Siblings[controller.Self.Label].MachinesVersion) // compares all machines; the clock does not advance, so the next full comparison is not due
 	controller.Unlock()
 	notice := 10.0
 	heartbeat := env.heartbeat("h1", 1, controller.fencingToken())
 	heartbeat.TerminationNoticeS = &notice
 	controller.receiveHeartbeat(heartbeat)
 	env.sendPeerStatus(controller, other)
-	if h := other.Peers.Siblings[controller.Self.Label].Machines["h1"]; h.TerminationNotice < 0 {
-		t.Errorf("the peer knows %+v, without the notice", h)
+	if machine := other.Peers.Siblings[controller.Self.Label].Machines["h1"]; machine.TerminationNotice < 0 {
+		t.Errorf("the peer did not receive the termination notice: %+v", machine)
 	}
 }
