--- a/internal/controller/user_responses_test.go
+++ b/internal/controller/user_responses_test.go
@@ -328,7 +328,8 @@
 }
 
 // Responses of controllers that refuse submissions: before the first read of the store, before the
-// machine types are known, while a member runs an older version, and during a graceful stop.
+// machine types are known, during a graceful stop, and, for jobs with dependencies only, while a
+// member runs an older version.
 func TestResponsesOfControllersThatRefuseSubmissions(t *testing.T) {
 	var record transcript
 	sendInState := func(state string, client *portClient, list ...request) {
