--- a/internal/observability/metrics.go
+++ b/internal/observability/metrics.go
@@ -51,11 +51,11 @@
 func (ob *Observer) collectController(gauge gaugeFunc) {
 	gauge(descBuildInfo, 1, tuning.Version)
 	gauge(descLeader, boolValue(ob.IsLeader()))
-	gauge(descStore, boolValue(ob.StoreReadRecently()))
+	gauge(descStoreReadRecently, boolValue(ob.StoreReadRecently()))
 	if ob.Membership == nil {
 		return
 	}
-	gauge(descToken, float64(ob.Membership.FencingToken))
+	gauge(descFencingToken, float64(ob.Membership.FencingToken))
 	members := map[uint64]int{}
 	for _, member := range ob.Membership.Nodes {
 		members[ob.StoredSessions[member.Label].Format]++
@@ -112,7 +112,7 @@
 	for machineType, decision := range ob.leaderLoop.Term.RoleDecisions {
 		gauge(descRoleLoad, decision.BatchLoad, machineType, "batch")
 		gauge(descRoleLoad, decision.ServiceLoad, machineType, "service")
-		gauge(descRoleEvidence, boolValue(decision.EvidenceOpen), machineType)
+		gauge(descEvidenceOpen, boolValue(decision.EvidenceOpen), machineType)
 	}
 }
 
--- a/internal/observability/quotastatus.go
+++ b/internal/observability/quotastatus.go
@@ -103,8 +103,8 @@
 			"in_doubt":  summary.Uncertain,
 			"waiting":   ob.pendingAmount(team),
 		} {
-			gauge(descTeam, amount.CPUs, team, "cpus", kind)
-			gauge(descTeam, amount.GPUs, team, "gpus", kind)
+			gauge(descTeamAmount, amount.CPUs, team, "cpus", kind)
+			gauge(descTeamAmount, amount.GPUs, team, "gpus", kind)
 		}
 		for _, share := range summary.Shares {
 			for kind, amount := range map[string]quota.Amount{"share": share.Share, "held": share.Claimed} {
@@ -112,6 +112,6 @@
 				gauge(descTeamShare, amount.GPUs, team, share.Controller, "gpus", kind)
 			}
 		}
-		gauge(descTeamPhase, 1, team, string(summary.Phase))
+		gauge(descTeamSharesPhase, 1, team, string(summary.Phase))
 	}
 }
--- a/internal/observability/recoverystatus.go
+++ b/internal/observability/recoverystatus.go
@@ -27,6 +27,6 @@
 	for _, state := range []recovery.MachineState{recovery.Unknown, recovery.HeartbeatReceived, recovery.Reconciled, recovery.Missing} {
 		gauge(descRecoveryMachines, float64(progress.Machines[state]), string(state))
 	}
-	gauge(descRecoveryStarts, float64(progress.PendingStarts[recovery.ServiceStart]), "service")
-	gauge(descRecoveryStarts, float64(progress.PendingStarts[recovery.ArrayStart]), "array")
+	gauge(descPendingStarts, float64(progress.PendingStarts[recovery.ServiceStart]), "service")
+	gauge(descPendingStarts, float64(progress.PendingStarts[recovery.ArrayStart]), "array")
 }
