--- a/internal/observability/metrics.go
+++ b/internal/observability/metrics.go
@@ -1,4 +1,4 @@
-// This file serves the metrics.
+// This file collects and serves the metrics.
 
 package observability
 
@@ -17,20 +17,22 @@
 	"wheatspur/internal/tuning"
 )
 
-// stateCollector reads a controller's state when metrics are gathered.
+// stateCollector is a prometheus.Collector that reads a controller's state when the metrics are
+// gathered.
 type stateCollector struct{ observer *Observer }
 
-// gaugeFunc hands over the value of a gauge.
+// gaugeFunc emits the value of a gauge.
 type gaugeFunc func(descriptor *prometheus.Desc, value float64, labels ...string)
 
-// Describe names all metrics that Collect may hand over.
+// Describe sends the descriptors of all metrics that Collect may send.
 func (stateCollector) Describe(descriptors chan<- *prometheus.Desc) {
 	for _, descriptor := range stateDescriptors {
 		descriptors <- descriptor
 	}
 }
 
-// Collect hands over all metrics, as of one moment: it holds the lock throughout.
+// Collect sends all metrics. It holds the lock throughout, so that they show the state at one
+// point in time.
 func (sc stateCollector) Collect(metrics chan<- prometheus.Metric) {
 	gauge := func(descriptor *prometheus.Desc, value float64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(descriptor, prometheus.GaugeValue, value, labels...)
@@ -46,8 +48,7 @@
 	ob.collectRecovery(gauge)
 }
 
-// collectController gathers what this controller knows of itself and the membership;
-// the lock is held.
+// collectController emits the metrics of this controller and of the membership. The lock is held.
 func (ob *Observer) collectController(gauge gaugeFunc) {
 	gauge(descBuildInfo, 1, tuning.Version)
 	gauge(descLeader, boolValue(ob.IsLeader()))
@@ -56,26 +57,26 @@
 		return
 	}
 	gauge(descFencingToken, float64(ob.Membership.FencingToken))
-	members := map[uint64]int{}
+	membersByFormat := map[uint64]int{}
 	for _, member := range ob.Membership.Nodes {
-		members[ob.StoredSessions[member.Label].Format]++
+		membersByFormat[ob.StoredSessions[member.Label].Format]++
 	}
-	for format, count := range members {
+	for format, count := range membersByFormat {
 		gauge(descMembers, float64(count), strconv.FormatUint(format, 10))
 	}
 }
 
-// collectJobs gathers the counts of jobs and tasks; the lock is held.
+// collectJobs emits the numbers of jobs and tasks. The lock is held.
 func (ob *Observer) collectJobs(gauge gaugeFunc) {
 	gauge(descOpenJobs, float64(len(ob.Table.Open)))
 	gauge(descWaitingJobs, float64(len(ob.Table.Waiting)))
-	var tasks [len(jobs.Job{}.Counts)]int // by state
+	var tasksByState [len(jobs.Job{}.Counts)]int
 	for _, job := range ob.Table.Open {
 		for state, count := range job.Counts {
-			tasks[state] += count
+			tasksByState[state] += count
 		}
 	}
-	for state, count := range tasks {
+	for state, count := range tasksByState {
 		gauge(descTasks, float64(count), jobs.TaskState(state).String())
 	}
 	unplaced := 0
@@ -85,26 +86,27 @@
 	gauge(descUnplacedTasks, float64(unplaced))
 }
 
-// collectMachines gathers the counts of machine records; the lock is held.
+// collectMachines emits the numbers of machine records. The lock is held.
 func (ob *Observer) collectMachines(gauge gaugeFunc) {
-	type group struct {
+	type machineLabels struct {
 		machineType, kind, role string
 		phase                   inventory.Phase
 	}
-	machines := map[group]int{}
+	counts := map[machineLabels]int{}
 	for _, machine := range ob.Inventory.Machines {
 		kind := "ordinary"
 		if machine.Spot {
 			kind = "spot"
 		}
-		machines[group{machine.MachineType, kind, string(machine.Role), machine.Phase}]++
+		counts[machineLabels{machine.MachineType, kind, string(machine.Role), machine.Phase}]++
 	}
-	for g, count := range machines {
-		gauge(descMachines, float64(count), g.machineType, g.kind, g.role, string(g.phase))
+	for labels, count := range counts {
+		gauge(descMachines, float64(count), labels.machineType, labels.kind, labels.role, string(labels.phase))
 	}
 }
 
-// collectRoles gathers the leader's last decisions on roles; the lock is held.
+// collectRoles emits the leader's last decisions on roles, if this controller is the leader. The
+// lock is held.
 func (ob *Observer) collectRoles(gauge gaugeFunc) {
 	if !ob.IsLeader() {
 		return
@@ -116,7 +118,7 @@
 	}
 }
 
-// boolValue is the value of a gauge that says whether something is so.
+// boolValue returns the value of a gauge for a boolean: 1 for true, 0 for false.
 func boolValue(b bool) float64 {
 	if b {
 		return 1
@@ -124,7 +126,8 @@
 	return 0
 }
 
-// ServeMetrics shows all metrics of this controller in Prometheus' text form.
+// ServeMetrics serves all metrics of this controller in the Prometheus text format. It takes the
+// lock.
 func (ob *Observer) ServeMetrics(request *fasthttp.RequestCtx) {
 	families, err := ob.Metrics.Registry.Gather()
 	if err != nil {
