--- a/internal/observability/observer.go
+++ b/internal/observability/observer.go
@@ -1,8 +1,8 @@
-// Package observability shows operators the state of a controller: the status page
-// and the metrics. It reads the state of the other components with the lock held and
-// changes nothing. What is counted on the way, such as answers by status, is kept by
-// package cluster; the log is written where things happen, with the names of package
-// logging.
+// Package observability shows operators the state of a controller on the status page and in the
+// metrics. It reads the state of the other components with the lock held and changes nothing.
+// Package cluster keeps the counters that are updated as events occur, such as the number of
+// answers by status. Log records are written where the events occur, with the event names and
+// keys of package logging.
 package observability
 
 import (
@@ -12,8 +12,7 @@
 	"wheatspur/internal/scheduler"
 )
 
-// Observer shows operators the state of a controller: the status page and the
-// metrics.
+// Observer serves the status page and the metrics of a controller.
 type Observer struct {
 	*cluster.State
 	*fleet.Fleet
@@ -21,7 +20,8 @@
 	leaderLoop *leader.Loop
 }
 
-// New returns an observer of a controller's components, and registers its metrics.
+// New returns an observer of a controller's components, and registers the metrics that are read
+// from their state.
 func New(state *cluster.State, fleet *fleet.Fleet, scheduler *scheduler.Scheduler, leader *leader.Loop) *Observer {
 	ob := &Observer{State: state, Fleet: fleet, scheduler: scheduler, leaderLoop: leader}
 	state.Metrics.Registry.MustRegister(stateCollector{ob})
