--- a/internal/observability/quotastatus.go
+++ b/internal/observability/quotastatus.go
@@ -1,5 +1,4 @@
-// This file shows operators the limits and guarantees of teams: on the status
-// page and in the metrics. Its methods expect the lock to be held.
+// This file shows the limits and guarantees of teams on the status page and in the metrics.
 
 package observability
 
@@ -11,7 +10,8 @@
 	"wheatspur/internal/quota"
 )
 
-// quotaSummaries describe all teams, in the order of the settings.
+// quotaSummaries returns the quota summaries of all teams, in the order of the settings. It returns
+// nil while no membership is known. The lock is held.
 func (ob *Observer) quotaSummaries() []*quota.Summary {
 	if ob.Membership == nil {
 		return nil
@@ -25,7 +25,8 @@
 	return summaries
 }
 
-// pendingAmount is what the pending tasks of a team's open jobs take.
+// pendingAmount returns the resources that the pending tasks of a team's open jobs need. The lock
+// is held.
 func (ob *Observer) pendingAmount(team string) quota.Amount {
 	var sum quota.Amount
 	for amount := range ob.scheduler.PendingAmounts(team) {
@@ -34,23 +35,23 @@
 	return sum
 }
 
-// amountText writes an amount as CPUs/GPUs.
-func amountText(amount quota.Amount) string {
+// formatAmount formats an amount as CPUs/GPUs.
+func formatAmount(amount quota.Amount) string {
 	return fmt.Sprintf("%.4g/%.4g", amount.CPUs, amount.GPUs)
 }
 
-// teamLine is a team's line of the status page.
-func (ob *Observer) teamLine(summary *quota.Summary) string {
+// formatTeam returns a team's line of the status page. The lock is held.
+func (ob *Observer) formatTeam(summary *quota.Summary) string {
 	var line strings.Builder
 	team := summary.Team
-	fmt.Fprintf(&line, "team %s shares %q limit %s guarantee %s used %s borrowed %s waiting %s", team.Name, summary.Phase, amountText(team.Limit),
-		amountText(team.Guarantee), amountText(summary.Used), amountText(summary.Borrowed), amountText(ob.pendingAmount(team.Name)))
+	fmt.Fprintf(&line, "team %s shares %q limit %s guarantee %s used %s borrowed %s waiting %s", team.Name, summary.Phase, formatAmount(team.Limit),
+		formatAmount(team.Guarantee), formatAmount(summary.Used), formatAmount(summary.Borrowed), formatAmount(ob.pendingAmount(team.Name)))
 	if !summary.InFlight.IsZero() || !summary.Uncertain.IsZero() {
-		fmt.Fprintf(&line, " in_flight %s in_doubt %s", amountText(summary.InFlight), amountText(summary.Uncertain))
+		fmt.Fprintf(&line, " in_flight %s in_doubt %s", formatAmount(summary.InFlight), formatAmount(summary.Uncertain))
 	}
 	if reservation := summary.Reserved; reservation != nil {
 		since := ob.Now().Sub(time.UnixMilli(reservation.Since))
-		fmt.Fprintf(&line, " reserved %s for %.0f s", amountText(reservation.Amount()), since.Seconds())
+		fmt.Fprintf(&line, " reserved %s for %.0f s", formatAmount(reservation.Amount()), since.Seconds())
 	}
 	if summary.Damage != nil {
 		fmt.Fprintf(&line, " damage %q", summary.Damage.Error())
@@ -58,7 +59,8 @@
 	return line.String()
 }
 
-// writeTeamsStatus shows all teams, and whether their guarantees fit the fleet.
+// writeTeamsStatus writes whether the capacity of the machines that accept tasks covers the sum of
+// all guarantees, and then a line for each team. The lock is held.
 func (ob *Observer) writeTeamsStatus(page *strings.Builder) {
 	summaries := map[string]*quota.Summary{}
 	for _, summary := range ob.quotaSummaries() {
@@ -66,26 +68,27 @@
 	}
 	guaranteed, capacity := ob.Quota.TotalGuarantees(), ob.scheduler.TotalCapacity()
 	fit := guaranteed.Sub(capacity).Max(quota.Amount{}).IsZero()
-	fmt.Fprintf(page, "guarantees %s machines_hold %s fit %v\n", amountText(guaranteed), amountText(capacity), fit)
-	writeRows(page, "team", summaries, func(team string) string { return ob.teamLine(summaries[team]) })
+	fmt.Fprintf(page, "guarantees %s machines_hold %s fit %v\n", formatAmount(guaranteed), formatAmount(capacity), fit)
+	writeRows(page, "team", summaries, func(team string) string { return ob.formatTeam(summaries[team]) })
 }
 
-// writeTeamStatus shows one team with the share of each controller.
+// writeTeamStatus writes one team and the share that each controller has of its limit. The lock is
+// held.
 func (ob *Observer) writeTeamStatus(page *strings.Builder, team string) {
 	for _, summary := range ob.quotaSummaries() {
 		if summary.Team.Name != team {
 			continue
 		}
-		fmt.Fprintln(page, ob.teamLine(summary))
+		fmt.Fprintln(page, ob.formatTeam(summary))
 		for _, share := range summary.Shares {
-			fmt.Fprintf(page, "share %s of %s held %s\n", share.Controller, amountText(share.Share), amountText(share.Claimed))
+			fmt.Fprintf(page, "share %s of %s held %s\n", share.Controller, formatAmount(share.Share), formatAmount(share.Claimed))
 		}
 		return
 	}
 	fmt.Fprintf(page, "team %s is not known here\n", team)
 }
 
-// collectTeams gathers the metrics of all teams.
+// collectTeams emits the metrics of all teams. The lock is held.
 func (ob *Observer) collectTeams(gauge gaugeFunc) {
 	for _, summary := range ob.quotaSummaries() {
 		team := summary.Team.Name
