--- a/internal/observability/recoverystatus.go
+++ b/internal/observability/recoverystatus.go
@@ -1,5 +1,4 @@
-// This file shows operators how far recovery is. Its methods expect the lock to be
-// held.
+// This file shows the progress of a controller's recovery on the status page and in the metrics.
 
 package observability
 
@@ -10,8 +9,8 @@
 	"wheatspur/internal/recovery"
 )
 
-// writeRecoveryStatus shows how far recovery is, and whether decisions that need to know
-// all machines wait for it.
+// writeRecoveryStatus writes the progress of this controller's recovery, and whether decisions that
+// require the state of all machines have to wait. The lock is held.
 func (ob *Observer) writeRecoveryStatus(page *strings.Builder) {
 	progress := ob.Recovery.Progress
 	fmt.Fprintf(page, "recovery %q for %.0f s machines unknown %d reported %d reconciled %d missing %d starts_left services %d arrays %d hold %v\n",
@@ -20,7 +19,7 @@
 		progress.PendingStarts[recovery.ArrayStart], ob.Recovery.MachinesUnknown())
 }
 
-// collectRecovery gathers the metrics of recovery.
+// collectRecovery emits the metrics of this controller's recovery. The lock is held.
 func (ob *Observer) collectRecovery(gauge gaugeFunc) {
 	progress := ob.Recovery.Progress
 	gauge(descRecoveryPhase, 1, string(progress.Phase))
