--- a/internal/observability/status.go
+++ b/internal/observability/status.go
@@ -1,5 +1,4 @@
-// This file is the status page. Its methods expect the lock to be held, but for
-// ServeStatus, which takes it.
+// This file serves the status page.
 
 package observability
 
@@ -17,13 +16,13 @@
 	"wheatspur/internal/tuning"
 )
 
-// statusRows bounds the rows of a kind that the status page shows.
-const statusRows = 50
+// maxStatusRows is the maximum number of rows of each kind on the status page.
+const maxStatusRows = 50
 
-// ServeStatus shows operators, as plain text, what this controller knows: the
-// membership with the version of each controller, the role splits with the gate
-// that blocks each, the teams, and why jobs wait; with ?job=ID one job, with
-// ?team=NAME one team.
+// ServeStatus serves, as plain text for operators, what this controller knows. This includes the
+// membership with the program version of each member, the split of the machines between the roles
+// with the gate that blocks a change, the teams, and why jobs wait. With ?job=ID it shows one job,
+// and with ?team=NAME one team. It takes the lock.
 func (ob *Observer) ServeStatus(request *fasthttp.RequestCtx) {
 	ob.Lock()
 	defer ob.Unlock()
@@ -39,7 +38,7 @@
 	request.SetBodyString(page.String())
 }
 
-// writeStatus writes the whole page.
+// writeStatus writes the whole page. The lock is held.
 func (ob *Observer) writeStatus(page *strings.Builder) {
 	ob.writeControllerStatus(page)
 	ob.writeMembershipStatus(page)
@@ -52,18 +51,19 @@
 	ob.writeWaitingJobs(page)
 }
 
-// writeControllerStatus shows this controller, its session, and for how long it could
-// go on without the store.
+// writeControllerStatus writes this controller, its session, whether it has read the store
+// recently, and up to which time it knows every cancellation. The lock is held.
 func (ob *Observer) writeControllerStatus(page *strings.Builder) {
 	fmt.Fprintf(page, "node %s version %s session %s state_service %v\n", ob.Self.Label, tuning.Version, ob.Session, ob.StoreReadRecently())
-	if at := ob.Peers.CancellationsKnownUntil(); !at.IsZero() {
-		// An outage of the store is survived while this stays below the bound: it is
-		// short as long as all siblings attest.
-		fmt.Fprintf(page, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", ob.Now().Sub(at).Seconds(), ob.Settings.RenewalBound().Seconds())
+	if knownUntil := ob.Peers.CancellationsKnownUntil(); !knownUntil.IsZero() {
+		// Workers' leases are renewed, even during an outage of the store, while this age is
+		// below the bound. It stays low during an outage as long as all siblings attest.
+		fmt.Fprintf(page, "cancellations known until %.1f s ago, leases renewed up to %.1f s\n", ob.Now().Sub(knownUntil).Seconds(), ob.Settings.RenewalBound().Seconds())
 	}
 }
 
-// writeMembershipStatus shows the membership and the program of each member.
+// writeMembershipStatus writes the membership, the program version and format version of each
+// member, and whether all members support dependencies between jobs. The lock is held.
 func (ob *Observer) writeMembershipStatus(page *strings.Builder) {
 	if ob.Membership == nil {
 		return
@@ -80,14 +80,15 @@
 	fmt.Fprintf(page, "pipelines taken %v\n", ob.DependenciesSupported())
 }
 
-// writeStoreLimits shows the store's limits, and how many stored groups of machine
-// records are above them.
+// writeStoreLimits writes the store's limits, and the number of stored groups of machine records
+// that are too large for them. The lock is held.
 func (ob *Observer) writeStoreLimits(page *strings.Builder) {
 	oversize := ob.Inventory.OversizeGroups(ob.MaxGroupBytes(), len(ob.Inventory.Machines))
 	fmt.Fprintf(page, "state_limits write_rps %g value_kb %g txn_ops %d machine_groups_to_cut %d\n", ob.Limits.WriteRPS, ob.Limits.ValueKB, ob.Limits.TxnOps, len(oversize))
 }
 
-// writeJobCounts counts the jobs that have not ended, and their pending tasks.
+// writeJobCounts writes the numbers of open jobs, of jobs that wait for their dependencies, and of
+// the open jobs' pending tasks. The lock is held.
 func (ob *Observer) writeJobCounts(page *strings.Builder) {
 	pending := 0
 	for _, job := range ob.Table.Open {
@@ -96,17 +97,17 @@
 	fmt.Fprintf(page, "jobs open %d waiting_for_others %d tasks_pending %d\n", len(ob.Table.Open), len(ob.Table.Waiting), pending)
 }
 
-// writeMachineCounts counts the machines by phase.
+// writeMachineCounts writes the number of machines by phase. The lock is held.
 func (ob *Observer) writeMachineCounts(page *strings.Builder) {
-	phases := map[inventory.Phase]int{}
+	countByPhase := map[inventory.Phase]int{}
 	for _, machine := range ob.Inventory.Machines {
-		phases[machine.Phase]++
+		countByPhase[machine.Phase]++
 	}
-	fmt.Fprintf(page, "machines in %d draining %d returned %d\n", phases[inventory.Active], phases[inventory.Draining], phases[inventory.Terminated])
+	fmt.Fprintf(page, "machines in %d draining %d returned %d\n", countByPhase[inventory.Active], countByPhase[inventory.Draining], countByPhase[inventory.Terminated])
 }
 
-// writeRoleSplits shows the last decision on the roles of each machine type, if this
-// controller leads.
+// writeRoleSplits writes the last decision on the roles of each machine type, if this controller is
+// the leader. The lock is held.
 func (ob *Observer) writeRoleSplits(page *strings.Builder) {
 	if !ob.IsLeader() {
 		return
@@ -122,8 +123,9 @@
 	}
 }
 
-// writeWaitingJobs shows why jobs wait: for machines or for other jobs; and which were
-// cancelled because of a job that they depend on.
+// writeWaitingJobs writes why jobs wait, which is for machines or for their dependencies, and which
+// jobs are cancelled because a dependency was cancelled but have no final record yet. The lock is
+// held.
 func (ob *Observer) writeWaitingJobs(page *strings.Builder) {
 	writeRows(page, "waiting", ob.scheduler.Unplaced, func(jobID string) string {
 		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, ob.scheduler.Unplaced[jobID], ob.scheduler.UnplacedReasons[jobID])
@@ -136,19 +138,20 @@
 	})
 }
 
-// writeRows writes a line for each key, in order, up to statusRows, and how many more
-// there are.
+// writeRows writes a line for each key, sorted by key. Only the first maxStatusRows lines are
+// written, followed by the number of omitted ones.
 func writeRows[V any](page *strings.Builder, kind string, rows map[string]V, line func(key string) string) {
 	keys := slices.Sorted(maps.Keys(rows))
-	for _, key := range keys[:min(len(keys), statusRows)] {
+	for _, key := range keys[:min(len(keys), maxStatusRows)] {
 		fmt.Fprintln(page, line(key))
 	}
-	if more := len(keys) - statusRows; more > 0 {
-		fmt.Fprintf(page, "%s +%d more\n", kind, more)
+	if omitted := len(keys) - maxStatusRows; omitted > 0 {
+		fmt.Fprintf(page, "%s +%d more\n", kind, omitted)
 	}
 }
 
-// writeJobStatus shows one job: why it waits, or with which job it was cancelled.
+// writeJobStatus writes one job, and why it waits or with which dependency it was cancelled. The
+// lock is held.
 func (ob *Observer) writeJobStatus(page *strings.Builder, jobID string) {
 	job := ob.Table.Jobs[jobID]
 	if job == nil {
