--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -126,7 +126,7 @@
 		propertiesPath: propertiesPath,
 		logLevel:       &logLevel,
 	}
-	return daemon.Run(p, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.SystemdManager{Log: log}})
+	return daemon.Run(p, daemon.Options{DrainLimit: tuning.ShutdownTimeout, Log: log, Manager: daemon.SystemdManager{Log: log}})
 }
 
 // limitRuntime limits the Go runtime to the share of a machine that a controller may use.
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -23,7 +23,7 @@
 	}
 	// The request's context is not used, since it is only cancelled when the server stops, and a
 	// graceful stop (Drain) lets cancellations in progress complete.
-	ctx, cancel := context.WithTimeout(context.Background(), tuning.DecisionWait)
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.DurableWriteTimeout)
 	defer cancel()
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		status, known, final := api.LookupJob(jobID)
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -53,7 +53,7 @@
 }
 
 // storeSeemsLost reports whether this controller has not been able to read the store for
-// tuning.StoreLostAfter.
+// tuning.StoreForwardAfter.
 func (api *UserAPI) storeSeemsLost() bool {
-	return api.Now().Sub(api.Syncer.LastReadAt()) > tuning.StoreLostAfter
+	return api.Now().Sub(api.Syncer.LastReadAt()) > tuning.StoreForwardAfter
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -177,7 +177,7 @@
 	start := api.Now()
 	// The request's context is not used, since it is only cancelled when the server stops, and a
 	// graceful stop (Drain) lets submissions in progress complete.
-	ctx, cancel := context.WithTimeout(context.Background(), tuning.DecisionWait)
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.DurableWriteTimeout)
 	defer cancel()
 	submission := api.newSubmission(spec, phase)
 	select {
@@ -211,7 +211,7 @@
 			ChunkSize:    jobs.ChunkSize(api.Limits.ValueKB),
 			Spec:         spec,
 		},
-		Deadline: time.Now().Add(tuning.DecisionWait), // real time, as contexts use, not api.Now
+		Deadline: time.Now().Add(tuning.DurableWriteTimeout), // real time, as contexts use, not api.Now
 		Done:     make(chan error, 1),
 	}
 }
--- a/internal/autoscale/scalein.go
+++ b/internal/autoscale/scalein.go
@@ -222,7 +222,7 @@
 	groups := slices.SortedFunc(maps.Keys(s.idle), func(a, b string) int {
 		return cmp.Or(cmp.Compare(len(s.idle[b]), len(s.idle[a])), cmp.Compare(a, b))
 	})
-	maxGroups := max(s.planner.input.MaxGroups, tuning.DrainGroups)
+	maxGroups := max(s.planner.input.MaxGroups, tuning.IdleGroupsPerPlan)
 	var out []ScaleIn
 	for _, group := range groups[:min(len(groups), maxGroups)] {
 		for _, m := range s.idle[group] {
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -159,7 +159,7 @@
 // SilenceTimeout returns the time after a worker's last message after which its machine counts
 // as silent. The lock is not needed.
 func (cs *State) SilenceTimeout() time.Duration {
-	return time.Duration(tuning.SilentHeartbeats * float64(cs.Settings.HeartbeatInterval()))
+	return time.Duration(tuning.UnschedulableHeartbeats * float64(cs.Settings.HeartbeatInterval()))
 }
 
 // MaxGroupBytes returns the maximum size of a group of machine records, in bytes of JSON. The
--- a/internal/cluster/writes.go
+++ b/internal/cluster/writes.go
@@ -13,7 +13,7 @@
 // After a conflict or an unknown outcome it waits for a read barrier, so that the next
 // decision starts from what is stored now. It takes the lock.
 func (cs *State) StoreDecision(ctx context.Context, compares []wire.Compare, operations []wire.Operation) error {
-	ctx, cancel := context.WithTimeout(ctx, tuning.DecisionWait)
+	ctx, cancel := context.WithTimeout(ctx, tuning.DurableWriteTimeout)
 	defer cancel()
 	revision, err := cs.Store.CompareAndSwap(ctx, store.ClassRecords, compares, operations)
 	if err != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -46,7 +46,7 @@
 	now := time.Now
 	share := tuning.BudgetShare / float64(max(1, len(settings.Siblings)+1))
 	limits := settings.StoreLimits()
-	limiter := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.BudgetQueue, now)
+	limiter := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.LimiterQueue, now)
 	return newController(dependencies{
 		Environment:  cluster.NewEnvironment(settings, log, now, store.NewClient(settings.Endpoints.State, limiter), limiter),
 		cloud:        cloud.NewClient(settings.Endpoints.Cloud, settings.Params.Cloud.RPS*tuning.BudgetShare, now),
@@ -141,7 +141,7 @@
 		c.leaderLoop.RunCloudSync,
 		c.leaderLoop.RunPlanning,
 	}
-	for range tuning.IntakeLanes {
+	for range tuning.IntakeWriters {
 		loops = append(loops, c.api.RunIntake)
 	}
 	for _, sibling := range c.Peers.Siblings {
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -108,7 +108,7 @@
 // latest: the election, the time that machines have to send heartbeats, and the quiet
 // time without pending starts, or a lease if there are some.
 func (sim *simulation) recoveryBound(starts bool) time.Duration {
-	bound := time.Duration(tuning.RecoveryHeartbeats*float64(3*time.Second)) + 8*time.Second
+	bound := time.Duration(tuning.RecoveryMachineHeartbeats*float64(3*time.Second)) + 8*time.Second
 	if starts {
 		return bound + leaseDuration
 	}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -121,7 +121,7 @@
 			owner.receiveHeartbeat(env.heartbeat(listed.Name, 1, owner.fencingToken(), tasks[listed.Name]...))
 		}
 		for range 12 {
-			env.clock.add(tuning.ReleaseGather)
+			env.clock.add(tuning.ReleaseBatchDelay)
 			env.refreshAll()
 			env.runPasses()
 		}
--- a/internal/controller/worker_leases_test.go
+++ b/internal/controller/worker_leases_test.go
@@ -175,7 +175,7 @@
 	for range 4 {
 		env.refreshAll()
 		env.runPasses()
-		env.clock.add(tuning.ReleaseGather)
+		env.clock.add(tuning.ReleaseBatchDelay)
 	}
 	kept, moved := 0, 0
 	for _, machineName := range machineNames {
--- a/internal/election/reachability.go
+++ b/internal/election/reachability.go
@@ -27,10 +27,10 @@
 }
 
 // probeAnswered reports whether this controller may own machines again: a worker has answered
-// a probe, or there is none to probe. It is false for the first MinUnreachable, so that an
+// a probe, or there is none to probe. It is false for the first MinUnreachableTime, so that an
 // unstable network does not move machines back and forth. The lock is held.
 func (el *Election) probeAnswered(now time.Time) bool {
-	if now.Sub(el.unreachableSince) <= tuning.MinUnreachable {
+	if now.Sub(el.unreachableSince) <= tuning.MinUnreachableTime {
 		return false
 	}
 	return len(el.probes) == 0 || el.probeAnsweredAt.After(el.unreachableSince)
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -22,7 +22,7 @@
 		return
 	}
 	status, body := wm.lockAndAnswer(&heartbeat)
-	if float64(wm.OpenConnections()) > float64(wm.MaxConnections())*tuning.CrowdedConnShare {
+	if float64(wm.OpenConnections()) > float64(wm.MaxConnections())*tuning.CrowdedConnectionShare {
 		// Workers of failed controllers would otherwise keep all connections open between
 		// their heartbeats, and users and health checks need some.
 		c.SetConnectionClose()
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -232,7 +232,7 @@
 	}
 	for _, sibling := range px.Siblings {
 		age := now.Sub(sibling.machinesConfirmedAt)
-		if sibling.machinesConfirmedAt.IsZero() || age > tuning.PeerViewLifetimes*tuning.PeerFresh {
+		if sibling.machinesConfirmedAt.IsZero() || age > tuning.PeerViewMaxAgeFactor*tuning.PeerFresh {
 			continue
 		}
 		for machine, status := range sibling.Machines {
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -85,7 +85,7 @@
 func (rt *RecoveryTracker) countMachines(now time.Time) (count recovery.MachineCounts, backlog recovery.Backlog) {
 	count = recovery.MachineCounts{}
 	waited := now.Sub(rt.Progress.MemberSince)
-	timeout := rt.heartbeatIntervals(tuning.RecoveryHeartbeats)
+	timeout := rt.heartbeatIntervals(tuning.RecoveryMachineHeartbeats)
 	for machine, record := range rt.Inventory.Machines {
 		if record.Phase == inventory.Terminated || rt.ShardOwner(machine) != rt.Self.Label {
 			continue
--- a/internal/leader/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -142,7 +142,7 @@
 // longer shows them.
 func (rc *listReconciliation) pruneTerminated() {
 	for machine, at := range rc.state.terminatedAt {
-		if rc.now.Sub(at) > tuning.TerminatedKept {
+		if rc.now.Sub(at) > tuning.TerminationRememberedFor {
 			delete(rc.state.terminatedAt, machine)
 		}
 	}
--- a/internal/leader/headroom.go
+++ b/internal/leader/headroom.go
@@ -63,7 +63,7 @@
 	ls.meanBatchUpdatedAt = now
 }
 
-// addActiveRoles adds which roles have had an open job within tuning.RoleLapse.
+// addActiveRoles adds which roles have had an open job within tuning.RoleInactiveAfter.
 func (b *planBuilder) addActiveRoles() {
 	activeAt := b.state.roleActiveAt
 	for _, job := range b.loop.Table.Open {
@@ -78,7 +78,7 @@
 		if _, ok := activeAt[role]; !ok {
 			activeAt[role] = b.now // unknown to a new leader; assume that the role was active
 		}
-		b.input.ActiveRoles[role] = b.now.Sub(activeAt[role]) < tuning.RoleLapse
+		b.input.ActiveRoles[role] = b.now.Sub(activeAt[role]) < tuning.RoleInactiveAfter
 	}
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -120,7 +120,7 @@
 		terminate: slices.Concat(dead, state.LostWhileDraining, drained),
 		changes:   append(drains, drops...),
 	}
-	if ld.Limiter.AvailableWrites(tuning.WriteReserve) >= tuning.GroupSplitWrites {
+	if ld.Limiter.AvailableWrites(tuning.SubmissionWriteReserve) >= tuning.GroupSplitWrites {
 		writes.splitGroups = ld.Inventory.OversizeGroups(ld.MaxGroupBytes(), tuning.GroupSplitsPerPlan)
 	}
 	return writes
--- a/internal/leader/planinput.go
+++ b/internal/leader/planinput.go
@@ -75,7 +75,7 @@
 		}
 	}
 	slices.SortStableFunc(candidates, func(x, y *placement.Machine) int { return len(x.Tasks) - len(y.Tasks) })
-	tries := max(tuning.DrainableTries, int(float64(len(candidates))*tuning.DrainingShare))
+	tries := max(tuning.MinDrainChecks, int(float64(len(candidates))*tuning.DrainingShare))
 	movable := map[string]bool{}
 	for _, machine := range candidates[:min(len(candidates), tries)] {
 		if tasksFitElsewhere(fleet, machine, true) {
@@ -139,7 +139,7 @@
 		Movable:          b.movable[machine.Name],
 		Claims:           len(machine.Tasks),
 		Free:             machine.Free,
-		Silent:           wasUp && silentFor > tuning.SilentLeases*b.lease,
+		Silent:           wasUp && silentFor > tuning.FailedLeases*b.lease,
 		Missing:          b.state.MissingLists[machine.Name] >= tuning.MissingLists && wasUp && silentFor > missingAfter,
 		HeartbeatOverdue: wasUp && silentFor > b.loop.SilenceTimeout(),
 		Group:            b.loop.Inventory.KeyOf(machine.Name),
@@ -203,7 +203,7 @@
 // addScalingOut adds the machines that were scaled out and have no record yet.
 func (b *planBuilder) addScalingOut() {
 	for machine, request := range b.state.ScalingOut {
-		if _, stored := b.loop.Inventory.Machines[machine]; stored || b.now.Sub(request.requestedAt) > tuning.ScaleOutListedWithin {
+		if _, stored := b.loop.Inventory.Machines[machine]; stored || b.now.Sub(request.requestedAt) > tuning.UnlistedBootLimit {
 			delete(b.state.ScalingOut, machine)
 			continue
 		}
--- a/internal/leader/rolemoves.go
+++ b/internal/leader/rolemoves.go
@@ -48,7 +48,7 @@
 		if ls.meanArraySize == 0 {
 			ls.meanArraySize = size
 		}
-		ls.meanArraySize += (size - ls.meanArraySize) * tuning.BatchSizeAlpha
+		ls.meanArraySize += (size - ls.meanArraySize) * tuning.ArraySizeWeight
 	}
 	ls.lastArrayAt = now
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -206,5 +206,5 @@
 // groupWriteBudget returns how many groups of machine records the leader may write now for changes
 // that are not urgent.
 func (ld *Loop) groupWriteBudget() int {
-	return min(int(ld.Limiter.AvailableWrites(tuning.WriteReserve)), tuning.DrainGroupsMax)
+	return min(int(ld.Limiter.AvailableWrites(tuning.SubmissionWriteReserve)), tuning.IdleGroupsPerPlanMax)
 }
--- a/internal/quota/rebalance.go
+++ b/internal/quota/rebalance.go
@@ -66,7 +66,7 @@
 // again. If transfers are enabled, they get time to end it first.
 func (l *Ledger) rebalanceDelay() time.Duration {
 	if l.options.Transfers {
-		return tuning.TransferPatience
+		return tuning.RebalanceDelay
 	}
 	return 0
 }
--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -162,7 +162,7 @@
 	}
 	job := change.job
 	endsJob := job.Counts[jobs.Completed]+completed == job.Record.Tasks
-	keepCollecting := !endsJob && len(change.events) < len(job.Claims) && waited < tuning.ReleaseGather
+	keepCollecting := !endsJob && len(change.events) < len(job.Claims) && waited < tuning.ReleaseBatchDelay
 	if keepCollecting || sc.WritesInFlight[job.ID] || sc.Now().Before(sc.BackoffUntil[job.ID]) {
 		return releaseRoutine, false
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -72,7 +72,7 @@
 			go sc.Commit(ctx, write)
 		}
 		// Without this pause, passes could leave no CPU time for heartbeats and polls.
-		timing.Sleep(ctx, min(max(tuning.PassPause, tuning.PassRest*elapsed), tuning.PassPauseMax))
+		timing.Sleep(ctx, min(max(tuning.PassPause, tuning.PassRestFactor*elapsed), tuning.PassPauseMax))
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 		sc.Recovery.AdvanceRecovery(now)
 	}
 	sc.pruneFinished(workers, now)
-	budget := writeBudget(sc.Limiter.AvailableWrites(tuning.WriteReserve))
+	budget := writeBudget(sc.Limiter.AvailableWrites(tuning.SubmissionWriteReserve))
 	writes := sc.planRebalances(now, &budget)
 	due := sc.dueReleases(workers, now)
 	machines := sc.MachineIndex.RefreshMachines(now)
--- a/internal/scheduler/write.go
+++ b/internal/scheduler/write.go
@@ -136,9 +136,9 @@
 }
 
 // Commit sends a write to the store and applies its outcome. It takes the lock itself. It waits for
-// the write budget for up to tuning.DecisionWait or until ctx ends, then for the store's response
-// for up to tuning.StoreCallTimeout. After a conflict or an unknown outcome it also waits up to
-// tuning.BarrierWait for a read of the store.
+// the write budget for up to tuning.DurableWriteTimeout or until ctx ends, then for the store's
+// response for up to tuning.StoreCallTimeout. After a conflict or an unknown outcome it also waits up
+// to tuning.BarrierWait for a read of the store.
 func (sc *Scheduler) Commit(ctx context.Context, write *PendingWrite) {
 	revision, err := sc.compareAndSwap(ctx, write)
 	if err != nil {
@@ -154,7 +154,7 @@
 
 // compareAndSwap sends a write to the store.
 func (sc *Scheduler) compareAndSwap(ctx context.Context, write *PendingWrite) (revision uint64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, tuning.DecisionWait)
+	ctx, cancel := context.WithTimeout(ctx, tuning.DurableWriteTimeout)
 	defer cancel()
 	return sc.Store.CompareAndSwap(ctx, write.Class, write.sortedCompares(), write.Operations)
 }
--- a/internal/store/limiter.go
+++ b/internal/store/limiter.go
@@ -232,7 +232,7 @@
 // section that adds the first waiter, and grantQueued ends it in the one that finds the
 // queues empty. It cannot leak, because no waiter stays forever: the bucket fills up to
 // the cost of each, and an abandoned waiter is removed without any budget. The contexts
-// of all callers end with the controller or within tuning.DecisionWait.
+// of all callers end with the controller or within tuning.DurableWriteTimeout.
 func (l *Limiter) grantLoop() {
 	for l.grantQueued() {
 		time.Sleep(grantInterval)
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -39,15 +39,15 @@
 	// BarrierWait is how long a poll waits for its read barrier before it is refused. Users
 	// wait 2 s for an answer.
 	BarrierWait = 1200 * time.Millisecond
-	// DecisionWait is how long a submission or cancellation waits for its durable write
+	// DurableWriteTimeout is how long a submission or cancellation waits for its durable write
 	// before it is refused. Users wait 5 s for an answer.
-	DecisionWait = 3 * time.Second
+	DurableWriteTimeout = 3 * time.Second
 	// BudgetShare is the fraction of the published request limits of the store and the
 	// cloud that the controllers plan to use. The rest absorbs clock drift and uneven shares.
 	BudgetShare = 0.95
-	// BudgetQueue is the number of calls per class that may wait in a controller's rate
+	// LimiterQueue is the number of calls per class that may wait in a controller's rate
 	// limiter. Further calls are refused at once.
-	BudgetQueue = 64
+	LimiterQueue = 64
 	// ListPage is the number of keys per page of a full read. A page of values of the usual
 	// size stays below the store's limit of 512 KiB.
 	ListPage = 400
@@ -67,13 +67,13 @@
 	// GroupFillShare is the fraction of the store's value size limit that a group of machine
 	// records may fill.
 	GroupFillShare = 0.9
-	// WriteReserve is the number of writes that claims and releases leave in the write
+	// SubmissionWriteReserve is the number of writes that claims and releases leave in the write
 	// budget, so that submissions never wait behind them.
-	WriteReserve = 1.0
-	// ReleaseGather is how long the ends of tasks of one chunk are collected before they are
+	SubmissionWriteReserve = 1.0
+	// ReleaseBatchDelay is how long the ends of tasks of one chunk are collected before they are
 	// stored in one write. Users expect the end of a job within 3 s, so the write that ends
 	// a job is not delayed.
-	ReleaseGather = 1500 * time.Millisecond
+	ReleaseBatchDelay = 1500 * time.Millisecond
 	// ReleaseOverdue is how long a collected release may wait before it takes precedence over
 	// new claims.
 	ReleaseOverdue = 12 * time.Second
@@ -84,9 +84,9 @@
 	// TransferPause is the shortest pause between two transfers of a team's share by the
 	// same controller. By then the recipient has read and used the previous one.
 	TransferPause = 250 * time.Millisecond
-	// TransferPatience is how long transfers may try to end a shortfall before the team's
+	// RebalanceDelay is how long transfers may try to end a shortfall before the team's
 	// quota is rebalanced. It leaves time for a few transfers.
-	TransferPatience = 1200 * time.Millisecond
+	RebalanceDelay = 1200 * time.Millisecond
 	// ReserveAfter is how long work within a guarantee must lack capacity before its team's
 	// reservation is stored. It spans a few scheduling passes, so that shortages that end by
 	// themselves cost no write.
@@ -109,7 +109,7 @@
 	RetryPause = 250 * time.Millisecond
 	// StoreStaleAfter is how long after its last read from the store a controller considers
 	// the store unavailable: it starts no tasks, makes no scheduling or capacity decisions, and
-	// forwards user requests before it tries to serve them (compare StoreLostAfter). Two watches
+	// forwards user requests before it tries to serve them (compare StoreForwardAfter). Two watches
 	// would have returned by then.
 	StoreStaleAfter = 2500 * time.Millisecond
 	// MinRenewPause is the shortest pause before a renewal, so that overdue renewals do not
@@ -157,13 +157,13 @@
 	// WorkerCallsMax is the largest number of direct calls that a controller has open at the
 	// same time. It bounds sockets and memory.
 	WorkerCallsMax = 32
-	// SilentHeartbeats is the number of heartbeat intervals without a message after which a
+	// UnschedulableHeartbeats is the number of heartbeat intervals without a message after which a
 	// machine is unschedulable.
-	SilentHeartbeats = 2.2
-	// MinUnreachable is the shortest time for which a controller that has reported that no
+	UnschedulableHeartbeats = 2.2
+	// MinUnreachableTime is the shortest time for which a controller that has reported that no
 	// worker reaches it owns no machines. It prevents an unstable network from moving
 	// machines back and forth.
-	MinUnreachable = 10 * time.Second
+	MinUnreachableTime = 10 * time.Second
 	// ReachabilityProbes is the largest number of workers that an unreachable controller
 	// probes.
 	ReachabilityProbes = 4
@@ -217,19 +217,19 @@
 	// answer to a heartbeat repeats the start. Calls usually take milliseconds, and one that
 	// takes longer may never arrive.
 	StartCallGrace = 500 * time.Millisecond
-	// RecoveryHeartbeats is the number of heartbeat intervals in which a machine has to send
+	// RecoveryMachineHeartbeats is the number of heartbeat intervals in which a machine has to send
 	// a heartbeat after a restarted controller became a member. One arrives within 1.25
 	// intervals, possibly at a controller that redirects it, and another after the fencing
 	// token has changed.
-	RecoveryHeartbeats = 4.0
+	RecoveryMachineHeartbeats = 4.0
 	// StallAfter is how long a loop of a controller may make no progress before the service
 	// manager's watchdog is no longer notified. It covers several timeouts of calls to the
 	// store in a row.
 	StallAfter = 20 * time.Second
-	// ShutdownLimit is how long a graceful shutdown waits for operations in progress. A
-	// decision write takes up to DecisionWait, and the operations that follow from it may
+	// ShutdownTimeout is how long a graceful shutdown waits for operations in progress. A
+	// decision write takes up to DurableWriteTimeout, and the operations that follow from it may
 	// take as long again.
-	ShutdownLimit = 8 * time.Second
+	ShutdownTimeout = 8 * time.Second
 	// ShutdownPoll is the interval at which a graceful shutdown checks whether all operations
 	// have ended.
 	ShutdownPoll = 20 * time.Millisecond
@@ -239,11 +239,11 @@
 	// JobsPerPass is the largest number of jobs placed in one scheduling pass. It bounds the
 	// processor time of a pass; all controllers together store fewer jobs per second.
 	JobsPerPass = 24
-	// PassRest is the pause after a scheduling pass, as a multiple of the time that the pass
+	// PassRestFactor is the pause after a scheduling pass, as a multiple of the time that the pass
 	// took. Passes then use little processor time, and the write budget allows only a few
 	// writes per second to decide on anyway.
-	PassRest = 30
-	// PassPauseMax is the longest pause that PassRest may cause.
+	PassRestFactor = 30
+	// PassPauseMax is the longest pause that PassRestFactor may cause.
 	PassPauseMax = 400 * time.Millisecond
 	// StarvedAfter is how long a job waits without any task started before no job of the same
 	// priority is placed ahead of it. It is less than half of the 4 minutes that users accept.
@@ -310,13 +310,13 @@
 	// RoleLongWindow is the window over which long-term demand is measured: the demand window
 	// of the design.
 	RoleLongWindow = 120 * time.Second
-	// RoleUsable is the fraction of a machine that counts as usable for services.
-	RoleUsable = 0.8
+	// RoleUsableShare is the fraction of a machine that counts as usable for services.
+	RoleUsableShare = 0.8
 	// RoleFloor is the number of machines that each role keeps.
 	RoleFloor = 1
-	// RoleLapse is how long after its last open job a role needs no floor and no headroom any
-	// more. It is short because an idle machine costs as much as a busy one.
-	RoleLapse = 25 * time.Second
+	// RoleInactiveAfter is how long after its last open job a role needs no floor and no headroom
+	// any more. It is short because an idle machine costs as much as a busy one.
+	RoleInactiveAfter = 25 * time.Second
 	// RoleStartTarget is the default start-time target of batch work, for settings that
 	// state none.
 	RoleStartTarget = 15 * time.Second
@@ -346,12 +346,12 @@
 	// LateBootFactor is the multiple of a type's boot time after which a booting machine is
 	// no longer expected to come up. Usual boots take up to 1.5 times the boot time.
 	LateBootFactor = 1.5
-	// IdleSpot is how long a surplus spot machine is kept before it is terminated. A machine
+	// SpotIdleTimeout is how long a surplus spot machine is kept before it is terminated. A machine
 	// is billed for at least 60 s, and a replacement costs a boot.
-	IdleSpot = 25 * time.Second
-	// IdleOnDemand is how long a surplus on-demand machine is kept before it is terminated. A
+	SpotIdleTimeout = 25 * time.Second
+	// OnDemandIdleTimeout is how long a surplus on-demand machine is kept before it is terminated. A
 	// machine is billed for at least 60 s, and a replacement costs a boot.
-	IdleOnDemand = 30 * time.Second
+	OnDemandIdleTimeout = 30 * time.Second
 	// BatchOnDemandAfter is how long a task that may use spot machines waits before an
 	// on-demand machine, which is several times as expensive, is added for it.
 	BatchOnDemandAfter = 15 * time.Second
@@ -369,21 +369,21 @@
 	TerminateMax = 100
 	// ScaleOutMax is the largest number of machines in one scale-out call.
 	ScaleOutMax = 50
-	// DrainableTries is the smallest number of partly used service machines that a plan
+	// MinDrainChecks is the smallest number of partly used service machines that a plan
 	// checks for draining; in a large fleet it checks as many as may drain at the same time.
-	DrainableTries = 6
-	// DrainGroups is the number of groups of machine records that one plan may write to
+	MinDrainChecks = 6
+	// IdleGroupsPerPlan is the number of groups of machine records that one plan may write to
 	// terminate idle machines, even with little write budget left. Each group costs a write.
-	DrainGroups = 2
-	// DrainGroupsMax is the same limit while enough write budget is left.
-	DrainGroupsMax = 6
+	IdleGroupsPerPlan = 2
+	// IdleGroupsPerPlanMax is the same limit while enough write budget is left.
+	IdleGroupsPerPlanMax = 6
 	// DrainingShare is the fraction of the service machines that may drain at the same time,
 	// with a minimum of one machine. It limits the tasks that move; each owner moves its
 	// tasks one by one.
 	DrainingShare = 0.03
-	// TerminatedKept is how long the leader remembers that it terminated a machine, because
-	// outdated lists still show it.
-	TerminatedKept = 60 * time.Second
+	// TerminationRememberedFor is how long the leader remembers that it terminated a machine,
+	// because outdated lists still show it.
+	TerminationRememberedFor = 60 * time.Second
 	// ServiceHeadroom is the spare service capacity, as a fraction of the tasks that services
 	// run.
 	ServiceHeadroom = 0.12
@@ -401,8 +401,8 @@
 	// tasks of an array arrive at once, and most arrays are smaller than this. Work that
 	// may use spot machines gets its headroom there, where it is cheap.
 	BatchHeadroomJobs = 1.5
-	// BatchSizeAlpha is the weight of a new job array in the moving average of array sizes.
-	BatchSizeAlpha = 0.1
+	// ArraySizeWeight is the weight of a new job array in the moving average of array sizes.
+	ArraySizeWeight = 0.1
 	// BatchHeadroomHold is how long after the last job array BatchHeadroomJobs applies.
 	BatchHeadroomHold = 60 * time.Second
 	// BatchWindow is the time constant of the mean number of batch tasks from which
@@ -411,13 +411,13 @@
 	// ListStaleAfter is the largest age of the cloud's machine list with which a plan may add
 	// or terminate machines. It allows a few failed reads.
 	ListStaleAfter = 5 * ListEvery
-	// SilentLeases is the number of worker leases without a message after which a machine
+	// FailedLeases is the number of worker leases without a message after which a machine
 	// that was up is considered failed and is terminated to make sure. It is more than one,
 	// because terminating a live machine ends its tasks.
-	SilentLeases = 2
-	// ScaleOutListedWithin is how long after its request a machine counts as booting although
+	FailedLeases = 2
+	// UnlistedBootLimit is how long after its request a machine counts as booting although
 	// no list has shown it.
-	ScaleOutListedWithin = time.Minute
+	UnlistedBootLimit = time.Minute
 	// ListPagesPerInterval is the number of pages of the machine list that are read per
 	// ListEvery, because each page takes one call from the cloud's call budget.
 	ListPagesPerInterval = 2
@@ -458,9 +458,9 @@
 	// IntakeQueue is the number of submissions that may wait for their durable write at the
 	// same time. Further ones are refused with RetryAfter.
 	IntakeQueue = 48
-	// IntakeLanes is the number of submission writes that a controller has in flight, so that
+	// IntakeWriters is the number of submission writes that a controller has in flight, so that
 	// a slow answer of the store does not delay the next write.
-	IntakeLanes = 3
+	IntakeWriters = 3
 	// IntakeGroup is the largest number of submissions in one record.
 	IntakeGroup = 32
 	// PollQueue is the number of polls that may wait for a read barrier at the same time.
@@ -485,24 +485,24 @@
 	// ConnectionShare is the fraction of the connection limit that users and workers may use.
 	// The rest is for the controller's own calls.
 	ConnectionShare = 0.8
-	// CrowdedConnShare is the fraction of those connections in use above which workers'
+	// CrowdedConnectionShare is the fraction of those connections in use above which workers'
 	// connections are closed after each heartbeat, so that users and health checks still find
 	// free ones.
-	CrowdedConnShare = 0.6
+	CrowdedConnectionShare = 0.6
 	// MemoryShare is the fraction of the memory limit given to the Go runtime as its soft
 	// limit. The rest is for the binary, stacks and the C library.
 	MemoryShare = 0.65
 	// GCPercent is the amount of garbage, in percent of the live memory, that may accumulate
 	// below that limit before it is collected. Processor time is scarcer than memory.
 	GCPercent = 400
-	// PeerViewLifetimes is the multiple of PeerFresh for which the last view of a sibling's
+	// PeerViewMaxAgeFactor is the multiple of PeerFresh for which the last view of a sibling's
 	// machines is used to tell when they were last heard.
-	PeerViewLifetimes = 5
-	// StoreLostAfter is how long after its last read from the store a controller begins to
+	PeerViewMaxAgeFactor = 5
+	// StoreForwardAfter is how long after its last read from the store a controller begins to
 	// forward user requests that it has tried and could not serve. Two watches have gone
 	// unanswered by then. It is shorter than StoreStaleAfter: in between, the controller still
 	// makes decisions and starts tasks.
-	StoreLostAfter = 2 * WatchHold
+	StoreForwardAfter = 2 * WatchHold
 	// PeerConnectionsEach is the number of connections that the peer server accepts per
 	// sibling: twice as many as a sibling opens at the same time.
 	PeerConnectionsEach = 2 * PeerConns
