--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -93,11 +93,11 @@
 // Reload applies the changes of the properties file that a running controller supports. If there is any
 // other change, it returns an error and applies nothing.
 func (p *process) Reload() error {
-	changed, err := config.LoadOperator(p.propertiesPath)
+	changed, err := config.LoadOperatorSettings(p.propertiesPath)
 	if err != nil {
 		return err
 	}
-	reloaded, err := p.settings.Operator.Reloaded(changed)
+	reloaded, err := p.settings.Operator.WithReloadable(changed)
 	if err != nil {
 		return err
 	}
--- a/cmd/wheatspur/main_test.go
+++ b/cmd/wheatspur/main_test.go
@@ -72,7 +72,7 @@
 func TestReloadAppliesOnlyTheLogLevel(t *testing.T) {
 	t.Setenv(logLevelVariable, "")
 	path := filepath.Join(t.TempDir(), "operator.properties")
-	p := &process{settings: &config.Settings{Operator: config.DefaultOperator()}, propertiesPath: path, logLevel: &slog.LevelVar{}}
+	p := &process{settings: &config.Settings{Operator: config.DefaultOperatorSettings()}, propertiesPath: path, logLevel: &slog.LevelVar{}}
 	reload := func(properties string) error {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(properties), 0o600); err != nil {
@@ -86,8 +86,8 @@
 	if level := p.logLevel.Level(); level != slog.LevelDebug || p.settings.Operator.LogLevel != "debug" {
 		t.Errorf("level %v, setting %q after a reload of debug", level, p.settings.Operator.LogLevel)
 	}
-	if err := reload("log.level=warn\nquota.transfers=true\n"); !errors.Is(err, config.ErrRestart) {
-		t.Errorf("error %v for a key that needs a restart, want %v", err, config.ErrRestart)
+	if err := reload("log.level=warn\nquota.transfers=true\n"); !errors.Is(err, config.ErrRestartRequired) {
+		t.Errorf("error %v for a key that needs a restart, want %v", err, config.ErrRestartRequired)
 	}
 	if level := p.logLevel.Level(); level != slog.LevelDebug || p.settings.Operator.LogLevel != "debug" {
 		t.Errorf("level %v, setting %q after a refused reload", level, p.settings.Operator.LogLevel)
--- a/internal/autoscale/helpers_test.go
+++ b/internal/autoscale/helpers_test.go
@@ -44,7 +44,7 @@
 
 // newInput returns an input with both roles active and no headroom.
 func newInput(machines ...Machine) Input {
-	operator := config.DefaultOperator()
+	operator := config.DefaultOperatorSettings()
 	operator.ServiceHeadroom, operator.BatchHeadroom = 0, 0
 	return Input{
 		Now:            t0,
--- a/internal/autoscale/scalein.go
+++ b/internal/autoscale/scalein.go
@@ -191,9 +191,9 @@
 		since = in.Now
 		in.SurplusSince[m.Name] = since
 	}
-	limit := in.Operator.IdleOnDemand
+	limit := in.Operator.OnDemandIdleTimeout
 	if m.Kind.Spot {
-		limit = in.Operator.IdleSpot
+		limit = in.Operator.SpotIdleTimeout
 	}
 	elapsed := m.Idle
 	if m.Claims > 0 {
--- a/internal/autoscale/scalein_test.go
+++ b/internal/autoscale/scalein_test.go
@@ -46,7 +46,7 @@
 	}
 	in.Service = newLoad(wire.KindService, 6)
 	wantScaleIn(t, in, "", "first plan")
-	in.Now = in.Now.Add(in.Operator.IdleOnDemand)
+	in.Now = in.Now.Add(in.Operator.OnDemandIdleTimeout)
 	wantScaleIn(t, in, ReasonSurplus, "surplus for the idle limit")
 	in.Draining = 1
 	wantScaleIn(t, in, "", "another machine is draining")
--- a/internal/autoscale/types.go
+++ b/internal/autoscale/types.go
@@ -72,7 +72,7 @@
 // Input is the input of the capacity plan.
 type Input struct {
 	Now      time.Time
-	Operator config.Operator
+	Operator config.OperatorSettings
 	Types    []wire.MachineType
 	Machines []Machine
 	Demands  []Demand
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -69,7 +69,7 @@
 // while the controller runs, so it can be read without the lock.
 type Environment struct {
 	Settings *config.Settings
-	Limits   config.Limits // of the store; every request stays within them
+	Limits   config.StoreLimits // of the store; every request stays within them
 	Log      *slog.Logger
 	Now      func() time.Time
 	Store    store.KeyValueStore
@@ -82,7 +82,7 @@
 func NewEnvironment(settings *config.Settings, log *slog.Logger, now func() time.Time, kv store.KeyValueStore, limiter *store.Limiter) Environment {
 	return Environment{
 		Settings: settings,
-		Limits:   settings.StoreLimits(),
+		Limits:   settings.EffectiveStoreLimits(),
 		Log:      log,
 		Now:      now,
 		Store:    kv,
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -125,7 +125,7 @@
 	ranges := s.paramRanges()
 	ranges = append(ranges, s.Params.State.ranges("params.state.")...)
 	if next != nil {
-		limits := s.StoreLimits()
+		limits := s.EffectiveStoreLimits()
 		ranges = append(ranges, limits.ranges("params.state.next.")...)
 	}
 	for _, r := range ranges {
@@ -154,7 +154,7 @@
 // cannot be split over several values. If state.next lowers the limit, chunk records written under the
 // present limit must remain writable.
 func (s *Settings) checkValueSize() error {
-	present, smallest := s.Params.State.ValueKB, s.StoreLimits().ValueKB
+	present, smallest := s.Params.State.ValueKB, s.EffectiveStoreLimits().ValueKB
 	field := "params.state.value_kb"
 	if smallest < present {
 		field = "params.state.next.value_kb"
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -214,42 +214,42 @@
 // the ends of its range, and values just outside it.
 var propertyCases = []struct {
 	key                                        string
-	field                                      func(Operator) any
+	field                                      func(OperatorSettings) any
 	nonDefault, minimum, maximum, below, above string
 }{
-	{"fleet.headroom.batch", func(o Operator) any { return o.BatchHeadroom }, "0.77", "0", "5", "-0.01", "5.01"},
-	{"fleet.headroom.service", func(o Operator) any { return o.ServiceHeadroom }, "0.77", "0", "5", "-0.01", "5.01"},
-	{"fleet.idle.ordinary", func(o Operator) any { return o.IdleOnDemand }, "77s", "1s", "1h", "999ms", "1h1s"},
-	{"fleet.idle.spot", func(o Operator) any { return o.IdleSpot }, "77s", "1s", "1h", "999ms", "1h1s"},
-	{"intake.queue", func(o Operator) any { return o.IntakeQueue }, "77", "1", "10000", "0", "10001"},
-	{"log.level", func(o Operator) any { return o.LogLevel }, "debug", "error", "warn", "loud", "INFO"},
-	{"polls.queue", func(o Operator) any { return o.PollQueue }, "77", "1", "100000", "0", "100001"},
-	{"quota.reservations", func(o Operator) any { return o.QuotaReservations }, "true", "false", "true", "0", "True"},
-	{"quota.transfers", func(o Operator) any { return o.QuotaTransfers }, "true", "false", "true", "0", "True"},
-	{"recovery.hold", func(o Operator) any { return o.RecoveryHold }, "true", "false", "true", "0", "True"},
-	{"recovery.starts", func(o Operator) any { return o.RecoveryStarts }, "77", "0", "100000", "-1", "100001"},
-	{"retry.after", func(o Operator) any { return o.RetryAfterSeconds }, "17", "1", "30", "0", "31"},
-	{"roles.advisory", func(o Operator) any { return o.RoleAdvisory }, "true", "false", "true", "0", "True"},
-	{"roles.confirmations", func(o Operator) any { return o.RoleConfirm }, "77", "1", "100", "0", "101"},
-	{"roles.cooldown", func(o Operator) any { return o.RoleCooldown }, "77s", "0s", "1h", "-1s", "1h1s"},
-	{"roles.demand.rise", func(o Operator) any { return o.RoleDemandRise }, "0.77", "0", "10", "-0.01", "10.01"},
-	{"roles.evidence.max", func(o Operator) any { return o.RoleEvidenceMax }, "777s", "1s", "1h", "999ms", "1h1s"},
-	{"roles.evidence.min", func(o Operator) any { return o.RoleEvidenceMin }, "1500ms", "1s", "1h", "999ms", "1h1s"},
-	{"roles.expand", func(o Operator) any { return o.RoleExpand }, "7.7", "0.01", "100", "0", "100.1"},
-	{"roles.margin", func(o Operator) any { return o.RoleMargin }, "0.77", "0", "0.99", "-0.01", "1"},
-	{"roles.shrink", func(o Operator) any { return o.RoleShrink }, "0.07", "0", "0.99", "-0.01", "1"},
-	{"roles.start.target", func(o Operator) any { return o.RoleStartTarget }, "77s", "1s", "1h", "999ms", "1h1s"},
-	{"roles.usable", func(o Operator) any { return o.RoleUsable }, "0.77", "0.05", "1", "0.04", "1.01"},
+	{"fleet.headroom.batch", func(o OperatorSettings) any { return o.BatchHeadroom }, "0.77", "0", "5", "-0.01", "5.01"},
+	{"fleet.headroom.service", func(o OperatorSettings) any { return o.ServiceHeadroom }, "0.77", "0", "5", "-0.01", "5.01"},
+	{"fleet.idle.ordinary", func(o OperatorSettings) any { return o.OnDemandIdleTimeout }, "77s", "1s", "1h", "999ms", "1h1s"},
+	{"fleet.idle.spot", func(o OperatorSettings) any { return o.SpotIdleTimeout }, "77s", "1s", "1h", "999ms", "1h1s"},
+	{"intake.queue", func(o OperatorSettings) any { return o.IntakeQueue }, "77", "1", "10000", "0", "10001"},
+	{"log.level", func(o OperatorSettings) any { return o.LogLevel }, "debug", "error", "warn", "loud", "INFO"},
+	{"polls.queue", func(o OperatorSettings) any { return o.PollQueue }, "77", "1", "100000", "0", "100001"},
+	{"quota.reservations", func(o OperatorSettings) any { return o.QuotaReservations }, "true", "false", "true", "0", "True"},
+	{"quota.transfers", func(o OperatorSettings) any { return o.QuotaTransfers }, "true", "false", "true", "0", "True"},
+	{"recovery.hold", func(o OperatorSettings) any { return o.RecoveryHold }, "true", "false", "true", "0", "True"},
+	{"recovery.starts", func(o OperatorSettings) any { return o.RecoveryStarts }, "77", "0", "100000", "-1", "100001"},
+	{"retry.after", func(o OperatorSettings) any { return o.RetryAfterSeconds }, "17", "1", "30", "0", "31"},
+	{"roles.advisory", func(o OperatorSettings) any { return o.RoleAdvisory }, "true", "false", "true", "0", "True"},
+	{"roles.confirmations", func(o OperatorSettings) any { return o.RoleConfirmations }, "77", "1", "100", "0", "101"},
+	{"roles.cooldown", func(o OperatorSettings) any { return o.RoleCooldown }, "77s", "0s", "1h", "-1s", "1h1s"},
+	{"roles.demand.rise", func(o OperatorSettings) any { return o.RoleDemandRise }, "0.77", "0", "10", "-0.01", "10.01"},
+	{"roles.evidence.max", func(o OperatorSettings) any { return o.MaxRoleEvidence }, "777s", "1s", "1h", "999ms", "1h1s"},
+	{"roles.evidence.min", func(o OperatorSettings) any { return o.MinRoleEvidence }, "1500ms", "1s", "1h", "999ms", "1h1s"},
+	{"roles.expand", func(o OperatorSettings) any { return o.RoleExpand }, "7.7", "0.01", "100", "0", "100.1"},
+	{"roles.margin", func(o OperatorSettings) any { return o.RoleMargin }, "0.77", "0", "0.99", "-0.01", "1"},
+	{"roles.shrink", func(o OperatorSettings) any { return o.RoleShrink }, "0.07", "0", "0.99", "-0.01", "1"},
+	{"roles.start.target", func(o OperatorSettings) any { return o.RoleStartTarget }, "77s", "1s", "1h", "999ms", "1h1s"},
+	{"roles.usable", func(o OperatorSettings) any { return o.RoleUsableShare }, "0.77", "0.05", "1", "0.04", "1.01"},
 }
 
 // propertiesOutcome returns the error of parsing a properties file, or the values that differ from the
 // defaults and whether a reload applies them.
 func propertiesOutcome(text string) string {
-	o, err := ParseOperator([]byte(text))
+	o, err := ParseOperatorSettings([]byte(text))
 	if err != nil {
 		return err.Error()
 	}
-	defaultOperator := DefaultOperator()
+	defaultOperator := DefaultOperatorSettings()
 	var changed []string
 	got, defaults := reflect.ValueOf(o), reflect.ValueOf(defaultOperator)
 	for i := range got.NumField() {
@@ -261,7 +261,7 @@
 		return "the defaults"
 	}
 	reload := "taken over by a reload"
-	if _, err := defaultOperator.Reloaded(o); err != nil {
+	if _, err := defaultOperator.WithReloadable(o); err != nil {
 		reload = err.Error()
 	}
 	return fmt.Sprintf("%s; %s", strings.Join(changed, ", "), reload)
@@ -277,11 +277,11 @@
 		t.Errorf("%d keys in the help, %d in this test", len(help), len(propertyCases))
 	}
 	for _, k := range propertyCases {
-		o, err := ParseOperator([]byte(k.key + "=" + k.nonDefault))
+		o, err := ParseOperatorSettings([]byte(k.key + "=" + k.nonDefault))
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&b, "## %s\ndefault %v, set to %v\n", k.key, k.field(DefaultOperator()), k.field(o))
+		fmt.Fprintf(&b, "## %s\ndefault %v, set to %v\n", k.key, k.field(DefaultOperatorSettings()), k.field(o))
 		for _, value := range []string{k.nonDefault, k.minimum, k.maximum, k.below, k.above, "", "x", "1.5x", "1.5", "7", "NaN", " " + k.nonDefault + "  "} {
 			fmt.Fprintf(&b, "%q: %s\n", value, propertiesOutcome(k.key+"="+value))
 		}
@@ -348,7 +348,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
-		limits, err := toml.Marshal(s.StoreLimits())
+		limits, err := toml.Marshal(s.EffectiveStoreLimits())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-func TestStoreLimitsAreTheSmallerOfPresentAndNext(t *testing.T) {
+func TestEffectiveStoreLimitsAreTheSmallerOfPresentAndNext(t *testing.T) {
 	for _, c := range []struct {
 		name, next string
-		want       Limits
+		want       StoreLimits
 	}{
-		{"next is empty", "", Limits{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 12}},
-		{"one is smaller", "write_rps = 18.0", Limits{RPS: 100, WriteRPS: 18, ValueKB: 4, TxnOps: 12}},
-		{"the others are smaller", "value_kb = 2.0\ntxn_ops = 4\nrps = 50.0", Limits{RPS: 50, WriteRPS: 20, ValueKB: 2, TxnOps: 4}},
-		{"larger and unknown", "value_kb = 16.0\ntxn_ops = 40\nunknown = 3.0", Limits{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 12}},
+		{"next is empty", "", StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 12}},
+		{"one is smaller", "write_rps = 18.0", StoreLimits{RPS: 100, WriteRPS: 18, ValueKB: 4, TxnOps: 12}},
+		{"the others are smaller", "value_kb = 2.0\ntxn_ops = 4\nrps = 50.0", StoreLimits{RPS: 50, WriteRPS: 20, ValueKB: 2, TxnOps: 4}},
+		{"larger and unknown", "value_kb = 16.0\ntxn_ops = 40\nunknown = 3.0", StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 12}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := parse(t, settingsWithNext(t, c.next)).StoreLimits(); got != c.want {
+			if got := parse(t, settingsWithNext(t, c.next)).EffectiveStoreLimits(); got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
 	}
 	t.Run("no next", func(t *testing.T) {
-		if s := parse(t, []byte(validSettings)); s.StoreLimits() != s.Params.State.Limits {
-			t.Errorf("got %+v", s.StoreLimits())
+		if s := parse(t, []byte(validSettings)); s.EffectiveStoreLimits() != s.Params.State.StoreLimits {
+			t.Errorf("got %+v", s.EffectiveStoreLimits())
 		}
 	})
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-func TestParseOperatorReadsProperties(t *testing.T) {
-	o, err := ParseOperator([]byte("# comment\nroles.shrink = 0.4\nroles.cooldown: 20s\nroles.advisory=true\nlog.level=debug\n"))
+func TestParseOperatorSettingsReadsProperties(t *testing.T) {
+	o, err := ParseOperatorSettings([]byte("# comment\nroles.shrink = 0.4\nroles.cooldown: 20s\nroles.advisory=true\nlog.level=debug\n"))
 	if err != nil || o.RoleShrink != 0.4 || o.RoleCooldown != 20*time.Second || !o.RoleAdvisory || o.LogLevel != "debug" {
 		t.Fatalf("%+v %v", o, err)
 	}
 }
 
 // The whole texts are compared because operators read them.
-func TestParseOperatorNamesTheInvalidKey(t *testing.T) {
+func TestParseOperatorSettingsNamesTheInvalidKey(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"unknown key", "no.such.key=1", "no.such.key: unknown key"},
 		{"number out of range", "roles.shrink=2", `roles.shrink: "2" is not a number between 0 and 0.99`},
@@ -33,7 +33,7 @@
 		{"first of several invalid keys", "roles.shrink=2\nlog.level=loud", `log.level: "loud" is not one of error, warn, info, debug`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := ParseOperator([]byte(c.text)); err == nil || err.Error() != c.want {
+			if _, err := ParseOperatorSettings([]byte(c.text)); err == nil || err.Error() != c.want {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
 		})
@@ -48,41 +48,41 @@
 	}
 }
 
-func TestLoadOperator(t *testing.T) {
+func TestLoadOperatorSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.properties")
 	if err := os.WriteFile(path, []byte("log.level=loud\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Run("without a file", func(t *testing.T) {
-		if o, err := LoadOperator(""); err != nil || o != DefaultOperator() {
+		if o, err := LoadOperatorSettings(""); err != nil || o != DefaultOperatorSettings() {
 			t.Errorf("%+v %v", o, err)
 		}
 	})
 	t.Run("missing file", func(t *testing.T) {
-		if _, err := LoadOperator(path + ".none"); !errors.Is(err, os.ErrNotExist) {
+		if _, err := LoadOperatorSettings(path + ".none"); !errors.Is(err, os.ErrNotExist) {
 			t.Errorf("got %v", err)
 		}
 	})
 	t.Run("invalid file", func(t *testing.T) {
-		if _, err := LoadOperator(path); err == nil || !strings.HasPrefix(err.Error(), path+": log.level: ") {
+		if _, err := LoadOperatorSettings(path); err == nil || !strings.HasPrefix(err.Error(), path+": log.level: ") {
 			t.Errorf("got %v", err)
 		}
 	})
 }
 
-func TestReloadedAppliesTheLogLevelAlone(t *testing.T) {
-	running := DefaultOperator()
+func TestWithReloadableAppliesTheLogLevelAlone(t *testing.T) {
+	running := DefaultOperatorSettings()
 	t.Run("log level", func(t *testing.T) {
 		next := running
 		next.LogLevel = "debug"
-		if got, err := running.Reloaded(next); err != nil || got != next {
+		if got, err := running.WithReloadable(next); err != nil || got != next {
 			t.Errorf("%+v %v", got, err)
 		}
 	})
 	t.Run("another key", func(t *testing.T) {
 		next := running
 		next.LogLevel, next.IntakeQueue = "debug", running.IntakeQueue+1
-		if got, err := running.Reloaded(next); !errors.Is(err, ErrRestart) || got != running {
+		if got, err := running.WithReloadable(next); !errors.Is(err, ErrRestartRequired) || got != running {
 			t.Errorf("%+v %v", got, err)
 		}
 	})
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -60,10 +60,10 @@
 			CancelS float64 `toml:"cancel_s"`
 		} `toml:"workers"`
 		State struct {
-			Limits
+			StoreLimits
 			// Next holds the limits that the key-value store will have at some later time. The change
 			// is not announced. An absent limit does not change.
-			Next *Limits `toml:"next"`
+			Next *StoreLimits `toml:"next"`
 		} `toml:"state"`
 		Cloud struct {
 			RPS      float64 `toml:"rps"`
@@ -77,7 +77,7 @@
 	} `toml:"params"`
 
 	// Operator holds the operators' settings, which Load reads from the properties file.
-	Operator Operator `toml:"-"`
+	Operator OperatorSettings `toml:"-"`
 }
 
 // Load reads and checks the settings file and the properties file. With an empty propertiesPath the
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if s.Operator, err = LoadOperator(propertiesPath); err != nil {
+	if s.Operator, err = LoadOperatorSettings(propertiesPath); err != nil {
 		return nil, err
 	}
 	return s, nil
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -45,7 +45,7 @@
 func New(settings *config.Settings, log *slog.Logger) *Controller {
 	now := time.Now
 	share := tuning.BudgetShare / float64(max(1, len(settings.Siblings)+1))
-	limits := settings.StoreLimits()
+	limits := settings.EffectiveStoreLimits()
 	limiter := store.NewLimiter(limits.RPS*share, limits.WriteRPS*share, tuning.LimiterQueue, now)
 	return newController(dependencies{
 		Environment:  cluster.NewEnvironment(settings, log, now, store.NewClient(settings.Endpoints.State, limiter), limiter),
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -130,7 +130,7 @@
 }
 
 func settings(label string, labels []string) *config.Settings {
-	s := &config.Settings{Label: label, Operator: config.DefaultOperator()}
+	s := &config.Settings{Label: label, Operator: config.DefaultOperatorSettings()}
 	for _, peerLabel := range labels {
 		if peerLabel != label {
 			s.Siblings = append(s.Siblings, config.Sibling{Label: peerLabel, Endpoint: "127.0.0.1:1"})
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -213,12 +213,12 @@
 // ones wait.
 func TestAnnouncedStoreLimitsLowerThePresentOnes(t *testing.T) {
 	s := settings("a", []string{"a", "b", "c"})
-	s.Params.State.Next = &config.Limits{WriteRPS: 18, ValueKB: 2, TxnOps: 5}
-	if l := s.StoreLimits(); l.RPS != 1000 || l.WriteRPS != 18 || l.ValueKB != 2 || l.TxnOps != 5 {
+	s.Params.State.Next = &config.StoreLimits{WriteRPS: 18, ValueKB: 2, TxnOps: 5}
+	if l := s.EffectiveStoreLimits(); l.RPS != 1000 || l.WriteRPS != 18 || l.ValueKB != 2 || l.TxnOps != 5 {
 		t.Fatalf("%+v", l)
 	}
-	s.Params.State.Next = &config.Limits{ValueKB: 16}
-	if l := s.StoreLimits(); l.ValueKB != 4 || l.TxnOps != 12 {
+	s.Params.State.Next = &config.StoreLimits{ValueKB: 16}
+	if l := s.EffectiveStoreLimits(); l.ValueKB != 4 || l.TxnOps != 12 {
 		t.Fatalf("%+v", l)
 	}
 }
--- a/internal/roles/balancer.go
+++ b/internal/roles/balancer.go
@@ -10,7 +10,7 @@
 // Balancer decides on role changes for one machine type. Its state is held only in the leader's
 // memory, so a new leader starts without it.
 type Balancer struct {
-	settings          config.Operator
+	settings          config.OperatorSettings
 	state             State
 	proposal          Proposal  // the proposal being confirmed
 	confirmations     int       // how many evaluations in a row made this proposal
@@ -21,7 +21,7 @@
 }
 
 // New returns a Balancer whose evidence window starts now.
-func New(settings config.Operator, now time.Time) *Balancer {
+func New(settings config.OperatorSettings, now time.Time) *Balancer {
 	return &Balancer{settings: settings, state: Steady, evidenceSince: now, startedAt: now}
 }
 
@@ -71,7 +71,7 @@
 func (b *Balancer) blockingGate(now time.Time, d Decision, rising bool, fits func() bool) Gate {
 	toBatch := d.Proposal.Direction == ToBatch
 	switch {
-	case b.confirmations < b.settings.RoleConfirm:
+	case b.confirmations < b.settings.RoleConfirmations:
 		return GateConfirm
 	case !toBatch && now.Sub(b.lastMoveToService) < b.settings.RoleCooldown:
 		return GateCooldown
@@ -116,12 +116,12 @@
 	return load / window.Seconds(), count
 }
 
-// evidenceClosed reports whether the evidence window has closed: RoleEvidenceMin has passed and
-// enough service jobs have arrived, or RoleEvidenceMax has passed.
+// evidenceClosed reports whether the evidence window has closed: MinRoleEvidence has passed and
+// enough service jobs have arrived, or MaxRoleEvidence has passed.
 func (b *Balancer) evidenceClosed(now time.Time) bool {
 	age := now.Sub(b.evidenceSince)
-	if age >= b.settings.RoleEvidenceMax {
+	if age >= b.settings.MaxRoleEvidence {
 		return true
 	}
-	return age >= b.settings.RoleEvidenceMin && b.arrivals.countSince(b.evidenceSince) >= tuning.RoleEvidenceArrivals
+	return age >= b.settings.MinRoleEvidence && b.arrivals.countSince(b.evidenceSince) >= tuning.RoleEvidenceArrivals
 }
--- a/internal/roles/balancer_test.go
+++ b/internal/roles/balancer_test.go
@@ -20,7 +20,7 @@
 	now time.Time
 }
 
-func newHarness(settings config.Operator) *harness {
+func newHarness(settings config.OperatorSettings) *harness {
 	return &harness{Balancer: New(settings, start), now: start}
 }
 
@@ -36,7 +36,7 @@
 }
 
 func TestMoveToServiceRequiresThreeConfirmationsAndCooldown(t *testing.T) {
-	h := newHarness(config.DefaultOperator())
+	h := newHarness(config.DefaultOperatorSettings())
 	s := Split{Batch: 4, Service: 2, ServiceDemand: 2, DemandComplete: true}
 	if d := h.evaluate(2, s, fits); d.Move != None || d.Gate != GateConfirm {
 		t.Fatalf("not waiting for confirmations after two evaluations: %+v", d)
@@ -63,7 +63,7 @@
 		{"no eligible split", Split{Batch: 4, Service: 2, ServiceDemand: 0.1, DemandComplete: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHarness(config.DefaultOperator())
+			h := newHarness(config.DefaultOperatorSettings())
 			h.evaluate(2, s, fits)
 			if d := h.evaluate(1, c.other, fits); d.Move != None {
 				t.Fatal("moved on the first different proposal")
@@ -88,7 +88,7 @@
 		{"the worst load falls from 0.80 to 0.78", Split{Batch: 20, Service: 40, ServiceDemand: 25.6, DemandComplete: true}, GateNoGain},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newHarness(config.DefaultOperator()).evaluate(5, c.split, fits)
+			d := newHarness(config.DefaultOperatorSettings()).evaluate(5, c.split, fits)
 			if d.Proposal.Direction != None || d.Gate != c.want {
 				t.Fatalf("got %+v, want no proposal and gate %s", d, c.want)
 			}
@@ -99,7 +99,7 @@
 func TestMoveToBatchRequiresEvidenceStableDemandAndRoom(t *testing.T) {
 	s := Split{Batch: 2, Service: 6, ServiceDemand: 1, QueuedBatchSeconds: 3 * tuning.RoleStartTarget.Seconds(), DemandComplete: true}
 	t.Run("enough arrivals, then room", func(t *testing.T) {
-		h := newHarness(config.DefaultOperator())
+		h := newHarness(config.DefaultOperatorSettings())
 		if d := h.evaluate(3, s, fits); d.Gate != GateEvidence {
 			t.Fatalf("not blocked by the open evidence window: %+v", d)
 		}
@@ -114,7 +114,7 @@
 		}
 	})
 	t.Run("too few arrivals", func(t *testing.T) {
-		h := newHarness(config.DefaultOperator())
+		h := newHarness(config.DefaultOperatorSettings())
 		if d := h.evaluate(7, s, fits); d.Gate != GateEvidence {
 			t.Fatalf("with few arrivals the window closed before 40 s: %+v", d)
 		}
@@ -123,7 +123,7 @@
 		}
 	})
 	t.Run("rising service demand", func(t *testing.T) {
-		h := newHarness(config.DefaultOperator())
+		h := newHarness(config.DefaultOperatorSettings())
 		h.now = start.Add(3 * time.Minute)
 		for range 2 * tuning.RoleEvidenceArrivals {
 			h.RecordArrival(h.now.Add(14*time.Second), 1)
@@ -136,7 +136,7 @@
 
 func TestMixedPressureMovesMachineWhileServiceStaysLoaded(t *testing.T) {
 	s := Split{Batch: 1, Service: 4, ServiceDemand: 2, QueuedBatchSeconds: 4 * tuning.RoleStartTarget.Seconds(), DemandComplete: true}
-	if d := newHarness(config.DefaultOperator()).evaluate(8, s, fits); d.Move != ToBatch || d.Proposal.Rule != RuleMixedPressure {
+	if d := newHarness(config.DefaultOperatorSettings()).evaluate(8, s, fits); d.Move != ToBatch || d.Proposal.Rule != RuleMixedPressure {
 		t.Fatalf("no mixed-pressure move at batch load 4 and service load 0.63: %+v", d)
 	}
 }
@@ -144,12 +144,12 @@
 func TestRoleFloor(t *testing.T) {
 	t.Run("the last batch machine stays", func(t *testing.T) {
 		s := Split{Batch: 1, Service: 2, ServiceDemand: 4, DemandComplete: true}
-		if d := newHarness(config.DefaultOperator()).evaluate(6, s, fits); d.Move != None || d.Gate != GateAtFloor {
+		if d := newHarness(config.DefaultOperatorSettings()).evaluate(6, s, fits); d.Move != None || d.Gate != GateAtFloor {
 			t.Fatalf("the last batch machine moved: %+v", d)
 		}
 	})
 	t.Run("an empty role gets a machine immediately", func(t *testing.T) {
-		h := newHarness(config.DefaultOperator())
+		h := newHarness(config.DefaultOperatorSettings())
 		h.evaluate(6, Split{Batch: 1, Service: 2, ServiceDemand: 4, DemandComplete: true}, fits)
 		s := Split{Batch: 3, Service: 0, ServiceDemand: 0.1, DemandComplete: true}
 		if d := h.evaluate(1, s, fits); d.Move != ToService || d.Proposal.Rule != RuleFloor {
@@ -160,14 +160,14 @@
 	// out for the floor was still booting.
 	t.Run("a booting batch machine counts toward the floor", func(t *testing.T) {
 		s := Split{Batch: 0, BatchBooting: 1, Service: 3, ServiceDemand: 2.4, QueuedBatchSeconds: 10, DemandComplete: true}
-		if d := newHarness(config.DefaultOperator()).evaluate(1, s, fits); d.Move != None || d.Proposal.Rule == RuleFloor {
+		if d := newHarness(config.DefaultOperatorSettings()).evaluate(1, s, fits); d.Move != None || d.Proposal.Rule == RuleFloor {
 			t.Fatalf("a service machine was moved while a batch machine was booting: %+v", d)
 		}
 	})
 }
 
 func TestSpotMachinesCountTowardBatchFloor(t *testing.T) {
-	h := newHarness(config.DefaultOperator())
+	h := newHarness(config.DefaultOperatorSettings())
 	s := Split{Batch: 0, Spot: 1, Service: 3, ServiceDemand: 2.4, QueuedBatchSeconds: 1, DemandComplete: true}
 	if d := h.evaluate(1, s, fits); d.Move != None {
 		t.Fatalf("a service machine was moved although a spot machine meets the batch floor: %+v", d)
@@ -183,7 +183,7 @@
 }
 
 func TestAdvisoryModeReportsProposalWithoutMoving(t *testing.T) {
-	settings := config.DefaultOperator()
+	settings := config.DefaultOperatorSettings()
 	settings.RoleAdvisory = true
 	d := newHarness(settings).evaluate(4, Split{Batch: 4, Service: 2, ServiceDemand: 2, DemandComplete: true}, fits)
 	if d.Move != None || d.Gate != GateAdvisory || d.Proposal.Direction != ToService {
--- a/internal/roles/split.go
+++ b/internal/roles/split.go
@@ -26,8 +26,8 @@
 func (l loads) worst() float64 { return max(l.batch, l.service) }
 
 // loads returns the loads that the split would have with the given number of machines per role.
-func (s Split) loads(settings config.Operator, batch, service int) loads {
-	return loads{batch: s.batchLoad(batch, settings.RoleStartTarget), service: s.serviceLoad(service, settings.RoleUsable)}
+func (s Split) loads(settings config.OperatorSettings, batch, service int) loads {
+	return loads{batch: s.batchLoad(batch, settings.RoleStartTarget), service: s.serviceLoad(service, settings.RoleUsableShare)}
 }
 
 // batchLoad returns the time in which the spot machines and the given number of on-demand machines
--- a/internal/testcluster/controller.go
+++ b/internal/testcluster/controller.go
@@ -183,7 +183,7 @@
 	params.Count, params.Zones, params.TimeBoundMs, params.Teams = c.options.Controllers, []string{zone}, timeBoundMs, c.options.Teams
 	lease := c.options.Lease.Seconds()
 	params.Workers.ReportS, params.Workers.LeaseS, params.Workers.CancelS = heartbeatInterval.Seconds(), lease, cancelLeases*lease
-	params.State.Limits = config.Limits{RPS: storeCallsPerSecond, WriteRPS: writesPerSecond, ValueKB: valueLimitKB, TxnOps: operationsLimit}
+	params.State.StoreLimits = config.StoreLimits{RPS: storeCallsPerSecond, WriteRPS: writesPerSecond, ValueKB: valueLimitKB, TxnOps: operationsLimit}
 	params.Cloud.RPS, params.Cloud.ListLagS = cloudCallsPerSecond, cloudListLagS
 	params.Limits.CPUShare, params.Limits.MemMB, params.Limits.MaxConnections = processorShare, memoryMB, maxConnections
 	return s
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,6 +1,7 @@
 // Package tuning holds the constants of the service, each with its unit and, where it is not
-// obvious, its reason. Settings that an operator may change have a key in config.Operator and
-// take their default from here. The package contains no logic and nothing specific to a site.
+// obvious, its reason. Settings that an operator may change have a key in
+// config.OperatorSettings and take their default from here. The package contains no logic and
+// nothing specific to a site.
 package tuning
 
 import "time"
