--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -40,7 +40,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "wheatspur:", err)
-	if errors.Is(err, daemon.ErrForced) {
+	if errors.Is(err, daemon.ErrForcedStop) {
 		os.Exit(exitForced)
 	}
 	os.Exit(exitFailed)
@@ -126,7 +126,7 @@
 		propertiesPath: propertiesPath,
 		logLevel:       &logLevel,
 	}
-	return daemon.Run(p, daemon.Options{DrainLimit: tuning.ShutdownTimeout, Log: log, Manager: daemon.SystemdManager{Log: log}})
+	return daemon.Run(p, daemon.Options{DrainTimeout: tuning.ShutdownTimeout, Log: log, Manager: daemon.SystemdManager{Log: log}})
 }
 
 // limitRuntime limits the Go runtime to the share of a machine that a controller may use.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -38,8 +38,8 @@
 const (
 	BecameReady   Event = "became ready"
 	StopRequested Event = "stop requested" // by a signal
-	Drained       Event = "drained"        // Drain of the service returned; its context ends at the drain limit
-	Ended         Event = "ended"          // Run of the service returned without a stop request
+	Drained       Event = "drained"        // Drain of the service returned; its context ends at the drain timeout
+	ServiceEnded  Event = "ended"          // Run of the service returned without a stop request
 )
 
 // Next returns the state after an event. It defines all transitions; any other event leaves the state
@@ -52,7 +52,7 @@
 		return Draining
 	case s == Draining && (e == Drained || e == StopRequested):
 		return Stopped // a second signal cuts the drain short
-	case e == Ended:
+	case e == ServiceEnded:
 		return Stopped
 	}
 	return s
@@ -77,21 +77,21 @@
 type Manager interface {
 	// Notify sends a state by the manager's notification protocol.
 	Notify(state string)
-	// Watchdog returns the time without a keep-alive after which the manager considers the service
-	// hung, or 0 without a watchdog.
-	Watchdog() time.Duration
+	// WatchdogInterval returns the time without a keep-alive after which the manager considers the
+	// service hung, or 0 without a watchdog.
+	WatchdogInterval() time.Duration
 }
 
 // Options configure a daemon.
 type Options struct {
-	DrainLimit time.Duration // time limit of Drain
-	Log        *slog.Logger
-	Manager    Manager
-	Signals    <-chan os.Signal // nil: signals sent to the process
+	DrainTimeout time.Duration // time limit of Drain
+	Log          *slog.Logger
+	Manager      Manager
+	Signals      <-chan os.Signal // nil: signals sent to the process
 }
 
-// ErrForced is returned if the daemon stopped before the drain was complete.
-var ErrForced = errors.New("stopped before work in flight had finished")
+// ErrForcedStop is returned if the daemon stopped before the drain was complete.
+var ErrForcedStop = errors.New("stopped before work in flight had finished")
 
 // readyPollInterval is the interval between readiness checks until the service is ready.
 const readyPollInterval = 200 * time.Millisecond
@@ -110,7 +110,7 @@
 }
 
 // Run runs the service until it ends or a signal stops it. It returns nil after a complete drain,
-// ErrForced if it stopped before the drain was complete, and otherwise the service's error.
+// ErrForcedStop if it stopped before the drain was complete, and otherwise the service's error.
 func Run(service Service, o Options) error {
 	if o.Signals == nil {
 		signals := make(chan os.Signal, signalBuffer)
@@ -135,7 +135,7 @@
 // true and err is the result of the service's Run.
 func (d *daemon) serve(runResult <-chan error) (ended bool, err error) {
 	var watchdog <-chan time.Time
-	if interval := d.Manager.Watchdog(); interval > 0 {
+	if interval := d.Manager.WatchdogInterval(); interval > 0 {
 		ticker := time.NewTicker(interval / 2) // as sd_watchdog_enabled(3) recommends
 		defer ticker.Stop()
 		watchdog = ticker.C
@@ -145,7 +145,7 @@
 	for {
 		select {
 		case err := <-runResult:
-			d.apply(Ended)
+			d.apply(ServiceEnded)
 			return true, err
 		case <-readyPoll.C:
 			if d.service.Ready() {
@@ -204,11 +204,11 @@
 	d.notify(sd.SdNotifyReady, status)
 }
 
-// drain drains the service and returns when its Drain, whose context ends at the drain limit, has
+// drain drains the service and returns when its Drain, whose context ends at the drain timeout, has
 // returned or a second stop signal arrives.
 func (d *daemon) drain() error {
 	d.notify(sd.SdNotifyStopping, "draining")
-	ctx, cancel := context.WithTimeout(context.Background(), d.DrainLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), d.DrainTimeout)
 	defer cancel()
 	started := time.Now()
 	drainResult := make(chan error, 1) // buffered, because nothing receives from it after a second signal
@@ -219,7 +219,7 @@
 			d.apply(Drained)
 			d.Log.Info(logging.EventDrainFinished, logging.KeyDuration, time.Since(started).Round(time.Millisecond), logging.KeyError, err)
 			if err != nil {
-				return fmt.Errorf("%w: %w", ErrForced, err)
+				return fmt.Errorf("%w: %w", ErrForcedStop, err)
 			}
 			return nil
 		case sig := <-d.Signals:
@@ -228,7 +228,7 @@
 			}
 			d.apply(StopRequested)
 			d.Log.Info(logging.EventStoppedImmediately, logging.KeySignal, sig.String())
-			return ErrForced
+			return ErrForcedStop
 		}
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -90,7 +90,7 @@
 	m.notifications = append(m.notifications, state)
 }
 
-func (m *recordingManager) Watchdog() time.Duration { return m.watchdogInterval }
+func (m *recordingManager) WatchdogInterval() time.Duration { return m.watchdogInterval }
 
 func (m *recordingManager) recordedNotifications() []string {
 	m.mu.Lock()
@@ -127,9 +127,9 @@
 
 // startDaemon starts a daemon. Tests call it in a synctest bubble, so that its tickers and time limits
 // use the bubble's fake clock.
-func startDaemon(service *scriptedService, manager *recordingManager, drainLimit time.Duration) runningDaemon {
+func startDaemon(service *scriptedService, manager *recordingManager, drainTimeout time.Duration) runningDaemon {
 	signals, result := make(chan os.Signal, signalBuffer), make(chan error, 1)
-	options := Options{DrainLimit: drainLimit, Log: slog.New(slog.DiscardHandler), Manager: manager, Signals: signals}
+	options := Options{DrainTimeout: drainTimeout, Log: slog.New(slog.DiscardHandler), Manager: manager, Signals: signals}
 	go func() { result <- Run(service, options) }()
 	return runningDaemon{signals, result}
 }
@@ -213,19 +213,19 @@
 	failed := errors.New("session not ended")
 	for _, c := range []struct {
 		name         string
-		drainLimit   time.Duration
+		drainTimeout time.Duration
 		secondSignal bool
 		drainErr     error // nil: the drain does not end by itself
-		cause        error // nil: ErrForced alone
+		cause        error // nil: ErrForcedStop alone
 	}{
-		{"the drain limit passes", 30 * time.Millisecond, false, nil, context.DeadlineExceeded},
+		{"the drain timeout passes", 30 * time.Millisecond, false, nil, context.DeadlineExceeded},
 		{"a second signal comes", time.Minute, true, nil, nil},
 		{"the drain fails", time.Minute, false, failed, failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service, manager := newScriptedService(), &recordingManager{}
-				d := startDaemon(service, manager, c.drainLimit)
+				d := startDaemon(service, manager, c.drainTimeout)
 				if c.drainErr != nil {
 					service.drainResult <- c.drainErr
 				}
@@ -234,8 +234,8 @@
 					d.signals <- syscall.SIGHUP // ignored while draining
 					d.signals <- syscall.SIGTERM
 				}
-				if err := d.wait(t); !errors.Is(err, ErrForced) || c.cause != nil && !errors.Is(err, c.cause) {
-					t.Errorf("%v, want %v with cause %v", err, ErrForced, c.cause)
+				if err := d.wait(t); !errors.Is(err, ErrForcedStop) || c.cause != nil && !errors.Is(err, c.cause) {
+					t.Errorf("%v, want %v with cause %v", err, ErrForcedStop, c.cause)
 				}
 			})
 		})
@@ -265,8 +265,8 @@
 		{Serving, StopRequested, Draining},
 		{Draining, Drained, Stopped},
 		{Draining, StopRequested, Stopped},
-		{Serving, Ended, Stopped},
-		{Starting, Ended, Stopped},
+		{Serving, ServiceEnded, Stopped},
+		{Starting, ServiceEnded, Stopped},
 		{Serving, Drained, Serving},
 		{Draining, BecameReady, Draining},
 		{Stopped, BecameReady, Stopped},
@@ -301,13 +301,13 @@
 	if err != nil || string(buffer[:n]) != "READY=1\nSTATUS=serving" {
 		t.Fatalf("%q %v", buffer[:n], err)
 	}
-	if interval := manager.Watchdog(); interval != 3*time.Second {
+	if interval := manager.WatchdogInterval(); interval != 3*time.Second {
 		t.Fatalf("watchdog interval %v", interval)
 	}
 	t.Setenv("NOTIFY_SOCKET", "")
 	t.Setenv("WATCHDOG_USEC", "")
 	manager.Notify("READY=1") // without a manager
-	if manager.Watchdog() != 0 {
+	if manager.WatchdogInterval() != 0 {
 		t.Fatal("watchdog interval without a manager")
 	}
 }
--- a/internal/daemon/systemd.go
+++ b/internal/daemon/systemd.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Watchdog returns the manager's watchdog interval, or 0 without a watchdog.
-func (m SystemdManager) Watchdog() time.Duration {
+// WatchdogInterval returns the manager's watchdog interval, or 0 without a watchdog.
+func (m SystemdManager) WatchdogInterval() time.Duration {
 	interval, err := sd.SdWatchdogEnabled(false)
 	if err != nil {
 		m.Log.Warn(logging.EventWatchdogIntervalUnreadable, logging.KeyError, err)
--- a/internal/testcluster/main.go
+++ b/internal/testcluster/main.go
@@ -49,7 +49,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With(logging.KeyController, settings.Label)
 	service := controllerService{controller.New(settings, log)}
-	return daemon.Run(service, daemon.Options{DrainLimit: tuning.ShutdownTimeout, Log: log, Manager: daemon.SystemdManager{Log: log}})
+	return daemon.Run(service, daemon.Options{DrainTimeout: tuning.ShutdownTimeout, Log: log, Manager: daemon.SystemdManager{Log: log}})
 }
 
 // controllerService adds Reload to a controller to implement daemon.Service.
