--- a/internal/controller/httpserver.go
+++ b/internal/controller/httpserver.go
@@ -25,7 +25,7 @@
 		NoDefaultDate:         true,
 		ReduceMemoryUsage:     true,
 		CloseOnShutdown:       true,
-		ErrorHandler:          response.Malformed,
+		ErrorHandler:          response.HandleRequestError,
 		Logger:                discardLogger{},
 	}
 }
--- a/internal/response/response.go
+++ b/internal/response/response.go
@@ -25,16 +25,16 @@
 	Write(ctx, status, wire.ErrorResponse{Error: reason})
 }
 
-// Retry responds with an error status, the reason and the number of seconds after which the client
-// should retry.
-func Retry(ctx *fasthttp.RequestCtx, status, retryAfterS int, reason string) {
+// RetryLater responds with an error status, the reason and the number of seconds after which the
+// client should retry.
+func RetryLater(ctx *fasthttp.RequestCtx, status, retryAfterS int, reason string) {
 	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(retryAfterS))
 	Error(ctx, status, reason)
 }
 
-// Malformed responds to a request that fasthttp could not read. It is the ErrorHandler of a
-// fasthttp.Server.
-func Malformed(ctx *fasthttp.RequestCtx, err error) {
+// HandleRequestError responds to a request that fasthttp could not read. It is the ErrorHandler
+// of a fasthttp.Server.
+func HandleRequestError(ctx *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		Error(ctx, fasthttp.StatusBadRequest, "body too large")
 		return
