--- a/internal/api/groupcommit.go
+++ b/internal/api/groupcommit.go
@@ -162,7 +162,7 @@
 // storeNewJobs stores a record of new jobs and applies it to the cache.
 func (api *UserAPI) storeNewJobs(ctx context.Context, compares []wire.Compare, put wire.Operation) error {
 	operations := []wire.Operation{put}
-	revision, err := api.Store.CompareAndSwap(ctx, store.ClassIntake, compares, operations)
+	revision, err := api.Store.CompareAndSwap(ctx, store.ClassSubmission, compares, operations)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/writes.go
+++ b/internal/cluster/writes.go
@@ -15,7 +15,7 @@
 func (cs *State) StoreDecision(ctx context.Context, compares []wire.Compare, operations []wire.Operation) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.DurableWriteTimeout)
 	defer cancel()
-	revision, err := cs.Store.CompareAndSwap(ctx, store.ClassRecords, compares, operations)
+	revision, err := cs.Store.CompareAndSwap(ctx, store.ClassMachineRecords, compares, operations)
 	if err != nil {
 		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
 			// A failed barrier needs no handling: the next compare-and-swap then fails
--- a/internal/store/limiter.go
+++ b/internal/store/limiter.go
@@ -12,12 +12,12 @@
 
 // Classes, most urgent first.
 const (
-	ClassLease   Class = iota // sessions, leader election, membership: never wait
-	ClassCancel               // users' cancellations
-	ClassClaim                // claims and releases
-	ClassIntake               // submissions
-	ClassRecords              // machine records and types, written by the leader
-	ClassRead                 // read barriers, watches, full reads
+	ClassLease          Class = iota // sessions, leader election, membership: never wait
+	ClassCancel                      // users' cancellations
+	ClassClaim                       // claims and releases
+	ClassSubmission                  // submissions
+	ClassMachineRecords              // machine records and types, written by the leader
+	ClassRead                        // read barriers, watches, full reads
 	classCount
 )
 
@@ -136,7 +136,7 @@
 		return 0
 	}
 	available := max(l.tokens.writes-submissionReserve, 0)
-	if len(l.queues[ClassIntake]) >= submissionBacklog || len(l.queues[ClassRecords]) > 0 {
+	if len(l.queues[ClassSubmission]) >= submissionBacklog || len(l.queues[ClassMachineRecords]) > 0 {
 		available = max(available, math.Floor(l.claimAllowance))
 	}
 	return available
--- a/internal/store/limiter_test.go
+++ b/internal/store/limiter_test.go
@@ -112,8 +112,8 @@
 		for range 5 {
 			acquire(t, l, ClassLease, 1)
 		}
-		startWaiting(waitContext(t), t, l, ClassIntake, 1, "submission", make(chan string, 1))
-		if err := l.Acquire(t.Context(), ClassIntake, 1); !errors.Is(err, ErrQueueFull) {
+		startWaiting(waitContext(t), t, l, ClassSubmission, 1, "submission", make(chan string, 1))
+		if err := l.Acquire(t.Context(), ClassSubmission, 1); !errors.Is(err, ErrQueueFull) {
 			t.Fatalf("error %v with a full queue, want ErrQueueFull", err)
 		}
 	})
@@ -125,10 +125,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		clock := newManualClock()
 		l := NewLimiter(100, 1, 8, clock.now)
-		acquire(t, l, ClassIntake, 1)
+		acquire(t, l, ClassSubmission, 1)
 		ctx := waitContext(t)
 		for range 3 {
-			startWaiting(ctx, t, l, ClassIntake, 1, "submission", make(chan string, 1))
+			startWaiting(ctx, t, l, ClassSubmission, 1, "submission", make(chan string, 1))
 		}
 		for range 50 {
 			acquire(t, l, ClassRead, 0)
@@ -157,8 +157,8 @@
 	l.claimAllowance = 0
 	records, claims := 0, 0.0
 	for range 40 { // 10 s
-		if len(l.queues[ClassRecords]) == 0 {
-			enqueue(l, ClassRecords)
+		if len(l.queues[ClassMachineRecords]) == 0 {
+			enqueue(l, ClassMachineRecords)
 			records++
 		}
 		clock.advance(250 * time.Millisecond)
@@ -181,12 +181,12 @@
 	clock := newManualClock()
 	l := NewLimiter(100, 4, 8, clock.now)
 	l.tokens.writes = 0
-	enqueue(l, ClassRecords)
-	enqueue(l, ClassIntake)
+	enqueue(l, ClassMachineRecords)
+	enqueue(l, ClassSubmission)
 	clock.advance(250 * time.Millisecond)
 	l.refill()
 	l.grant()
-	if len(l.queues[ClassIntake]) != 0 || len(l.queues[ClassRecords]) != 1 {
+	if len(l.queues[ClassSubmission]) != 0 || len(l.queues[ClassMachineRecords]) != 1 {
 		t.Fatal("a submission waits behind a machine record")
 	}
 }
@@ -220,12 +220,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := NewLimiter(100, 1, 8, c.clock)
-				acquire(t, l, ClassIntake, 1)
+				acquire(t, l, ClassSubmission, 1)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				granted := make(chan string, 2)
 				for range 2 {
-					startWaiting(ctx, t, l, ClassIntake, 1, "submission", granted)
+					startWaiting(ctx, t, l, ClassSubmission, 1, "submission", granted)
 				}
 				if !isGrantLoopRunning(l) {
 					t.Fatal("calls wait and the grant loop does not run")
