--- a/cmd/wheatspur/main.go
+++ b/cmd/wheatspur/main.go
@@ -40,7 +40,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "wheatspur:", err)
-	if errors.Is(err, daemon.ErrForced) {
+	if errors.Is(err, daemon.ErrForcedStop) {
 		os.Exit(exitForced)
 	}
 	os.Exit(exitFailed)
@@ -93,11 +93,11 @@
 // Reload applies the changes of the properties file that a running controller supports. If there is any
 // other change, it returns an error and applies nothing.
 func (p *process) Reload() error {
-	changed, err := config.LoadOperator(p.propertiesPath)
+	changed, err := config.LoadOperatorSettings(p.propertiesPath)
 	if err != nil {
 		return err
 	}
-	reloaded, err := p.settings.Operator.Reloaded(changed)
+	reloaded, err := p.settings.Operator.WithReloadable(changed)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 		propertiesPath: propertiesPath,
 		logLevel:       &logLevel,
 	}
-	return daemon.Run(p, daemon.Options{DrainLimit: tuning.ShutdownLimit, Log: log, Manager: daemon.SystemdManager{Log: log}})
+	return daemon.Run(p, daemon.Options{DrainTimeout: tuning.ShutdownTimeout, Log: log, Manager: daemon.SystemdManager{Log: log}})
 }
 
 // limitRuntime limits the Go runtime to the share of a machine that a controller may use.
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -69,7 +69,7 @@
 // while the controller runs, so it can be read without the lock.
 type Environment struct {
 	Settings *config.Settings
-	Limits   config.Limits // of the store; every request stays within them
+	Limits   config.StoreLimits // of the store; every request stays within them
 	Log      *slog.Logger
 	Now      func() time.Time
 	Store    store.KeyValueStore
@@ -82,7 +82,7 @@
 func NewEnvironment(settings *config.Settings, log *slog.Logger, now func() time.Time, kv store.KeyValueStore, limiter *store.Limiter) Environment {
 	return Environment{
 		Settings: settings,
-		Limits:   settings.StoreLimits(),
+		Limits:   settings.EffectiveStoreLimits(),
 		Log:      log,
 		Now:      now,
 		Store:    kv,
@@ -159,7 +159,7 @@
 // SilenceTimeout returns the time after a worker's last message after which its machine counts
 // as silent. The lock is not needed.
 func (cs *State) SilenceTimeout() time.Duration {
-	return time.Duration(tuning.SilentHeartbeats * float64(cs.Settings.HeartbeatInterval()))
+	return time.Duration(tuning.UnschedulableHeartbeats * float64(cs.Settings.HeartbeatInterval()))
 }
 
 // MaxGroupBytes returns the maximum size of a group of machine records, in bytes of JSON. The
--- a/internal/cluster/writes.go
+++ b/internal/cluster/writes.go
@@ -13,9 +13,9 @@
 // After a conflict or an unknown outcome it waits for a read barrier, so that the next
 // decision starts from what is stored now. It takes the lock.
 func (cs *State) StoreDecision(ctx context.Context, compares []wire.Compare, operations []wire.Operation) error {
-	ctx, cancel := context.WithTimeout(ctx, tuning.DecisionWait)
+	ctx, cancel := context.WithTimeout(ctx, tuning.DurableWriteTimeout)
 	defer cancel()
-	revision, err := cs.Store.CompareAndSwap(ctx, store.ClassRecords, compares, operations)
+	revision, err := cs.Store.CompareAndSwap(ctx, store.ClassMachineRecords, compares, operations)
 	if err != nil {
 		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
 			// A failed barrier needs no handling: the next compare-and-swap then fails
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -110,7 +110,7 @@
 // It is the sum of the election, the time in which machines have to send heartbeats, and the time
 // without pending starts that ends recovery. If starts are pending, a lease replaces the last part.
 func (sim *simulation) recoveryBound(startsPending bool) time.Duration {
-	bound := time.Duration(tuning.RecoveryHeartbeats*float64(3*time.Second)) + 8*time.Second
+	bound := time.Duration(tuning.RecoveryMachineHeartbeats*float64(3*time.Second)) + 8*time.Second
 	if startsPending {
 		return bound + leaseDuration
 	}
