--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -164,7 +164,7 @@
 	env.store.ValueLimit, env.store.OpsLimit = 2048, 4
 	machines := 96
 	for step := range 8 {
-		env = env.restartAll("a") // ends the process that made the last split
+		env = env.restartAll("a") // each split is made by a newly started controller
 		controller := env.controllers["a"]
 		controller.Limits.ValueKB, controller.Limits.TxnOps = 2, 4
 		if len(controller.Inventory.Machines) != machines {
--- a/internal/controller/intake_test.go
+++ b/internal/controller/intake_test.go
@@ -183,7 +183,8 @@
 	}
 }
 
-// A submission is refused with 429 at once while the intake queue is full. Polls are still answered.
+// While all submission slots are in use, submissions get 429 at once, and reads of jobs are still
+// answered.
 func TestAFullIntakeQueueRefusesAtOnce(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -11,7 +11,7 @@
 	"wheatspur/internal/tuning"
 )
 
-// ErrWritesInFlight is returned by Drain if writes were still in flight when its context ended.
+// ErrWritesInFlight is returned by Drain if operations were still in flight when its context ended.
 var ErrWritesInFlight = errors.New("writes still in flight")
 
 // Drain shuts the controller down gracefully: it rejects new requests, waits for operations in
--- a/internal/controller/worker_leases_test.go
+++ b/internal/controller/worker_leases_test.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// A controller that has missed a membership does not know who owned its machines under it. It must
-// not rely on their acknowledged tokens any more.
+// A controller that has missed a membership does not know who owned its machines in that membership.
+// It must not rely on their acknowledged tokens any more.
 func TestAMissedMembershipVoidsAcknowledgedTokens(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
