--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -150,8 +150,8 @@
 	switch status.State {
 	case wire.TaskRunning:
 		if changed {
-			// The image is recorded once per start. Recording it with every heartbeat changed
-			// the order of use each time, so that siblings were always sent every machine.
+			// The image is recorded once per start. Recording it with every heartbeat would
+			// reorder the images each time, and siblings would be sent every machine's status.
 			spec := job.Record.Spec
 			wm.imageSizes[spec.Image] = spec.ImageGB
 			w.RecordImage(spec.Image, wm.imageSize, wm.MachineTypes[w.MachineType].LocalGB)
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -202,7 +202,7 @@
 // not changed. The lock is held.
 func (mi *MachineIndex) rebuild() {
 	if mi.Fleet != nil {
-		mi.Fleet.Rollback() // reused machines still hold the placements of the last pass
+		mi.Fleet.Rollback() // undoes the last pass's placements, which reused machines still hold
 	}
 	previous := mi.machines
 	mi.machines = make(map[string]*indexedMachine, len(mi.Inventory.Machines))
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -221,8 +221,9 @@
 	return false
 }
 
-// LastHeardByOwners returns how long ago the owner of each machine last heard it. Machines
-// that siblings report as silent are omitted: OnSilent was called for these. The lock is held.
+// LastHeardByOwners returns how long ago each machine was last heard by this controller, or
+// confirmed as not silent by a sibling that owns it, whichever was later. A sibling's report of
+// a silent machine does not count: OnSilent was called for it. The lock is held.
 func (px *PeerExchange) LastHeardByOwners(now time.Time) map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	for machine, w := range px.workers.ByMachine {
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// caughtUp reports whether recovery has no more starts to wait for. Either no start has been
-// due for a while, or the remaining ones could not be sent for as long as a worker's lease, so
-// that the rate limit is not what delays them. The lock is held.
+// caughtUp reports whether recovery can end: no start has been due for a while, or the phase
+// CatchingUp has lasted longer than a worker's lease. In the latter case, the rate limit is not
+// what delays the remaining starts. The lock is held.
 func (rt *RecoveryTracker) caughtUp(now time.Time) bool {
 	timedOut := rt.Progress.Phase == recovery.CatchingUp && now.Sub(rt.Progress.Since) > rt.Settings.WorkerLease()
 	return timedOut || rt.Progress.NoStartsPendingFor(now, rt.heartbeatIntervals(tuning.RecoveryQuietHeartbeats))
