--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -12,10 +12,10 @@
 type MachineStatus struct {
 	Name              string
 	Incarnation       uint64        // incarnation of its worker
-	SilentFor         time.Duration // time since its last message; valid only if Silent is set
+	SilentFor         time.Duration // time from its last message until the sender last recorded a change; valid only if Silent is set
 	Silent            bool          // sent no message for longer than the heartbeat interval allows
 	TokenAcknowledged bool          // the worker has acknowledged the current fencing token in this incarnation
-	TerminationNotice time.Duration // time until the cloud terminates the machine; negative if there is no notice
+	TerminationNotice time.Duration // 0 if the cloud has announced the machine's termination; negative if not
 	Quarantined       bool
 	Images            []string
 }
@@ -26,14 +26,15 @@
 	Incarnation     uint64
 	FencingToken    uint64
 	Revision        uint64          // revision of its cache of the key-value store
-	HasStore        bool            // has recently read the key-value store
+	HasStore        bool            // has recently read the key-value store, and its cache of it is consistent
 	QueuedWrites    uint32          // writes that wait for its share of the store's write rate
 	MachinesVersion uint64          // Number of the sender's MachinesVersion
 	AllMachines     bool            // Machines holds all machines, not only the changed ones
 	KnownMachines   MachinesVersion // version of the receiver's machines that the sender knows
 	Machines        []MachineStatus
 	// LastCancellation is the version of the last cancellation that the sender knows. It is
-	// valid only if ReportsCancellations is set: earlier releases do not report it.
+	// valid only if ReportsCancellations is set: it is not set while the sender's cache is
+	// inconsistent, nor by earlier releases.
 	ReportsCancellations bool
 	LastCancellation     uint64
 	// Recovering reports that the sender does not know the state of all its machines yet.
