--- a/internal/fake/usage_checker.go
+++ b/internal/fake/usage_checker.go
@@ -35,7 +35,7 @@
 	claimedGPUSeconds map[string]float64     // GPU seconds claimed until lastClaimChange, by team
 	unclaimedSince    map[string][]time.Time // release times of GPUs not claimed again, oldest first, by team
 	reuseDelay        *hdrhistogram.Histogram
-	lastAtLimit       map[string]time.Time // last change that left claims at or above the limit, by team
+	lastAtLimit       map[string]time.Time // last write to the team's chunks after which its claims were at or above its limit
 }
 
 // Range in milliseconds and significant digits of the histogram of reuse delays: the time from
@@ -177,7 +177,9 @@
 	u.violations = append(u.violations, fmt.Sprintf(format, args...))
 }
 
-// AllAtLimitSince reports whether every team has reached its limit, in claims, after a time.
+// AllAtLimitSince reports whether, for each team, a write to its chunks after a time has left its
+// claims at or above its limit. A team that has been at its limit since before, without such a
+// write, does not count.
 func (u *UsageChecker) AllAtLimitSince(since time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
