--- a/internal/testcluster/controller.go
+++ b/internal/testcluster/controller.go
@@ -73,7 +73,7 @@
 	p.command, p.stdin, p.exited = command, stdin, exited
 	go func() {
 		defer close(exited)
-		_ = command.Wait() // reap reads the exit code from the process state
+		_ = command.Wait() // the error is ignored: reap reads the exit code from ProcessState
 	}()
 	return nil
 }
--- a/internal/testcluster/graceful_stop_test.go
+++ b/internal/testcluster/graceful_stop_test.go
@@ -41,7 +41,7 @@
 }
 
 // awaitRemoval waits until the membership that one controller reports no longer includes another, and
-// returns the time since the given one.
+// returns the time from since until then.
 func (l *quotaLoad) awaitRemoval(observer, removed int, since time.Time) time.Duration {
 	l.t.Helper()
 	eventually(l.t, "membership without "+l.Label(removed), time.Until(since.Add(30*time.Second)), 10*time.Millisecond, func() bool {
--- a/internal/testcluster/load_test.go
+++ b/internal/testcluster/load_test.go
@@ -139,7 +139,7 @@
 	l.acceptedAt[jobID] = time.Now()
 }
 
-// hasEnoughWaiting reports whether enough jobs of a team are waiting for now.
+// hasEnoughWaiting reports whether enough jobs of a team are waiting.
 func (l *quotaLoad) hasEnoughWaiting(team string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
