--- a/internal/testrunner/evaluate.go
+++ b/internal/testrunner/evaluate.go
@@ -7,8 +7,8 @@
 )
 
 // evaluate reports whether every test passed except the known failures, and prints each failure.
-// goTestFailed tells whether go test itself failed; a failure that no failed test or package explains
-// fails the run.
+// goTestFailed tells whether go test itself failed. If go test failed although no test or package did,
+// the run fails too.
 func evaluate(results testResults, known []knownFailure, goTestFailed bool, w io.Writer) bool {
 	expected, ok := checkKnownFailures(results, known, w)
 	failures := results.failures()
@@ -74,7 +74,7 @@
 			return false
 		}
 	}
-	return failedChildren > 0 // without a failed child, the failure is its own
+	return failedChildren > 0 // a test or package without a failed child failed by itself
 }
 
 // isWithinExpected reports whether a parent of a subtest is expected to fail.
--- a/internal/testrunner/main.go
+++ b/internal/testrunner/main.go
@@ -16,7 +16,7 @@
 // Exit codes.
 const (
 	exitTestsFailed = 1
-	exitError       = 2 // invalid list of known failures, or go test not run or not readable
+	exitError       = 2 // the list of known failures is unreadable or invalid, or go test could not be run or its output not read
 )
 
 func main() {
