--- a/internal/observability/descriptors.go
+++ b/internal/observability/descriptors.go
@@ -15,8 +15,9 @@
 	// base decisions on. The controller then makes no new decisions and forwards users'
 	// requests to its siblings.
 	descStoreReadRecently = newDesc("state_service", "1 if the state service was read lately.")
-	// descOpenJobs is the number of jobs whose tasks may start. It does not include the jobs
-	// with unfinished dependencies, which descWaitingJobs counts.
+	// descOpenJobs is the number of jobs that have not ended and whose dependencies, if any, are
+	// all done. Despite its help text it does not include the jobs with unfinished dependencies,
+	// which descWaitingJobs counts.
 	descOpenJobs    = newDesc("jobs_open", "Jobs that are not over.")
 	descWaitingJobs = newDesc("jobs_awaiting", "Jobs that wait for others.")
 	// descBuildInfo is always 1. The version of the program is in its label.
@@ -32,7 +33,11 @@
 	// "ordinary" (on-demand).
 	descMachines = newDesc("machines", "Machines by type, kind, role and phase.", "type", "kind", "role", "phase")
 	// descRoleLoad and descEvidenceOpen show the leader's last decision on how the machines of
-	// a type are split between the roles. Only the leader has them.
+	// a type are split between the roles. Only the leader has them. The evidence window opens
+	// when the leader begins to observe a type, and again with each move to the service role. It
+	// closes once enough service jobs have arrived, but not before a minimum time, or when a
+	// maximum time has passed. While it is open, a machine moves to the batch role only if that
+	// role is below its floor.
 	descRoleLoad     = newDesc("split_load", "Load of a role, as the leader last priced it.", "type", "role")
 	descEvidenceOpen = newDesc("split_evidence_open", "1 while the evidence window is open.", "type")
 
