--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -6,10 +6,10 @@
 
 // Events are the messages of log lines. Each states what has happened.
 const (
-	EventClaimsNotAdmitted          = "claims not admitted"
+	EventClaimsNotAdmitted          = "claims not admitted" // planned claims, for which the controller's share is too small or not usable now
 	EventCompareAndSwapFailed       = "compare-and-swap failed"
 	EventCompareAndSwapMalformed    = "compare-and-swap refused as malformed"
-	EventDaemonStateChanged         = "daemon state changed"
+	EventDaemonStateChanged         = "daemon state changed" // the life cycle of this process
 	EventDirectCommandFailed        = "direct command failed"
 	EventDrainFinished              = "drain finished"
 	EventForwardingFailed           = "request forwarding failed"
@@ -21,7 +21,7 @@
 	EventMachineListNotRead         = "machine list not read"
 	EventMachineRecordsNotStored    = "machine records not stored"
 	EventMachineRegistered          = "machine registered"
-	EventMachineRoleChanged         = "machine role changed"
+	EventMachineRoleChanged         = "machine role changed" // logged when the change is planned, before the write
 	EventMachineTypesNotRead        = "machine types not read"
 	EventMachinesTerminated         = "machines terminated"
 	EventManagerNotNotified         = "service manager notification failed"
@@ -31,11 +31,11 @@
 	EventMetricsNotWritten          = "metrics not written"
 	EventNoProgress                 = "no progress"
 	EventPendingStartFenced         = "pending start fenced"
-	EventReachabilityChanged        = "worker reachability changed"
+	EventReachabilityChanged        = "worker reachability changed" // whether workers reach this controller
 	EventRecordUnreadable           = "stored record not readable"
 	EventRecoveryPhaseChanged       = "recovery phase changed"
 	EventReloadFailed               = "settings reload failed"
-	EventReservationsChanged        = "quota reservations changed"
+	EventReservationsChanged        = "quota reservations changed" // logged when the change is planned, before the write
 	EventResponsivenessChanged      = "machine responsiveness changed"
 	EventRoleSplitEvaluated         = "role split evaluated"
 	EventScaleOut                   = "scale out"
@@ -51,7 +51,7 @@
 	EventStoreWatchFailed           = "store watch failed"
 	EventTaskClaimed                = "task claimed"
 	EventTaskPreempted              = "task preempted"
-	EventTaskReleased               = "task released"
+	EventTaskReleased               = "task released" // also for completed tasks, with the outcome as KeyOutcome
 	EventTaskStateChanged           = "task state changed"
 	EventTerminationFailed          = "machine termination failed"
 	EventWatchdogIntervalUnreadable = "watchdog interval not readable"
