--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -75,9 +75,9 @@
 		api:        api.New(state, machines.Peers),
 		observer:   observability.New(state, machines, jobScheduler, leaderLoop),
 	}
-	machines.Peers.OnSilent = leaderLoop.RecordLastHeard
+	machines.Peers.OnMachineSilent = leaderLoop.RecordLastHeard
 	state.Inventory.OnChange = machines.MachineIndex.MarkRecordChanged
-	state.Table.OnMachineChange = machines.MarkChanged
+	state.Table.OnMachineChange = machines.MarkClaimsChanged
 	state.OpenCache(c.applyOrLog)
 	return c
 }
--- a/internal/controller/index_test.go
+++ b/internal/controller/index_test.go
@@ -126,9 +126,9 @@
 		now := controller.Now()
 		before := describeFleet(controller.MachineIndex.RefreshMachines(now))
 		out := placement.Schedule(controller.scheduler.PlacementInput(controller.MachineIndex.RefreshMachines(now), now))
-		during := describeFleet(controller.MachineIndex.Fleet)
+		during := describeFleet(controller.MachineIndex.PlacementFleet)
 		after := describeFleet(controller.MachineIndex.RefreshMachines(now))
-		placement.Schedule(controller.scheduler.PlacementInput(controller.MachineIndex.Fleet, now))
+		placement.Schedule(controller.scheduler.PlacementInput(controller.MachineIndex.PlacementFleet, now))
 		controller.MachineIndex.Rebuild = true // as after a machine has joined
 		rebuilt := describeFleet(controller.MachineIndex.RefreshMachines(now))
 		controller.Unlock()
--- a/internal/controller/membershipchange.go
+++ b/internal/controller/membershipchange.go
@@ -24,7 +24,7 @@
 	clear(c.Peers.PublishedMachines)
 	c.Workers.ApplyMembership(previous)
 	c.MachineIndex.Reset()
-	c.Peers.UpdateBudgetShare()
+	c.Peers.UpdateStoreBudgetShare()
 	c.Log.Info(logging.EventMembershipChanged, logging.KeyToken, record.FencingToken, logging.KeyLeader, record.Leader.Label, logging.KeyMembers, len(record.Nodes))
 	return nil
 }
--- a/internal/controller/write_budget_test.go
+++ b/internal/controller/write_budget_test.go
@@ -48,7 +48,7 @@
 	controller.Limits.WriteRPS = 2.5 / tuning.BudgetShare
 	controller.Limiter = store.NewLimiter(1000, 2.5, 64, env.clock.now)
 	controller.Lock()
-	controller.Peers.UpdateBudgetShare()
+	controller.Peers.UpdateStoreBudgetShare()
 	controller.Unlock()
 	writes := map[string]int{}
 	for range jobsEach {
--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -4,13 +4,13 @@
 
 import "wheatspur/internal/tuning"
 
-// UpdateBudgetShare sets this controller's share of the store's budget. The request rate is
+// UpdateStoreBudgetShare sets this controller's share of the store's budget. The request rate is
 // divided equally between the members. The write rate is divided into equal parts, of which
 // the leader gets two because it also stores machines, roles and quota. While the queued
 // writes of all members are known, only half of the write rate is divided this way, and the
 // other half in proportion to the queued writes. Equal parts alone would leave most of the
 // budget idle at controllers that have little to store. The lock is held.
-func (px *PeerExchange) UpdateBudgetShare() {
+func (px *PeerExchange) UpdateStoreBudgetShare() {
 	members := float64(max(1, len(px.Membership.Nodes)))
 	share := 1 / (members + 1)
 	if px.Membership.Leader == px.Self {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,9 +29,9 @@
 	return &Fleet{Workers: workers, Peers: peers, MachineIndex: index, Recovery: tracker}
 }
 
-// MarkChanged records that the claims on a machine, or the jobs of these claims, have changed.
-// The lock is held.
-func (f *Fleet) MarkChanged(machine string) {
+// MarkClaimsChanged records that the claims on a machine, or the jobs of these claims, have
+// changed. The lock is held.
+func (f *Fleet) MarkClaimsChanged(machine string) {
 	f.MachineIndex.MarkChanged(machine)
 	if w := f.Workers.ByMachine[machine]; w != nil {
 		w.MarkChanged()
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -22,16 +22,16 @@
 	workers *WorkerManager
 	peers   *PeerExchange
 
-	Fleet                *placement.Fleet           // nil until the first refresh
-	ordered              []*indexedMachine          // in the order of Fleet.Machines
+	PlacementFleet       *placement.Fleet           // nil until the first refresh
+	ordered              []*indexedMachine          // in the order of PlacementFleet.Machines
 	machines             map[string]*indexedMachine // by name
-	Rebuild              bool                       // Fleet does not match the stored machines
+	Rebuild              bool                       // PlacementFleet does not match the stored machines
 	changedRecords       map[string]bool            // machines whose stored records have changed
 	Changed              map[string]bool            // machines whose claims, worker or status from their owner has changed
 	pendingScan          map[string]bool            // machines of this controller that the next pass scans
 	fullScanAt           time.Time                  // when a pass last scanned all workers
 	schedulableCheckedAt time.Time                  // when updateSchedulable was last applied to all machines
-	Terminated           map[string]bool            // machines that are stored as terminated
+	TerminatedMachines   map[string]bool            // machines that are stored as terminated
 	unpublished          map[string]bool            // machines whose status may differ from the one that siblings were sent
 	fullPublishAt        time.Time                  // when the status of all machines was last compared with the one that siblings were sent
 
@@ -56,17 +56,17 @@
 // clear empties the index and keeps its links to the other components.
 func (mi *MachineIndex) clear() {
 	*mi = MachineIndex{
-		State:          mi.State,
-		workers:        mi.workers,
-		peers:          mi.peers,
-		machines:       map[string]*indexedMachine{},
-		changedRecords: map[string]bool{},
-		Changed:        map[string]bool{},
-		pendingScan:    map[string]bool{},
-		Terminated:     map[string]bool{},
-		unpublished:    map[string]bool{},
-		claims:         map[string]machineClaims{},
-		claimedTotals:  quota.ClaimedByController{},
+		State:              mi.State,
+		workers:            mi.workers,
+		peers:              mi.peers,
+		machines:           map[string]*indexedMachine{},
+		changedRecords:     map[string]bool{},
+		Changed:            map[string]bool{},
+		pendingScan:        map[string]bool{},
+		TerminatedMachines: map[string]bool{},
+		unpublished:        map[string]bool{},
+		claims:             map[string]machineClaims{},
+		claimedTotals:      quota.ClaimedByController{},
 	}
 }
 
@@ -125,7 +125,7 @@
 // an earlier pass. The lock is held, and the result is valid only while it is.
 func (mi *MachineIndex) RefreshMachines(now time.Time) *placement.Fleet {
 	mi.ApplyRecordChanges()
-	if mi.Fleet == nil || mi.Rebuild {
+	if mi.PlacementFleet == nil || mi.Rebuild {
 		mi.rebuild()
 	}
 	machines := mi.applyChangedMachines()
@@ -133,8 +133,8 @@
 		machines = mi.ordered
 	}
 	mi.updateSchedulable(machines, now)
-	mi.Fleet.Rollback()
-	return mi.Fleet
+	mi.PlacementFleet.Rollback()
+	return mi.PlacementFleet
 }
 
 // updateSchedulable determines which of the machines accept new tasks. The lock is held.
@@ -173,9 +173,9 @@
 			mi.Rebuild = true
 		}
 		if stored && record.Phase == inventory.Terminated {
-			mi.Terminated[machine] = true
+			mi.TerminatedMachines[machine] = true
 		} else {
-			delete(mi.Terminated, machine)
+			delete(mi.TerminatedMachines, machine)
 		}
 		mi.MarkChanged(machine)
 	}
@@ -198,11 +198,11 @@
 	}
 }
 
-// rebuild builds Fleet from the stored machines, and reuses the entries of machines that have
+// rebuild builds PlacementFleet from the stored machines, and reuses the entries of machines that have
 // not changed. The lock is held.
 func (mi *MachineIndex) rebuild() {
-	if mi.Fleet != nil {
-		mi.Fleet.Rollback() // reused machines still hold the placements of the last pass
+	if mi.PlacementFleet != nil {
+		mi.PlacementFleet.Rollback() // reused machines still hold the placements of the last pass
 	}
 	previous := mi.machines
 	mi.machines = make(map[string]*indexedMachine, len(mi.Inventory.Machines))
@@ -216,9 +216,9 @@
 		mi.machines[machine] = indexed
 		machines = append(machines, indexed.Machine)
 	}
-	mi.Fleet = placement.NewFleet(machines)
+	mi.PlacementFleet = placement.NewFleet(machines)
 	mi.ordered = mi.ordered[:0]
-	for _, m := range mi.Fleet.Machines {
+	for _, m := range mi.PlacementFleet.Machines {
 		mi.ordered = append(mi.ordered, mi.machines[m.Name])
 	}
 	mi.Rebuild = false
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -43,10 +43,10 @@
 	PublishedMachines map[string]*publishedMachine // what siblings are sent about this controller's machines, by name
 	publishedVersion  uint64                       // incremented with every change of PublishedMachines
 	PublishedAt       time.Time                    // when PublishedMachines was last updated
-	// OnSilent is called with the lock held when the owner of a machine reports that the
+	// OnMachineSilent is called with the lock held when the owner of a machine reports that the
 	// machine is silent and was last heard at heardAt. It is set when the controller is built.
-	OnSilent      func(machine string, heardAt time.Time)
-	attestedUntil time.Time // all siblings attest that every cancellation up to this time is known here
+	OnMachineSilent func(machine string, heardAt time.Time)
+	attestedUntil   time.Time // all siblings attest that every cancellation up to this time is known here
 }
 
 func newPeerExchange(state *cluster.State) *PeerExchange {
@@ -158,7 +158,7 @@
 		px.machineIndex.MarkChanged(machine.Name)
 		s.Machines[machine.Name] = machine
 		if machine.Silent {
-			px.OnSilent(machine.Name, now.Add(-machine.SilentFor))
+			px.OnMachineSilent(machine.Name, now.Add(-machine.SilentFor))
 		}
 	}
 	s.MachinesVersion, s.machinesConfirmedAt = version, now
@@ -221,9 +221,10 @@
 	return false
 }
 
-// LastHeardByOwners returns how long ago the owner of each machine last heard it. Machines
-// that siblings report as silent are omitted: OnSilent was called for these. The lock is held.
-func (px *PeerExchange) LastHeardByOwners(now time.Time) map[string]time.Duration {
+// TimeSinceHeard returns how long ago the owner of each machine last heard it. Machines
+// that siblings report as silent are omitted: OnMachineSilent was called for these. The lock is
+// held.
+func (px *PeerExchange) TimeSinceHeard(now time.Time) map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	for machine, w := range px.workers.ByMachine {
 		if !w.LastHeard.IsZero() {
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -133,11 +133,11 @@
 	return rt.pacer.Admit(class, rt.Now())
 }
 
-// MachinesUnknown reports whether decisions that require the state of all machines have to
+// MustAwaitMachines reports whether decisions that require the state of all machines have to
 // wait, because this controller or another member does not know its machines yet. Otherwise
 // work would be preempted or moved, and machines would be added, only because free machines
 // have not sent a heartbeat yet. The lock is held.
-func (rt *RecoveryTracker) MachinesUnknown() bool {
+func (rt *RecoveryTracker) MustAwaitMachines() bool {
 	if !rt.Settings.Operator.RecoveryHold {
 		return false
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -87,7 +87,7 @@
 func (ld *Loop) makePlan(run *planRun) (next plan, ok bool) {
 	ld.Lock()
 	defer ld.Unlock()
-	if !ld.IsLeader() || !ld.StoreReadRecently() || len(ld.MachineTypeList) == 0 || ld.Recovery.MachinesUnknown() {
+	if !ld.IsLeader() || !ld.StoreReadRecently() || len(ld.MachineTypeList) == 0 || ld.Recovery.MustAwaitMachines() {
 		return plan{}, false
 	}
 	state, now := ld.CurrentTerm(), ld.Now()
--- a/internal/leader/planinput.go
+++ b/internal/leader/planinput.go
@@ -52,7 +52,7 @@
 		state:        state,
 		now:          now,
 		lease:        time.Duration(float64(ld.Settings.WorkerLease())*tuning.DriftFactor) + tuning.LeaseMargin,
-		sinceHeard:   ld.Peers.LastHeardByOwners(now),
+		sinceHeard:   ld.Peers.TimeSinceHeard(now),
 		movable:      movableServiceMachines(machines),
 		batchClasses: map[string]*batchClassLoad{},
 		input: autoscale.Input{
--- a/internal/observability/recoverystatus.go
+++ b/internal/observability/recoverystatus.go
@@ -16,7 +16,7 @@
 	fmt.Fprintf(page, "recovery %q for %.0f s machines unknown %d reported %d reconciled %d missing %d starts_left services %d arrays %d hold %v\n",
 		progress.Phase, ob.Now().Sub(progress.Since).Seconds(), progress.Machines[recovery.Unknown], progress.Machines[recovery.HeartbeatReceived],
 		progress.Machines[recovery.Reconciled], progress.Machines[recovery.Missing], progress.PendingStarts[recovery.ServiceStart],
-		progress.PendingStarts[recovery.ArrayStart], ob.Recovery.MachinesUnknown())
+		progress.PendingStarts[recovery.ArrayStart], ob.Recovery.MustAwaitMachines())
 }
 
 // collectRecovery emits the metrics of this controller's recovery. The lock is held.
--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -120,7 +120,7 @@
 // that ranks first for the job does, in one write for the machines of all shard owners.
 func (sc *Scheduler) addReleasesOnTerminatedMachines(changes chunkChanges) {
 	ranksFirst := map[string]bool{} // by job; cached, since ranking the members is expensive
-	for machine := range sc.MachineIndex.Terminated {
+	for machine := range sc.MachineIndex.TerminatedMachines {
 		for id := range sc.Table.ClaimsByMachine[machine] {
 			first, known := ranksFirst[id.Job]
 			if !known {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -104,7 +104,7 @@
 	input := sc.PlacementInput(machines, now)
 	output := placement.Schedule(input)
 	sc.recordUnplaced(output, now)
-	if !sc.Recovery.MachinesUnknown() {
+	if !sc.Recovery.MustAwaitMachines() {
 		sc.preempt(output.Preemptions, now)
 		if fullScan {
 			sc.evictMisplacedServices(machines)
@@ -115,7 +115,7 @@
 	writes = append(writes, sc.planReservations(output.GuaranteeShortfall, now, &budget)...)
 	writes = sc.planFinishedJobs(writes, &budget)
 	sc.updateQueuedWrites(len(due) + countJobs(output.Claims) - len(writes))
-	sc.Peers.UpdateBudgetShare()
+	sc.Peers.UpdateStoreBudgetShare()
 	sc.Workers.CommandWorkers(workers, now)
 	sc.MachineIndex.RemoveQuiescent()
 	return writes
