--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -144,7 +144,7 @@
 // machines. Changes since a version of another membership or incarnation can't be applied to
 // the known machines and are ignored. The lock is held.
 func (px *PeerExchange) applyPeerMachines(s *Sibling, status *peer.Status, now time.Time) {
-	version := peer.MachinesVersion{Number: status.MachinesVersion, FencingToken: status.FencingToken, Incarnation: status.Incarnation}
+	version := peer.MachinesVersion{Number: status.MachinesVersionNumber, FencingToken: status.FencingToken, Incarnation: status.Incarnation}
 	if !status.AllMachines && (version.FencingToken != s.MachinesVersion.FencingToken || version.Incarnation != s.MachinesVersion.Incarnation) {
 		return
 	}
--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -27,7 +27,7 @@
 // version that a sibling knows. The lock is held.
 func (px *PeerExchange) OwnStatus(known peer.MachinesVersion) peer.Status {
 	status := px.ownSummary()
-	status.AllMachines = known.FencingToken != status.FencingToken || known.Incarnation != status.Incarnation || known.Number > status.MachinesVersion
+	status.AllMachines = known.FencingToken != status.FencingToken || known.Incarnation != status.Incarnation || known.Number > status.MachinesVersionNumber
 	if px.IsMember() {
 		for _, published := range px.PublishedMachines {
 			if status.AllMachines || published.version > known.Number {
@@ -57,7 +57,7 @@
 	status.Recovering = px.recovery.Progress.MachinesUnknown()
 	status.ReportsCancellations, status.LastCancellation = px.Cache.Consistent(), px.LastCancellation
 	status.QueuedWrites = uint32(math.Ceil(px.QueuedWrites))
-	status.MachinesVersion = px.publishedVersion
+	status.MachinesVersionNumber = px.publishedVersion
 	return status
 }
 
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -12,7 +12,7 @@
 
 // The encoding of the messages must not change: controllers of two versions run side by side.
 func TestGoldenMessages(t *testing.T) {
-	status := Status{Label: "node-1", Incarnation: 91, FencingToken: 92, Revision: 93, HasStore: true, QueuedWrites: 94, MachinesVersion: 95, AllMachines: true,
+	status := Status{Label: "node-1", Incarnation: 91, FencingToken: 92, Revision: 93, HasStore: true, QueuedWrites: 94, MachinesVersionNumber: 95, AllMachines: true,
 		KnownMachines: MachinesVersion{Number: 96, FencingToken: 97, Incarnation: 98}, ReportsCancellations: true, LastCancellation: 99,
 		Machines: []MachineStatus{{Name: "host-1", Incarnation: 101, SilentFor: 1500 * time.Millisecond, Silent: true, TokenAcknowledged: true,
 			TerminationNotice: 8 * time.Second, Quarantined: true, Images: []string{"img-07", "img-08"}}}, Recovering: true}
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -22,16 +22,16 @@
 
 // Status is what a controller reports about itself and its machines.
 type Status struct {
-	Label           string
-	Incarnation     uint64
-	FencingToken    uint64
-	Revision        uint64          // revision of its cache of the key-value store
-	HasStore        bool            // has recently read the key-value store
-	QueuedWrites    uint32          // writes that wait for its share of the store's write rate
-	MachinesVersion uint64          // Number of the sender's MachinesVersion
-	AllMachines     bool            // Machines holds all machines, not only the changed ones
-	KnownMachines   MachinesVersion // version of the receiver's machines that the sender knows
-	Machines        []MachineStatus
+	Label                 string
+	Incarnation           uint64
+	FencingToken          uint64
+	Revision              uint64          // revision of its cache of the key-value store
+	HasStore              bool            // has recently read the key-value store
+	QueuedWrites          uint32          // writes that wait for its share of the store's write rate
+	MachinesVersionNumber uint64          // Number of the sender's MachinesVersion
+	AllMachines           bool            // Machines holds all machines, not only the changed ones
+	KnownMachines         MachinesVersion // version of the receiver's machines that the sender knows
+	Machines              []MachineStatus
 	// LastCancellation is the version of the last cancellation that the sender knows. It is
 	// valid only if ReportsCancellations is set: earlier releases do not report it.
 	ReportsCancellations bool
@@ -63,7 +63,7 @@
 	fb.StatusAddEpoch(b, s.Revision)
 	fb.StatusAddHasState(b, s.HasStore)
 	fb.StatusAddWant(b, s.QueuedWrites)
-	fb.StatusAddView(b, s.MachinesVersion)
+	fb.StatusAddView(b, s.MachinesVersionNumber)
 	fb.StatusAddWhole(b, s.AllMachines)
 	fb.StatusAddSeen(b, s.KnownMachines.Number)
 	fb.StatusAddSeenBaton(b, s.KnownMachines.FencingToken)
@@ -103,18 +103,18 @@
 	}
 	table := fb.GetRootAsStatus(message, 0)
 	s = Status{
-		Label:                string(table.Label()),
-		Incarnation:          table.Incarnation(),
-		FencingToken:         table.Baton(),
-		Revision:             table.Epoch(),
-		HasStore:             table.HasState(),
-		QueuedWrites:         table.Want(),
-		MachinesVersion:      table.View(),
-		AllMachines:          table.Whole(),
-		KnownMachines:        MachinesVersion{Number: table.Seen(), FencingToken: table.SeenBaton(), Incarnation: table.SeenIncarnation()},
-		ReportsCancellations: table.Counts(),
-		LastCancellation:     table.Cancelled(),
-		Recovering:           table.Recovering(),
+		Label:                 string(table.Label()),
+		Incarnation:           table.Incarnation(),
+		FencingToken:          table.Baton(),
+		Revision:              table.Epoch(),
+		HasStore:              table.HasState(),
+		QueuedWrites:          table.Want(),
+		MachinesVersionNumber: table.View(),
+		AllMachines:           table.Whole(),
+		KnownMachines:         MachinesVersion{Number: table.Seen(), FencingToken: table.SeenBaton(), Incarnation: table.SeenIncarnation()},
+		ReportsCancellations:  table.Counts(),
+		LastCancellation:      table.Cancelled(),
+		Recovering:            table.Recovering(),
 	}
 	if err := checkVectorLength(table.HostsLength(), message); err != nil {
 		return Status{}, err
--- a/internal/peer/status_test.go
+++ b/internal/peer/status_test.go
@@ -10,7 +10,7 @@
 )
 
 func sampleStatus() Status {
-	return Status{Label: "n1", Incarnation: 7, FencingToken: 9, Revision: 100, HasStore: true, QueuedWrites: 5, MachinesVersion: 12, AllMachines: true, KnownMachines: MachinesVersion{3, 9, 6}, Machines: []MachineStatus{
+	return Status{Label: "n1", Incarnation: 7, FencingToken: 9, Revision: 100, HasStore: true, QueuedWrites: 5, MachinesVersionNumber: 12, AllMachines: true, KnownMachines: MachinesVersion{3, 9, 6}, Machines: []MachineStatus{
 		{Name: "host-1", Incarnation: 2, SilentFor: 1500 * time.Millisecond, TokenAcknowledged: true, TerminationNotice: -1, Images: []string{"a", "b"}},
 		{Name: "host-2", Incarnation: 1, SilentFor: -1, Silent: true, TerminationNotice: 8 * time.Second, Quarantined: true},
 	}}
