--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// rebuild builds PlacementFleet from the stored machines, and reuses the entries of machines that have
-// not changed. The lock is held.
+// rebuild builds PlacementFleet from the stored machines, and reuses the entries of machines
+// that have not changed. The lock is held.
 func (mi *MachineIndex) rebuild() {
 	if mi.PlacementFleet != nil {
 		mi.PlacementFleet.Rollback() // reused machines still hold the placements of the last pass
