--- a/internal/daemon/systemd.go
+++ b/internal/daemon/systemd.go
@@ -19,7 +19,7 @@
 // Notify sends a state to the manager.
 func (m SystemdManager) Notify(state string) {
 	if _, err := sd.SdNotify(false, state); err != nil {
-		m.Log.Warn(logging.EventManagerNotNotified, logging.KeyError, err)
+		m.Log.Warn(logging.EventServiceManagerNotNotified, logging.KeyError, err)
 	}
 }
 
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -91,7 +91,7 @@
 	if write.changesReachability {
 		// Logged only after the write, because a controller that is cut off from the store
 		// retries it many times.
-		el.Log.Info(logging.EventReachabilityChanged, logging.KeyUnreachable, write.operation.Put != "")
+		el.Log.Info(logging.EventControllerReachabilityChanged, logging.KeyUnreachable, write.operation.Put != "")
 	}
 	el.applyMembershipWrite(write, revision, self)
 	return nil
--- a/internal/election/session.go
+++ b/internal/election/session.go
@@ -60,7 +60,7 @@
 func (el *Election) OpenSession(ctx context.Context) {
 	leaseID, err := el.Store.GrantLease(ctx, tuning.SessionTTL)
 	if err != nil {
-		el.Log.Info(logging.EventLeaseNotGranted, logging.KeyError, err)
+		el.Log.Info(logging.EventSessionLeaseNotGranted, logging.KeyError, err)
 		timing.Sleep(ctx, tuning.RetryPause)
 		return
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -98,7 +98,7 @@
 	}
 	admission, err := ledger.Admit(sc.QuotaView(), amount, onOtherShards)
 	if err != nil {
-		sc.Log.Debug(logging.EventClaimsNotAdmitted, logging.KeyTeam, team, logging.KeyJobs, write.subjects, logging.KeyError, err)
+		sc.Log.Debug(logging.EventClaimsRefusedByQuota, logging.KeyTeam, team, logging.KeyJobs, write.subjects, logging.KeyError, err)
 		return false
 	}
 	if admission == nil {
--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -207,7 +207,7 @@
 	sc.compareCurrent(write, jobs.JobKey(job.ID))
 	sc.putChunk(write, release.chunkChange, release.key, tasks)
 	for task, event := range release.events {
-		write.logWhenStored(logging.EventTaskReleased,
+		write.logWhenStored(logging.EventClaimReleased,
 			logging.KeyTask, jobs.TaskID{Job: job.ID, Task: task},
 			logging.KeyOutcome, string(event.Kind),
 			logging.KeyMachine, job.Claims[task].Machine)
