--- a/internal/golden/cbor.go
+++ b/internal/golden/cbor.go
@@ -2,8 +2,8 @@
 
 import "wheatspur/wire"
 
-// CBOR returns a sample of a CBOR format, which package wire encodes and decodes.
-func CBOR[T any](name string, value T) Sample {
+// CBORSample returns a sample of a CBOR format, which package wire encodes and decodes.
+func CBORSample[T any](name string, value T) Sample {
 	return Sample{
 		Name:   name,
 		Value:  &value,
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -59,7 +59,7 @@
 // field, because a zero field would hide a change of its encoding.
 func checkSample(t *testing.T, s Sample, golden []byte) {
 	t.Helper()
-	for _, problem := range Unfilled(s.Value) {
+	for _, problem := range FieldProblems(s.Value) {
 		t.Errorf("sample: %s", problem)
 	}
 	encoded, err := s.Encode()
--- a/internal/golden/unfilled.go
+++ b/internal/golden/unfilled.go
@@ -5,9 +5,9 @@
 	"reflect"
 )
 
-// Unfilled lists the fields of a value that are zero, and those that have the same value as
+// FieldProblems lists the fields of a value that are zero, and those that have the same value as
 // another field: a swap of the two would go undetected. Booleans need only be true.
-func Unfilled(value any) []string {
+func FieldProblems(value any) []string {
 	w := fieldWalker{pathByValue: map[string]string{}}
 	w.walk("", reflect.ValueOf(value))
 	return w.problems
--- a/internal/golden/unfilled_test.go
+++ b/internal/golden/unfilled_test.go
@@ -15,11 +15,11 @@
 	ByKey map[string]inner
 }
 
-func TestUnfilledReportsZeroAndRepeatedValues(t *testing.T) {
+func TestFieldProblemsReportsZeroAndRepeatedValues(t *testing.T) {
 	filled := func() *outer {
 		return &outer{Count: 1, Inner: &inner{"a", true}, List: []uint64{2, 3}, ByKey: map[string]inner{"b": {"c", true}}}
 	}
-	if problems := Unfilled(filled()); problems != nil {
+	if problems := FieldProblems(filled()); problems != nil {
 		t.Errorf("problems in a filled value: %v", problems)
 	}
 	for _, c := range []struct {
@@ -38,7 +38,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			o := filled()
 			c.modify(o)
-			if problems := Unfilled(o); len(problems) != 1 {
+			if problems := FieldProblems(o); len(problems) != 1 {
 				t.Errorf("problems %v, want exactly one", problems)
 			}
 		})
--- a/internal/inventory/golden_test.go
+++ b/internal/inventory/golden_test.go
@@ -15,8 +15,8 @@
 func TestGoldenRecords(t *testing.T) {
 	record := Record{MachineType: "g8", Zone: "zone-1", Spot: true, Role: placement.Batch, Phase: Draining, Reason: "no work"}
 	golden.Check(t, []golden.Sample{
-		golden.CBOR("machine record", record),
-		golden.CBOR("group record", Group{Machines: map[string]Record{"host-1": record}}),
+		golden.CBORSample("machine record", record),
+		golden.CBORSample("group record", Group{Machines: map[string]Record{"host-1": record}}),
 	}, *update)
 }
 
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -27,9 +27,9 @@
 		Spec: goldenSpec(), EndedAtMs: 1_700_000_000_002, CancelledWith: "wk-000397"}
 	task := Task{State: Claimed, Attempt: 72, Machine: "host-1", Incarnation: 73, Failures: 74}
 	golden.Check(t, []golden.Sample{
-		golden.CBOR("job record", record),
-		golden.CBOR("intake record", IntakeRecord{Jobs: map[string]Record{"intake": record}}),
-		golden.CBOR("chunk record", ChunkRecord{Tasks: []Task{task, {State: Completed, Attempt: 75, Machine: "host-2", Incarnation: 76, Failures: 77}}}),
+		golden.CBORSample("job record", record),
+		golden.CBORSample("intake record", IntakeRecord{Jobs: map[string]Record{"intake": record}}),
+		golden.CBORSample("chunk record", ChunkRecord{Tasks: []Task{task, {State: Completed, Attempt: 75, Machine: "host-2", Incarnation: 76, Failures: 77}}}),
 	}, *update)
 }
 
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -14,9 +14,9 @@
 func TestGoldenRecords(t *testing.T) {
 	stored := node("node-1", 81)
 	golden.Check(t, []golden.Sample{
-		golden.CBOR("node", stored),
-		golden.CBOR("session", Session{Node: stored, Format: 82, ProgramVersion: "0.2.0"}),
-		golden.CBOR("membership", Record{FencingToken: 83, Leader: stored, Nodes: []Node{node("node-2", 84)},
+		golden.CBORSample("node", stored),
+		golden.CBORSample("session", Session{Node: stored, Format: 82, ProgramVersion: "0.2.0"}),
+		golden.CBORSample("membership", Record{FencingToken: 83, Leader: stored, Nodes: []Node{node("node-2", 84)},
 			Unreachable: []string{"node-3"}, TokenRange: 85}),
 	}, *update)
 }
