--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -37,15 +37,15 @@
 
 // Options configures a cluster.
 type Options struct {
-	Controllers int
-	Machines    int
-	Teams       []config.Team
-	Types       []wire.MachineType // all machines have the first type
-	Properties  string             // content of the operator properties file
-	Seed        uint64             // seed of the random link faults
-	Lease       time.Duration      // lease of the workers
-	Log         io.Writer          // receives the logs of the controllers; nil discards them
-	Commands    *fake.CommandLog   // records the commands to workers; nil records none
+	Controllers        int
+	Machines           int
+	Teams              []config.Team
+	Types              []wire.MachineType // all machines have the first type
+	OperatorProperties string             // content of the operator properties file
+	Seed               uint64             // seed of the random link faults
+	Lease              time.Duration      // lease of the workers
+	Log                io.Writer          // receives the logs of the controllers; nil discards them
+	CommandLog         *fake.CommandLog   // records the commands to workers; nil records none
 	// Begins and Ended are called when a task starts and ends; see fake.Worker.
 	Begins func(w *fake.Worker, t *fake.Task) time.Duration
 	Ended  func(w *fake.Worker, t *fake.Task)
@@ -123,7 +123,7 @@
 		Spot:        true,
 		OnTaskStart: c.options.Begins,
 		OnTaskEnd:   c.options.Ended,
-		Commands:    c.options.Commands,
+		Commands:    c.options.CommandLog,
 	}
 	c.Cloud.Machines = append(c.Cloud.Machines, wire.Machine{
 		Name:        w.Machine,
@@ -153,12 +153,13 @@
 // StartController starts the process of controller i.
 func (c *Cluster) StartController(i int) error { return c.controllers[i].start() }
 
-// Kill ends the process of controller i with SIGKILL, and reports whether it was still running.
-func (c *Cluster) Kill(i int) bool { return c.controllers[i].kill() }
+// KillController ends the process of controller i with SIGKILL, and reports whether it was still
+// running.
+func (c *Cluster) KillController(i int) bool { return c.controllers[i].kill() }
 
-// Terminate sends SIGTERM to the process of controller i, waits for it to exit, and returns its exit
-// code.
-func (c *Cluster) Terminate(i int) (int, error) { return c.controllers[i].terminate() }
+// StopController sends SIGTERM to the process of controller i, waits for it to exit, and returns its
+// exit code.
+func (c *Cluster) StopController(i int) (int, error) { return c.controllers[i].terminate() }
 
 // StoreLink returns the link from controller i to the store.
 func (c *Cluster) StoreLink(i int) *fake.Link { return c.controllers[i].storeLink }
@@ -189,7 +190,7 @@
 // Close kills the controller processes, stops the machines and the servers, and waits for all of them.
 func (c *Cluster) Close() {
 	for i := range c.controllers {
-		c.Kill(i)
+		c.KillController(i)
 	}
 	c.cancel()
 	for _, l := range c.listeners {
--- a/internal/testcluster/cold_start_test.go
+++ b/internal/testcluster/cold_start_test.go
@@ -29,16 +29,16 @@
 	t.Helper()
 	c := &coldStartCluster{commands: fake.NewCommandLog(), running: map[string]bool{}}
 	cluster, err := Start(t.TempDir(), Options{
-		Controllers: 5,
-		Machines:    20,
-		Teams:       []config.Team{{Name: "x"}},
-		Types:       machineTypes,
-		Properties:  "recovery.hold=true\nrecovery.starts=50\n",
-		Seed:        1,
-		Lease:       time.Minute,
-		Commands:    c.commands,
-		Begins:      c.taskStarted,
-		Ended:       c.taskEnded,
+		Controllers:        5,
+		Machines:           20,
+		Teams:              []config.Team{{Name: "x"}},
+		Types:              machineTypes,
+		OperatorProperties: "recovery.hold=true\nrecovery.starts=50\n",
+		Seed:               1,
+		Lease:              time.Minute,
+		CommandLog:         c.commands,
+		Begins:             c.taskStarted,
+		Ended:              c.taskEnded,
 	}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 func (c *coldStartCluster) restart(t *testing.T, pause time.Duration) {
 	t.Helper()
 	for i := range c.controllers {
-		c.Kill(i)
+		c.KillController(i)
 	}
 	time.Sleep(pause)
 	for i := range c.controllers {
--- a/internal/testcluster/controller.go
+++ b/internal/testcluster/controller.go
@@ -126,7 +126,7 @@
 		return err
 	}
 	propertiesPath := filepath.Join(c.dir, "operator.properties")
-	if err := os.WriteFile(propertiesPath, []byte(c.options.Properties), settingsMode); err != nil {
+	if err := os.WriteFile(propertiesPath, []byte(c.options.OperatorProperties), settingsMode); err != nil {
 		return err
 	}
 	server := fake.NewStoreServer(c.Store)
--- a/internal/testcluster/faults_test.go
+++ b/internal/testcluster/faults_test.go
@@ -41,7 +41,7 @@
 	defer recoveryWatchers.Wait()
 	injectRepeatedly(ctx, random, time.Second, 5*time.Second, func() {
 		i := random.IntN(len(l.controllers))
-		if !l.Kill(i) {
+		if !l.KillController(i) {
 			l.t.Errorf("%s exited before it was killed; end of its log:\n%s", l.Label(i), l.controllers[i].log)
 		}
 		l.increment(&l.kills)
--- a/internal/testcluster/graceful_stop_test.go
+++ b/internal/testcluster/graceful_stop_test.go
@@ -55,7 +55,7 @@
 func (l *quotaLoad) stopGracefully(i int) {
 	l.t.Helper()
 	start := time.Now()
-	code, err := l.Terminate(i)
+	code, err := l.StopController(i)
 	if err != nil || code != 0 {
 		l.t.Errorf("%s stopped with exit code %d, %v", l.Label(i), code, err)
 	}
@@ -86,7 +86,7 @@
 			afterStop = append(afterStop, l.awaitRemoval(observer, stopped, time.Now()))
 		} else {
 			start := time.Now()
-			l.Kill(stopped)
+			l.KillController(stopped)
 			afterKill = append(afterKill, l.awaitRemoval(observer, stopped, start))
 		}
 		if err := l.StartController(stopped); err != nil {
--- a/internal/testcluster/load_test.go
+++ b/internal/testcluster/load_test.go
@@ -75,15 +75,15 @@
 		teams = append(teams, config.Team{Name: name, GPUsMax: teamLimits[name]})
 	}
 	cluster, err := Start(t.TempDir(), Options{
-		Controllers: 5,
-		Machines:    8,
-		Teams:       teams,
-		Types:       machineTypes,
-		Properties:  properties,
-		Seed:        seed,
-		Lease:       6 * time.Second,
-		Begins:      l.taskStarted,
-		Ended:       func(_ *fake.Worker, task *fake.Task) { l.checker.TaskEnded(task.TaskStatus.Task, task.JobID) },
+		Controllers:        5,
+		Machines:           8,
+		Teams:              teams,
+		Types:              machineTypes,
+		OperatorProperties: properties,
+		Seed:               seed,
+		Lease:              6 * time.Second,
+		Begins:             l.taskStarted,
+		Ended:              func(_ *fake.Worker, task *fake.Task) { l.checker.TaskEnded(task.TaskStatus.Task, task.JobID) },
 	}, l.checker.Applied)
 	if err != nil {
 		t.Fatal(err)
