--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -195,7 +195,7 @@
 	controller.Lock()
 	defer controller.Unlock()
 	controller.scheduler.Allowances()
-	if _, uncertain := controller.Quota.Ledger("x").Pending(); !uncertain.IsZero() {
+	if _, uncertain := controller.Quota.Ledger("x").UnconfirmedAmounts(); !uncertain.IsZero() {
 		t.Fatal("the admission still counts as uncertain after its claim was applied")
 	}
 }
--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -18,16 +18,16 @@
 type Admission struct {
 	Team   string
 	Amount Amount
-	// Next is the record that the same write must store if some of the claims are on
+	// NextRecord is the record that the same write must store if some of the claims are on
 	// other controllers' machines, else nil. In both cases the write compares the
 	// record's version.
-	Next *Record
+	NextRecord *Record
 }
 
-// UncertainAdmission is the amount of an admission or a transfer whose write got no
+// UncertainAmount is the amount of an admission or a transfer whose write got no
 // response. The write can still be applied until one of the keys that it compares has
 // changed. The amount counts until all changes up to that one have been read.
-type UncertainAdmission struct {
+type UncertainAmount struct {
 	Compares map[string]uint64 // the versions that the write compares, by key
 	Amount   Amount
 
@@ -61,7 +61,7 @@
 		if err := l.beginWrite(v, ReassignShare, next); err != nil {
 			return nil, err
 		}
-		admission.Next = &next
+		admission.NextRecord = &next
 	}
 	l.inFlight = l.inFlight.Add(amount)
 	return admission, nil
@@ -71,10 +71,10 @@
 // the versions that the write compares, by key.
 func (l *Ledger) ResolveAdmission(a *Admission, outcome Outcome, compared map[string]uint64) {
 	l.inFlight = l.inFlight.Sub(a.Amount)
-	if a.Next != nil {
+	if a.NextRecord != nil {
 		l.writeInFlight = false
 	}
-	if outcome == Unknown {
+	if outcome == OutcomeUnknown {
 		// The write may still be applied. Counting it prevents this share from being
 		// used twice.
 		l.addUncertain(a.Amount, compared)
@@ -84,12 +84,12 @@
 // addUncertain counts an amount against the share until its write, whose outcome is
 // unknown, can no longer be applied.
 func (l *Ledger) addUncertain(amount Amount, compared map[string]uint64) {
-	l.uncertain = append(l.uncertain, UncertainAdmission{Compares: compared, Amount: amount})
+	l.uncertain = append(l.uncertain, UncertainAmount{Compares: compared, Amount: amount})
 }
 
-// Pending returns what this controller has admitted and not yet seen among the
+// UnconfirmedAmounts returns what this controller has admitted and not yet seen among the
 // stored claims: by writes in flight and by writes whose outcome is unknown.
-func (l *Ledger) Pending() (inFlight, uncertain Amount) {
+func (l *Ledger) UnconfirmedAmounts() (inFlight, uncertain Amount) {
 	for _, u := range l.uncertain {
 		uncertain = uncertain.Add(u.Amount)
 	}
@@ -117,7 +117,7 @@
 }
 
 // compareFails reports whether the version of a compared key has changed.
-func (u UncertainAdmission) compareFails(c Cache) bool {
+func (u UncertainAmount) compareFails(c Cache) bool {
 	for key, version := range u.Compares {
 		if c.Version(key) != version {
 			return true
--- a/internal/quota/admission_test.go
+++ b/internal/quota/admission_test.go
@@ -19,7 +19,7 @@
 	}
 	// Once the claim is read, no admission is uncertain.
 	m.converge()
-	if _, uncertain := m.controllers["a"].manager.Ledger("x").Pending(); !uncertain.IsZero() {
+	if _, uncertain := m.controllers["a"].manager.Ledger("x").UnconfirmedAmounts(); !uncertain.IsZero() {
 		t.Fatalf("%+v is still uncertain", uncertain)
 	}
 }
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -36,7 +36,7 @@
 // addition to what is in use.
 func (a *Allowance) MaxTasks(need Amount, tasks int) int {
 	used, count := a.Used.Add(need), 0
-	for count < tasks && used.Within(a.Limit) {
+	for count < tasks && used.WithinLimit(a.Limit) {
 		used = used.Add(need)
 		count++
 	}
@@ -49,5 +49,5 @@
 	if a.Guarantee.CPUs <= 0 && a.Guarantee.GPUs <= 0 {
 		return false
 	}
-	return used.Within(a.Guarantee)
+	return used.WithinLimit(a.Guarantee)
 }
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -27,9 +27,9 @@
 // errors.
 func (a Amount) IsZero() bool { return math.Abs(a.CPUs) <= epsilon && math.Abs(a.GPUs) <= epsilon }
 
-// Within reports whether the amount does not exceed a limit, where 0 means no
+// WithinLimit reports whether the amount does not exceed a limit, where 0 means no
 // limit.
-func (a Amount) Within(limit Amount) bool {
+func (a Amount) WithinLimit(limit Amount) bool {
 	return withinLimit(a.CPUs, limit.CPUs) && withinLimit(a.GPUs, limit.GPUs)
 }
 
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -15,9 +15,9 @@
 	decodeErr error  // why the stored record can't be decoded
 	checkErr  error  // the result of Record.Check for it
 
-	inFlight      Amount               // admitted; the write is in flight
-	uncertain     []UncertainAdmission // admitted; the outcome of the write is unknown
-	writeInFlight bool                 // a write of the record by this controller is in flight
+	inFlight      Amount            // admitted; the write is in flight
+	uncertain     []UncertainAmount // admitted; the outcome of the write is unknown
+	writeInFlight bool              // a write of the record by this controller is in flight
 
 	shortageSince time.Time // since when work waits although the limit is not used up; zero: it does not
 	frozenAt      time.Time // when this controller last decided to freeze the shares
@@ -32,8 +32,8 @@
 // Record returns the stored record as last read.
 func (l *Ledger) Record() Record { return l.record }
 
-// Damage returns why the stored record can't be used, or nil if it can.
-func (l *Ledger) Damage() error {
+// DamageError returns why the stored record can't be used, or nil if it can.
+func (l *Ledger) DamageError() error {
 	if l.decodeErr != nil {
 		return l.decodeErr
 	}
@@ -89,7 +89,7 @@
 	if controller != v.Self {
 		return remaining // the in-flight admissions of other controllers are not known here
 	}
-	inFlight, uncertain := l.Pending()
+	inFlight, uncertain := l.UnconfirmedAmounts()
 	return remaining.Sub(inFlight).Sub(uncertain)
 }
 
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -76,5 +76,5 @@
 		l.record, l.decodeErr = Record{}, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	l.checkErr = l.record.Check(l.team)
-	return l.Damage()
+	return l.DamageError()
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -180,7 +180,7 @@
 // limit that they were decided under, nor any controller's claims its share.
 func (m *model) checkInvariants(w *write) error {
 	claimed := claimedByController(m.team, m.claims, m.membership)
-	if total := claimed.Total(m.team); w.admission != nil && !total.Within(w.limit) {
+	if total := claimed.Total(m.team); w.admission != nil && !total.WithinLimit(w.limit) {
 		return fmt.Errorf("claims of %+v after an admission by %s exceed the limit %+v", total, w.controller.label, w.limit)
 	}
 	var record Record
@@ -264,8 +264,8 @@
 	w := &write{controller: n, compares: n.compares(), limit: n.limit, admission: admission,
 		changes: []change{{key: key, claim: &claim{machine, amount}}}}
 	w.compares[key] = 0
-	if admission.Next != nil {
-		w.changes = append(w.changes, change{key: recordKey, record: wire.MustMarshal(*admission.Next)})
+	if admission.NextRecord != nil {
+		w.changes = append(w.changes, change{key: recordKey, record: wire.MustMarshal(*admission.NextRecord)})
 	}
 	m.inFlight = append(m.inFlight, w)
 	return w
@@ -311,9 +311,9 @@
 func (m *model) deliver(w *write) {
 	m.removeInFlight(w)
 	if m.applyWrite(w) {
-		m.respond(w, Stored)
+		m.respond(w, OutcomeStored)
 	} else {
-		m.respond(w, Failed)
+		m.respond(w, OutcomeNotStored)
 	}
 }
 
@@ -325,7 +325,7 @@
 	} else {
 		m.abandoned = append(m.abandoned, w)
 	}
-	m.respond(w, Unknown)
+	m.respond(w, OutcomeUnknown)
 }
 
 func (m *model) removeInFlight(w *write) {
@@ -335,7 +335,7 @@
 // respond tells a controller the outcome of its write.
 func (m *model) respond(w *write, outcome Outcome) {
 	n := w.controller
-	if outcome == Stored {
+	if outcome == OutcomeStored {
 		for _, c := range w.changes {
 			c.revision = m.revision
 			n.applyChange(c)
--- a/internal/quota/rebalance_test.go
+++ b/internal/quota/rebalance_test.go
@@ -78,7 +78,7 @@
 			t.Fatalf("%d claims under a limit of 3: %d more are admitted, want %d", len(m.claims), admitted, want)
 		}
 		for _, w := range m.inFlight {
-			w.controller.manager.Ledger(m.team).ResolveAdmission(w.admission, Failed, nil)
+			w.controller.manager.Ledger(m.team).ResolveAdmission(w.admission, OutcomeNotStored, nil)
 		}
 		m.inFlight = nil
 	}
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -74,7 +74,7 @@
 			return fmt.Errorf("%w: share of %s is %+v", ErrDamaged, controller, share)
 		}
 	}
-	if total := r.total().maskUnlimited(t.Limit); !total.Within(t.Limit) {
+	if total := r.total().maskUnlimited(t.Limit); !total.WithinLimit(t.Limit) {
 		return fmt.Errorf("%w: %+v of %+v", ErrOverLimit, total, t.Limit)
 	}
 	return nil
--- a/internal/quota/record_test.go
+++ b/internal/quota/record_test.go
@@ -29,8 +29,8 @@
 			for _, n := range m.controllers {
 				n.readTo(m.log, len(m.log))
 				ledger := n.manager.Ledger(m.team)
-				if phase := ledger.Phase(token); phase != Damaged || !errors.Is(ledger.Damage(), ErrDamaged) {
-					t.Errorf("phase %s at %s, damage %v", phase, n.label, ledger.Damage())
+				if phase := ledger.Phase(token); phase != Damaged || !errors.Is(ledger.DamageError(), ErrDamaged) {
+					t.Errorf("phase %s at %s, damage %v", phase, n.label, ledger.DamageError())
 				}
 				if m.admit(n, 0, Amount{GPUs: 1}) != nil || m.admit(n, 1, Amount{GPUs: 1}) != nil {
 					t.Errorf("%s admits work", n.label)
--- a/internal/quota/summary.go
+++ b/internal/quota/summary.go
@@ -33,9 +33,9 @@
 	if l == nil {
 		return nil
 	}
-	s := &Summary{Team: l.team, Phase: l.Phase(v.FencingToken), Damage: l.Damage(), Used: used,
+	s := &Summary{Team: l.team, Phase: l.Phase(v.FencingToken), Damage: l.DamageError(), Used: used,
 		Borrowed: used.Sub(l.team.Guarantee).Max(Amount{})}
-	s.InFlight, s.Uncertain = l.Pending()
+	s.InFlight, s.Uncertain = l.UnconfirmedAmounts()
 	if r, ok := m.Reserved(team); ok {
 		s.Reserved = &r
 	}
--- a/internal/quota/write.go
+++ b/internal/quota/write.go
@@ -17,9 +17,9 @@
 
 // The outcomes of a write.
 const (
-	Stored  Outcome = iota // the write was applied
-	Failed                 // the write was not applied and never will be
-	Unknown                // no response: the write may have been applied or may still be
+	OutcomeStored    Outcome = iota // the write was applied
+	OutcomeNotStored                // the write was not applied and never will be
+	OutcomeUnknown                  // no response: the write may have been applied or may still be
 )
 
 // beginWrite starts a write of the record. Every write of the record starts here.
@@ -43,7 +43,7 @@
 // amount, which does not change the record, before the transfer is applied late.
 func (l *Ledger) ResolveWrite(w *Write, outcome Outcome, compared map[string]uint64) {
 	l.writeInFlight = false
-	if outcome == Unknown && !w.Transferred.IsZero() {
+	if outcome == OutcomeUnknown && !w.Transferred.IsZero() {
 		l.addUncertain(w.Transferred, compared)
 	}
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -107,8 +107,8 @@
 	key := jobs.TeamKey(team)
 	sc.compareCurrent(write, key)
 	write.Admission = admission
-	if admission.Next != nil {
-		write.put(key, *admission.Next)
+	if admission.NextRecord != nil {
+		write.put(key, *admission.NextRecord)
 	}
 	return true
 }
@@ -131,11 +131,11 @@
 func outcomeOf(err error) quota.Outcome {
 	switch {
 	case err == nil:
-		return quota.Stored
+		return quota.OutcomeStored
 	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrRejected), errors.Is(err, store.ErrMalformed):
-		return quota.Failed
+		return quota.OutcomeNotStored
 	}
-	return quota.Unknown
+	return quota.OutcomeUnknown
 }
 
 // planRebalances returns the leader's writes that divide the teams' limits among the members. The
