--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -54,7 +54,7 @@
 		px.PublishedAt = now
 		px.refreshPublished(now)
 	}
-	status.Recovering = px.recovery.Progress.MachinesUnknown()
+	status.Recovering = px.recovery.Progress.MachinesUnaccounted()
 	status.ReportsCancellations, status.LastCancellation = px.Cache.Consistent(), px.LastCancellation
 	status.QueuedWrites = uint32(math.Ceil(px.QueuedWrites))
 	status.MachinesVersion = px.publishedVersion
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -76,7 +76,7 @@
 	before, since := rt.Progress.Phase, rt.Progress.Since
 	if rt.Progress.Apply(event, now) {
 		rt.Log.Info(logging.EventRecoveryPhaseChanged, logging.KeyPhase, string(rt.Progress.Phase), logging.KeyPrevious, string(before), logging.KeyDuration, now.Sub(since).Round(time.Millisecond),
-			logging.KeyMachines, len(rt.Inventory.Machines), logging.KeyMissing, rt.Progress.Machines[recovery.Missing], logging.KeyStartsLeft, rt.Progress.PendingStarts.Total())
+			logging.KeyMachines, len(rt.Inventory.Machines), logging.KeyMissing, rt.Progress.Machines[recovery.MachineMissing], logging.KeyStartsLeft, rt.Progress.PendingStarts.Total())
 	}
 }
 
@@ -141,7 +141,7 @@
 	if !rt.Settings.Operator.RecoveryHold {
 		return false
 	}
-	if rt.Membership == nil || rt.Progress.MachinesUnknown() {
+	if rt.Membership == nil || rt.Progress.MachinesUnaccounted() {
 		return true
 	}
 	for _, node := range rt.Membership.Nodes {
--- a/internal/observability/recoverystatus.go
+++ b/internal/observability/recoverystatus.go
@@ -15,8 +15,8 @@
 func (ob *Observer) writeRecoveryStatus(page *strings.Builder) {
 	progress := ob.Recovery.Progress
 	fmt.Fprintf(page, "recovery %q for %.0f s machines unknown %d reported %d reconciled %d missing %d starts_left services %d arrays %d hold %v\n",
-		progress.Phase, ob.Now().Sub(progress.Since).Seconds(), progress.Machines[recovery.Unknown], progress.Machines[recovery.HeartbeatReceived],
-		progress.Machines[recovery.Reconciled], progress.Machines[recovery.Missing], progress.PendingStarts[recovery.ServiceStart],
+		progress.Phase, ob.Now().Sub(progress.Since).Seconds(), progress.Machines[recovery.MachineUnknown], progress.Machines[recovery.HeartbeatReceived],
+		progress.Machines[recovery.MachineReconciled], progress.Machines[recovery.MachineMissing], progress.PendingStarts[recovery.ServiceStart],
 		progress.PendingStarts[recovery.ArrayStart], ob.Recovery.MachinesUnknown())
 }
 
@@ -24,7 +24,7 @@
 func (ob *Observer) collectRecovery(gauge gaugeFunc) {
 	progress := ob.Recovery.Progress
 	gauge(descRecoveryPhase, 1, string(progress.Phase))
-	for _, state := range []recovery.MachineState{recovery.Unknown, recovery.HeartbeatReceived, recovery.Reconciled, recovery.Missing} {
+	for _, state := range []recovery.MachineState{recovery.MachineUnknown, recovery.HeartbeatReceived, recovery.MachineReconciled, recovery.MachineMissing} {
 		gauge(descRecoveryMachines, float64(progress.Machines[state]), string(state))
 	}
 	gauge(descRecoveryStarts, float64(progress.PendingStarts[recovery.ServiceStart]), "service")
--- a/internal/recovery/progress.go
+++ b/internal/recovery/progress.go
@@ -50,10 +50,10 @@
 
 // States of a machine.
 const (
-	Unknown           MachineState = "unknown"    // no heartbeat since the controller became a member
+	MachineUnknown    MachineState = "unknown"    // no heartbeat since the controller became a member
 	HeartbeatReceived MachineState = "reported"   // heartbeats arrive, but our fencing token is not acknowledged yet
-	Reconciled        MachineState = "reconciled" // our fencing token is acknowledged, so what the machine runs is known
-	Missing           MachineState = "missing"    // not reconciled within the timeout
+	MachineReconciled MachineState = "reconciled" // our fencing token is acknowledged, so what the machine runs is known
+	MachineMissing    MachineState = "missing"    // not reconciled within the timeout
 )
 
 // MachineStateOf returns the state of a machine. reported says whether heartbeats have arrived
@@ -63,20 +63,22 @@
 func MachineStateOf(reported, tokenAcknowledged bool, memberFor, timeout time.Duration) MachineState {
 	switch {
 	case reported && tokenAcknowledged:
-		return Reconciled
+		return MachineReconciled
 	case memberFor > timeout:
-		return Missing
+		return MachineMissing
 	case reported:
 		return HeartbeatReceived
 	}
-	return Unknown
+	return MachineUnknown
 }
 
 // MachineCounts is the number of machines by state.
 type MachineCounts map[MachineState]int
 
 // AllAccountedFor reports whether every machine is reconciled or missing.
-func (c MachineCounts) AllAccountedFor() bool { return c[Unknown] == 0 && c[HeartbeatReceived] == 0 }
+func (c MachineCounts) AllAccountedFor() bool {
+	return c[MachineUnknown] == 0 && c[HeartbeatReceived] == 0
+}
 
 // Progress is the state of a controller's recovery.
 type Progress struct {
@@ -128,5 +130,5 @@
 // IsRecovered reports whether the recovery is over.
 func (p *Progress) IsRecovered() bool { return p.Phase == Recovered }
 
-// MachinesUnknown reports whether machines that may run tasks are not accounted for yet.
-func (p *Progress) MachinesUnknown() bool { return p.Phase == Loading || p.Phase == Reconciling }
+// MachinesUnaccounted reports whether machines that may run tasks are not accounted for yet.
+func (p *Progress) MachinesUnaccounted() bool { return p.Phase == Loading || p.Phase == Reconciling }
--- a/internal/recovery/progress_test.go
+++ b/internal/recovery/progress_test.go
@@ -28,14 +28,14 @@
 	step(CaughtUp, Reconciling)
 	step(MembershipLost, Loading)
 	step(Loaded, Reconciling)
-	if p.MemberSince.Equal(began) || !p.MachinesUnknown() || p.IsRecovered() {
+	if p.MemberSince.Equal(began) || !p.MachinesUnaccounted() || p.IsRecovered() {
 		t.Fatal("a new membership does not restart the time for heartbeats")
 	}
 	step(AllAccounted, CatchingUp)
 	step(MembershipLost, Loading)
 	step(Loaded, Reconciling)
 	step(AllAccounted, CatchingUp)
-	if p.MachinesUnknown() || p.IsRecovered() {
+	if p.MachinesUnaccounted() || p.IsRecovered() {
 		t.Fatal("while catching up, machines are unknown or the recovery is over")
 	}
 	step(CaughtUp, Recovered)
@@ -52,12 +52,12 @@
 		waited                      time.Duration
 		want                        MachineState
 	}{
-		{"no heartbeat yet", false, false, time.Second, Unknown},
+		{"no heartbeat yet", false, false, time.Second, MachineUnknown},
 		{"heartbeat without our token", true, false, time.Second, HeartbeatReceived},
-		{"token acknowledged", true, true, time.Second, Reconciled},
-		{"token acknowledged, after the timeout", true, true, time.Minute, Reconciled},
-		{"no heartbeat, after the timeout", false, false, time.Minute, Missing},
-		{"heartbeats that don't acknowledge our token, after the timeout", true, false, time.Minute, Missing},
+		{"token acknowledged", true, true, time.Second, MachineReconciled},
+		{"token acknowledged, after the timeout", true, true, time.Minute, MachineReconciled},
+		{"no heartbeat, after the timeout", false, false, time.Minute, MachineMissing},
+		{"heartbeats that don't acknowledge our token, after the timeout", true, false, time.Minute, MachineMissing},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := MachineStateOf(c.reported, c.tokenAcknowledged, c.waited, timeout); got != c.want {
@@ -73,9 +73,9 @@
 		count MachineCounts
 		want  bool
 	}{
-		{"one unknown", MachineCounts{Unknown: 1}, false},
+		{"one unknown", MachineCounts{MachineUnknown: 1}, false},
 		{"one not reconciled yet", MachineCounts{HeartbeatReceived: 1}, false},
-		{"reconciled and missing", MachineCounts{Reconciled: 3, Missing: 1}, true},
+		{"reconciled and missing", MachineCounts{MachineReconciled: 3, MachineMissing: 1}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.count.AllAccountedFor(); got != c.want {
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -18,7 +18,7 @@
 
 // Commands decides which commands to send to the worker.
 func Commands(desired DesiredTask, observed ObservedTask, worker Worker) Decision {
-	if worker.State == LeaseExpired {
+	if worker.State == WorkerLeaseExpired {
 		return Decision{} // the worker would not carry out any command
 	}
 	shouldRun := desired.shouldRunOn(worker)
@@ -37,7 +37,7 @@
 		}
 		return Decision{}
 	case shouldRun && sameAttempt:
-		if worker.Stopping && observed.State != Checkpointing {
+		if worker.TaskStopRequested && observed.State != Checkpointing {
 			return Decision{Stop: KillWithCheckpoint}
 		}
 		return Decision{}
@@ -63,7 +63,7 @@
 	switch {
 	case !desired.Claimed:
 		return NoUpdate, ReasonNone
-	case worker.State == LeaseExpired && desired.Incarnation <= worker.Incarnation:
+	case worker.State == WorkerLeaseExpired && desired.Incarnation <= worker.Incarnation:
 		return UpdateReleased, ReasonLeaseExpired
 	case worker.State != TokenAcknowledged:
 		return NoUpdate, ReasonNone // commands of a former shard owner may still be in flight
@@ -71,7 +71,7 @@
 		return UpdateReleased, ReasonNewIncarnation
 	case observed.State == Exited && observed.Attempt == desired.Attempt:
 		return updateAfterExit(observed.Cause), ReasonExited
-	case desired.Cancelled && observed.lacksAttempt(desired) && worker.NeverRan:
+	case desired.Cancelled && observed.lacksAttempt(desired) && worker.AttemptNeverStarted:
 		// No controller starts tasks of a cancelled job any more. If the claim were kept,
 		// it would count against its team's limit and occupy the machine for as long as
 		// the machine's incarnation lasts.
--- a/internal/recovery/reconcile_test.go
+++ b/internal/recovery/reconcile_test.go
@@ -20,7 +20,7 @@
 		return ObservedTask{State: Exited, Attempt: attempt, Cause: cause}
 	}
 	unacknowledged := func(w *Worker) { w.State = TokenUnacknowledged }
-	leaseExpired := func(w *Worker) { w.State = LeaseExpired }
+	leaseExpired := func(w *Worker) { w.State = WorkerLeaseExpired }
 	startPending := func(w *Worker) { w.StartPending = true }
 	for _, row := range []struct {
 		name     string
@@ -31,7 +31,7 @@
 	}{
 		{"1 claimed, alive: kept", claim, alive(3), nil, Decision{}},
 		{"2 claimed, checkpointing: kept until it ends", claim, checkpointing, nil, Decision{}},
-		{"3 claimed, alive, to be stopped: killed, may write a checkpoint", claim, alive(3), func(w *Worker) { w.Stopping = true }, Decision{Stop: KillWithCheckpoint}},
+		{"3 claimed, alive, to be stopped: killed, may write a checkpoint", claim, alive(3), func(w *Worker) { w.TaskStopRequested = true }, Decision{Stop: KillWithCheckpoint}},
 		{"4 claimed, not listed: started", claim, ObservedTask{}, nil, Decision{Start: true}},
 		{"5 claimed, not listed, no key-value store: waits", claim, ObservedTask{}, func(w *Worker) { w.AllowStarts = false }, Decision{}},
 		{"6 claimed, not listed, token not acknowledged: started, nothing stored", claim, ObservedTask{}, unacknowledged, Decision{Start: true}},
@@ -51,7 +51,7 @@
 		{"20 cancelled, alive: killed", cancelled, alive(3), nil, Decision{Stop: Kill}},
 		{"21 cancelled, checkpointing: killed", cancelled, checkpointing, nil, Decision{Stop: Kill}},
 		{"22 cancelled, not listed, a start may arrive: waits", cancelled, ObservedTask{}, nil, Decision{}},
-		{"23 cancelled, not listed, never ran: released", cancelled, ObservedTask{}, func(w *Worker) { w.NeverRan = true }, Decision{Update: UpdateReleased, Reason: ReasonNeverStarted}},
+		{"23 cancelled, not listed, never ran: released", cancelled, ObservedTask{}, func(w *Worker) { w.AttemptNeverStarted = true }, Decision{Update: UpdateReleased, Reason: ReasonNeverStarted}},
 		{"24 cancelled, exited: released", cancelled, exited(3, ExitOther), nil, Decision{Update: UpdateReleased, Reason: ReasonExited}},
 		{"25 no claim, alive: killed", DesiredTask{}, alive(3), nil, Decision{Stop: Kill}},
 		{"26 no claim, alive, token not acknowledged: killed", DesiredTask{}, alive(3), unacknowledged, Decision{Stop: Kill}},
@@ -81,7 +81,7 @@
 		desired.Cancelled = !desired.Open && flag("cancelled")
 		observed := ObservedTask{State: TaskState(rapid.IntRange(0, 3).Draw(t, "state")), Attempt: number("observed attempt"), Cause: ExitCause(rapid.IntRange(0, 2).Draw(t, "cause"))}
 		worker := Worker{Incarnation: number("incarnation"), State: WorkerState(rapid.IntRange(0, 2).Draw(t, "worker state")), AllowStarts: flag("allow starts"),
-			StartPending: flag("start pending"), NeverRan: flag("never ran"), Stopping: flag("stopping")}
+			StartPending: flag("start pending"), AttemptNeverStarted: flag("never ran"), TaskStopRequested: flag("stopping")}
 		d := Reconcile(desired, observed, worker)
 		running := observed.State == Alive || observed.State == Checkpointing
 		covered := desired.Claimed && desired.Open && desired.Incarnation == worker.Incarnation && desired.Attempt == observed.Attempt
@@ -92,9 +92,9 @@
 			t.Fatalf("start while another attempt is running and not killed: %+v", d)
 		case d.Start && observed.State != NotListed && observed.Attempt >= desired.Attempt:
 			t.Fatalf("start of an attempt that is not newer than the listed one: %+v", d)
-		case running && covered && !worker.Stopping && d.Stop != NoStop:
+		case running && covered && !worker.TaskStopRequested && d.Stop != NoStop:
 			t.Fatalf("stop of a running task that a claim covers: %+v", d)
-		case running && !covered && worker.State != LeaseExpired && d.Stop != Kill:
+		case running && !covered && worker.State != WorkerLeaseExpired && d.Stop != Kill:
 			t.Fatalf("no kill of a running task without an open claim: %+v", d)
 		case d.Stop == Reap && (observed.State != Exited || worker.StartPending || worker.State != TokenAcknowledged || desired.Claimed && desired.Attempt == observed.Attempt):
 			t.Fatalf("reap that is too early: %+v", d)
@@ -104,7 +104,7 @@
 			t.Fatalf("update to done without a successful exit of the attempt: %+v", d)
 		case d.Update != NoUpdate && running && observed.Attempt == desired.Attempt && desired.Incarnation == worker.Incarnation && worker.State == TokenAcknowledged:
 			t.Fatalf("update that ends the claim of a running task: %+v", d)
-		case worker.State == LeaseExpired && (d.Start || d.Stop != NoStop):
+		case worker.State == WorkerLeaseExpired && (d.Start || d.Stop != NoStop):
 			t.Fatalf("command to a worker whose lease has expired: %+v", d)
 		}
 	})
--- a/internal/recovery/state.go
+++ b/internal/recovery/state.go
@@ -58,18 +58,18 @@
 const (
 	TokenUnacknowledged WorkerState = iota // commands of former shard owners may be in flight
 	TokenAcknowledged                      // the worker has acknowledged our fencing token
-	LeaseExpired                           // its lease has certainly expired
+	WorkerLeaseExpired                     // its lease has certainly expired
 )
 
 // Worker is the state of a worker's incarnation and of the commands in flight to it, as far
 // as it concerns one task.
 type Worker struct {
-	Incarnation  uint64
-	State        WorkerState
-	AllowStarts  bool // this controller may send starts, because it can read the key-value store
-	StartPending bool // a direct start of the listed attempt may still arrive
-	NeverRan     bool // the claimed attempt has not started, and can't without a new start command
-	Stopping     bool // the task is to be stopped on this machine
+	Incarnation         uint64
+	State               WorkerState
+	AllowStarts         bool // this controller may send starts, because it can read the key-value store
+	StartPending        bool // a direct start of the listed attempt may still arrive
+	AttemptNeverStarted bool // the claimed attempt has not started, and can't without a new start command
+	TaskStopRequested   bool // the task is to be stopped on this machine
 }
 
 // mayReap reports whether an exited task may be removed from the heartbeats. It may if neither
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -73,7 +73,7 @@
 		}
 		status, listed := w.Tasks[id]
 		observed.StartPending = listed && w.isStartPending(Attempt{id, status.Attempt})
-		observed.Stopping = w.Stopping[id]
+		observed.TaskStopRequested = w.Stopping[id]
 		decision := recovery.Commands(desiredTask(job, task), observedTask(status, listed), observed)
 		if stop, due := stopCommand(decision.Stop, job, status); due {
 			commands = append(commands, stop)
--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -120,7 +120,7 @@
 // HeartbeatAnswered records that a heartbeat was answered with status 200 and these commands.
 func (w *Worker) HeartbeatAnswered(heartbeat *wire.Heartbeat, commands []wire.Command, now time.Time) {
 	w.LastAnswered, w.HeartbeatSequence = now, heartbeat.Sequence
-	w.nothingToReconcile = false // neverRan depends on answeredStarts, which changes here
+	w.nothingToReconcile = false // neverStarted depends on answeredStarts, which changes here
 	for attempt, sequence := range w.answeredStarts {
 		if sequence < heartbeat.Sequence {
 			delete(w.answeredStarts, attempt) // this heartbeat shows the effect of the start
--- a/internal/worker/reconcile.go
+++ b/internal/worker/reconcile.go
@@ -31,7 +31,7 @@
 	for id, job := range claims {
 		task := job.Claims[id.Task]
 		status, listed := w.Tasks[id]
-		observed.NeverRan = job.Phase == jobs.Cancelled && w.neverRan(Attempt{id, task.Attempt})
+		observed.AttemptNeverStarted = job.Phase == jobs.Cancelled && w.neverStarted(Attempt{id, task.Attempt})
 		update, reason := recovery.ProvenUpdate(desiredTask(job, task), observedTask(status, listed), observed)
 		if update == recovery.NoUpdate {
 			continue
@@ -98,7 +98,7 @@
 	case TokenAcknowledged:
 		observed.State = recovery.TokenAcknowledged
 	case LeaseExpired:
-		observed.State = recovery.LeaseExpired
+		observed.State = recovery.WorkerLeaseExpired
 	}
 	return observed
 }
--- a/internal/worker/starts.go
+++ b/internal/worker/starts.go
@@ -64,12 +64,12 @@
 	return false
 }
 
-// neverRan reports whether an attempt that is claimed for this incarnation, and that the newest
+// neverStarted reports whether an attempt that is claimed for this incarnation, and that the newest
 // message does not list, is proven not to have started and can start only by a new command. The
 // worker must have acknowledged our token, so that it refuses starts of former owners; none of our
 // direct starts of the attempt may be pending; and if a start of it was answered, a newer heartbeat
 // must have followed.
-func (w *Worker) neverRan(attempt Attempt) bool {
+func (w *Worker) neverStarted(attempt Attempt) bool {
 	_, answered := w.answeredStarts[attempt]
 	return w.State == TokenAcknowledged && !answered && !w.isStartPending(attempt)
 }
