--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -9,16 +9,16 @@
 // membershipState holds this controller's own session, and the sessions, the leader and the
 // membership as stored. The lock guards all of it.
 type membershipState struct {
-	Self                membership.Node               // this controller's label, which never changes, and the ID of its lease
-	Session             membership.SessionState       // state of this controller's session
-	Sessions            map[string]membership.Node    // controllers with a stored session, by label
-	StoredSessions      map[string]membership.Session // the same, with the format version and program version of each
-	Unreachable         map[string]bool               // labels of the controllers that have stored that no worker reaches them
-	Leader              *membership.Node              // as stored; nil if there is none
-	Membership          *membership.Record            // the newest known; nil if there is none
-	MemberLabels        []string                      // labels of Membership's nodes
-	MembershipChangedAt time.Time                     // when this controller last applied a new membership
-	shardOwners         map[string]string             // cache of the owner by machine under Membership, filled on demand
+	Self                membership.Controller            // this controller's label, which never changes, and the ID of its lease
+	Session             membership.SessionState          // state of this controller's session
+	Sessions            map[string]membership.Controller // controllers with a stored session, by label
+	StoredSessions      map[string]membership.Session    // the same, with the format version and program version of each
+	Unreachable         map[string]bool                  // labels of the controllers that have stored that no worker reaches them
+	Leader              *membership.Controller           // as stored; nil if there is none
+	Membership          *membership.Record               // the newest known; nil if there is none
+	MemberLabels        []string                         // labels of Membership's nodes
+	MembershipChangedAt time.Time                        // when this controller last applied a new membership
+	shardOwners         map[string]string                // cache of the owner by machine under Membership, filled on demand
 }
 
 // ShardOwner returns the label of the member that owns a machine. The membership must be
@@ -53,11 +53,11 @@
 	return cs.Membership != nil && cs.Membership.AllSupportFormat(membership.FormatDependencies, cs.StoredSessions)
 }
 
-// TokenRangesSupported reports whether every controller with a session supports memberships
+// AllSessionsSupportTokenRanges reports whether every controller with a session supports memberships
 // that span several fencing tokens. The lock is held.
-func (cs *State) TokenRangesSupported() bool {
+func (cs *State) AllSessionsSupportTokenRanges() bool {
 	for label, node := range cs.Sessions {
-		if stored := cs.StoredSessions[label]; stored.Node != node || stored.Format < membership.FormatTokenRanges {
+		if stored := cs.StoredSessions[label]; stored.Controller != node || stored.Format < membership.FormatTokenRanges {
 			return false
 		}
 	}
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	cs.Sessions[label] = session.Node
+	cs.Sessions[label] = session.Controller
 	cs.StoredSessions[label] = *session
 	return nil
 }
@@ -58,7 +58,7 @@
 	if value == nil {
 		return nil
 	}
-	node, err := membership.DecodeNode(value)
+	node, err := membership.DecodeController(value)
 	cs.Leader = node
 	return err
 }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -96,9 +96,9 @@
 	return &State{
 		Environment: env,
 		membershipState: membershipState{
-			Self:           membership.Node{Label: env.Settings.Label},
+			Self:           membership.Controller{Label: env.Settings.Label},
 			Session:        membership.NoLease,
-			Sessions:       map[string]membership.Node{},
+			Sessions:       map[string]membership.Controller{},
 			StoredSessions: map[string]membership.Session{},
 			Unreachable:    map[string]bool{},
 			shardOwners:    map[string]string{},
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -221,7 +221,7 @@
 	env.runPasses()
 	env.runPasses()
 	if c := a.Table.Jobs["wk-5"].Counts; c[jobs.Claimed] != 1 {
-		t.Fatalf("the job waits for a controller that is down: %v, members %v", c, a.Membership.Nodes)
+		t.Fatalf("the job waits for a controller that is down: %v, members %v", c, a.Membership.Members)
 	}
 }
 
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -61,7 +61,7 @@
 		t.Fatal("the restart did not raise the fencing token")
 	}
 	if leader.Membership.Contains(old.Self) || !leader.Membership.Contains(restarted.Self) {
-		t.Fatalf("members %+v", leader.Membership.Nodes)
+		t.Fatalf("members %+v", leader.Membership.Members)
 	}
 	// The old process's write arrives late and changes nothing.
 	if _, err := env.store.CompareAndSwap(context.Background(), 0, []wire.Compare{{Key: membership.RecordKey, Version: version}},
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -414,7 +414,7 @@
 	controller := env.controllers[label]
 	session := any(controller.Self)
 	if !old {
-		session = membership.Session{Node: controller.Self, Format: membership.CurrentFormat, ProgramVersion: "x"}
+		session = membership.Session{Controller: controller.Self, Format: membership.CurrentFormat, ProgramVersion: "x"}
 	}
 	key := membership.SessionKey(label)
 	if _, err := env.store.CompareAndSwap(context.Background(), store.ClassLease, nil, []wire.Operation{{Put: key, Value: wire.MustMarshal(session), LeaseID: controller.Self.Incarnation}}); err != nil {
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -139,7 +139,7 @@
 		t.Fatalf("%+v", record)
 	}
 	var session oldSession
-	if err := wire.Unmarshal(wire.MustMarshal(membership.Session{Node: membership.Node{Label: "a", Incarnation: 7}, Format: 1, ProgramVersion: "x"}), &session); err != nil || session != (oldSession{"a", 7}) {
+	if err := wire.Unmarshal(wire.MustMarshal(membership.Session{Controller: membership.Controller{Label: "a", Incarnation: 7}, Format: 1, ProgramVersion: "x"}), &session); err != nil || session != (oldSession{"a", 7}) {
 		t.Fatalf("%+v %v", session, err)
 	}
 }
--- a/internal/controller/graceful_stop_test.go
+++ b/internal/controller/graceful_stop_test.go
@@ -43,7 +43,7 @@
 	for range 4 {
 		env.stepMembership()
 	}
-	if env.leader() != staying || len(staying.Membership.Nodes) != 1 {
+	if env.leader() != staying || len(staying.Membership.Members) != 1 {
 		t.Fatalf("membership %+v after the stop", staying.Membership)
 	}
 	if leaving.Session != membership.NoLease {
--- a/internal/controller/index_test.go
+++ b/internal/controller/index_test.go
@@ -52,7 +52,7 @@
 		}
 		t.Fatalf("%s: %d machines in the index, %d in a rebuilt one", controller.Self.Label, len(indexed), len(rebuilt))
 	}
-	for _, m := range controller.Membership.Nodes {
+	for _, m := range controller.Membership.Members {
 		for _, team := range controller.Settings.Params.Teams {
 			if a, b := indexedClaims[m.Label][team.Name], rebuiltClaims[m.Label][team.Name]; math.Abs(a.GPUs-b.GPUs) > 1e-6 || math.Abs(a.CPUs-b.CPUs) > 1e-6 {
 				t.Fatalf("%s: claims of %s on the machines of %s: %v in the index, %v in a rebuilt one", controller.Self.Label, team.Name, m.Label, a, b)
--- a/internal/controller/membershipchange.go
+++ b/internal/controller/membershipchange.go
@@ -25,6 +25,6 @@
 	c.Workers.ApplyMembership(previous)
 	c.MachineIndex.Reset()
 	c.Peers.UpdateBudgetShare()
-	c.Log.Info(logging.EventMembershipChanged, logging.KeyToken, record.FencingToken, logging.KeyLeader, record.Leader.Label, logging.KeyMembers, len(record.Nodes))
+	c.Log.Info(logging.EventMembershipChanged, logging.KeyToken, record.FencingToken, logging.KeyLeader, record.Leader.Label, logging.KeyMembers, len(record.Members))
 	return nil
 }
--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -42,7 +42,7 @@
 	hanging := &hangingStore{storeLink: env.links["b"], release: make(chan struct{})}
 	controller.Store = hanging
 	controller.Lock()
-	controller.Session, controller.Sessions = membership.NoLease, map[string]membership.Node{}
+	controller.Session, controller.Sessions = membership.NoLease, map[string]membership.Controller{}
 	controller.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
 	var loops sync.WaitGroup
@@ -82,7 +82,7 @@
 func TestSessionIsRestoredAfterLateWriteOfPreviousProcess(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
-	previousNode := membership.Node{Label: "a", Incarnation: 777}
+	previousNode := membership.Controller{Label: "a", Incarnation: 777}
 	env.store.Leases[777] = true
 	_, err := env.store.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: membership.SessionKey("a"), Value: wire.MustMarshal(previousNode), LeaseID: 777}})
 	if err != nil {
--- a/internal/controller/worker_leases_test.go
+++ b/internal/controller/worker_leases_test.go
@@ -218,7 +218,7 @@
 		controller.Lock()
 		record := *controller.Membership
 		controller.Workers.ByMachine["h1"].State = worker.TokenAcknowledged
-		record.FencingToken, record.TokenRange = tc.next(controller.Membership), tuning.TokenRange
+		record.FencingToken, record.TokenCount = tc.next(controller.Membership), tuning.TokenRange
 		err := applyMembership(controller, record)
 		got := controller.Workers.ByMachine["h1"].State
 		controller.Unlock()
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -99,7 +99,7 @@
 
 // planWrite chooses the next write, and returns it with the incarnation for which it was
 // chosen. It takes the lock.
-func (el *Election) planWrite() (*membershipWrite, membership.Node) {
+func (el *Election) planWrite() (*membershipWrite, membership.Controller) {
 	el.Lock()
 	defer el.Unlock()
 	return el.nextMembershipWrite(), el.Self
@@ -107,7 +107,7 @@
 
 // applyMembershipWrite applies a write that was chosen for the incarnation self and stored at
 // a revision. It takes the lock.
-func (el *Election) applyMembershipWrite(write *membershipWrite, revision uint64, self membership.Node) {
+func (el *Election) applyMembershipWrite(write *membershipWrite, revision uint64, self membership.Controller) {
 	key := write.operation.Put
 	el.Lock()
 	defer el.Unlock()
--- a/internal/election/membershipwrite.go
+++ b/internal/election/membershipwrite.go
@@ -24,14 +24,14 @@
 		return el.sessionWrite()
 	}
 	now := el.Now()
-	unreachable := el.reachability(now).NextUnreachable()
+	unreachable := el.reachability(now).CountsAsUnreachable()
 	action := membership.Decide(membership.View{
-		Self:                 el.Self,
-		Sessions:             el.Sessions,
-		Unreachable:          el.Unreachable,
-		Leader:               el.Leader,
-		Membership:           el.Membership,
-		TokenRangesSupported: el.TokenRangesSupported(),
+		Self:                          el.Self,
+		Sessions:                      el.Sessions,
+		Unreachable:                   el.Unreachable,
+		Leader:                        el.Leader,
+		Membership:                    el.Membership,
+		AllSessionsSupportTokenRanges: el.AllSessionsSupportTokenRanges(),
 	})
 	switch {
 	case unreachable != el.Unreachable[el.Self.Label]:
@@ -64,7 +64,7 @@
 // sessionWrite returns the write that stores this controller's session. The lock is held.
 func (el *Election) sessionWrite() *membershipWrite {
 	key := membership.SessionKey(el.Self.Label)
-	session := membership.Session{Node: el.Self, Format: membership.CurrentFormat, ProgramVersion: tuning.Version}
+	session := membership.Session{Controller: el.Self, Format: membership.CurrentFormat, ProgramVersion: tuning.Version}
 	return &membershipWrite{
 		compares:  []wire.Compare{el.Cache.Compare(key)},
 		operation: wire.Operation{Put: key, Value: wire.MustMarshal(session), LeaseID: el.Self.Incarnation},
--- a/internal/election/reachability.go
+++ b/internal/election/reachability.go
@@ -18,7 +18,7 @@
 	case !el.IsMember():
 		// A controller that is not a member owns no machines that could reach it.
 	case summary.Unreachable:
-		summary.ProbeAnswered = el.probeAnswered(now)
+		summary.MayBecomeReachable = el.probeAnswered(now)
 	default:
 		summary.HeardMachines, summary.SilentMachines = el.countHeard(now)
 		summary.SiblingReceivesHeartbeats = el.Peers.SiblingHearsWorkers()
--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -11,7 +11,7 @@
 // other half in proportion to the queued writes. Equal parts alone would leave most of the
 // budget idle at controllers that have little to store. The lock is held.
 func (px *PeerExchange) UpdateBudgetShare() {
-	members := float64(max(1, len(px.Membership.Nodes)))
+	members := float64(max(1, len(px.Membership.Members)))
 	share := 1 / (members + 1)
 	if px.Membership.Leader == px.Self {
 		share *= 2
@@ -26,7 +26,7 @@
 // member has no fresh status. The lock is held.
 func (px *PeerExchange) totalQueuedWrites() (total float64, known bool) {
 	total = px.QueuedWrites
-	for _, node := range px.Membership.Nodes {
+	for _, node := range px.Membership.Members {
 		if node == px.Self {
 			continue
 		}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -65,7 +65,7 @@
 // statusOf returns the status of a member. It returns nil if there is no fresh status of this
 // incarnation, or if the member is this controller. The lock is held, and the result is valid
 // only while it is.
-func (px *PeerExchange) statusOf(node membership.Node) *peer.Status {
+func (px *PeerExchange) statusOf(node membership.Controller) *peer.Status {
 	sibling := px.Siblings[node.Label]
 	if sibling == nil || !px.IsFresh(sibling) || sibling.Status.Incarnation != node.Incarnation {
 		return nil
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -144,7 +144,7 @@
 	if rt.Membership == nil || rt.Progress.MachinesUnaccounted() {
 		return true
 	}
-	for _, node := range rt.Membership.Nodes {
+	for _, node := range rt.Membership.Members {
 		if status := rt.peers.statusOf(node); status != nil && status.Recovering {
 			return true
 		}
--- a/internal/leader/rolesplit.go
+++ b/internal/leader/rolesplit.go
@@ -39,7 +39,7 @@
 // caller holds the lock.
 func (ld *Loop) allMemberStatusesFresh() bool {
 	for _, sibling := range ld.Peers.Siblings {
-		node := membership.Node{Label: sibling.Settings.Label, Incarnation: sibling.Status.Incarnation}
+		node := membership.Controller{Label: sibling.Settings.Label, Incarnation: sibling.Status.Incarnation}
 		if ld.Membership.Contains(node) && !ld.Peers.IsFresh(sibling) {
 			return false
 		}
--- a/internal/membership/attestation.go
+++ b/internal/membership/attestation.go
@@ -5,7 +5,7 @@
 // Attestation is what the answers of a sibling tell a controller about cancellations.
 type Attestation struct {
 	Incarnation      uint64    // of the sibling; 0 if it has given no usable answer
-	Since            time.Time // when this incarnation first answered
+	FirstAnsweredAt  time.Time // when this incarnation first answered
 	AskedAt          time.Time // when the newest answered request was sent
 	LastCancellation uint64    // version of the last cancellation that the sibling is known to have seen
 }
@@ -14,7 +14,7 @@
 // askedAt. Answers may arrive out of order; an older one never moves a field back.
 func (a Attestation) Update(incarnation, lastCancellation uint64, askedAt, now time.Time) Attestation {
 	if a.Incarnation != incarnation {
-		a = Attestation{Incarnation: incarnation, Since: now}
+		a = Attestation{Incarnation: incarnation, FirstAnsweredAt: now}
 	}
 	if askedAt.After(a.AskedAt) {
 		a.AskedAt = askedAt
@@ -28,7 +28,7 @@
 // answered after that read does not count: its former process may have confirmed a
 // cancellation that this controller has not read.
 func (a Attestation) attests(lastRead time.Time, revision uint64) bool {
-	return a.Incarnation != 0 && a.Since.Before(lastRead) && a.LastCancellation <= revision
+	return a.Incarnation != 0 && a.FirstAnsweredAt.Before(lastRead) && a.LastCancellation <= revision
 }
 
 // CancellationsKnownUntil returns the time up to which a controller knows every cancellation
--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -10,12 +10,12 @@
 
 // View is the input of the decisions about the leader and the membership.
 type View struct {
-	Self                 Node
-	Sessions             map[string]Node // stored sessions by label
-	Unreachable          map[string]bool // labels of the controllers that have stored that no worker reaches them
-	Leader               *Node           // holder of the leader key; nil if there is none
-	Membership           *Record         // as stored; nil before the first
-	TokenRangesSupported bool            // every controller with a session supports FormatTokenRanges
+	Self                          Controller
+	Sessions                      map[string]Controller // stored sessions by label
+	Unreachable                   map[string]bool       // labels of the controllers that have stored that no worker reaches them
+	Leader                        *Controller           // holder of the leader key; nil if there is none
+	Membership                    *Record               // as stored; nil before the first
+	AllSessionsSupportTokenRanges bool                  // every controller with a session supports FormatTokenRanges
 }
 
 // Action is the next step of a controller concerning the leader and the membership. At most
@@ -43,8 +43,8 @@
 		}
 		next.FencingToken = view.Membership.LastToken() + 1
 	}
-	if view.TokenRangesSupported {
-		next.TokenRange = tuning.TokenRange
+	if view.AllSessionsSupportTokenRanges {
+		next.TokenCount = tuning.TokenRange
 	}
 	return Action{WriteMembership: next}
 }
@@ -60,13 +60,13 @@
 // one. Its fencing token is 1, the first of all; Decide replaces it if a membership is stored.
 func (v *View) desiredMembership() *Record {
 	record := Record{FencingToken: 1, Leader: v.Self}
-	record.Nodes = slices.SortedFunc(maps.Values(v.Sessions), func(a, b Node) int { return cmp.Compare(a.Label, b.Label) })
-	for _, node := range record.Nodes {
+	record.Members = slices.SortedFunc(maps.Values(v.Sessions), func(a, b Controller) int { return cmp.Compare(a.Label, b.Label) })
+	for _, node := range record.Members {
 		if v.Unreachable[node.Label] {
 			record.Unreachable = append(record.Unreachable, node.Label)
 		}
 	}
-	if len(record.Unreachable) == len(record.Nodes) {
+	if len(record.Unreachable) == len(record.Members) {
 		record.Unreachable = nil // some member must own the machines
 	}
 	return &record
@@ -74,5 +74,5 @@
 
 // sameMembers reports whether two memberships differ at most in their tokens.
 func (r *Record) sameMembers(other *Record) bool {
-	return r.Leader == other.Leader && slices.Equal(r.Nodes, other.Nodes) && slices.Equal(r.Unreachable, other.Unreachable)
+	return r.Leader == other.Leader && slices.Equal(r.Members, other.Members) && slices.Equal(r.Unreachable, other.Unreachable)
 }
--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -6,8 +6,8 @@
 	"wheatspur/internal/tuning"
 )
 
-func node(label string, incarnation uint64) Node {
-	return Node{Label: label, Incarnation: incarnation}
+func node(label string, incarnation uint64) Controller {
+	return Controller{Label: label, Incarnation: incarnation}
 }
 
 // requireNoAction fails the test if Decide returns any action.
@@ -31,7 +31,7 @@
 
 func TestMembershipChangeAdvancesFencingToken(t *testing.T) {
 	a, b := node("a", 1), node("b", 2)
-	view := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}}
+	view := View{Self: a, Sessions: map[string]Controller{"a": a, "b": b}}
 	if !Decide(view).BecomeLeader {
 		t.Fatal("there is no leader, but the controller does not become it")
 	}
@@ -51,16 +51,16 @@
 	}
 	view.Membership = record
 	delete(view.Sessions, "b")
-	if record = requireMembership(t, view, 3, "after a failure"); len(record.Nodes) != 1 {
+	if record = requireMembership(t, view, 3, "after a failure"); len(record.Members) != 1 {
 		t.Fatalf("after a failure: %+v", record)
 	}
 }
 
 func TestMembershipStartsAfterPreviousTokenRange(t *testing.T) {
 	a := node("a", 1)
-	view := View{Self: a, Sessions: map[string]Node{"a": a}, Leader: &a, TokenRangesSupported: true}
+	view := View{Self: a, Sessions: map[string]Controller{"a": a}, Leader: &a, AllSessionsSupportTokenRanges: true}
 	first := requireMembership(t, view, 1, "first")
-	if first.TokenRange != tuning.TokenRange || first.LastToken() != tuning.TokenRange {
+	if first.TokenCount != tuning.TokenRange || first.LastToken() != tuning.TokenRange {
 		t.Fatalf("first membership: %+v, last token %d", first, first.LastToken())
 	}
 	view.Membership = first
@@ -70,22 +70,22 @@
 		t.Fatalf("%+v must follow only %+v", second, first)
 	}
 	// A controller whose version does not support token ranges has a session.
-	view.Membership, view.TokenRangesSupported = second, false
+	view.Membership, view.AllSessionsSupportTokenRanges = second, false
 	view.Sessions["c"] = node("c", 3)
 	third := requireMembership(t, view, 2*tuning.TokenRange+1, "after an older version's join")
-	if third.TokenRange != 0 || third.LastToken() != third.FencingToken || !third.ImmediatelyFollows(second) || third.ImmediatelyFollows(first) {
+	if third.TokenCount != 0 || third.LastToken() != third.FencingToken || !third.ImmediatelyFollows(second) || third.ImmediatelyFollows(first) {
 		t.Fatalf("third membership: %+v", third)
 	}
 }
 
 func TestOnlyLeaderWritesMembership(t *testing.T) {
 	a, b := node("a", 1), node("b", 2)
-	requireNoAction(t, View{Self: b, Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}, "a follower")
+	requireNoAction(t, View{Self: b, Sessions: map[string]Controller{"a": a, "b": b}, Leader: &a}, "a follower")
 }
 
 func TestRestartedLeaderTakesOverOnceItsSessionIsStored(t *testing.T) {
 	a, b := node("a", 1), node("b", 2)
-	view := View{Self: node("a", 5), Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}
+	view := View{Self: node("a", 5), Sessions: map[string]Controller{"a": a, "b": b}, Leader: &a}
 	requireNoAction(t, view, "a controller without a stored session")
 	view.Sessions["a"] = view.Self
 	if !Decide(view).BecomeLeader {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -15,9 +15,9 @@
 	stored := node("node-1", 81)
 	golden.Check(t, []golden.Sample{
 		golden.CBOR("node", stored),
-		golden.CBOR("session", Session{Node: stored, Format: 82, ProgramVersion: "0.2.0"}),
-		golden.CBOR("membership", Record{FencingToken: 83, Leader: stored, Nodes: []Node{node("node-2", 84)},
-			Unreachable: []string{"node-3"}, TokenRange: 85}),
+		golden.CBOR("session", Session{Controller: stored, Format: 82, ProgramVersion: "0.2.0"}),
+		golden.CBOR("membership", Record{FencingToken: 83, Leader: stored, Members: []Controller{node("node-2", 84)},
+			Unreachable: []string{"node-3"}, TokenCount: 85}),
 	}, *update)
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -20,7 +20,7 @@
 // the lease of the controller that wrote them, and are deleted when the lease ends.
 const (
 	RecordKey         = jobs.Root + "member" // of the membership record
-	LeaderKey         = jobs.Root + "lead"   // of the leader's Node
+	LeaderKey         = jobs.Root + "lead"   // of the leader's Controller
 	SessionPrefix     = jobs.Root + "node/"
 	UnreachablePrefix = jobs.Root + "deaf/"
 )
@@ -32,15 +32,15 @@
 // attached to its lease.
 func UnreachableKey(label string) string { return UnreachablePrefix + label }
 
-// Node is one incarnation of a controller. Incarnation is the ID of its lease, so a
-// controller that has restarted, or whose lease has expired, becomes a different Node.
-type Node struct {
+// Controller is one incarnation of a controller. Incarnation is the ID of its lease, so a
+// controller that has restarted, or whose lease has expired, becomes a different Controller.
+type Controller struct {
 	Label       string `cbor:"l"`
 	Incarnation uint64 `cbor:"i"`
 }
 
-// DecodeNode decodes the value of the leader key, or the Node of a session.
-func DecodeNode(raw wire.Raw) (*Node, error) { return decode[Node](raw) }
+// DecodeController decodes the value of the leader key, or the Controller of a session.
+func DecodeController(raw wire.Raw) (*Controller, error) { return decode[Controller](raw) }
 
 func decode[T any](raw wire.Raw) (*T, error) {
 	var value T
@@ -57,21 +57,21 @@
 	// FencingToken is the first token of the membership.
 	FencingToken uint64 `cbor:"b"`
 	// Leader is the controller that wrote the record.
-	Leader Node `cbor:"d"`
-	// Nodes are the members, sorted by label.
-	Nodes []Node `cbor:"n"`
+	Leader Controller `cbor:"d"`
+	// Members are sorted by label.
+	Members []Controller `cbor:"n"`
 	// Unreachable lists the labels of the members that no worker reaches, and that
 	// therefore own no machines.
 	Unreachable []string `cbor:"f,omitempty"`
-	// TokenRange is the number of tokens, starting at FencingToken, that belong to this
+	// TokenCount is the number of tokens, starting at FencingToken, that belong to this
 	// membership. Within it, the owner of a machine raises the machine's token to fence
 	// off commands that may still be in flight. Absent means one token; it is set only
 	// if all members support it.
-	TokenRange uint64 `cbor:"t,omitempty"`
+	TokenCount uint64 `cbor:"t,omitempty"`
 }
 
 // LastToken returns the highest token of the membership.
-func (r *Record) LastToken() uint64 { return r.FencingToken + max(r.TokenRange, 1) - 1 }
+func (r *Record) LastToken() uint64 { return r.FencingToken + max(r.TokenCount, 1) - 1 }
 
 // ImmediatelyFollows reports whether the membership is the immediate successor of previous.
 func (r *Record) ImmediatelyFollows(previous *Record) bool {
@@ -79,15 +79,17 @@
 }
 
 // Contains reports whether this incarnation of a controller is a member.
-func (r *Record) Contains(node Node) bool { return slices.Contains(r.Nodes, node) }
+func (r *Record) Contains(controller Controller) bool {
+	return slices.Contains(r.Members, controller)
+}
 
 // Labels returns the labels of the members.
-func (r *Record) Labels() []string { return nodeLabels(r.Nodes) }
+func (r *Record) Labels() []string { return memberLabels(r.Members) }
 
-func nodeLabels(nodes []Node) []string {
-	labels := make([]string, len(nodes))
-	for i, node := range nodes {
-		labels[i] = node.Label
+func memberLabels(members []Controller) []string {
+	labels := make([]string, len(members))
+	for i, member := range members {
+		labels[i] = member.Label
 	}
 	return labels
 }
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -10,16 +10,16 @@
 	HeardMachines             int  // its own machines that have sent a message recently
 	SilentMachines            int  // its own machines with tasks that have not
 	SiblingReceivesHeartbeats bool // a sibling receives messages from its own machines
-	ProbeAnswered             bool // while unreachable: a worker has answered a probe, or there is none to probe
+	MayBecomeReachable        bool // while unreachable: a worker has answered a probe, or there is none to probe
 }
 
-// NextUnreachable reports whether the controller counts as unreachable from now on. If it
+// CountsAsUnreachable reports whether the controller counts as unreachable from now on. If it
 // hears none of its machines, at least minSilentMachines of them are silent, and a sibling
 // hears its own, the controller is cut off from the workers. It remains unreachable until
-// ProbeAnswered is true.
-func (r Reachability) NextUnreachable() bool {
+// MayBecomeReachable is true.
+func (r Reachability) CountsAsUnreachable() bool {
 	if r.Unreachable {
-		return !r.ProbeAnswered
+		return !r.MayBecomeReachable
 	}
 	return r.HeardMachines == 0 && r.SilentMachines >= minSilentMachines && r.SiblingReceivesHeartbeats
 }
--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -17,10 +17,10 @@
 		{"another machine is heard", Reachability{SilentMachines: 5, HeardMachines: 1, SiblingReceivesHeartbeats: true}, false},
 		{"several machines are silent while a sibling hears its own", Reachability{SilentMachines: 2, SiblingReceivesHeartbeats: true}, true},
 		{"no worker has answered yet", Reachability{Unreachable: true}, true},
-		{"a worker answers", Reachability{Unreachable: true, ProbeAnswered: true}, false},
+		{"a worker answers", Reachability{Unreachable: true, MayBecomeReachable: true}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.NextUnreachable(); got != c.want {
+			if got := c.CountsAsUnreachable(); got != c.want {
 				t.Errorf("unreachable: %v, want %v", got, c.want)
 			}
 		})
@@ -32,7 +32,7 @@
 // leases of the workers expire.
 func TestUnreachableMemberOwnsNoMachines(t *testing.T) {
 	a, b := node("a", 1), node("b", 2)
-	view := View{Self: a, Sessions: map[string]Node{"a": a, "b": b}, Leader: &a}
+	view := View{Self: a, Sessions: map[string]Controller{"a": a, "b": b}, Leader: &a}
 	view.Membership = requireMembership(t, view, 1, "first")
 	view.Unreachable = map[string]bool{"b": true}
 	record := requireMembership(t, view, 2, "b is unreachable")
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -5,8 +5,8 @@
 // CurrentFormat is the version of the stored formats that this program reads and writes.
 // Version 1 added dependencies (jobs that are stored while they wait), version 2 added
 // memberships with a range of tokens. It is stored only in the controller's session, next to
-// the Node rather than in it, so that program versions without format versions still compare
-// Nodes correctly.
+// the Controller rather than in it, so that program versions without format versions still
+// compare Controllers correctly.
 const CurrentFormat = 2
 
 // Format versions that members have to support before anything is stored that uses them.
@@ -17,7 +17,7 @@
 
 // Session is the stored form of a controller's session.
 type Session struct {
-	Node
+	Controller
 	// Format is the newest format version that the controller supports; 0 if its program
 	// version does not store one.
 	Format uint64 `cbor:"v,omitempty"`
@@ -31,8 +31,8 @@
 // AllSupportFormat reports whether the session of every member's current incarnation declares
 // support for a format version. sessions are the stored sessions by label.
 func (r *Record) AllSupportFormat(format uint64, sessions map[string]Session) bool {
-	for _, member := range r.Nodes {
-		if session, ok := sessions[member.Label]; !ok || session.Node != member || session.Format < format {
+	for _, member := range r.Members {
+		if session, ok := sessions[member.Label]; !ok || session.Controller != member || session.Format < format {
 			return false
 		}
 	}
--- a/internal/membership/session_test.go
+++ b/internal/membership/session_test.go
@@ -28,8 +28,8 @@
 
 func TestFormatSupportedOnceEveryMemberAnnouncesIt(t *testing.T) {
 	a, b := node("a", 1), node("b", 2)
-	record := Record{Nodes: []Node{a, b}}
-	withFormat := func(n Node, format uint64) Session { return Session{Node: n, Format: format} }
+	record := Record{Members: []Controller{a, b}}
+	withFormat := func(n Controller, format uint64) Session { return Session{Controller: n, Format: format} }
 	for _, c := range []struct {
 		name     string
 		sessions map[string]Session
--- a/internal/membership/shardowner.go
+++ b/internal/membership/shardowner.go
@@ -12,7 +12,7 @@
 // joins or becomes reachable again and outweighs it.
 func (r *Record) ShardOwner(machine string) string {
 	owner, highest := "", uint64(0)
-	for _, node := range r.Nodes {
+	for _, node := range r.Members {
 		if slices.Contains(r.Unreachable, node.Label) {
 			continue
 		}
@@ -23,14 +23,14 @@
 	return owner
 }
 
-// RankNodes returns the labels of the members in the order in which they take the tasks of a
+// RankMembers returns the labels of the members in the order in which they take the tasks of a
 // job, which is by descending rendezvous weight for the job.
-func (r *Record) RankNodes(jobID string) []string {
-	nodes := slices.Clone(r.Nodes)
-	slices.SortFunc(nodes, func(a, b Node) int {
+func (r *Record) RankMembers(jobID string) []string {
+	members := slices.Clone(r.Members)
+	slices.SortFunc(members, func(a, b Controller) int {
 		return cmp.Or(cmp.Compare(rendezvousWeight(jobID, b.Label), rendezvousWeight(jobID, a.Label)), cmp.Compare(a.Label, b.Label))
 	})
-	return nodeLabels(nodes)
+	return memberLabels(members)
 }
 
 // rendezvousWeight returns the weight of a member for a machine or a job in rendezvous
--- a/internal/membership/shardowner_test.go
+++ b/internal/membership/shardowner_test.go
@@ -6,14 +6,14 @@
 )
 
 func TestShardOwnersAreBalancedAndStable(t *testing.T) {
-	three := Record{Nodes: []Node{node("a", 1), node("b", 2), node("c", 3)}}
-	two := Record{Nodes: three.Nodes[:2]}
+	three := Record{Members: []Controller{node("a", 1), node("b", 2), node("c", 3)}}
+	two := Record{Members: three.Members[:2]}
 	owned := map[string]int{}
 	for i := range 300 {
 		machine := fmt.Sprintf("host-%06d", i)
 		owner := three.ShardOwner(machine)
 		owned[owner]++
-		if three.RankNodes(machine)[0] != owner {
+		if three.RankMembers(machine)[0] != owner {
 			t.Fatalf("%s: the first-ranked node is not the owner", machine)
 		}
 		if other := two.ShardOwner(machine); owner != "c" && other != owner {
--- a/internal/observability/metrics.go
+++ b/internal/observability/metrics.go
@@ -57,7 +57,7 @@
 	}
 	gauge(descToken, float64(ob.Membership.FencingToken))
 	members := map[uint64]int{}
-	for _, member := range ob.Membership.Nodes {
+	for _, member := range ob.Membership.Members {
 		members[ob.StoredSessions[member.Label].Format]++
 	}
 	for format, count := range members {
--- a/internal/observability/status.go
+++ b/internal/observability/status.go
@@ -69,11 +69,11 @@
 		return
 	}
 	fmt.Fprintf(page, "membership token %d leader %s nodes", ob.Membership.FencingToken, ob.Membership.Leader.Label)
-	for _, member := range ob.Membership.Nodes {
+	for _, member := range ob.Membership.Members {
 		fmt.Fprintf(page, " %s", member.Label)
 	}
 	page.WriteByte('\n')
-	for _, member := range ob.Membership.Nodes {
+	for _, member := range ob.Membership.Members {
 		session := ob.StoredSessions[member.Label]
 		fmt.Fprintf(page, "version %s %s form %d\n", member.Label, cmp.Or(session.ProgramVersion, "not told (0.1.0 or older)"), session.Format)
 	}
--- a/internal/scheduler/finishedjobs.go
+++ b/internal/scheduler/finishedjobs.go
@@ -70,7 +70,7 @@
 // ranksFirst reports whether this controller ranks first among the members for a key or a job ID.
 // That member does the work that any member could do. The caller holds the lock.
 func (sc *Scheduler) ranksFirst(key string) bool {
-	return sc.Membership.RankNodes(key)[0] == sc.Self.Label
+	return sc.Membership.RankMembers(key)[0] == sc.Self.Label
 }
 
 // completedRecord returns the final record of a job whose tasks are all completed, or its current
