--- a/internal/api/groupcommit.go
+++ b/internal/api/groupcommit.go
@@ -77,7 +77,7 @@
 // is a submission that did not fit or has the job ID of one in the group; it starts the next group,
 // and is nil if there is none. Submissions past their deadlines are dropped.
 func (api *UserAPI) NextSubmissionGroup(first *Submission) (group []*Submission, next *Submission) {
-	bytesLeft := api.MaxGroupBytes()
+	bytesLeft := api.MaxRecordGroupBytes()
 	limit := api.groupLimit()
 	jobIDs := map[string]bool{}
 	for submission := first; ; {
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return spec, rejected(fasthttp.StatusBadRequest, err.Error())
 	}
-	if jobs.IntakeBytes(&spec) > api.MaxGroupBytes() {
+	if jobs.IntakeBytes(&spec) > api.MaxRecordGroupBytes() {
 		return spec, rejected(fasthttp.StatusUnprocessableEntity, "the job's description is larger than the state service can hold")
 	}
 	machineTypes := api.knownMachineTypes()
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -20,7 +20,7 @@
 	unplaced := p.provisionDemands()
 	p.provisionHeadroom(placement.Service, in.Service, in.Operator.ServiceHeadroom)
 	p.provisionHeadroom(placement.Batch, in.Batch, in.Operator.BatchHeadroom)
-	p.provisionHeadroom(placement.Batch, in.OnDemand, in.Operator.BatchHeadroom)
+	p.provisionHeadroom(placement.Batch, in.OnDemandBatch, in.Operator.BatchHeadroom)
 	return Output{
 		ScaleOut: p.sortedScaleOut(),
 		ScaleIn:  p.scaleIn(unplaced),
--- a/internal/autoscale/scalein.go
+++ b/internal/autoscale/scalein.go
@@ -125,7 +125,7 @@
 			placement.Batch:   p.newSlots(p.input.Batch, p.input.Operator.BatchHeadroom),
 			placement.Service: p.newSlots(p.input.Service, p.input.Operator.ServiceHeadroom),
 		},
-		onDemandSlots: p.newSlots(p.input.OnDemand, p.input.Operator.BatchHeadroom),
+		onDemandSlots: p.newSlots(p.input.OnDemandBatch, p.input.Operator.BatchHeadroom),
 		surplus:       map[string]bool{},
 		busySelected:  map[placement.Role]bool{},
 		idle:          map[string][]Machine{},
@@ -212,7 +212,7 @@
 		s.busy = append(s.busy, ScaleIn{m.Name, ReasonSurplus})
 		return
 	}
-	s.idle[m.Group] = append(s.idle[m.Group], m)
+	s.idle[m.RecordKey] = append(s.idle[m.RecordKey], m)
 }
 
 // idleMachines lists the selected idle machines of a few groups, those with the most such
--- a/internal/autoscale/types.go
+++ b/internal/autoscale/types.go
@@ -49,7 +49,7 @@
 	Silent           bool   // was up, and its lease has long expired without a heartbeat
 	Missing          bool   // was in the cloud's list and no longer is
 	HeartbeatOverdue bool   // was up, and its next heartbeat is late
-	Group            string // store key of its record; machines with the same key are changed in one write
+	RecordKey        string // store key of its record; machines with the same key are changed in one write
 }
 
 // Demand is a number of identical unplaced tasks of a job.
@@ -78,9 +78,9 @@
 	Demands  []Demand
 	Service  Load
 	Batch    Load
-	// OnDemand is the batch work that may not use spot machines. Its Spec is set if such a
+	// OnDemandBatch is the batch work that may not use spot machines. Its Spec is set if such a
 	// job is open, waits for other jobs, or was present recently; otherwise it is nil.
-	OnDemand Load
+	OnDemandBatch Load
 	// LastNoCapacity is when the cloud last had no capacity for a kind of machine.
 	LastNoCapacity map[MachineKind]time.Time
 	// SurplusSince is the time since which the plan has not needed a machine, by
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -27,7 +27,7 @@
 	owner, ok := cs.shardOwners[machine]
 	if !ok {
 		owner = cs.Membership.ShardOwner(machine)
-		if cs.Inventory.KeyOf(machine) != "" {
+		if cs.Inventory.RecordKey(machine) != "" {
 			cs.shardOwners[machine] = owner // only for stored machines: caching every name that workers send would be unbounded
 		}
 	}
@@ -53,8 +53,8 @@
 	return cs.Membership != nil && cs.Membership.AllSupportFormat(membership.FormatDependencies, cs.StoredSessions)
 }
 
-// AllSessionsSupportTokenRanges reports whether every controller with a session supports memberships
-// that span several fencing tokens. The lock is held.
+// AllSessionsSupportTokenRanges reports whether every controller with a session supports
+// memberships that span several fencing tokens. The lock is held.
 func (cs *State) AllSessionsSupportTokenRanges() bool {
 	for label, node := range cs.Sessions {
 		if stored := cs.StoredSessions[label]; stored.Controller != node || stored.Format < membership.FormatTokenRanges {
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -34,8 +34,8 @@
 	return m
 }
 
-// CountAnswer counts an answer by kind of request and status.
-func (m *Metrics) CountAnswer(request string, status int) {
+// CountResponse counts a response by kind of request and status.
+func (m *Metrics) CountResponse(request string, status int) {
 	m.answers.WithLabelValues(request, strconv.Itoa(status)).Inc()
 }
 
--- a/internal/cluster/progress.go
+++ b/internal/cluster/progress.go
@@ -33,10 +33,10 @@
 // RecordProgress records that a loop begins an iteration. The lock is not needed.
 func (cs *State) RecordProgress(l loop) { cs.loopProgress[l].Store(cs.Now().UnixNano()) }
 
-// Progress returns nil while all loops that have begun make progress, and otherwise an error
+// CheckProgress returns nil while all loops that have begun make progress, and otherwise an error
 // that wraps ErrStalled. It takes no lock, so that it also detects loops that are blocked on
 // the lock.
-func (cs *State) Progress() error {
+func (cs *State) CheckProgress() error {
 	for l := range LoopCount {
 		last := cs.loopProgress[l].Load()
 		if last == 0 {
@@ -49,6 +49,6 @@
 	return nil
 }
 
-// Draining reports whether the controller is stopping and accepts nothing new. The lock is not
+// IsStopping reports whether the controller is stopping and accepts nothing new. The lock is not
 // needed.
-func (cs *State) Draining() bool { return cs.Stopping.Load() }
+func (cs *State) IsStopping() bool { return cs.Stopping.Load() }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -162,9 +162,9 @@
 	return time.Duration(tuning.SilentHeartbeats * float64(cs.Settings.HeartbeatInterval()))
 }
 
-// MaxGroupBytes returns the maximum size of a group of machine records, in bytes of JSON. The
+// MaxRecordGroupBytes returns the maximum size of a group of machine records, in bytes of JSON. The
 // lock is not needed.
-func (cs *State) MaxGroupBytes() int {
+func (cs *State) MaxRecordGroupBytes() int {
 	return int(cs.Limits.ValueKB * tuning.BytesPerKB * tuning.GroupFillShare)
 }
 
@@ -173,7 +173,7 @@
 func (cs *State) MachineGroupKey(machine string) string {
 	cs.Lock()
 	defer cs.Unlock()
-	return cs.Inventory.KeyOf(machine)
+	return cs.Inventory.RecordKey(machine)
 }
 
 // Wake signals a loop without blocking. A signal that is still pending is enough, so the new
--- a/internal/cluster/writes.go
+++ b/internal/cluster/writes.go
@@ -9,10 +9,10 @@
 	"wheatspur/wire"
 )
 
-// StoreDecision executes a compare-and-swap of the leader, and applies it if it was stored.
+// StoreAsLeader executes a compare-and-swap of the leader, and applies it if it was stored.
 // After a conflict or an unknown outcome it waits for a read barrier, so that the next
 // decision starts from what is stored now. It takes the lock.
-func (cs *State) StoreDecision(ctx context.Context, compares []wire.Compare, operations []wire.Operation) error {
+func (cs *State) StoreAsLeader(ctx context.Context, compares []wire.Compare, operations []wire.Operation) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.DecisionWait)
 	defer cancel()
 	revision, err := cs.Store.CompareAndSwap(ctx, store.ClassRecords, compares, operations)
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -395,7 +395,7 @@
 		if controller != env.leader() {
 			env.store.Expire(controller.Self.Incarnation)
 			env.refreshAll()
-			controller.election.EndSession(controller.Self.Incarnation)
+			controller.election.ExpireSession(controller.Self.Incarnation)
 			controller.Self.Incarnation, _ = env.store.GrantLease(context.Background(), time.Second)
 			controller.Session = controller.Session.Next(membership.LeaseGranted)
 			break
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -97,8 +97,8 @@
 			t.Errorf("%s is %s", c.Machine, controller.Inventory.Machines[c.Machine].Phase)
 		}
 	}
-	if len(controller.Inventory.Machines) != 33 || len(controller.Inventory.OversizeGroups(controller.MaxGroupBytes(), 9)) != 0 {
-		t.Fatalf("%d machines, oversize groups: %v", len(controller.Inventory.Machines), controller.Inventory.OversizeGroups(controller.MaxGroupBytes(), 9))
+	if len(controller.Inventory.Machines) != 33 || len(controller.Inventory.OversizeGroups(controller.MaxRecordGroupBytes(), 9)) != 0 {
+		t.Fatalf("%d machines, oversize groups: %v", len(controller.Inventory.Machines), controller.Inventory.OversizeGroups(controller.MaxRecordGroupBytes(), 9))
 	}
 	if env.store.OverLimit != 0 {
 		t.Fatalf("%d transactions beyond the limits", env.store.OverLimit)
@@ -170,12 +170,12 @@
 		if len(controller.Inventory.Machines) != machines {
 			t.Fatalf("step %d: %d machines", step, len(controller.Inventory.Machines))
 		}
-		controller.leaderLoop.StoreMachines(context.Background(), nil, controller.Inventory.OversizeGroups(controller.MaxGroupBytes(), 1)...)
+		controller.leaderLoop.StoreMachines(context.Background(), nil, controller.Inventory.OversizeGroups(controller.MaxRecordGroupBytes(), 1)...)
 		if step == 1 {
 			// A leader of an older version fills up a group that was split.
 			fullGroup := inventory.Group{Machines: map[string]inventory.Record{}}
 			for machineName, r := range controller.Inventory.Machines {
-				if controller.Inventory.KeyOf(machineName) == inventory.GroupKey(0) {
+				if controller.Inventory.RecordKey(machineName) == inventory.GroupKey(0) {
 					fullGroup.Machines[machineName] = r
 				}
 			}
@@ -186,7 +186,7 @@
 		}
 	}
 	controller := env.controllers["a"]
-	if oversize := controller.Inventory.OversizeGroups(controller.MaxGroupBytes(), 9); len(oversize) != 0 || env.store.OverLimit != 0 {
+	if oversize := controller.Inventory.OversizeGroups(controller.MaxRecordGroupBytes(), 9); len(oversize) != 0 || env.store.OverLimit != 0 {
 		t.Fatalf("oversize groups: %v, %d transactions beyond the limits", oversize, env.store.OverLimit)
 	}
 	seen := map[string]string{}
--- a/internal/controller/graceful_stop_test.go
+++ b/internal/controller/graceful_stop_test.go
@@ -75,7 +75,7 @@
 func TestProgressNamesStalledLoop(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
-	if err := controller.Progress(); err != nil {
+	if err := controller.CheckProgress(); err != nil {
 		t.Fatalf("before the loops have started: %v", err)
 	}
 	for l := range cluster.LoopCount {
@@ -84,11 +84,11 @@
 	env.clock.add(tuning.StallAfter / 2)
 	controller.RecordProgress(cluster.SessionLoop)
 	controller.RecordProgress(cluster.MembershipLoop)
-	if err := controller.Progress(); err != nil {
+	if err := controller.CheckProgress(); err != nil {
 		t.Fatal(err)
 	}
 	env.clock.add(tuning.StallAfter/2 + time.Second)
-	if err := controller.Progress(); !errors.Is(err, cluster.ErrStalled) || err.Error() != "loop stalled: passes, for 21s" {
+	if err := controller.CheckProgress(); !errors.Is(err, cluster.ErrStalled) || err.Error() != "loop stalled: passes, for 21s" {
 		t.Fatalf("progress of a stalled loop: %v", err)
 	}
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -11,7 +11,7 @@
 // connections would have the fewest connections, and a least-connections load balancer would send
 // it all users.
 func (c *Controller) healthy() bool {
-	if c.Draining() {
+	if c.IsStopping() {
 		return false
 	}
 	c.Lock()
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -294,7 +294,7 @@
 	controller.Unlock()
 	controller.leaderLoop.StoreMachines(context.Background(), []inventory.RecordChange{{Machine: "h9", After: &inventory.Record{MachineType: "g", Zone: "z", Role: "batch", Phase: inventory.Active}}})
 	env.refreshAll()
-	if controller.Inventory.KeyOf("h9") != "" {
+	if controller.Inventory.RecordKey("h9") != "" {
 		t.Fatal("a controller that is not the leader stored machine records")
 	}
 }
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -76,7 +76,7 @@
 // serveUser serves a request on the port for users, workers and operators and counts its response.
 func (c *Controller) serveUser(request *fasthttp.RequestCtx) {
 	kind := c.routeUser(request)
-	c.Metrics.CountAnswer(string(kind), request.Response.StatusCode())
+	c.Metrics.CountResponse(string(kind), request.Response.StatusCode())
 }
 
 // routeUser serves a request and returns its kind.
@@ -90,7 +90,7 @@
 		request.Response.Header.Set(fasthttp.HeaderAllow, matched.method)
 		response.Error(request, fasthttp.StatusMethodNotAllowed, "method not allowed")
 		return kindOther
-	case matched.refusedWhileStopping && c.Draining():
+	case matched.refusedWhileStopping && c.IsStopping():
 		c.api.RespondRetryLater(request, fasthttp.StatusServiceUnavailable, "this node is stopping")
 		return kindStopping
 	}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -259,7 +259,7 @@
 		t.Fatal("a group whose write got no response was written again")
 	}
 	// Another write of the group is applied first.
-	key := controller.Inventory.KeyOf("host-000000")
+	key := controller.Inventory.RecordKey("host-000000")
 	if _, err := env.store.CompareAndSwap(ctx, 0, nil, []wire.Operation{{Put: key, Value: env.store.Keys[key].Value}}); err != nil {
 		t.Fatal(err)
 	}
@@ -273,7 +273,7 @@
 	}
 	// The leader stops after it has stored the first of several groups.
 	controller.Lock()
-	writes := controller.Inventory.PlanWrites(joinChanges(list[12:]), nil, controller.MaxGroupBytes(), controller.Limits.TxnOps)
+	writes := controller.Inventory.PlanWrites(joinChanges(list[12:]), nil, controller.MaxRecordGroupBytes(), controller.Limits.TxnOps)
 	controller.Unlock()
 	if len(writes) < 3 {
 		t.Fatalf("%d writes are planned, want at least 3", len(writes))
--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -66,12 +66,12 @@
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	previousLease := controller.Self.Incarnation
-	controller.election.EndSession(previousLease)
+	controller.election.ExpireSession(previousLease)
 	if controller.Session != membership.NoLease {
 		t.Fatalf("session state %s after its lease has expired", controller.Session)
 	}
-	controller.election.OpenSession(context.Background())
-	controller.election.EndSession(previousLease)
+	controller.election.AcquireLease(context.Background())
+	controller.election.ExpireSession(previousLease)
 	if controller.Session != membership.Leased {
 		t.Errorf("session state %s after the expiry of a previous lease", controller.Session)
 	}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -320,7 +320,7 @@
 
 // openNewSession grants a new session to a controller whose session has expired.
 func (sim *simulation) openNewSession(controller *Controller) {
-	controller.election.EndSession(controller.Self.Incarnation)
+	controller.election.ExpireSession(controller.Self.Incarnation)
 	controller.Lock()
 	defer controller.Unlock()
 	controller.Self.Incarnation, _ = sim.store.GrantLease(context.Background(), time.Second)
--- a/internal/controller/store_outage_test.go
+++ b/internal/controller/store_outage_test.go
@@ -360,7 +360,7 @@
 	env.store.Unavailable = false
 	env.store.Expire(controller.Self.Incarnation)
 	env.refreshAll()
-	controller.election.EndSession(controller.Self.Incarnation)
+	controller.election.ExpireSession(controller.Self.Incarnation)
 	for range 4 {
 		env.stepMembership()
 	}
--- a/internal/controller/worker_leases_test.go
+++ b/internal/controller/worker_leases_test.go
@@ -76,7 +76,7 @@
 	// a new incarnation, receives a copy as the first heartbeat of the machine.
 	env.store.Expire(controller.Self.Incarnation)
 	env.refreshAll()
-	controller.election.EndSession(controller.Self.Incarnation)
+	controller.election.ExpireSession(controller.Self.Incarnation)
 	for range 4 {
 		env.stepMembership()
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -64,9 +64,9 @@
 	Run(ctx context.Context) error
 	// Ready reports whether the service can serve requests.
 	Ready() bool
-	// Progress returns nil while the service's loops make progress, and otherwise an error that names
-	// what has stalled.
-	Progress() error
+	// CheckProgress returns nil while the service's loops make progress, and otherwise an error
+	// that names what has stalled.
+	CheckProgress() error
 	// Reload applies all changed settings, or none and returns an error.
 	Reload() error
 	// Drain stops accepting new work and returns when the work in flight has finished or ctx is done.
@@ -183,7 +183,7 @@
 // notifyWatchdog sends a keep-alive if the service makes progress. The manager restarts a process that
 // sends none, so one that is alive but stalled is restarted too.
 func (d *daemon) notifyWatchdog() {
-	if err := d.service.Progress(); err != nil {
+	if err := d.service.CheckProgress(); err != nil {
 		d.Log.Error(logging.EventNoProgress, logging.KeyError, err)
 		d.Manager.Notify(statusPrefix + "no progress: " + err.Error())
 		return
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -48,7 +48,7 @@
 	return s.ready
 }
 
-func (s *scriptedService) Progress() error {
+func (s *scriptedService) CheckProgress() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.progressErr
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -69,7 +69,7 @@
 	}
 	el.Log.Debug(logging.EventMembershipStepFailed, logging.KeyError, err)
 	if errors.Is(err, store.ErrLeaseExpired) {
-		el.EndSession(leaseID)
+		el.ExpireSession(leaseID)
 		return
 	}
 	// A failed barrier needs no handling: the next step then fails like this one.
--- a/internal/election/session.go
+++ b/internal/election/session.go
@@ -26,10 +26,10 @@
 			renewalDue = el.renewSession(ctx, leaseID)
 			continue
 		}
-		if el.Draining() {
+		if el.IsStopping() {
 			return nil // the session has ended for good
 		}
-		el.OpenSession(ctx)
+		el.AcquireLease(ctx)
 		renewalDue = el.Now().Add(tuning.SessionRenewEvery)
 	}
 	return nil
@@ -48,7 +48,7 @@
 func (el *Election) renewSession(ctx context.Context, leaseID uint64) (due time.Time) {
 	due = el.Now().Add(tuning.SessionRenewEvery)
 	if err := el.Store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrLeaseExpired) {
-		el.EndSession(leaseID)
+		el.ExpireSession(leaseID)
 	} else if err != nil {
 		el.Log.Debug(logging.EventSessionRenewalFailed, logging.KeyError, err)
 		due = el.Now().Add(tuning.RetryPause)
@@ -56,8 +56,8 @@
 	return due
 }
 
-// OpenSession requests a lease once, and pauses if none is granted. It takes the lock.
-func (el *Election) OpenSession(ctx context.Context) {
+// AcquireLease requests a lease once, and pauses if none is granted. It takes the lock.
+func (el *Election) AcquireLease(ctx context.Context) {
 	leaseID, err := el.Store.GrantLease(ctx, tuning.SessionTTL)
 	if err != nil {
 		el.Log.Info(logging.EventLeaseNotGranted, logging.KeyError, err)
@@ -71,9 +71,9 @@
 	cluster.Wake(el.MembershipWake)
 }
 
-// EndSession ends the session whose lease has expired, unless another lease has been granted
+// ExpireSession ends the session whose lease has expired, unless another lease has been granted
 // since. It takes the lock.
-func (el *Election) EndSession(leaseID uint64) {
+func (el *Election) ExpireSession(leaseID uint64) {
 	el.Lock()
 	defer el.Unlock()
 	if el.Self.Incarnation != leaseID || el.Session == membership.NoLease {
--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -136,7 +136,7 @@
 		if wm.ShardOwner(machine) == wm.Self.Label {
 			wm.fencePendingStarts(w)
 			wm.sendDirectCommands(w, now)
-		} else if wm.Inventory.KeyOf(machine) == "" && now.Sub(w.LastHeard) > tuning.ForgetLeases*wm.Settings.WorkerLease() {
+		} else if wm.Inventory.RecordKey(machine) == "" && now.Sub(w.LastHeard) > tuning.ForgetLeases*wm.Settings.WorkerLease() {
 			delete(wm.ByMachine, machine)
 		}
 	}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// KeyOf returns the key that holds the machine's record, "" if it has none.
-func (inv *Inventory) KeyOf(machine string) string { return inv.groupKeys[machine] }
+// RecordKey returns the key that holds the machine's record, "" if it has none.
+func (inv *Inventory) RecordKey(machine string) string { return inv.groupKeys[machine] }
 
 // Apply applies a stored value; nil means that the key was deleted.
 func (inv *Inventory) Apply(key string, raw wire.Raw) error {
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -62,11 +62,11 @@
 	}
 	keys := map[string]string{}
 	for machine := range inv.Machines {
-		keys[machine] = inv.KeyOf(machine)
+		keys[machine] = inv.RecordKey(machine)
 	}
 	applyWrites(t, inv, inv.PlanWrites(terminations, nil, fill, testMaxKeys))
 	for machine, key := range keys {
-		if inv.KeyOf(machine) != key || inv.Machines[machine].Phase != Terminated {
+		if inv.RecordKey(machine) != key || inv.Machines[machine].Phase != Terminated {
 			t.Fatalf("%s moved to another key or its change was lost", machine)
 		}
 	}
@@ -114,7 +114,7 @@
 	const singleKey = SingleMachinePrefix + "m1"
 	inv := NewInventory()
 	record := newRecord("g")
-	if err := inv.Apply(singleKey, wire.MustMarshal(record)); err != nil || inv.Machines["m1"] != record || inv.KeyOf("m1") != singleKey {
+	if err := inv.Apply(singleKey, wire.MustMarshal(record)); err != nil || inv.Machines["m1"] != record || inv.RecordKey("m1") != singleKey {
 		t.Fatalf("%v %v", inv.Machines, err)
 	}
 	draining := record
@@ -129,8 +129,8 @@
 		t.Fatal("the single-machine record replaced the newer one in the group")
 	}
 	applyWrites(t, inv, writes[1:])
-	if inv.Machines["m1"].Phase != Draining || inv.KeyOf("m1") != GroupKey(0) {
-		t.Fatalf("%v at %s", inv.Machines, inv.KeyOf("m1"))
+	if inv.Machines["m1"].Phase != Draining || inv.RecordKey("m1") != GroupKey(0) {
+		t.Fatalf("%v at %s", inv.Machines, inv.RecordKey("m1"))
 	}
 	if err := inv.Apply(GroupKey(1), wire.Raw{0xff}); err == nil {
 		t.Fatal("an undecodable value was applied without an error")
--- a/internal/leader/cloudsync.go
+++ b/internal/leader/cloudsync.go
@@ -77,7 +77,7 @@
 	if !changed {
 		return nil
 	}
-	return ld.StoreDecision(ctx, compares, []wire.Operation{{Put: cluster.MachineTypesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: types})}})
+	return ld.StoreAsLeader(ctx, compares, []wire.Operation{{Put: cluster.MachineTypesKey, Value: wire.MustMarshal(wire.MachineTypes{Types: types})}})
 }
 
 // compareMachineTypes reports whether the machine types differ from the stored ones, and returns
--- a/internal/leader/headroom.go
+++ b/internal/leader/headroom.go
@@ -43,7 +43,7 @@
 		state.batchLoad.MinTasks = minHeadroomTasks(state.meanArraySize)
 	}
 	b.input.Batch = state.batchLoad
-	b.input.OnDemand = b.loop.updateOnDemandLoad(state, b.now)
+	b.input.OnDemandBatch = b.loop.updateOnDemandLoad(state, b.now)
 }
 
 // minHeadroomTasks returns the minimum headroom for batch work in tasks, given the mean size of job
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -121,7 +121,7 @@
 		changes:   append(drains, drops...),
 	}
 	if ld.Limiter.AvailableWrites(tuning.WriteReserve) >= tuning.GroupSplitWrites {
-		writes.splitGroups = ld.Inventory.OversizeGroups(ld.MaxGroupBytes(), tuning.GroupSplitsPerPlan)
+		writes.splitGroups = ld.Inventory.OversizeGroups(ld.MaxRecordGroupBytes(), tuning.GroupSplitsPerPlan)
 	}
 	return writes
 }
--- a/internal/leader/planinput.go
+++ b/internal/leader/planinput.go
@@ -142,7 +142,7 @@
 		Silent:           wasUp && silentFor > tuning.SilentLeases*b.lease,
 		Missing:          b.state.MissingLists[machine.Name] >= tuning.MissingLists && wasUp && silentFor > missingAfter,
 		HeartbeatOverdue: wasUp && silentFor > b.loop.SilenceTimeout(),
-		Group:            b.loop.Inventory.KeyOf(machine.Name),
+		RecordKey:        b.loop.Inventory.RecordKey(machine.Name),
 	}
 	described.Quarantined = b.quarantinedTooLong(machine, phase, described.Booting) || b.hasFailingTasks(machine)
 	return described
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -43,7 +43,7 @@
 		if operations == nil {
 			continue
 		}
-		if err := ld.StoreDecision(ctx, write.compares, operations); err != nil {
+		if err := ld.StoreAsLeader(ctx, write.compares, operations); err != nil {
 			ld.Log.Info(logging.EventMachineRecordsNotStored, logging.KeyGroup, write.Key, logging.KeyError, err)
 		}
 	}
@@ -67,7 +67,7 @@
 	if !ld.IsLeader() {
 		return nil, false
 	}
-	planned := ld.Inventory.PlanWrites(changes, splitGroups, ld.MaxGroupBytes(), ld.Limits.TxnOps)
+	planned := ld.Inventory.PlanWrites(changes, splitGroups, ld.MaxRecordGroupBytes(), ld.Limits.TxnOps)
 	if len(planned) > maxGroups && !slices.ContainsFunc(planned, writesSingleMachineRecord) {
 		planned = planned[:maxGroups]
 	}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -63,7 +63,7 @@
 				continue // its claims must be released first
 			}
 			if state.MissingLists[machine] >= tuning.MissingLists {
-				key := ld.Inventory.KeyOf(machine)
+				key := ld.Inventory.RecordKey(machine)
 				dropsByGroup[key] = append(dropsByGroup[key], inventory.RecordChange{Machine: machine, Before: &record})
 			} else if state.listed[machine].State == wire.MachineFailed && state.MissingLists[machine] == 0 {
 				terminate = append(terminate, machine) // otherwise the cloud would keep listing the failed machine
@@ -78,7 +78,7 @@
 // while the cache is older than the stored drain, since claims stored before the drain may then be
 // unknown.
 func (ld *Loop) isDrained(machine string) bool {
-	if ld.Cache.Revision() < ld.Cache.Version(ld.Inventory.KeyOf(machine)) {
+	if ld.Cache.Revision() < ld.Cache.Version(ld.Inventory.RecordKey(machine)) {
 		return false
 	}
 	for _, job := range ld.Table.ClaimsByMachine[machine] {
--- a/internal/observability/status.go
+++ b/internal/observability/status.go
@@ -83,7 +83,7 @@
 // writeStoreLimits shows the store's limits, and how many stored groups of machine
 // records are above them.
 func (ob *Observer) writeStoreLimits(page *strings.Builder) {
-	oversize := ob.Inventory.OversizeGroups(ob.MaxGroupBytes(), len(ob.Inventory.Machines))
+	oversize := ob.Inventory.OversizeGroups(ob.MaxRecordGroupBytes(), len(ob.Inventory.Machines))
 	fmt.Fprintf(page, "state_limits write_rps %g value_kb %g txn_ops %d machine_groups_to_cut %d\n", ob.Limits.WriteRPS, ob.Limits.ValueKB, ob.Limits.TxnOps, len(oversize))
 }
 
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -124,7 +124,7 @@
 	maxValueBytes := int(sc.Limits.ValueKB * tuning.BytesPerKB)
 	for _, claim := range group.claims {
 		chunk := chunkOf(job, claim.Task)
-		key, machineKey := jobs.ChunkKey(job.ID, chunk), sc.Inventory.KeyOf(claim.Machine)
+		key, machineKey := jobs.ChunkKey(job.ID, chunk), sc.Inventory.RecordKey(claim.Machine)
 		change := chosen.chunks[key]
 		if change == nil {
 			chunks := len(chosen.chunks) + 1
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -87,7 +87,7 @@
 // PlanPass runs a pass. It returns the writes to commit, and sends the due commands to workers.
 // The caller holds the lock.
 func (sc *Scheduler) PlanPass() []*PendingWrite {
-	if !sc.IsMember() || !sc.StoreReadRecently() || sc.Draining() {
+	if !sc.IsMember() || !sc.StoreReadRecently() || sc.IsStopping() {
 		return nil
 	}
 	now := sc.Now()
