--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -57,7 +57,7 @@
 	}
 	// The machine is responsive again: a direct call gets a response.
 	controller.Lock()
-	controller.Workers.ByMachine["h1"].CallAnswered()
+	controller.Workers.ByMachine["h1"].RecordCallAnswered()
 	controller.Unlock()
 	env.acknowledgeToken("h1", 2)
 	env.submit(controller, serviceJob("wk-4", 1))
--- a/internal/controller/worker_leases_test.go
+++ b/internal/controller/worker_leases_test.go
@@ -301,7 +301,7 @@
 	// Record a response to the direct call of the pass: without one, the start may still be in
 	// flight, and the task is not reaped.
 	controller.Lock()
-	controller.Workers.ByMachine["h1"].StartsAnswered([]worker.Attempt{{ID: jobs.TaskID{Job: "wk-1"}, Number: 1}}, token, 1, 1)
+	controller.Workers.ByMachine["h1"].RecordStartsAnswered([]worker.Attempt{{Task: jobs.TaskID{Job: "wk-1"}, Number: 1}}, token, 1, 1)
 	controller.Unlock()
 	_, body = controller.receiveHeartbeat(env.heartbeat("h1", 1, token, exited))
 	if commands := commandsOf(t, http.StatusOK, body); len(commands) != 1 || commands[0].Verb != wire.VerbReap {
--- a/internal/election/reachability.go
+++ b/internal/election/reachability.go
@@ -42,10 +42,10 @@
 func (el *Election) countHeard(now time.Time) (heard, silent int) {
 	silentAfter := el.SilenceTimeout()
 	for machine, w := range el.Workers.ByMachine {
-		if el.ShardOwner(machine) != el.Self.Label || w.LastHeard.IsZero() {
+		if el.ShardOwner(machine) != el.Self.Label || w.LastHeardAt.IsZero() {
 			continue
 		}
-		if now.Sub(w.LastHeard) < silentAfter {
+		if now.Sub(w.LastHeardAt) < silentAfter {
 			heard++
 		} else if len(el.Table.ClaimsByMachine[machine]) > 0 && now.Sub(el.MembershipChangedAt) > silentAfter {
 			silent++
--- a/internal/fleet/directcalls.go
+++ b/internal/fleet/directcalls.go
@@ -35,7 +35,7 @@
 	if !wm.needsCall(w) || !wm.canCall(w) {
 		return
 	}
-	silent := now.Sub(w.LastHeard) >= wm.SilenceTimeout()
+	silent := now.Sub(w.LastHeardAt) >= wm.SilenceTimeout()
 	commands := wm.directCommands(w, silent, now)
 	if len(commands) == 0 && !wm.wantsAcknowledgement(w, now) {
 		return
@@ -75,12 +75,12 @@
 		return nil
 	}
 	due, postponed := w.Commands(wm.Table.ClaimsByMachine[w.Machine], worker.CommandOptions{
-		Channel:            worker.DirectCall,
-		AllowStarts:        wm.mayStartOn(w.Machine) && !silent,
-		Now:                now,
-		ResendAfterCall:    wm.Settings.HeartbeatInterval(),
-		RestartAfterAnswer: wm.startResendDelay(),
-		AdmitStart:         wm.recovery.admitStart,
+		Channel:           worker.DirectCall,
+		AllowStarts:       wm.mayStartOn(w.Machine) && !silent,
+		Now:               now,
+		ResendAfterCall:   wm.Settings.HeartbeatInterval(),
+		ResendAfterAnswer: wm.startResendDelay(),
+		AdmitStart:        wm.recovery.admitStart,
 	})
 	w.NoPendingCommands = !postponed
 	var commands []wire.Command
@@ -106,13 +106,13 @@
 // wantsAcknowledgement reports whether a worker is called even without commands, so that it
 // acknowledges the fencing token or shows that it receives calls. The lock is held.
 func (wm *WorkerManager) wantsAcknowledgement(w *worker.Worker, now time.Time) bool {
-	if now.Sub(w.LastCall) < tuning.TokenAnnouncePause {
+	if now.Sub(w.LastCallAt) < tuning.TokenAnnouncePause {
 		return false
 	}
 	switch {
-	case w.State == worker.TokenUnacknowledged && now.Sub(w.LastHeard) > wm.heartbeatOverdueAfter() && now.Sub(wm.MembershipChangedAt) > tuning.MembershipSettle:
+	case w.State == worker.TokenUnacknowledged && now.Sub(w.LastHeardAt) > wm.heartbeatOverdueAfter() && now.Sub(wm.MembershipChangedAt) > tuning.MembershipSettle:
 		return true
-	case w.Unresponsive && now.Sub(w.LastCall) > tuning.UnresponsivePause:
+	case w.Unresponsive && now.Sub(w.LastCallAt) > tuning.UnresponsivePause:
 		return true
 	}
 	// The call speeds up the acknowledgement of the raised token, which voids all starts with
@@ -148,8 +148,8 @@
 	wm.recordSentCommands(w, commands, now)
 	starts := worker.StartedAttempts(commands)
 	w.FencingToken = max(w.FencingToken, wm.Membership.FencingToken)
-	w.StartsSent(starts, w.FencingToken)
-	w.LastCall, w.CallInFlight = now, true
+	w.RecordStartsSent(starts, w.FencingToken)
+	w.LastCallAt, w.CallInFlight = now, true
 	if commands == nil {
 		commands = []wire.Command{} // encoded as an empty list, not as null
 	}
@@ -187,8 +187,8 @@
 		wm.Log.Debug(logging.EventDirectCommandFailed, logging.KeyMachine, w.Machine, logging.KeyError, err)
 		return
 	}
-	w.StartsAnswered(starts, request.FencingToken, heartbeat.Incarnation, heartbeat.Sequence)
-	w.CallAnswered()
+	w.RecordStartsAnswered(starts, request.FencingToken, heartbeat.Incarnation, heartbeat.Sequence)
+	w.RecordCallAnswered()
 	if wm.ByMachine[w.Machine] == w && heartbeat.Machine == w.Machine && wm.IsMember() && heartbeat.FencingToken <= wm.workerToken(w.Machine) {
 		wm.applyHeartbeat(w, heartbeat, wm.Now())
 	}
@@ -204,9 +204,9 @@
 	if w.CallInFlight {
 		return // the response may still arrive
 	}
-	for _, attempt := range w.ClaimsBlockedByStarts(wm.Table.ClaimsByMachine[w.Machine]) {
+	for _, attempt := range w.UnreleasableClaims(wm.Table.ClaimsByMachine[w.Machine]) {
 		if w.FencePendingStarts(wm.Membership.LastToken()) {
-			wm.Log.Debug(logging.EventPendingStartFenced, logging.KeyTask, attempt.ID, logging.KeyAttempt, attempt.Number, logging.KeyMachine, w.Machine, logging.KeyToken, w.FencingToken)
+			wm.Log.Debug(logging.EventPendingStartFenced, logging.KeyTask, attempt.Task, logging.KeyAttempt, attempt.Number, logging.KeyMachine, w.Machine, logging.KeyToken, w.FencingToken)
 		}
 	}
 }
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -97,11 +97,11 @@
 // never nil. The lock is held.
 func (wm *WorkerManager) responseCommands(w *worker.Worker, storeAge time.Duration, now time.Time) []wire.Command {
 	commands, _ := w.Commands(wm.Table.ClaimsByMachine[w.Machine], worker.CommandOptions{
-		Channel:     worker.HeartbeatAnswer,
-		AllowStarts: storeAge < tuning.StoreStaleAfter && wm.mayStartOn(w.Machine),
-		Now:         now,
-		AwaitCall:   !wm.recovery.Progress.IsRecovered(),
-		AdmitStart:  wm.recovery.admitStart,
+		Channel:          worker.HeartbeatAnswer,
+		AllowStarts:      storeAge < tuning.StoreStaleAfter && wm.mayStartOn(w.Machine),
+		Now:              now,
+		OmitStartsInCall: !wm.recovery.Progress.IsRecovered(),
+		AdmitStart:       wm.recovery.admitStart,
 	})
 	if commands == nil {
 		commands = []wire.Command{} // encoded as an empty list, not as null
@@ -113,7 +113,7 @@
 // lock is held.
 func (wm *WorkerManager) recordResponse(w *worker.Worker, heartbeat *wire.Heartbeat, commands []wire.Command, now time.Time) {
 	wasUnresponsive := w.Unresponsive
-	w.HeartbeatAnswered(heartbeat, commands, now)
+	w.RecordHeartbeatAnswered(heartbeat, commands, now)
 	if w.Unresponsive != wasUnresponsive {
 		wm.Log.Info(logging.EventResponsivenessChanged, logging.KeyMachine, w.Machine, logging.KeyUnresponsive, w.Unresponsive)
 	}
@@ -164,7 +164,7 @@
 			w.FailedJobs[job.ID] = true
 			wm.Failing[w.Machine] = w
 		case wire.ExitCauseNoRoom:
-			w.LastRefusal = now
+			w.LastRefusalAt = now
 		}
 	}
 }
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -159,7 +159,7 @@
 // worker that answers calls but can't send heartbeats ends when its lease expires. The lock is
 // held.
 func (mi *MachineIndex) isSchedulable(w *worker.Worker, now time.Time, silenceTimeout time.Duration) bool {
-	return w != nil && w.State == worker.TokenAcknowledged && now.Sub(w.LastHeard) < silenceTimeout && now.Sub(w.LeaseRenewedAt()) < silenceTimeout &&
+	return w != nil && w.State == worker.TokenAcknowledged && now.Sub(w.LastHeardAt) < silenceTimeout && now.Sub(w.LeaseRenewedAt()) < silenceTimeout &&
 		w.TerminationAt.IsZero() && !mi.workers.isQuarantined(w, now)
 }
 
@@ -252,7 +252,7 @@
 	m.active = mi.Inventory.Machines[m.Name].Phase == inventory.Active
 	mi.applyOwnerView(m)
 	mi.applyClaims(m)
-	m.Snapshot()
+	m.SaveState()
 }
 
 // applyOwnerView updates a machine from what its owner knows about its worker. The lock is
@@ -282,7 +282,7 @@
 	m.Tasks = m.Tasks[:0]
 	w := mi.workers.ByMachine[m.Name] // also set if another controller owns the machine, unlike m.worker
 	for id, job := range mi.Table.ClaimsByMachine[m.Name] {
-		stopping := job.Phase != jobs.Open || w != nil && w.IsLeaving(id)
+		stopping := job.Phase != jobs.Open || w != nil && w.IsTaskLeaving(id)
 		task := placement.ClaimedTask{ID: id, Job: job, Stopping: stopping}
 		if m.worker != nil {
 			task.RunningSince = m.worker.RunningSince[id]
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -226,8 +226,8 @@
 func (px *PeerExchange) LastHeardByOwners(now time.Time) map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	for machine, w := range px.workers.ByMachine {
-		if !w.LastHeard.IsZero() {
-			ages[machine] = now.Sub(w.LastHeard)
+		if !w.LastHeardAt.IsZero() {
+			ages[machine] = now.Sub(w.LastHeardAt)
 		}
 	}
 	for _, sibling := range px.Siblings {
--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -64,7 +64,7 @@
 // refreshPublished updates PublishedMachines. The lock is held.
 func (px *PeerExchange) refreshPublished(now time.Time) {
 	for machine, w := range px.workersToPublish(now) {
-		if w.LastHeard.IsZero() {
+		if w.LastHeardAt.IsZero() {
 			continue
 		}
 		status := px.machineStatus(w, machine, now)
@@ -75,7 +75,7 @@
 		} else if sameStatus(&published.status, &status) {
 			continue
 		}
-		status.SilentFor = now.Sub(w.LastHeard)
+		status.SilentFor = now.Sub(w.LastHeardAt)
 		status.Images = slices.Clone(status.Images)
 		px.publishedVersion++
 		published.status, published.version = status, px.publishedVersion
@@ -88,7 +88,7 @@
 	status := peer.MachineStatus{
 		Name:              machine,
 		Incarnation:       w.Incarnation,
-		Silent:            now.Sub(w.LastHeard) > px.SilenceTimeout(),
+		Silent:            now.Sub(w.LastHeardAt) > px.SilenceTimeout(),
 		TokenAcknowledged: w.State == worker.TokenAcknowledged,
 		TerminationNotice: noTerminationNotice,
 		Quarantined:       px.workers.isQuarantined(w, now),
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		w := rt.workers.ByMachine[machine]
-		heard := w != nil && !w.LastHeard.IsZero()
+		heard := w != nil && !w.LastHeardAt.IsZero()
 		count[recovery.MachineStateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, timeout)]++
 		if heard {
 			rt.countDueStarts(w, machine, &backlog)
--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -86,7 +86,7 @@
 // not receive commands, tasks of several jobs failed on it, or it recently refused a task for
 // lack of capacity. The lock is held.
 func (wm *WorkerManager) isQuarantined(w *worker.Worker, now time.Time) bool {
-	return w.Unresponsive || len(w.FailedJobs) >= tuning.MachineFailuresMax || now.Sub(w.LastRefusal) < tuning.RefusalPause
+	return w.Unresponsive || len(w.FailedJobs) >= tuning.MachineFailuresMax || now.Sub(w.LastRefusalAt) < tuning.RefusalPause
 }
 
 // imageSize returns the size of an image in GB, or 0 if no job has run with it. The lock is
@@ -136,7 +136,7 @@
 		if wm.ShardOwner(machine) == wm.Self.Label {
 			wm.fencePendingStarts(w)
 			wm.sendDirectCommands(w, now)
-		} else if wm.Inventory.RecordKey(machine) == "" && now.Sub(w.LastHeard) > tuning.ForgetLeases*wm.Settings.WorkerLease() {
+		} else if wm.Inventory.RecordKey(machine) == "" && now.Sub(w.LastHeardAt) > tuning.ForgetLeases*wm.Settings.WorkerLease() {
 			delete(wm.ByMachine, machine)
 		}
 	}
--- a/internal/placement/builders_test.go
+++ b/internal/placement/builders_test.go
@@ -67,7 +67,7 @@
 func newInput(self string, machines []*Machine, openJobs ...*jobs.Job) Input {
 	in := Input{Self: self, Leader: "L", RankNodes: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
 		Allowances: map[string]*quota.Allowance{"x": {}}, MaxJobs: 100}
-	in.Fleet.Refresh()
+	in.Fleet.SaveStates()
 	for _, j := range openJobs {
 		in.Demands = append(in.Demands, newDemand(j))
 	}
--- a/internal/placement/fleet.go
+++ b/internal/placement/fleet.go
@@ -10,7 +10,7 @@
 // Fleet indexes the machines of a pass: by name, and in pools of machines that
 // are equally eligible for every job, so that the search for a job skips whole
 // pools. It is built when machines, roles or shard owners change. Before each pass
-// Machine.Snapshot saves the state of the machines whose tasks or images have
+// Machine.SaveState saves the state of the machines whose tasks or images have
 // changed, and Fleet.Rollback undoes the last pass's placements.
 type Fleet struct {
 	Machines        []*Machine // by name
@@ -65,10 +65,10 @@
 // Machine returns the machine with the name, nil if it is not known.
 func (f *Fleet) Machine(name string) *Machine { return f.byName[name] }
 
-// Refresh takes a snapshot of every machine and summarizes the pools.
-func (f *Fleet) Refresh() {
+// SaveStates saves the state of every machine and summarizes the pools.
+func (f *Fleet) SaveStates() {
 	for _, m := range f.Machines {
-		m.Snapshot()
+		m.SaveState()
 	}
 	f.Rollback()
 }
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -63,9 +63,9 @@
 // can list tuning.TasksPerMachine at most.
 func (m *Machine) freeTaskSlots() int { return tuning.TasksPerMachine - len(m.Tasks) - m.placedTasks }
 
-// Snapshot saves the machine's free room, tasks and images, as currently set in its
+// SaveState saves the machine's free room, tasks and images, as currently set in its
 // fields, as the state in which the next passes start.
-func (m *Machine) Snapshot() {
+func (m *Machine) SaveState() {
 	m.imagePulls, m.placedTasks, m.preempting = m.imagePulls[:0], 0, false
 	lowestPriority := noPreemptibleTask
 	for i := range m.Tasks {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -84,7 +84,7 @@
 const (
 	ReasonNoRoom     = "no machine has room"
 	ReasonJobLimit   = "others are placed first"
-	ReasonNoQuota    = "its team is at its limit"
+	ReasonTeamLimit  = "its team is at its limit"
 	ReasonShareLimit = "its team's limit is being shared out anew"
 
 	reasonNoTeam               = "its team is not in the settings"
@@ -112,7 +112,7 @@
 		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonShareLimit)
 		return false
 	case len(tasks) == placed:
-		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonNoQuota) // more machines would not help
+		out.recordUnplaced(d, len(d.Tasks)-placed, ReasonTeamLimit) // more machines would not help
 		return false
 	}
 	out.recordUnplaced(d, len(tasks)-placed, ReasonNoRoom)
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -159,7 +159,7 @@
 				}
 				m.Tasks = append(m.Tasks, task)
 			}
-			m.Snapshot()
+			m.SaveState()
 			in := newInput("a", []*Machine{m}, newJob("wk-1", wire.KindArray, wire.PriorityUrgent, 3, nil))
 			in.Now, in.MinimizeLoss = now, true
 			in.Allowances["x"] = &quota.Allowance{}
--- a/internal/placement/schedule.go
+++ b/internal/placement/schedule.go
@@ -40,7 +40,7 @@
 	}
 	tasks := d.Tasks[:team.MaxTasks(d.Job.Need.Amount(), len(d.Tasks))]
 	if len(tasks) == 0 {
-		out.recordUnplaced(d, len(d.Tasks), ReasonNoQuota)
+		out.recordUnplaced(d, len(d.Tasks), ReasonTeamLimit)
 		return
 	}
 	var choice machineChoice
--- a/internal/placement/schedule_test.go
+++ b/internal/placement/schedule_test.go
@@ -20,8 +20,8 @@
 func TestTasksBeyondTheLimitWaitForQuota(t *testing.T) {
 	in := newInput("a", []*Machine{newMachine("m", "a", "z", Batch, 8)}, newArray("wk-1", 5, nil))
 	in.Allowances["x"].Limit = quota.Amount{GPUs: 3}
-	if out := Schedule(in); len(out.Claims) != 3 || out.UnplacedReasons["wk-1"] != ReasonNoQuota {
-		t.Fatalf("%d claims, the others wait because %q; want 3 and %q", len(out.Claims), out.UnplacedReasons["wk-1"], ReasonNoQuota)
+	if out := Schedule(in); len(out.Claims) != 3 || out.UnplacedReasons["wk-1"] != ReasonTeamLimit {
+		t.Fatalf("%d claims, the others wait because %q; want 3 and %q", len(out.Claims), out.UnplacedReasons["wk-1"], ReasonTeamLimit)
 	}
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -126,7 +126,7 @@
 // backoffs of jobs.
 func (sc *Scheduler) pruneFinished(workers map[string]*worker.Worker, now time.Time) {
 	for machine, w := range workers {
-		if len(w.Stopping) > 0 && w.PruneStopping(sc.Table.ClaimsByMachine[machine]) {
+		if len(w.StopRequested) > 0 && w.PruneStopRequests(sc.Table.ClaimsByMachine[machine]) {
 			sc.MachineIndex.MarkChanged(machine)
 		}
 	}
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -39,14 +39,14 @@
 	Channel     Channel
 	AllowStarts bool // whether tasks may be started, which requires a readable key-value store
 	Now         time.Time
-	// AwaitCall omits a start from the answer to a heartbeat while a direct call that contains it
+	// OmitStartsInCall omits a start from the answer to a heartbeat while a direct call that contains it
 	// is in flight and has just been sent.
-	AwaitCall bool
+	OmitStartsInCall bool
 	// ResendAfterCall is the shortest time between two direct calls that contain the same start.
 	ResendAfterCall time.Duration
-	// RestartAfterAnswer is the shortest time between the answer to a heartbeat that contains a start
+	// ResendAfterAnswer is the shortest time between the answer to a heartbeat that contains a start
 	// and a direct call that repeats it, unless a later heartbeat shows first that it had no effect.
-	RestartAfterAnswer time.Duration
+	ResendAfterAnswer time.Duration
 	// AdmitStart reports whether the limit on the rate of starts admits a due start of a job now, and
 	// counts it if so. If nil, the rate is not limited.
 	AdmitStart func(job *jobs.Job) bool
@@ -73,7 +73,7 @@
 		}
 		status, listed := w.Tasks[id]
 		observed.StartPending = listed && w.isStartPending(Attempt{id, status.Attempt})
-		observed.TaskStopRequested = w.Stopping[id]
+		observed.TaskStopRequested = w.StopRequested[id]
 		decision := recovery.Commands(desiredTask(job, task), observedTask(status, listed), observed)
 		if stop, due := stopCommand(decision.Stop, job, status); due {
 			commands = append(commands, stop)
@@ -123,14 +123,14 @@
 	if options.Channel == HeartbeatAnswer {
 		// The heartbeat being answered already shows the effect of earlier answers. A direct call
 		// that takes longer than StartCallGrace may never arrive, while answers to heartbeats do.
-		return options.AwaitCall && w.CallInFlight && w.isStartPending(attempt) && options.Now.Sub(w.LastCall) < tuning.StartCallGrace
+		return options.OmitStartsInCall && w.CallInFlight && w.isStartPending(attempt) && options.Now.Sub(w.LastCallAt) < tuning.StartCallGrace
 	}
-	key := CommandKey{wire.VerbStart, attemptKey(attempt.ID.String(), attempt.Number)}
+	key := CommandKey{wire.VerbStart, attemptKey(attempt.Task.String(), attempt.Number)}
 	if sent, ok := w.SentCommands[key]; ok && options.Now.Sub(sent) <= options.ResendAfterCall {
 		return true
 	}
 	_, answered := w.answeredStarts[attempt]
-	return answered && options.Now.Sub(w.LastAnswered) < options.RestartAfterAnswer
+	return answered && options.Now.Sub(w.LastAnsweredAt) < options.ResendAfterAnswer
 }
 
 // taskIDs returns, in order, the tasks that are claimed for the machine or listed in the newest
--- a/internal/worker/commands_test.go
+++ b/internal/worker/commands_test.go
@@ -41,7 +41,7 @@
 	if verbs := verbsOf(heartbeatCommands(w, claims, true)); verbs != "" {
 		t.Fatalf("commands %q while the claim is stored, want none", verbs)
 	}
-	w.StartsSent([]Attempt{{testTask, 1}}, 5)
+	w.RecordStartsSent([]Attempt{{testTask, 1}}, 5)
 	if verbs := verbsOf(heartbeatCommands(w, nil, true)); verbs != "" {
 		t.Fatalf("commands %q while a start may still arrive, want none", verbs)
 	}
@@ -58,14 +58,14 @@
 func TestExitedTaskIsLeavingUntilReleaseIsStored(t *testing.T) {
 	claims := storedClaim(t, 1, 1, jobs.Open)
 	w := NewWorker(testMachine)
-	w.Stopping[testTask] = true
+	w.StopRequested[testTask] = true
 	w.ApplyHeartbeat(newHeartbeat(1, 1, 5, exited(1, wire.ExitCauseStopped)), 5, t0)
-	w.PruneStopping(claims)
-	if !w.IsLeaving(testTask) {
+	w.PruneStopRequests(claims)
+	if !w.IsTaskLeaving(testTask) {
 		t.Fatal("the exited task no longer counts as leaving")
 	}
-	w.PruneStopping(nil)
-	if w.Stopping[testTask] {
+	w.PruneStopRequests(nil)
+	if w.StopRequested[testTask] {
 		t.Fatal("the stop request is kept after the claim was released")
 	}
 }
--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -26,8 +26,8 @@
 // is the fencing token of our membership: a message that carries it, or a higher one that was raised
 // for this worker alone (FencePendingStarts), acknowledges it.
 func (w *Worker) ApplyHeartbeat(heartbeat *wire.Heartbeat, membershipToken uint64, now time.Time) bool {
-	if w.FirstHeard.IsZero() {
-		w.FirstHeard = now
+	if w.FirstHeardAt.IsZero() {
+		w.FirstHeardAt = now
 	}
 	if w.isNotNewer(heartbeat, w.Sequence) {
 		return false
@@ -37,7 +37,7 @@
 	}
 	w.Machine, w.Address, w.MachineType = heartbeat.Machine, heartbeat.Address, heartbeat.MachineType
 	w.Zone, w.Spot = heartbeat.Zone, heartbeat.Spot
-	w.Incarnation, w.Sequence, w.LastHeard = heartbeat.Incarnation, heartbeat.Sequence, now
+	w.Incarnation, w.Sequence, w.LastHeardAt = heartbeat.Incarnation, heartbeat.Sequence, now
 	w.MarkChanged()
 	w.applyToken(heartbeat.FencingToken, membershipToken, now)
 	w.applyTerminationNotice(heartbeat.TerminationNoticeS, now)
@@ -53,7 +53,7 @@
 	clear(w.pendingStarts)
 	clear(w.answeredStarts)
 	clear(w.SentCommands)
-	clear(w.Stopping)
+	clear(w.StopRequested)
 	clear(w.unconfirmedCommands)
 	w.HeartbeatSequence = 0
 }
@@ -117,9 +117,9 @@
 	}
 }
 
-// HeartbeatAnswered records that a heartbeat was answered with status 200 and these commands.
-func (w *Worker) HeartbeatAnswered(heartbeat *wire.Heartbeat, commands []wire.Command, now time.Time) {
-	w.LastAnswered, w.HeartbeatSequence = now, heartbeat.Sequence
+// RecordHeartbeatAnswered records that a heartbeat was answered with status 200 and these commands.
+func (w *Worker) RecordHeartbeatAnswered(heartbeat *wire.Heartbeat, commands []wire.Command, now time.Time) {
+	w.LastAnsweredAt, w.HeartbeatSequence = now, heartbeat.Sequence
 	w.nothingToReconcile = false // neverStarted depends on answeredStarts, which changes here
 	for attempt, sequence := range w.answeredStarts {
 		if sequence < heartbeat.Sequence {
@@ -156,8 +156,8 @@
 	w.unconfirmedCommands = unconfirmed
 }
 
-// CallAnswered records that the worker answered a direct call: it is responsive.
-func (w *Worker) CallAnswered() {
+// RecordCallAnswered records that the worker answered a direct call: it is responsive.
+func (w *Worker) RecordCallAnswered() {
 	w.Unresponsive = false
 	clear(w.unconfirmedCommands)
 }
--- a/internal/worker/heartbeat_test.go
+++ b/internal/worker/heartbeat_test.go
@@ -25,7 +25,7 @@
 			t.Fatal("the first heartbeat is taken for a copy")
 		}
 		w.ApplyHeartbeat(first, 7, t0)
-		w.HeartbeatAnswered(first, nil, t0)
+		w.RecordHeartbeatAnswered(first, nil, t0)
 		return w
 	}
 	for _, c := range []struct {
@@ -61,7 +61,7 @@
 		sequence++
 		heartbeat := newHeartbeat(1, sequence, 7)
 		w.ApplyHeartbeat(heartbeat, 7, now)
-		w.HeartbeatAnswered(heartbeat, commands, now)
+		w.RecordHeartbeatAnswered(heartbeat, commands, now)
 	}
 	start := wire.Command{Verb: wire.VerbStart, Task: testTask.String(), Attempt: 1}
 	answer(start)
@@ -82,7 +82,7 @@
 	answer(start)
 	now = now.Add(2 * tuning.ConfirmAfter)
 	answer(start)
-	if w.CallAnswered(); w.Unresponsive {
+	if w.RecordCallAnswered(); w.Unresponsive {
 		t.Fatal("unresponsive although the worker answered a direct call")
 	}
 	answer(start)
@@ -90,7 +90,7 @@
 	w.ApplyHeartbeat(newHeartbeat(2, sequence+1, 7), 7, now)
 	heartbeat := newHeartbeat(2, sequence+2, 7)
 	w.ApplyHeartbeat(heartbeat, 7, now)
-	if w.HeartbeatAnswered(heartbeat, []wire.Command{start}, now); w.Unresponsive {
+	if w.RecordHeartbeatAnswered(heartbeat, []wire.Command{start}, now); w.Unresponsive {
 		t.Fatal("commands of an earlier incarnation count against the new one")
 	}
 }
--- a/internal/worker/lease.go
+++ b/internal/worker/lease.go
@@ -10,8 +10,8 @@
 // acknowledged our token runs: the arrival of the last heartbeat that we answered or, if later, of
 // the message that acknowledged the token.
 func (w *Worker) LeaseRenewedAt() time.Time {
-	if w.LastAnswered.After(w.AcknowledgedAt) {
-		return w.LastAnswered
+	if w.LastAnsweredAt.After(w.AcknowledgedAt) {
+		return w.LastAnsweredAt
 	}
 	return w.AcknowledgedAt
 }
--- a/internal/worker/lease_test.go
+++ b/internal/worker/lease_test.go
@@ -16,11 +16,11 @@
 		t.Fatal("a lease that a former owner may renew counts as expired")
 	}
 	w.ApplyHeartbeat(newHeartbeat(1, 2, 5), 5, t0.Add(time.Second))
-	w.LastAnswered = t0.Add(10 * time.Second)
-	if w.ExpireLease(w.LastAnswered.Add(lease), lease) {
+	w.LastAnsweredAt = t0.Add(10 * time.Second)
+	if w.ExpireLease(w.LastAnsweredAt.Add(lease), lease) {
 		t.Fatal("the lease expired without a margin for clock drift")
 	}
-	at := w.LastAnswered.Add(lease + lease/100 + tuning.LeaseMargin)
+	at := w.LastAnsweredAt.Add(lease + lease/100 + tuning.LeaseMargin)
 	if ends := w.ProvenEnds(claims, at, lease); len(ends) != 1 || w.State != LeaseExpired {
 		t.Fatalf("expired lease: ends %v in state %s, want one end", ends, w.State)
 	}
--- a/internal/worker/reconcile_test.go
+++ b/internal/worker/reconcile_test.go
@@ -57,58 +57,58 @@
 		{"the job is still open", jobs.Open, func(*Worker) {}, false},
 		{"our token is not acknowledged yet", jobs.Cancelled, func(w *Worker) { w.RequireAcknowledgement() }, false},
 		{"the answer to the last heartbeat contained the start", jobs.Cancelled, func(w *Worker) {
-			w.HeartbeatAnswered(newHeartbeat(1, 3, 5), command, t0)
+			w.RecordHeartbeatAnswered(newHeartbeat(1, 3, 5), command, t0)
 		}, false},
 		{"a direct call was answered since the answer with the start", jobs.Cancelled, func(w *Worker) {
-			w.HeartbeatAnswered(newHeartbeat(1, 3, 5), command, t0)
+			w.RecordHeartbeatAnswered(newHeartbeat(1, 3, 5), command, t0)
 			w.ApplyHeartbeat(newHeartbeat(1, 5, 5), 5, t0) // sent before the answer to the heartbeat arrived
-			w.CallAnswered()
+			w.RecordCallAnswered()
 		}, false},
 		{"a heartbeat followed the answer with the start", jobs.Cancelled, func(w *Worker) {
-			w.HeartbeatAnswered(newHeartbeat(1, 3, 5), command, t0)
+			w.RecordHeartbeatAnswered(newHeartbeat(1, 3, 5), command, t0)
 			w.ApplyHeartbeat(newHeartbeat(1, 4, 5), 5, t0)
-			w.HeartbeatAnswered(newHeartbeat(1, 4, 5), nil, t0)
+			w.RecordHeartbeatAnswered(newHeartbeat(1, 4, 5), nil, t0)
 		}, true},
 		{"a direct start is not answered yet", jobs.Cancelled, func(w *Worker) {
-			w.StartsSent(starts, 5)
+			w.RecordStartsSent(starts, 5)
 			w.ApplyHeartbeat(newHeartbeat(1, 9, 5), 5, t0)
-			w.HeartbeatAnswered(newHeartbeat(1, 9, 5), nil, t0)
+			w.RecordHeartbeatAnswered(newHeartbeat(1, 9, 5), nil, t0)
 		}, false},
 		{"a direct start is answered, the answer not applied yet", jobs.Cancelled, func(w *Worker) {
-			w.StartsSent(starts, 5)
-			w.StartsAnswered(starts, 5, 1, 9)
+			w.RecordStartsSent(starts, 5)
+			w.RecordStartsAnswered(starts, 5, 1, 9)
 		}, false},
 		{"a direct start is answered, then an older heartbeat arrives", jobs.Cancelled, func(w *Worker) {
-			w.StartsSent(starts, 5)
-			w.StartsAnswered(starts, 5, 1, 9)
+			w.RecordStartsSent(starts, 5)
+			w.RecordStartsAnswered(starts, 5, 1, 9)
 			w.ApplyHeartbeat(newHeartbeat(1, 8, 5), 5, t0)
-			w.HeartbeatAnswered(newHeartbeat(1, 8, 5), nil, t0)
+			w.RecordHeartbeatAnswered(newHeartbeat(1, 8, 5), nil, t0)
 		}, false},
 		{"a direct start is fenced, the raised token not acknowledged", jobs.Cancelled, func(w *Worker) {
-			w.StartsSent(starts, 5)
+			w.RecordStartsSent(starts, 5)
 			w.FencePendingStarts(5 + tuning.TokenRange)
 			w.ApplyHeartbeat(newHeartbeat(1, 9, 5), 5, t0)
-			w.HeartbeatAnswered(newHeartbeat(1, 9, 5), nil, t0)
+			w.RecordHeartbeatAnswered(newHeartbeat(1, 9, 5), nil, t0)
 		}, false},
 		{"a direct start is fenced, the raised token acknowledged", jobs.Cancelled, func(w *Worker) {
-			w.StartsSent(starts, 5)
+			w.RecordStartsSent(starts, 5)
 			w.FencePendingStarts(5 + tuning.TokenRange)
 			w.ApplyHeartbeat(newHeartbeat(1, 9, 5+tuning.FencingStep), 5, t0)
-			w.HeartbeatAnswered(newHeartbeat(1, 9, 5+tuning.FencingStep), nil, t0)
+			w.RecordHeartbeatAnswered(newHeartbeat(1, 9, 5+tuning.FencingStep), nil, t0)
 		}, true},
 		{"a direct start was sent with the raised token", jobs.Cancelled, func(w *Worker) {
-			w.StartsSent(starts, 5)
+			w.RecordStartsSent(starts, 5)
 			w.FencePendingStarts(5 + tuning.TokenRange)
-			w.StartsSent(starts, w.FencingToken)
+			w.RecordStartsSent(starts, w.FencingToken)
 			w.ApplyHeartbeat(newHeartbeat(1, 9, w.FencingToken), 5, t0)
-			w.HeartbeatAnswered(newHeartbeat(1, 9, w.FencingToken), nil, t0)
+			w.RecordHeartbeatAnswered(newHeartbeat(1, 9, w.FencingToken), nil, t0)
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			claims := storedClaim(t, 1, 2, c.phase)
 			w := NewWorker(testMachine)
 			w.ApplyHeartbeat(newHeartbeat(1, 3, 5), 5, t0)
-			w.HeartbeatAnswered(newHeartbeat(1, 3, 5), nil, t0)
+			w.RecordHeartbeatAnswered(newHeartbeat(1, 3, 5), nil, t0)
 			c.events(w)
 			if ends := w.ProvenEnds(claims, t0, lease); (len(ends) == 1) != c.want {
 				t.Errorf("ends %v, want an end: %v", ends, c.want)
@@ -134,9 +134,9 @@
 		{"a new incarnation begins", t0, func(w *Worker) { w.ApplyHeartbeat(newHeartbeat(2, 1, 5), 5, t0) }, false},
 		{"a claim or its job changes", t0, func(w *Worker) { w.MarkChanged() }, false},
 		{"the membership changes", t0, func(w *Worker) { w.RequireAcknowledgement() }, false},
-		{"a task is asked to stop", t0, func(w *Worker) { w.RequestStop(start[0].ID) }, false},
-		{"a heartbeat is answered", t0, func(w *Worker) { w.HeartbeatAnswered(newHeartbeat(1, 3, 5), nil, t0) }, false},
-		{"a direct start is answered", t0, func(w *Worker) { w.StartsAnswered(start, 5, 1, 3) }, false},
+		{"a task is asked to stop", t0, func(w *Worker) { w.RequestStop(start[0].Task) }, false},
+		{"a heartbeat is answered", t0, func(w *Worker) { w.RecordHeartbeatAnswered(newHeartbeat(1, 3, 5), nil, t0) }, false},
+		{"a direct start is answered", t0, func(w *Worker) { w.RecordStartsAnswered(start, 5, 1, 3) }, false},
 		{"the lease lasts", t0.Add(lease), func(*Worker) {}, true},
 		{"the lease has expired", t0.Add(lease + 5*time.Second), func(*Worker) {}, false},
 	} {
--- a/internal/worker/starts.go
+++ b/internal/worker/starts.go
@@ -8,7 +8,7 @@
 
 // Attempt is one attempt of a task.
 type Attempt struct {
-	ID     jobs.TaskID
+	Task   jobs.TaskID
 	Number uint64
 }
 
@@ -32,16 +32,16 @@
 	return started
 }
 
-// StartsSent records that a direct call with these starts is about to be sent.
-func (w *Worker) StartsSent(starts []Attempt, token uint64) {
+// RecordStartsSent records that a direct call with these starts is about to be sent.
+func (w *Worker) RecordStartsSent(starts []Attempt, token uint64) {
 	for _, attempt := range starts {
 		w.pendingStarts[pendingStart{attempt, token}]++
 	}
 }
 
-// StartsAnswered records that a direct call with these starts and this fencing token was answered by
+// RecordStartsAnswered records that a direct call with these starts and this fencing token was answered by
 // a message with the given incarnation and sequence number.
-func (w *Worker) StartsAnswered(starts []Attempt, token, incarnation, sequence uint64) {
+func (w *Worker) RecordStartsAnswered(starts []Attempt, token, incarnation, sequence uint64) {
 	w.nothingToReconcile = false
 	for _, attempt := range starts {
 		start := pendingStart{attempt, token}
@@ -74,9 +74,9 @@
 	return w.State == TokenAcknowledged && !answered && !w.isStartPending(attempt)
 }
 
-// ClaimsBlockedByStarts returns, in no particular order, the claims of cancelled jobs that can't be
+// UnreleasableClaims returns, in no particular order, the claims of cancelled jobs that can't be
 // released because a pending start may still arrive.
-func (w *Worker) ClaimsBlockedByStarts(claims map[jobs.TaskID]*jobs.Job) []Attempt {
+func (w *Worker) UnreleasableClaims(claims map[jobs.TaskID]*jobs.Job) []Attempt {
 	if len(w.pendingStarts) == 0 {
 		return nil
 	}
--- a/internal/worker/starts_test.go
+++ b/internal/worker/starts_test.go
@@ -13,12 +13,12 @@
 	w := NewWorker(testMachine)
 	starts := []Attempt{{testTask, 1}}
 	w.ApplyHeartbeat(newHeartbeat(1, 1, 5, exited(1, wire.ExitCauseStopped)), 6, t0)
-	w.StartsSent(starts, 6)
+	w.RecordStartsSent(starts, 6)
 	w.ApplyHeartbeat(newHeartbeat(1, 2, 6, exited(1, wire.ExitCauseStopped)), 6, t0)
 	if verbs := verbsOf(heartbeatCommands(w, nil, true)); w.State != TokenAcknowledged || verbs != "" {
 		t.Fatalf("state %s, commands %q, want an acknowledged token and no commands", w.State, verbs)
 	}
-	w.StartsAnswered(starts, 6, 1, 2)
+	w.RecordStartsAnswered(starts, 6, 1, 2)
 	if verbs := verbsOf(heartbeatCommands(w, nil, true)); verbs != "reap " {
 		t.Fatalf("commands %q after the start was answered, want a reap", verbs)
 	}
@@ -29,7 +29,7 @@
 	w := NewWorker(testMachine)
 	w.ApplyHeartbeat(newHeartbeat(1, 3, 5), 5, t0)
 	for i := range 20 {
-		w.StartsSent([]Attempt{{testTask, 2}}, w.FencingToken)
+		w.RecordStartsSent([]Attempt{{testTask, 2}}, w.FencingToken)
 		if w.FencePendingStarts(maxToken); w.FencingToken > maxToken {
 			t.Fatalf("token %d after %d raises", w.FencingToken, i+1)
 		}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -41,22 +41,22 @@
 	// higher one after FencePendingStarts has raised it.
 	FencingToken uint64
 
-	Tasks        map[jobs.TaskID]wire.TaskStatus // as listed in the newest message
-	RunningSince map[jobs.TaskID]time.Time       // arrival of the first message that showed the task running
-	Stopping     map[jobs.TaskID]bool            // tasks that must leave this machine
+	Tasks         map[jobs.TaskID]wire.TaskStatus // as listed in the newest message
+	RunningSince  map[jobs.TaskID]time.Time       // arrival of the first message that showed the task running
+	StopRequested map[jobs.TaskID]bool            // tasks that must leave this machine
 
-	FirstHeard     time.Time // arrival of the first message
-	LastHeard      time.Time // arrival of the newest message
-	LastAnswered   time.Time // arrival of the last heartbeat that we answered with 200
+	FirstHeardAt   time.Time // arrival of the first message
+	LastHeardAt    time.Time // arrival of the newest message
+	LastAnsweredAt time.Time // arrival of the last heartbeat that we answered with 200
 	AcknowledgedAt time.Time // arrival of the message that acknowledged our token
 	TerminationAt  time.Time // when the cloud provider terminates the machine; zero: no notice
 
-	Images      []string        // images used here and not known to be deleted, the most recently used last
-	FailedJobs  map[string]bool // jobs with tasks that failed here since the last success of any task
-	LastRefusal time.Time       // when the worker last refused a task for lack of capacity
+	Images        []string        // images used here and not known to be deleted, the most recently used last
+	FailedJobs    map[string]bool // jobs with tasks that failed here since the last success of any task
+	LastRefusalAt time.Time       // when the worker last refused a task for lack of capacity
 
 	SentCommands map[CommandKey]time.Time // when each direct start and kill was last sent
-	LastCall     time.Time                // start of the last direct call
+	LastCallAt   time.Time                // start of the last direct call
 	CallInFlight bool                     // a direct call has not returned yet
 	Unresponsive bool                     // heartbeats arrive but show no effect of our commands
 
@@ -86,7 +86,7 @@
 		State:          TokenUnacknowledged,
 		Tasks:          map[jobs.TaskID]wire.TaskStatus{},
 		RunningSince:   map[jobs.TaskID]time.Time{},
-		Stopping:       map[jobs.TaskID]bool{},
+		StopRequested:  map[jobs.TaskID]bool{},
 		FailedJobs:     map[string]bool{},
 		SentCommands:   map[CommandKey]time.Time{},
 		pendingStarts:  map[pendingStart]int{},
@@ -101,32 +101,32 @@
 // Quiescent reports whether the machine needs no work until something changes or time passes: it
 // has no command to send, no proven end of a claim, no requested stop and no pending start.
 func (w *Worker) Quiescent() bool {
-	return w.NoPendingCommands && w.nothingToReconcile && len(w.Stopping) == 0 && len(w.pendingStarts) == 0
+	return w.NoPendingCommands && w.nothingToReconcile && len(w.StopRequested) == 0 && len(w.pendingStarts) == 0
 }
 
 // RequestStop records that a task must leave the machine.
 func (w *Worker) RequestStop(id jobs.TaskID) {
-	w.Stopping[id] = true
+	w.StopRequested[id] = true
 	w.MarkChanged()
 }
 
-// PruneStopping drops the stop requests of tasks whose claims have been released, and reports
+// PruneStopRequests drops the stop requests of tasks whose claims have been released, and reports
 // whether it dropped any. A request is kept until the release, also for a task that has exited:
 // the request marks the task's resources as about to become free, and without it further tasks
 // would be stopped to free the same amount.
-func (w *Worker) PruneStopping(claims map[jobs.TaskID]*jobs.Job) bool {
-	before := len(w.Stopping)
-	for id := range w.Stopping {
+func (w *Worker) PruneStopRequests(claims map[jobs.TaskID]*jobs.Job) bool {
+	before := len(w.StopRequested)
+	for id := range w.StopRequested {
 		if claims[id] == nil {
-			delete(w.Stopping, id)
+			delete(w.StopRequested, id)
 		}
 	}
-	return len(w.Stopping) < before
+	return len(w.StopRequested) < before
 }
 
-// IsLeaving reports whether a claimed task is about to leave the machine: it was asked to stop, or it
+// IsTaskLeaving reports whether a claimed task is about to leave the machine: it was asked to stop, or it
 // has exited.
-func (w *Worker) IsLeaving(id jobs.TaskID) bool {
+func (w *Worker) IsTaskLeaving(id jobs.TaskID) bool {
 	status, listed := w.Tasks[id]
-	return w.Stopping[id] || listed && status.State == wire.TaskExited
+	return w.StopRequested[id] || listed && status.State == wire.TaskExited
 }
