--- a/internal/api/groupcommit.go
+++ b/internal/api/groupcommit.go
@@ -82,7 +82,7 @@
 	jobIDs := map[string]bool{}
 	for submission := first; ; {
 		if !submission.expired() {
-			bytesLeft -= jobs.IntakeBytes(submission.Spec)
+			bytesLeft -= jobs.MaxIntakeBytes(submission.Spec)
 			if len(group) > 0 && (bytesLeft < 0 || jobIDs[submission.Spec.ID]) {
 				return group, submission
 			}
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return spec, rejected(fasthttp.StatusBadRequest, err.Error())
 	}
-	if jobs.IntakeBytes(&spec) > api.MaxRecordGroupBytes() {
+	if jobs.MaxIntakeBytes(&spec) > api.MaxRecordGroupBytes() {
 		return spec, rejected(fasthttp.StatusUnprocessableEntity, "the job's description is larger than the state service can hold")
 	}
 	machineTypes := api.knownMachineTypes()
@@ -88,7 +88,7 @@
 	}
 	team, ok := api.Settings.Team(spec.Team)
 	limits := jobs.TeamLimits{CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}
-	if err := jobs.Validate(&spec, limits, ok, machineTypes, jobs.ChunkSize(api.Limits.ValueKB)); err != nil {
+	if err := jobs.Validate(&spec, limits, ok, machineTypes, jobs.MaxTasksPerChunk(api.Limits.ValueKB)); err != nil {
 		return spec, rejected(fasthttp.StatusUnprocessableEntity, err.Error())
 	}
 	return spec, nil
@@ -157,7 +157,7 @@
 			return false, false
 		}
 		allDone = allDone && job.Phase == jobs.Done
-		return true, job.Service()
+		return true, job.IsService()
 	})
 	return api.DependenciesSupported(), allDone, err
 }
@@ -208,7 +208,7 @@
 			Phase:        phase,
 			AcceptedAtMs: api.Now().UnixMilli(),
 			Tasks:        spec.Tasks,
-			ChunkSize:    jobs.ChunkSize(api.Limits.ValueKB),
+			ChunkSize:    jobs.MaxTasksPerChunk(api.Limits.ValueKB),
 			Spec:         spec,
 		},
 		Deadline: time.Now().Add(tuning.DecisionWait), // real time, as contexts use, not api.Now
--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -66,7 +66,7 @@
 
 // roleOf returns the role of the machines that run the job's tasks.
 func roleOf(job *jobs.Job) placement.Role {
-	if job.Service() {
+	if job.IsService() {
 		return placement.Service
 	}
 	return placement.Batch
--- a/internal/autoscale/headroom.go
+++ b/internal/autoscale/headroom.go
@@ -19,7 +19,7 @@
 func typicalJob(load Load) *jobs.Job {
 	spec := *load.Spec
 	spec.Zone = nil
-	return &jobs.Job{Record: jobs.Record{Phase: jobs.Open, Spec: &spec}, Need: load.Need}
+	return &jobs.Job{Record: jobs.Record{Phase: jobs.Open, Spec: &spec}, TaskResources: load.Need}
 }
 
 // provisionHeadroom plans capacity for future tasks, and for tasks whose booting machines
@@ -63,7 +63,7 @@
 			continue
 		}
 		room := bin{free: m.Free}
-		count := maxSlots - room.fill(s.job.Need, maxSlots)
+		count := maxSlots - room.fill(s.job.TaskResources, maxSlots)
 		s.ofMachine[m.Name] = count
 		s.total += count
 	}
--- a/internal/autoscale/helpers_test.go
+++ b/internal/autoscale/helpers_test.go
@@ -33,13 +33,13 @@
 		Spot:     kind == wire.KindArray,
 	}
 	record := jobs.Record{Phase: jobs.Open, Tasks: count, Spec: spec}
-	return Demand{Job: &jobs.Job{ID: spec.ID, Record: record, Need: jobs.ResourcesPerTask(spec)}, Count: count}
+	return Demand{Job: &jobs.Job{ID: spec.ID, Record: record, TaskResources: jobs.ResourcesPerTask(spec)}, Count: count}
 }
 
 // newLoad returns a load of tasks of the kind, as newDemand makes them.
 func newLoad(kind string, tasks float64) Load {
 	job := newDemand(kind, 1).Job
-	return Load{Tasks: tasks, Need: job.Need, Spec: job.Record.Spec}
+	return Load{Tasks: tasks, Need: job.TaskResources, Spec: job.Record.Spec}
 }
 
 // newInput returns an input with both roles active and no headroom.
--- a/internal/autoscale/lateboot.go
+++ b/internal/autoscale/lateboot.go
@@ -14,7 +14,7 @@
 func (p *planner) lateBootReserve(job *jobs.Job, waiting float64) int {
 	fewestTasks := 0.0 // per machine, of the eligible type that holds the fewest
 	for _, machineType := range p.input.Types {
-		if !jobs.AllowsMachineType(job.Record.Spec, machineType.Label) || !job.Need.Fits(capacity(machineType)) {
+		if !jobs.AllowsMachineType(job.Record.Spec, machineType.Label) || !job.TaskResources.Fits(capacity(machineType)) {
 			continue
 		}
 		if held := tasksPerMachine(job, machineType); fewestTasks == 0 || held < fewestTasks {
--- a/internal/autoscale/scaleout.go
+++ b/internal/autoscale/scaleout.go
@@ -31,20 +31,20 @@
 func (p *planner) provision(job *jobs.Job, count int, skipSchedulable bool, waiting time.Duration, reason string) {
 	var fitting []*bin
 	for _, b := range p.bins {
-		if !(skipSchedulable && b.schedulable) && job.Need.Fits(b.free) && isEligible(job, b.kind, b.role) {
+		if !(skipSchedulable && b.schedulable) && job.TaskResources.Fits(b.free) && isEligible(job, b.kind, b.role) {
 			fitting = append(fitting, b)
 		}
 	}
 	slices.SortStableFunc(fitting, func(a, b *bin) int { return cmp.Compare(a.free.GPUs, b.free.GPUs) })
 	for _, b := range fitting {
-		count = b.fill(job.Need, count)
+		count = b.fill(job.TaskResources, count)
 	}
 	for count > 0 {
 		b := p.scaleOutFor(job, waiting, reason)
 		if b == nil {
 			return
 		}
-		count = b.fill(job.Need, count)
+		count = b.fill(job.TaskResources, count)
 	}
 }
 
@@ -136,7 +136,7 @@
 func (p *planner) bestOffer(job *jobs.Job, waiting time.Duration) offer {
 	best := offer{pricePerTask: math.Inf(1), unreachable: true}
 	for _, machineType := range p.input.Types {
-		if !job.Need.Fits(capacity(machineType)) {
+		if !job.TaskResources.Fits(capacity(machineType)) {
 			continue
 		}
 		tasks := tasksPerMachine(job, machineType)
@@ -207,6 +207,6 @@
 
 // tasksPerMachine returns the number of the job's tasks that fit on an empty machine.
 func tasksPerMachine(job *jobs.Job, machineType wire.MachineType) float64 {
-	share := max(job.Need.Share(capacity(machineType)), minShare)
+	share := max(job.TaskResources.Share(capacity(machineType)), minShare)
 	return math.Floor(1/share + shareTolerance)
 }
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -11,7 +11,7 @@
 
 // MachineTypesKey is the key of the machine types. They are stored so that every controller
 // knows them even while the cloud API is unavailable.
-const MachineTypesKey = jobs.Root + "types"
+const MachineTypesKey = jobs.RootPrefix + "types"
 
 // ApplyJob applies the record of a job. If the job is cancelled, its version counts towards
 // LastCancellation; so does that of a record that can't be decoded, which may be a
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -116,7 +116,7 @@
 // changed value while the lock is held. It must be called before any loop runs.
 func (cs *State) OpenCache(onUpdate store.UpdateFunc) {
 	cs.Cache = store.NewCache(onUpdate)
-	cs.Syncer = store.NewSyncer(cs.Store, jobs.Root, cs, cs.Cache, cs.onStoreChange, cs.Settings.Operator.PollQueue, cs.Now, cs.Log)
+	cs.Syncer = store.NewSyncer(cs.Store, jobs.RootPrefix, cs, cs.Cache, cs.onStoreChange, cs.Settings.Operator.PollQueue, cs.Now, cs.Log)
 }
 
 // QuotaTeams returns the limits and guarantees of the teams in the settings.
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -23,7 +23,7 @@
 	env.submit(a, dependentJob(arrayJob("wk-3", 2), "wk-1", "wk-2", "wk-1"))
 	env.runPasses()
 	for _, controller := range env.controllers {
-		if c := controller.Table.Jobs["wk-3"].Counts; c[jobs.Claimed] != 0 || controller.Table.ResourcesByTeam["x"].GPUs != 2 || controller.scheduler.Unplaced["wk-3"] != 0 {
+		if c := controller.Table.Jobs["wk-3"].TaskCounts; c[jobs.Claimed] != 0 || controller.Table.ResourcesByTeam["x"].GPUs != 2 || controller.scheduler.Unplaced["wk-3"] != 0 {
 			t.Fatalf("a waiting job has claims %v, its team holds %v, unplaced %d", c, controller.Table.ResourcesByTeam["x"], controller.scheduler.Unplaced["wk-3"])
 		}
 		if len(controller.Table.Jobs["wk-3"].Record.Spec.DependsOn) != 2 {
@@ -33,7 +33,7 @@
 	env.checkStates("waiting", map[string]string{"wk-3": wire.StateQueued})
 	env.finishTasks("h1", "wk-1/0")
 	env.checkStates("half done", map[string]string{"wk-1": wire.StateDone, "wk-3": wire.StateQueued})
-	if a.Table.Jobs["wk-3"].Counts[jobs.Claimed] != 0 {
+	if a.Table.Jobs["wk-3"].TaskCounts[jobs.Claimed] != 0 {
 		t.Fatal("the job is claimed before all its dependencies are done")
 	}
 	_, _, response := sendRequest(a, "GET", "/status?job=wk-3", nil)
@@ -49,7 +49,7 @@
 	}
 	delete(env.controllers, "c")
 	env.runPasses()
-	if a.Table.Jobs["wk-3"].Counts[jobs.Claimed] != 2 {
+	if a.Table.Jobs["wk-3"].TaskCounts[jobs.Claimed] != 2 {
 		t.Fatal("the job is not claimed though all its dependencies are done")
 	}
 	env.finishTasks("h1", "wk-3/0", "wk-3/1")
@@ -88,7 +88,7 @@
 	env.runPasses()
 	env.runPasses()
 	for _, jobID := range []string{"wk-2", "wk-3", "wk-6"} {
-		if r := a.jobRecord(jobID); r.Phase != jobs.Cancelled || r.CancelledWith == "" {
+		if r := a.jobRecord(jobID); r.Phase != jobs.Cancelled || r.CancelledByDependency == "" {
 			t.Errorf("%s is stored %s", jobID, r.Phase)
 		}
 	}
@@ -198,8 +198,8 @@
 	// A controller of an older version rejoins. It would stop tasks of jobs with dependencies on its
 	// machines.
 	job := a.Table.Jobs["wk-2"]
-	if job.Counts[jobs.Claimed] != 1 {
-		t.Fatalf("%v", job.Counts)
+	if job.TaskCounts[jobs.Claimed] != 1 {
+		t.Fatalf("%v", job.TaskCounts)
 	}
 	env.submit(a, dependentJob(arrayJob("wk-3", 1), "wk-1"))
 	env.submit(a, arrayJob("wk-4", 1))
@@ -208,7 +208,7 @@
 	env.runPasses()
 	env.finishTasks("h1", "wk-2/0", "wk-4/0")
 	env.runPasses()
-	if c := a.Table.Jobs["wk-5"].Counts; c[jobs.Claimed] != 0 || a.Table.Jobs["wk-5"].Phase != jobs.Open {
+	if c := a.Table.Jobs["wk-5"].TaskCounts; c[jobs.Claimed] != 0 || a.Table.Jobs["wk-5"].Phase != jobs.Open {
 		t.Fatalf("a job that is stored as waiting is claimed beside a member of an older version: %v", c)
 	}
 	// A controller that is down leaves the membership and no longer delays the job.
@@ -220,7 +220,7 @@
 	env.acknowledgeToken("h1", 1)
 	env.runPasses()
 	env.runPasses()
-	if c := a.Table.Jobs["wk-5"].Counts; c[jobs.Claimed] != 1 {
+	if c := a.Table.Jobs["wk-5"].TaskCounts; c[jobs.Claimed] != 1 {
 		t.Fatalf("the job waits for a controller that is down: %v, members %v", c, a.Membership.Members)
 	}
 }
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -69,8 +69,8 @@
 			t.Fatalf("%s: %+v", jobID, job)
 		}
 	}
-	if controller.Table.Jobs["wk-1"].Counts != [3]int{30, 70, 0} || len(controller.Inventory.Machines) != 33 {
-		t.Fatalf("%v, %d machines", controller.Table.Jobs["wk-1"].Counts, len(controller.Inventory.Machines))
+	if controller.Table.Jobs["wk-1"].TaskCounts != [3]int{30, 70, 0} || len(controller.Inventory.Machines) != 33 {
+		t.Fatalf("%v, %d machines", controller.Table.Jobs["wk-1"].TaskCounts, len(controller.Inventory.Machines))
 	}
 	// New jobs may depend on jobs that the production version accepted, also on finished ones and
 	// on those in intake records.
@@ -131,7 +131,7 @@
 func TestTheProductionVersionDecodesRecordsOfThisVersion(t *testing.T) {
 	spec := dependentJob(arrayJob("wk-2", 3), "wk-1")
 	var record oldJobRecord
-	if err := wire.Unmarshal(wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, AcceptedAtMs: 5, Tasks: 3, ChunkSize: 64, Spec: &spec, EndedAtMs: 9, CancelledWith: "wk-1"}), &record); err != nil {
+	if err := wire.Unmarshal(wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, AcceptedAtMs: 5, Tasks: 3, ChunkSize: 64, Spec: &spec, EndedAtMs: 9, CancelledByDependency: "wk-1"}), &record); err != nil {
 		t.Fatal(err)
 	}
 	// For any other phase the production version answers "queued" and never places the job.
--- a/internal/controller/index_test.go
+++ b/internal/controller/index_test.go
@@ -81,7 +81,7 @@
 	}
 	// A watch delivers a copy of the chunk in which one task differs, and then the same copy again.
 	tasks := job.ChunkCopy(0)
-	tasks[0], _ = tasks[0].Next(jobs.TaskEvent{Kind: jobs.Complete})
+	tasks[0], _ = tasks[0].Next(jobs.TaskEvent{Kind: jobs.EventTaskComplete})
 	value := wire.MustMarshal(jobs.ChunkRecord{Tasks: tasks})
 	if err := controller.Table.ApplyChunk(jobs.ChunkKey("wk-200000", 0), value); err != nil {
 		t.Fatal(err)
--- a/internal/controller/intake_test.go
+++ b/internal/controller/intake_test.go
@@ -169,7 +169,7 @@
 				t.Error("a submission whose deadline has passed is stored")
 			}
 			record.Jobs[s.Spec.ID] = s.Record
-			size += jobs.JSONSize(s.Spec) + 100
+			size += jobs.SpecJSONBytes(s.Spec) + 100
 		}
 		if len(record.Jobs) != len(group) {
 			t.Error("the record of a group holds a job twice")
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -37,7 +37,7 @@
 	}
 	env.submit(controller, serviceJob("wk-3", 1))
 	env.runPasses()
-	if controller.Table.Jobs["wk-3"].Counts[jobs.Claimed] != 0 {
+	if controller.Table.Jobs["wk-3"].TaskCounts[jobs.Claimed] != 0 {
 		t.Fatal("a new task was placed on an unresponsive machine")
 	}
 	// The services stay until the lease has certainly expired, even if another machine is free,
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -175,7 +175,7 @@
 	env.store.Unavailable = false
 	env.submit(controller, arrayJob("wk-2", 8))
 	env.runPasses()
-	if controller.Table.Jobs["wk-2"].Counts[jobs.Claimed] != 0 {
+	if controller.Table.Jobs["wk-2"].TaskCounts[jobs.Claimed] != 0 {
 		t.Fatal("the quota of a claim with unknown outcome was given to another job")
 	}
 	// The write is applied late. The limit must still hold.
@@ -235,7 +235,7 @@
 			env.store.Put(jobs.TeamKey("x"), wire.MustMarshal(next))
 			controller.scheduler.Commit(context.Background(), pending[0])
 			env.refreshAll()
-			if got := controller.Table.Jobs["wk-1"].Counts[jobs.Claimed]; got != 0 {
+			if got := controller.Table.Jobs["wk-1"].TaskCounts[jobs.Claimed]; got != 0 {
 				t.Errorf("%s: %d tasks were claimed under an outdated share", name, got)
 			}
 		})
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -229,7 +229,7 @@
 	}
 	claimed := 0
 	for _, job := range sim.leader().Table.Open {
-		claimed += job.Counts[jobs.Claimed]
+		claimed += job.TaskCounts[jobs.Claimed]
 	}
 	if claimed != 400 || sim.countRunningTasks() != 0 {
 		t.Fatalf("%d tasks are claimed and %d run, want 400 and 0", claimed, sim.countRunningTasks())
@@ -255,7 +255,7 @@
 	}
 	// 100 of the 400 starts are of services. A task of an array starts before one of a service
 	// only if its machine sent a heartbeat earlier.
-	isService := func(task string) bool { return sim.leader().Table.Jobs[strings.Split(task, "/")[0]].Service() }
+	isService := func(task string) bool { return sim.leader().Table.Jobs[strings.Split(task, "/")[0]].IsService() }
 	earlyServices := 0
 	for _, task := range received.Tasks[:len(received.Tasks)/2] {
 		if isService(task) {
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -100,7 +100,7 @@
 	})
 	claimed := 0
 	for _, job := range leader.Table.Open {
-		claimed += job.Counts[jobs.Claimed]
+		claimed += job.TaskCounts[jobs.Claimed]
 	}
 	if claimed != services*8+arrays*60 {
 		t.Fatalf("%d tasks are claimed, want %d", claimed, services*8+arrays*60)
@@ -111,7 +111,7 @@
 	for _, job := range leader.Table.Open {
 		for i, task := range job.Claims {
 			status := wire.TaskStatus{Task: jobs.TaskName(job.ID, i), Attempt: task.Attempt, State: wire.TaskRunning}
-			if !job.Service() {
+			if !job.IsService() {
 				status.State, status.ExitCause = wire.TaskExited, wire.ExitCauseDone
 			}
 			tasks[task.Machine] = append(tasks[task.Machine], status)
@@ -174,7 +174,7 @@
 	leader := env.leader()
 	claimed := func() (n int) {
 		for _, job := range leader.Table.Open {
-			n += job.Counts[jobs.Claimed]
+			n += job.TaskCounts[jobs.Claimed]
 		}
 		return n
 	}
--- a/internal/fleet/claimtotals.go
+++ b/internal/fleet/claimtotals.go
@@ -23,7 +23,7 @@
 	if claimed := mi.Table.ClaimsByMachine[machine]; len(claimed) > 0 {
 		claims := machineClaims{owner: mi.ShardOwner(machine), teams: map[string]quota.Amount{}}
 		for _, job := range claimed {
-			claims.teams[job.Team] = claims.teams[job.Team].Add(job.Need.Amount())
+			claims.teams[job.Team] = claims.teams[job.Team].Add(job.TaskResources.QuotaAmount())
 		}
 		mi.addClaims(machine, claims)
 	}
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -177,7 +177,7 @@
 	}
 	remaining := time.Duration(float64(w.TerminationAt.Sub(now)) * tuning.TerminationNoticeFactor)
 	for id, job := range wm.Table.ClaimsByMachine[w.Machine] {
-		if spec := job.Record.Spec; spec != nil && (job.Service() || spec.EstimateS > remaining.Seconds()) {
+		if spec := job.Record.Spec; spec != nil && (job.IsService() || spec.EstimateS > remaining.Seconds()) {
 			wm.StopTask(w, id)
 		}
 	}
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -289,7 +289,7 @@
 		}
 		m.Tasks = append(m.Tasks, task)
 		if stopping {
-			m.Freeing = m.Freeing.Add(job.Need)
+			m.Freeing = m.Freeing.Add(job.TaskResources)
 		}
 	}
 }
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -113,7 +113,7 @@
 
 // startClass returns the class that is used to pace the starts of a job's tasks.
 func startClass(job *jobs.Job) recovery.StartClass {
-	if job.Service() {
+	if job.IsService() {
 		return recovery.ServiceStart
 	}
 	return recovery.ArrayStart
--- a/internal/inventory/record.go
+++ b/internal/inventory/record.go
@@ -11,10 +11,10 @@
 const (
 	// GroupPrefix is the prefix of the keys of groups of machine records. With one record per
 	// machine, the start of a cluster would use the whole write budget for a minute.
-	GroupPrefix = jobs.Root + "fleet/"
+	GroupPrefix = jobs.RootPrefix + "fleet/"
 	// SingleMachinePrefix is the prefix of the keys of an earlier layout with one record per
 	// machine. Such a record is read, and moves into a group with its next change.
-	SingleMachinePrefix = jobs.Root + "host/"
+	SingleMachinePrefix = jobs.RootPrefix + "host/"
 )
 
 // GroupKey returns the key of a group of machine records.
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -23,8 +23,9 @@
 	return j.Record.Spec.DependsOn
 }
 
-// Unfinished returns the unfinished dependencies of a waiting job, in the order of its submission.
-func (t *Table) Unfinished(j *Job) []string {
+// UnfinishedDependencies returns the unfinished dependencies of a waiting job, in the order of its
+// submission.
+func (t *Table) UnfinishedDependencies(j *Job) []string {
 	return slices.DeleteFunc(slices.Clone(j.dependencies()), func(jobID string) bool {
 		dependency := t.Jobs[jobID]
 		return dependency != nil && dependency.Phase == Done
@@ -58,7 +59,7 @@
 		j := t.Jobs[queue[0]]
 		queue = queue[1:]
 		formerPhase := j.Phase
-		j.Phase, j.CancelledWith = t.derivePhase(j)
+		j.Phase, j.CancelledByDependency = t.derivePhase(j)
 		if j.Phase == formerPhase && j.ID != jobID {
 			continue
 		}
@@ -80,13 +81,13 @@
 // dependency that is unknown, or whose record can't be read, counts as not done.
 func (t *Table) derivePhase(j *Job) (phase Phase, cancelledWith string) {
 	if j.Record.Phase != Waiting {
-		return j.Record.Phase, j.Record.CancelledWith
+		return j.Record.Phase, j.Record.CancelledByDependency
 	}
 	allDone := true
 	for _, jobID := range j.dependencies() {
 		dependency := t.Jobs[jobID]
 		if dependency != nil && dependency.Phase == Cancelled {
-			phase, _ = j.Record.Phase.Next(JobCancel) // always allowed in Waiting
+			phase, _ = j.Record.Phase.Next(EventCancel) // always allowed in Waiting
 			return phase, jobID
 		}
 		if dependency == nil || dependency.Phase != Done {
@@ -96,7 +97,7 @@
 	if !allDone {
 		return Waiting, ""
 	}
-	phase, _ = j.Record.Phase.Next(JobReleased) // always allowed in Waiting
+	phase, _ = j.Record.Phase.Next(EventRelease) // always allowed in Waiting
 	return phase, ""
 }
 
@@ -105,7 +106,7 @@
 func (t *Table) indexByPhase(j *Job) {
 	delete(t.Open, j.ID)
 	delete(t.Waiting, j.ID)
-	delete(t.Unrecorded, j.ID)
+	delete(t.AwaitingFinalRecord, j.ID)
 	j.ReadyAtMs = j.Record.AcceptedAtMs
 	switch {
 	case j.Phase == Open:
@@ -119,7 +120,7 @@
 	case j.Phase == Waiting:
 		t.Waiting[j.ID] = j
 	case !j.Record.Phase.Final():
-		t.Unrecorded[j.ID] = j
+		t.AwaitingFinalRecord[j.ID] = j
 	}
 	t.notifyMachines(j)
 }
@@ -154,7 +155,7 @@
 // unfinished dependents: a job that delays an urgent job is equally urgent.
 func (t *Table) deriveUrgency(j *Job) (priority int, deadlineMs int64) {
 	spec := j.Record.Spec
-	priority = PriorityOrder(spec.Priority)
+	priority = PriorityRank(spec.Priority)
 	if spec.DeadlineS != nil {
 		deadlineMs = j.Record.AcceptedAtMs + int64(*spec.DeadlineS*millisPerSecond)
 	}
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -90,8 +90,8 @@
 		if d.table.Jobs["wk-8"].Status().State != wire.StateCancelled || d.table.Jobs["wk-4"].Status().State != wire.StateQueued {
 			t.Fatal("wk-8 is not reported as cancelled or wk-4 not as queued")
 		}
-		if len(d.table.Unrecorded) != 2 || d.table.Jobs["wk-7"].CancelledWith != "wk-6" || d.table.Jobs["wk-8"].CancelledWith != "wk-7" {
-			t.Fatalf("order %d: cancelled jobs without a final record: %v", seed, d.table.Unrecorded)
+		if len(d.table.AwaitingFinalRecord) != 2 || d.table.Jobs["wk-7"].CancelledByDependency != "wk-6" || d.table.Jobs["wk-8"].CancelledByDependency != "wk-7" {
+			t.Fatalf("order %d: cancelled jobs without a final record: %v", seed, d.table.AwaitingFinalRecord)
 		}
 	}
 }
@@ -110,8 +110,8 @@
 		t.Fatalf("%d jobs are waiting", len(d.table.Waiting))
 	}
 	d.putCancelled("wk-0", newJobRecord("wk-0", nil))
-	if len(d.table.Waiting) != 0 || len(d.table.Open) != 0 || len(d.table.Unrecorded) != 2*length {
-		t.Fatalf("%d waiting, %d open, %d cancelled", len(d.table.Waiting), len(d.table.Open), len(d.table.Unrecorded))
+	if len(d.table.Waiting) != 0 || len(d.table.Open) != 0 || len(d.table.AwaitingFinalRecord) != 2*length {
+		t.Fatalf("%d waiting, %d open, %d cancelled", len(d.table.Waiting), len(d.table.Open), len(d.table.AwaitingFinalRecord))
 	}
 	// A dependent that was accepted late, by a controller that had not seen the cancellation yet.
 	d.put("wk-99999", newJobRecord("wk-99999", nil, "wk-3000"))
@@ -135,12 +135,12 @@
 	d.put("wk-1", newJobRecord("wk-1", nil))
 	d.put("wk-2", newJobRecord("wk-2", nil, "wk-1"))
 	d.put("wk-3", newJobRecord("wk-3", func(s *wire.JobSpec) { s.Priority = wire.PriorityNormal }, "wk-1"))
-	if j := d.table.Jobs["wk-1"]; j.Priority != PriorityOrder(wire.PriorityNormal) || j.DeadlineMs != 0 {
+	if j := d.table.Jobs["wk-1"]; j.Priority != PriorityRank(wire.PriorityNormal) || j.DeadlineMs != 0 {
 		t.Fatalf("priority %d, deadline %d before wk-4 is known", j.Priority, j.DeadlineMs)
 	}
 	last := newJobRecord("wk-4", func(s *wire.JobSpec) { s.Priority, s.DeadlineS = wire.PriorityUrgent, &deadline }, "wk-2", "wk-3")
 	d.put("wk-4", last)
-	urgent := PriorityOrder(wire.PriorityUrgent)
+	urgent := PriorityRank(wire.PriorityUrgent)
 	// wk-4 is due at 101 s. Each dependency is due 13 s before its dependent: 10 s of estimated run
 	// time and a DependencyStartDelay of 3 s.
 	for jobID, want := range map[string]int64{"wk-4": 101000, "wk-2": 88000, "wk-3": 88000, "wk-1": 75000} {
@@ -165,7 +165,7 @@
 	}
 	d.put("wk-2", newJobRecord("wk-2", nil, "wk-1"))
 	d.wantPhases("with an unreadable dependency", map[string]Phase{"wk-2": Waiting})
-	if unfinished := d.table.Unfinished(d.table.Jobs["wk-2"]); len(unfinished) != 1 || unfinished[0] != "wk-1" {
+	if unfinished := d.table.UnfinishedDependencies(d.table.Jobs["wk-2"]); len(unfinished) != 1 || unfinished[0] != "wk-1" {
 		t.Fatalf("unfinished dependencies: %v, want wk-1", unfinished)
 	}
 }
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -24,7 +24,7 @@
 // this one.
 func TestGoldenRecords(t *testing.T) {
 	record := Record{Phase: Waiting, AcceptedAtMs: 1_700_000_000_001, Tasks: 17, ChunkSize: 64, ClaimSerial: 71,
-		Spec: goldenSpec(), EndedAtMs: 1_700_000_000_002, CancelledWith: "wk-000397"}
+		Spec: goldenSpec(), EndedAtMs: 1_700_000_000_002, CancelledByDependency: "wk-000397"}
 	task := Task{State: Claimed, Attempt: 72, Machine: "host-1", Incarnation: 73, Failures: 74}
 	golden.Check(t, []golden.Sample{
 		golden.CBOR("job record", record),
@@ -52,7 +52,7 @@
 // The computed size of a submission decides whether it is accepted and how many submissions share
 // an intake record.
 func TestIntakeBytes(t *testing.T) {
-	if got, want := IntakeBytes(goldenSpec()), 426; got != want {
+	if got, want := MaxIntakeBytes(goldenSpec()), 426; got != want {
 		t.Errorf("%d bytes, want %d", got, want)
 	}
 }
--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -7,16 +7,16 @@
 
 // Key prefixes in the key-value store.
 const (
-	// Root is the prefix of all keys of wheatspur.
-	Root = "w/"
+	// RootPrefix is the prefix of all keys of wheatspur.
+	RootPrefix = "w/"
 	// JobPrefix is the prefix of the keys of job records.
-	JobPrefix = Root + "job/"
+	JobPrefix = RootPrefix + "job/"
 	// ChunkPrefix is the prefix of the keys of chunk records.
-	ChunkPrefix = Root + "task/"
+	ChunkPrefix = RootPrefix + "task/"
 	// TeamPrefix is the prefix of the keys of teams' quota shares.
-	TeamPrefix = Root + "team/"
+	TeamPrefix = RootPrefix + "team/"
 	// IntakePrefix is the prefix of the keys of intake records, which hold several new jobs each.
-	IntakePrefix = Root + "intake/"
+	IntakePrefix = RootPrefix + "intake/"
 )
 
 // JobKey returns the key of a job's record.
--- a/internal/jobs/phase.go
+++ b/internal/jobs/phase.go
@@ -4,14 +4,14 @@
 
 // Phase is the stored state of a job. Its transitions, all made by Phase.Next:
 //
-//	from     event         to         when
-//	Waiting  JobReleased   Open       all its dependencies are stored as done
-//	Waiting  JobCancel     Cancelled  its user cancelled it, or a dependency is cancelled
-//	Open     JobCancel     Cancelled  its user cancelled it
-//	Open     JobCompleted  Done       all its tasks are stored as completed
+//	from     event          to         when
+//	Waiting  EventRelease   Open       all its dependencies are stored as done
+//	Waiting  EventCancel    Cancelled  its user cancelled it, or a dependency is cancelled
+//	Open     EventCancel    Cancelled  its user cancelled it
+//	Open     EventComplete  Done       all its tasks are stored as completed
 //
 // A job starts as Waiting if it depends on other jobs, otherwise as Open. Done and Cancelled are
-// final. The result of JobReleased is never stored: see Waiting.
+// final. The result of EventRelease is never stored: see Waiting.
 type Phase string
 
 // Phases of a job.
@@ -34,19 +34,19 @@
 
 // Events of a job. Phase lists the transitions that they make.
 const (
-	JobCompleted JobEvent = "completed"
-	JobCancel    JobEvent = "cancel"
-	JobReleased  JobEvent = "released"
+	EventComplete JobEvent = "completed"
+	EventCancel   JobEvent = "cancel"
+	EventRelease  JobEvent = "released"
 )
 
 // Next returns the phase after an event. All changes of a job's phase go through it.
 func (p Phase) Next(event JobEvent) (Phase, error) {
 	switch {
-	case p == Open && event == JobCompleted:
+	case p == Open && event == EventComplete:
 		return Done, nil
-	case (p == Open || p == Waiting) && event == JobCancel:
+	case (p == Open || p == Waiting) && event == EventCancel:
 		return Cancelled, nil
-	case p == Waiting && event == JobReleased:
+	case p == Waiting && event == EventRelease:
 		return Open, nil
 	}
 	return p, fmt.Errorf("job: event %s is not allowed in phase %s", event, p)
--- a/internal/jobs/phase_test.go
+++ b/internal/jobs/phase_test.go
@@ -4,13 +4,13 @@
 
 func TestJobPhaseTransitions(t *testing.T) {
 	transitions := map[Phase]map[JobEvent]Phase{
-		Waiting:   {JobReleased: Open, JobCancel: Cancelled},
-		Open:      {JobCompleted: Done, JobCancel: Cancelled},
+		Waiting:   {EventRelease: Open, EventCancel: Cancelled},
+		Open:      {EventComplete: Done, EventCancel: Cancelled},
 		Done:      {},
 		Cancelled: {},
 	}
 	for phase, byEvent := range transitions {
-		for _, event := range []JobEvent{JobCompleted, JobCancel, JobReleased} {
+		for _, event := range []JobEvent{EventComplete, EventCancel, EventRelease} {
 			t.Run(string(phase)+" "+string(event), func(t *testing.T) {
 				want, allowed := byEvent[event]
 				if !allowed {
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -9,21 +9,21 @@
 // Record is the stored form of a job. A final record omits what is no longer needed and is kept
 // forever, so that a repeated submission is answered with the outcome of the first.
 type Record struct {
-	Phase         Phase         `cbor:"p"`
-	AcceptedAtMs  int64         `cbor:"at"` // time of acceptance, Unix milliseconds
-	Tasks         int           `cbor:"n"`
-	ChunkSize     int           `cbor:"cs"`          // tasks per chunk, fixed at acceptance
-	ClaimSerial   uint64        `cbor:"s,omitempty"` // incremented by every claim of a job that SpansChunks, so that concurrent claims conflict
-	Spec          *wire.JobSpec `cbor:"w,omitempty"`
-	EndedAtMs     int64         `cbor:"e,omitempty"` // time at which the job ended, Unix milliseconds; of a final record only
-	CancelledWith string        `cbor:"v,omitempty"` // the dependency whose cancellation cancelled the job
+	Phase                 Phase         `cbor:"p"`
+	AcceptedAtMs          int64         `cbor:"at"` // time of acceptance, Unix milliseconds
+	Tasks                 int           `cbor:"n"`
+	ChunkSize             int           `cbor:"cs"`          // tasks per chunk, fixed at acceptance
+	ClaimSerial           uint64        `cbor:"s,omitempty"` // incremented by every claim of a job with ZoneConstraintSpansChunks, so that concurrent claims conflict
+	Spec                  *wire.JobSpec `cbor:"w,omitempty"`
+	EndedAtMs             int64         `cbor:"e,omitempty"` // time at which the job ended, Unix milliseconds; of a final record only
+	CancelledByDependency string        `cbor:"v,omitempty"` // the dependency whose cancellation cancelled the job
 }
 
 // Cancel returns the job's record after a cancellation by its user. It keeps only the part of the
 // spec that the job's claims still need: an old spec as a whole may exceed the current value limit
 // of the key-value store.
 func (r Record) Cancel(now time.Time) (Record, error) {
-	phase, err := r.Phase.Next(JobCancel)
+	phase, err := r.Phase.Next(EventCancel)
 	if err != nil {
 		return r, err
 	}
--- a/internal/jobs/resources.go
+++ b/internal/jobs/resources.go
@@ -23,8 +23,8 @@
 	return Resources{max(r.CPUs, other.CPUs), max(r.GPUs, other.GPUs), max(r.RAM, other.RAM)}
 }
 
-// Times returns r multiplied by factor.
-func (r Resources) Times(factor float64) Resources {
+// Mul returns r multiplied by factor.
+func (r Resources) Mul(factor float64) Resources {
 	return Resources{r.CPUs * factor, r.GPUs * factor, r.RAM * factor}
 }
 
@@ -57,8 +57,8 @@
 	return 0
 }
 
-// Amount returns the resources that quota counts.
-func (r Resources) Amount() quota.Amount { return quota.Amount{CPUs: r.CPUs, GPUs: r.GPUs} }
+// QuotaAmount returns the resources that quota counts.
+func (r Resources) QuotaAmount() quota.Amount { return quota.Amount{CPUs: r.CPUs, GPUs: r.GPUs} }
 
 // ResourcesPerTask returns the resources that one task of the submission takes.
 func ResourcesPerTask(spec *wire.JobSpec) Resources {
--- a/internal/jobs/sizes.go
+++ b/internal/jobs/sizes.go
@@ -21,8 +21,8 @@
 	compactTaskBytes   = 28 // the same, without spaces
 )
 
-// JSONSize returns the size of a submission as the key-value store counts it.
-func JSONSize(spec *wire.JobSpec) int {
+// SpecJSONBytes returns the size of a submission as the key-value store counts it.
+func SpecJSONBytes(spec *wire.JobSpec) int {
 	b, err := json.Marshal(spec)
 	if err != nil {
 		return wire.MaxBody + 1 // a submission that can't be encoded exceeds every limit
@@ -30,24 +30,24 @@
 	return len(b)
 }
 
-// IntakeBytes bounds the JSON form of a job in an intake record.
-func IntakeBytes(spec *wire.JobSpec) int { return JSONSize(spec) + recordOverheadBytes }
+// MaxIntakeBytes bounds the JSON form of a job in an intake record.
+func MaxIntakeBytes(spec *wire.JobSpec) int { return SpecJSONBytes(spec) + recordOverheadBytes }
 
-// ChunkSize returns the number of tasks per chunk record: as many as fit the value limit when all of
-// them are claimed, and few enough that several chunks fit in one transaction. Claims that would
-// make a chunk too large for other reasons, such as long names, are left out (Bytes).
-func ChunkSize(valueKB float64) int {
+// MaxTasksPerChunk returns the number of tasks per chunk record: as many as fit the value limit when
+// all of them are claimed, and few enough that several chunks fit in one transaction. Claims that
+// would make a chunk too large for other reasons, such as long names, are left out (MaxJSONBytes).
+func MaxTasksPerChunk(valueKB float64) int {
 	return min(max(1, int(valueKB*tuning.BytesPerKB-chunkOverheadBytes)/taskBytes), tuning.ChunkMax)
 }
 
 // MinValueBytes returns the value limit, in bytes, that is needed to store full chunk records that
 // were sized for a limit of valueKB, with machine names of the protocol's form.
 func MinValueBytes(valueKB float64) int {
-	return ChunkSize(valueKB)*compactTaskBytes + chunkOverheadBytes
+	return MaxTasksPerChunk(valueKB)*compactTaskBytes + chunkOverheadBytes
 }
 
-// Bytes bounds the size of the record in JSON form.
-func (c ChunkRecord) Bytes() int {
+// MaxJSONBytes bounds the size of the record in JSON form.
+func (c ChunkRecord) MaxJSONBytes() int {
 	size := chunkOverheadBytes
 	for _, t := range c.Tasks {
 		size += taskOverheadBytes + len(t.Machine) + digits(t.Attempt) + digits(t.Incarnation) + digits(t.Failures)
@@ -55,8 +55,8 @@
 	return size
 }
 
-// ClaimBytes bounds the number of bytes that a claim adds to the JSON form of its chunk record.
-func ClaimBytes(claim TaskEvent) int { return len(claim.Machine) + digits(claim.Incarnation) + 1 }
+// MaxClaimBytes bounds the number of bytes that a claim adds to the JSON form of its chunk record.
+func MaxClaimBytes(claim TaskEvent) int { return len(claim.Machine) + digits(claim.Incarnation) + 1 }
 
 // digits returns the number of decimal digits of v.
 func digits(v uint64) int {
--- a/internal/jobs/sizes_test.go
+++ b/internal/jobs/sizes_test.go
@@ -30,8 +30,8 @@
 func TestChunkRecordsStayBelowTheValueLimit(t *testing.T) {
 	for _, limitKB := range []float64{1, 2, 4, 16} {
 		t.Run(fmt.Sprintf("%g KiB", limitKB), func(t *testing.T) {
-			record := newChunkRecord(ChunkSize(limitKB), Task{State: Claimed, Attempt: 99, Machine: "host-000231", Incarnation: 99, Failures: 9})
-			if bound, size := record.Bytes(), chunkJSONSize(t, record); float64(bound) > limitKB*1024 || size > bound {
+			record := newChunkRecord(MaxTasksPerChunk(limitKB), Task{State: Claimed, Attempt: 99, Machine: "host-000231", Incarnation: 99, Failures: 9})
+			if bound, size := record.MaxJSONBytes(), chunkJSONSize(t, record); float64(bound) > limitKB*1024 || size > bound {
 				t.Errorf("%d tasks take %d bytes, bound %d", len(record.Tasks), size, bound)
 			}
 		})
@@ -39,18 +39,18 @@
 }
 
 // Claims that would make a chunk record too large, such as those of machines with long names, are
-// left out. So ClaimBytes must not be less than what a claim adds to the record.
-func TestClaimBytesBoundsRecordGrowth(t *testing.T) {
+// left out. So MaxClaimBytes must not be less than what a claim adds to the record.
+func TestMaxClaimBytesBoundsRecordGrowth(t *testing.T) {
 	for _, pending := range []Task{{}, {Attempt: 9}, {Attempt: 99999, Failures: 20}} {
 		t.Run(fmt.Sprintf("attempt %d", pending.Attempt), func(t *testing.T) {
-			claim := TaskEvent{Kind: Claim, Machine: "a-machine-with-a-long-name", Incarnation: 12345}
+			claim := TaskEvent{Kind: EventTaskClaim, Machine: "a-machine-with-a-long-name", Incarnation: 12345}
 			before, after := newChunkRecord(3, pending), newChunkRecord(3, pending)
 			var err error
 			if after.Tasks[1], err = pending.Next(claim); err != nil {
 				t.Fatal(err)
 			}
-			if grown := after.Bytes() - before.Bytes(); grown > ClaimBytes(claim) || chunkJSONSize(t, after) > after.Bytes() {
-				t.Errorf("the record grows by %d bytes, bound %d", grown, ClaimBytes(claim))
+			if grown := after.MaxJSONBytes() - before.MaxJSONBytes(); grown > MaxClaimBytes(claim) || chunkJSONSize(t, after) > after.MaxJSONBytes() {
+				t.Errorf("the record grows by %d bytes, bound %d", grown, MaxClaimBytes(claim))
 			}
 		})
 	}
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -13,9 +13,9 @@
 	Jobs map[string]*Job
 
 	// Jobs by their derived phase.
-	Open       map[string]*Job // jobs whose tasks may run
-	Waiting    map[string]*Job // jobs with unfinished dependencies
-	Unrecorded map[string]*Job // jobs that are cancelled along with a dependency and have no final record yet
+	Open                map[string]*Job // jobs whose tasks may run
+	Waiting             map[string]*Job // jobs with unfinished dependencies
+	AwaitingFinalRecord map[string]*Job // jobs that are cancelled along with a dependency and have no final record yet
 
 	// Claims and the resources that they take. A claim counts until it is released, even if its job
 	// has ended.
@@ -23,8 +23,8 @@
 	ResourcesByMachine map[string]Resources
 	ClaimsByMachine    map[string]map[TaskID]*Job
 
-	JobsByIntake map[string][]string  // ids of the jobs in each intake record
-	FailedAt     map[TaskID]time.Time // when a task's number of failures last increased
+	JobsByIntake  map[string][]string  // ids of the jobs in each intake record
+	LastFailureAt map[TaskID]time.Time // when a task's number of failures last increased
 
 	// OnMachineChange is called with every machine whose claims, or the jobs of whose claims, have
 	// changed.
@@ -38,19 +38,19 @@
 // NewTable returns an empty table.
 func NewTable(now func() time.Time) *Table {
 	return &Table{
-		Jobs:               map[string]*Job{},
-		Open:               map[string]*Job{},
-		Waiting:            map[string]*Job{},
-		Unrecorded:         map[string]*Job{},
-		ResourcesByTeam:    map[string]Resources{},
-		ResourcesByMachine: map[string]Resources{},
-		ClaimsByMachine:    map[string]map[TaskID]*Job{},
-		JobsByIntake:       map[string][]string{},
-		FailedAt:           map[TaskID]time.Time{},
-		OnMachineChange:    func(string) {},
-		orphanChunks:       map[string]map[int][]Task{},
-		dependents:         map[string]map[string]bool{},
-		now:                now,
+		Jobs:                map[string]*Job{},
+		Open:                map[string]*Job{},
+		Waiting:             map[string]*Job{},
+		AwaitingFinalRecord: map[string]*Job{},
+		ResourcesByTeam:     map[string]Resources{},
+		ResourcesByMachine:  map[string]Resources{},
+		ClaimsByMachine:     map[string]map[TaskID]*Job{},
+		JobsByIntake:        map[string][]string{},
+		LastFailureAt:       map[TaskID]time.Time{},
+		OnMachineChange:     func(string) {},
+		orphanChunks:        map[string]map[int][]Task{},
+		dependents:          map[string]map[string]bool{},
+		now:                 now,
 	}
 }
 
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// IntakeFinished reports whether every job of an intake record has a final record of its own, so
+// AllIntakeJobsFinal reports whether every job of an intake record has a final record of its own, so
 // that the intake record is no longer needed.
-func (t *Table) IntakeFinished(key string) bool {
+func (t *Table) AllIntakeJobsFinal(key string) bool {
 	for _, jobID := range t.JobsByIntake[key] {
 		if j := t.Jobs[jobID]; j == nil || !j.hasOwnRecord || !j.Record.Phase.Final() {
 			return false
@@ -110,7 +110,7 @@
 		j = &Job{ID: jobID, Chunks: map[int][]Task{}, Claims: map[int]Task{}, FirstSeen: t.now()}
 		t.Jobs[jobID] = j
 	}
-	j.Counts[Pending] += record.Tasks - j.Record.Tasks
+	j.TaskCounts[Pending] += record.Tasks - j.Record.Tasks
 	formerDependencies := j.dependencies()
 	t.removeDependencies(j)
 	j.Record = record
@@ -118,7 +118,7 @@
 	if record.Spec != nil {
 		// A final record may have no spec. Need and Team then keep their values, to account for claims
 		// that are released later.
-		j.Need, j.Team = ResourcesPerTask(record.Spec), record.Spec.Team
+		j.TaskResources, j.Team = ResourcesPerTask(record.Spec), record.Spec.Team
 	}
 	t.propagate(jobID, formerDependencies)
 	for chunk, tasks := range t.orphanChunks[jobID] {
@@ -164,11 +164,11 @@
 		}
 	}
 	if len(old) == 0 {
-		j.Counts[Pending] -= j.ChunkLen(chunk)
+		j.TaskCounts[Pending] -= j.ChunkLen(chunk)
 	}
 	if len(tasks) == 0 {
 		delete(j.Chunks, chunk)
-		j.Counts[Pending] += j.ChunkLen(chunk)
+		j.TaskCounts[Pending] += j.ChunkLen(chunk)
 		return
 	}
 	j.Chunks[chunk] = tasks
@@ -187,16 +187,16 @@
 // removeTask removes a task from the counts and indexes. If it was claimed, its resources no longer
 // count against its team and its machine.
 func (t *Table) removeTask(j *Job, number int, task Task) {
-	j.Counts[task.State]--
+	j.TaskCounts[task.State]--
 	if task.State != Claimed {
 		return
 	}
 	id, machine := TaskID{j.ID, number}, task.Machine
 	delete(j.Claims, number)
-	t.ResourcesByTeam[j.Team] = t.ResourcesByTeam[j.Team].Sub(j.Need)
+	t.ResourcesByTeam[j.Team] = t.ResourcesByTeam[j.Team].Sub(j.TaskResources)
 	delete(t.ClaimsByMachine[machine], id)
 	t.OnMachineChange(machine)
-	t.ResourcesByMachine[machine] = t.ResourcesByMachine[machine].Sub(j.Need)
+	t.ResourcesByMachine[machine] = t.ResourcesByMachine[machine].Sub(j.TaskResources)
 	if len(t.ClaimsByMachine[machine]) == 0 {
 		delete(t.ClaimsByMachine, machine)
 		delete(t.ResourcesByMachine, machine)
@@ -205,22 +205,22 @@
 
 // addTask adds a task to the counts and indexes; before is its previous form.
 func (t *Table) addTask(j *Job, number int, before, task Task) {
-	j.Counts[task.State]++
+	j.TaskCounts[task.State]++
 	id, machine := TaskID{j.ID, number}, task.Machine
 	if task.Failures > before.Failures {
-		t.FailedAt[id] = t.now()
+		t.LastFailureAt[id] = t.now()
 	} else if task.Failures == 0 && before.Failures > 0 {
-		delete(t.FailedAt, id)
+		delete(t.LastFailureAt, id)
 	}
 	if task.State != Claimed {
 		return
 	}
 	j.Claims[number] = task
-	t.ResourcesByTeam[j.Team] = t.ResourcesByTeam[j.Team].Add(j.Need)
+	t.ResourcesByTeam[j.Team] = t.ResourcesByTeam[j.Team].Add(j.TaskResources)
 	if t.ClaimsByMachine[machine] == nil {
 		t.ClaimsByMachine[machine] = map[TaskID]*Job{}
 	}
 	t.ClaimsByMachine[machine][id] = j
 	t.OnMachineChange(machine)
-	t.ResourcesByMachine[machine] = t.ResourcesByMachine[machine].Add(j.Need)
+	t.ResourcesByMachine[machine] = t.ResourcesByMachine[machine].Add(j.TaskResources)
 }
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -41,17 +41,17 @@
 	table := newTestTable(t, 6)
 	job := table.Jobs["wk-1"]
 	applyChunk(t, table, 1, Task{State: Claimed, Attempt: 1, Machine: "h"}, Task{State: Completed, Attempt: 1})
-	if job.Counts != [3]int{4, 1, 1} || table.ResourcesByTeam["x"].GPUs != 2 || len(table.ClaimsByMachine["h"]) != 1 {
-		t.Fatalf("counts %v, team uses %v", job.Counts, table.ResourcesByTeam["x"])
+	if job.TaskCounts != [3]int{4, 1, 1} || table.ResourcesByTeam["x"].GPUs != 2 || len(table.ClaimsByMachine["h"]) != 1 {
+		t.Fatalf("counts %v, team uses %v", job.TaskCounts, table.ResourcesByTeam["x"])
 	}
 	applyChunk(t, table, 1, Task{State: Completed, Attempt: 1}, Task{State: Completed, Attempt: 1})
-	if table.ResourcesByTeam["x"].GPUs != 0 || len(table.ClaimsByMachine) != 0 || job.AllDone() {
+	if table.ResourcesByTeam["x"].GPUs != 0 || len(table.ClaimsByMachine) != 0 || job.AllTasksCompleted() {
 		t.Fatalf("team uses %v after the claim was released", table.ResourcesByTeam["x"])
 	}
 	completed := Task{State: Completed, Attempt: 1}
 	applyChunk(t, table, 0, completed, completed, completed, completed)
-	if !job.AllDone() {
-		t.Fatal("AllDone is false although all tasks are completed")
+	if !job.AllTasksCompleted() {
+		t.Fatal("AllTasksCompleted is false although all tasks are completed")
 	}
 }
 
@@ -96,15 +96,15 @@
 			if phase := table.Jobs["wk-1"].Record.Phase; phase != Cancelled || table.Open["wk-1"] != nil {
 				t.Errorf("wk-1 is in phase %s, want cancelled", phase)
 			}
-			if j := table.Jobs["wk-2"]; j.Record.Tasks != 2 || j.Counts[Pending] != 2 {
-				t.Errorf("wk-2 has %d tasks, %d pending; want those of the older intake record", j.Record.Tasks, j.Counts[Pending])
+			if j := table.Jobs["wk-2"]; j.Record.Tasks != 2 || j.TaskCounts[Pending] != 2 {
+				t.Errorf("wk-2 has %d tasks, %d pending; want those of the older intake record", j.Record.Tasks, j.TaskCounts[Pending])
 			}
-			if table.IntakeFinished("w/intake/a") {
-				t.Error("IntakeFinished is true although a job is open")
+			if table.AllIntakeJobsFinal("w/intake/a") {
+				t.Error("AllIntakeJobsFinal is true although a job is open")
 			}
 			applyJob(t, table, "wk-2", job(2, Done))
-			if !table.IntakeFinished("w/intake/a") {
-				t.Error("IntakeFinished is false although all jobs are final")
+			if !table.AllIntakeJobsFinal("w/intake/a") {
+				t.Error("AllIntakeJobsFinal is false although all jobs are final")
 			}
 		})
 	}
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -45,10 +45,10 @@
 
 // Events of a task. TaskState lists the transitions that they make.
 const (
-	Claim    TaskEventKind = "claim"
-	Complete TaskEventKind = "complete"
-	Release  TaskEventKind = "release"
-	Fail     TaskEventKind = "fail"
+	EventTaskClaim    TaskEventKind = "claim"
+	EventTaskComplete TaskEventKind = "complete"
+	EventTaskRelease  TaskEventKind = "release"
+	EventTaskFail     TaskEventKind = "fail"
 )
 
 // maxFailures caps the stored number of failures, which bounds its length in the chunk record.
@@ -68,13 +68,13 @@
 // Next returns the task after an event. All changes of a task's state go through it.
 func (t Task) Next(event TaskEvent) (Task, error) {
 	switch {
-	case t.State == Pending && event.Kind == Claim:
+	case t.State == Pending && event.Kind == EventTaskClaim:
 		return Task{State: Claimed, Attempt: t.Attempt + 1, Machine: event.Machine, Incarnation: event.Incarnation, Failures: t.Failures}, nil
-	case t.State == Claimed && event.Kind == Complete:
+	case t.State == Claimed && event.Kind == EventTaskComplete:
 		return Task{State: Completed, Attempt: t.Attempt}, nil
-	case t.State == Claimed && event.Kind == Release:
+	case t.State == Claimed && event.Kind == EventTaskRelease:
 		return Task{State: Pending, Attempt: t.Attempt, Failures: t.Failures}, nil
-	case t.State == Claimed && event.Kind == Fail:
+	case t.State == Claimed && event.Kind == EventTaskFail:
 		return Task{State: Pending, Attempt: t.Attempt, Failures: min(t.Failures+1, maxFailures)}, nil
 	}
 	return t, fmt.Errorf("task: event %s is not allowed in state %s", event.Kind, t.State)
--- a/internal/jobs/task_test.go
+++ b/internal/jobs/task_test.go
@@ -14,19 +14,19 @@
 		byEvent map[TaskEventKind]Task
 	}{
 		{Task{}, map[TaskEventKind]Task{
-			Claim: {State: Claimed, Attempt: 1, Machine: "m", Incarnation: 5},
+			EventTaskClaim: {State: Claimed, Attempt: 1, Machine: "m", Incarnation: 5},
 		}},
 		{pending, map[TaskEventKind]Task{
-			Claim: {State: Claimed, Attempt: 8, Machine: "m", Incarnation: 5, Failures: 3},
+			EventTaskClaim: {State: Claimed, Attempt: 8, Machine: "m", Incarnation: 5, Failures: 3},
 		}},
 		{claimed, map[TaskEventKind]Task{
-			Complete: completed,
-			Release:  pending,
-			Fail:     {State: Pending, Attempt: 7, Failures: 4},
+			EventTaskComplete: completed,
+			EventTaskRelease:  pending,
+			EventTaskFail:     {State: Pending, Attempt: 7, Failures: 4},
 		}},
 		{completed, nil},
 	} {
-		for _, kind := range []TaskEventKind{Claim, Complete, Release, Fail} {
+		for _, kind := range []TaskEventKind{EventTaskClaim, EventTaskComplete, EventTaskRelease, EventTaskFail} {
 			t.Run(fmt.Sprintf("%s, attempt %d, %s", from.task.State, from.task.Attempt, kind), func(t *testing.T) {
 				want, allowed := from.byEvent[kind]
 				if !allowed {
@@ -48,12 +48,12 @@
 		state   TaskState
 		attempt uint64
 	}{
-		{TaskEvent{Kind: Claim, Machine: "h", Incarnation: 2}, Claimed, 1},
-		{TaskEvent{Kind: Fail}, Pending, 1},
-		{TaskEvent{Kind: Claim, Machine: "h", Incarnation: 2}, Claimed, 2},
-		{TaskEvent{Kind: Release}, Pending, 2},
-		{TaskEvent{Kind: Claim, Machine: "h", Incarnation: 2}, Claimed, 3},
-		{TaskEvent{Kind: Complete}, Completed, 3},
+		{TaskEvent{Kind: EventTaskClaim, Machine: "h", Incarnation: 2}, Claimed, 1},
+		{TaskEvent{Kind: EventTaskFail}, Pending, 1},
+		{TaskEvent{Kind: EventTaskClaim, Machine: "h", Incarnation: 2}, Claimed, 2},
+		{TaskEvent{Kind: EventTaskRelease}, Pending, 2},
+		{TaskEvent{Kind: EventTaskClaim, Machine: "h", Incarnation: 2}, Claimed, 3},
+		{TaskEvent{Kind: EventTaskComplete}, Completed, 3},
 	} {
 		var err error
 		if task, err = task.Next(step.event); err != nil || task.State != step.state || task.Attempt != step.attempt {
@@ -64,7 +64,7 @@
 
 func TestFailureCountIsCapped(t *testing.T) {
 	task := Task{State: Claimed, Attempt: 1, Failures: maxFailures}
-	if got, err := task.Next(TaskEvent{Kind: Fail}); err != nil || got.Failures != maxFailures {
+	if got, err := task.Next(TaskEvent{Kind: EventTaskFail}); err != nil || got.Failures != maxFailures {
 		t.Errorf("%+v %v", got, err)
 	}
 }
--- a/internal/jobs/validation.go
+++ b/internal/jobs/validation.go
@@ -34,7 +34,7 @@
 // fitsMachineType reports whether a task fits on an empty machine of a type that the job
 // allows.
 func fitsMachineType(spec *wire.JobSpec, t wire.MachineType) bool {
-	return AllowsMachineType(spec, t.Label) && AllowsAnyZone(spec, t.Zones) &&
+	return AllowsMachineType(spec, t.Label) && AllowsSomeZone(spec, t.Zones) &&
 		ResourcesPerTask(spec).Fits(Resources{t.CPUs, t.GPUs, t.RAMGB})
 }
 
@@ -54,8 +54,8 @@
 	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, machineType)
 }
 
-// AllowsAnyZone reports whether the job may run in at least one of the zones.
-func AllowsAnyZone(spec *wire.JobSpec, zones []string) bool {
+// AllowsSomeZone reports whether the job may run in at least one of the zones.
+func AllowsSomeZone(spec *wire.JobSpec, zones []string) bool {
 	if spec.Zone == nil {
 		return len(zones) > 0
 	}
--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -20,7 +20,7 @@
 	scheduler := b.loop.scheduler
 	for jobID, job := range b.loop.Table.Open {
 		reason := scheduler.UnplacedReasons[jobID]
-		count := job.Counts[jobs.Pending]
+		count := job.TaskCounts[jobs.Pending]
 		if reason != placement.ReasonJobLimit {
 			count -= scheduler.Unplaced[jobID]
 		}
@@ -44,11 +44,11 @@
 			continue
 		}
 		count := scheduler.Unplaced[jobID]
-		if job.Service() {
+		if job.IsService() {
 			// These tasks will run, so the headroom is computed for them too.
 			b.input.Service.Tasks += float64(count)
 			b.input.Service.AwaitingBoot += float64(count)
-			b.input.Service.Need, b.input.Service.Spec = job.Need, job.Record.Spec
+			b.input.Service.Need, b.input.Service.Spec = job.TaskResources, job.Record.Spec
 		}
 		b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: job, Count: count, Waiting: b.now.Sub(scheduler.UnplacedSince[jobID])})
 	}
--- a/internal/leader/headroom.go
+++ b/internal/leader/headroom.go
@@ -20,9 +20,9 @@
 		if spec == nil || task.Job.Phase != jobs.Open {
 			continue
 		}
-		if task.Job.Service() {
+		if task.Job.IsService() {
 			b.input.Service.Tasks++
-			b.input.Service.Need, b.input.Service.Spec = task.Job.Need, spec
+			b.input.Service.Need, b.input.Service.Spec = task.Job.TaskResources, spec
 			continue
 		}
 		load := b.batchClasses[spec.Class]
@@ -67,7 +67,7 @@
 func (b *planBuilder) addActiveRoles() {
 	activeAt := b.state.roleActiveAt
 	for _, job := range b.loop.Table.Open {
-		if job.Service() {
+		if job.IsService() {
 			activeAt[placement.Service] = b.now
 		} else {
 			activeAt[placement.Batch] = b.now
@@ -91,18 +91,18 @@
 	arrays, tasks := 0, 0.0
 	for _, table := range []map[string]*jobs.Job{ld.Table.Open, ld.Table.Waiting} {
 		for _, job := range table {
-			if job.Service() || job.Record.Spec.Spot {
+			if job.IsService() || job.Record.Spec.Spot {
 				continue
 			}
 			arrays++
 			tasks += min(float64(job.Record.Tasks), tuning.TasksPerJob)
-			if typical == nil || job.Need.CPUs > typical.Need.CPUs || job.Need.CPUs == typical.Need.CPUs && job.ID < typical.ID {
+			if typical == nil || job.TaskResources.CPUs > typical.TaskResources.CPUs || job.TaskResources.CPUs == typical.TaskResources.CPUs && job.ID < typical.ID {
 				typical = job
 			}
 		}
 	}
 	if typical != nil {
-		state.onDemandLoad = autoscale.Load{Need: typical.Need, Spec: typical.Record.Spec, MinTasks: minHeadroomTasks(tasks / float64(arrays))}
+		state.onDemandLoad = autoscale.Load{Need: typical.TaskResources, Spec: typical.Record.Spec, MinTasks: minHeadroomTasks(tasks / float64(arrays))}
 		state.onDemandSeenAt = now
 	} else if now.Sub(state.onDemandSeenAt) > tuning.BatchHeadroomHold {
 		state.onDemandLoad = autoscale.Load{}
@@ -119,7 +119,7 @@
 
 // add adds a task on a machine whose total resources are total.
 func (load *batchClassLoad) add(job *jobs.Job, total jobs.Resources) {
-	load.share += job.Need.Share(total)
+	load.share += job.TaskResources.Share(total)
 	load.tasks++
 	if load.typical == nil || job.ID < load.typical.ID {
 		load.typical = job
@@ -142,6 +142,6 @@
 	if largest == nil || largest.share == 0 {
 		return 0
 	}
-	ls.batchLoad.Need, ls.batchLoad.Spec = largest.typical.Need, largest.typical.Record.Spec
+	ls.batchLoad.Need, ls.batchLoad.Spec = largest.typical.TaskResources, largest.typical.Record.Spec
 	return total * largest.tasks / largest.share
 }
--- a/internal/leader/rolemoves.go
+++ b/internal/leader/rolemoves.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		state.seenJobs[jobID] = true
-		if !job.Service() {
+		if !job.IsService() {
 			state.recordBatchArrival(job, now)
 		} else if now.Sub(job.FirstSeen) <= tuning.RoleStep { // older jobs were open before this term
 			ld.recordServiceArrival(state, job, now)
@@ -58,7 +58,7 @@
 func (ld *Loop) recordServiceArrival(state *TermState, job *jobs.Job, now time.Time) {
 	for _, machineType := range ld.MachineTypeList {
 		if jobs.AllowsMachineType(job.Record.Spec, machineType.Label) {
-			load := job.Need.Share(machineCapacity(machineType)) * float64(job.Record.Tasks)
+			load := job.TaskResources.Share(machineCapacity(machineType)) * float64(job.Record.Tasks)
 			state.roleBalancers[machineType.Label].RecordArrival(now, load)
 		}
 	}
@@ -147,8 +147,8 @@
 		if target == nil || withImage && !target.HasImage(task.Job.Record.Spec.Image) {
 			return false
 		}
-		target.Free = target.Free.Sub(task.Job.Need)
-		booked = append(booked, booking{target, task.Job.Need})
+		target.Free = target.Free.Sub(task.Job.TaskResources)
+		booked = append(booked, booking{target, task.Job.TaskResources})
 	}
 	return true
 }
@@ -197,7 +197,7 @@
 // unplacedJobKinds reports whether service jobs have unplaced tasks, and whether batch jobs have.
 func (ld *Loop) unplacedJobKinds() (services, batch bool) {
 	for jobID := range ld.scheduler.Unplaced {
-		if job := ld.Table.Open[jobID]; job != nil && job.Service() {
+		if job := ld.Table.Open[jobID]; job != nil && job.IsService() {
 			services = true
 		} else if job != nil {
 			batch = true
--- a/internal/leader/rolesplit.go
+++ b/internal/leader/rolesplit.go
@@ -82,7 +82,7 @@
 	}
 	for _, task := range machine.Tasks {
 		if isOpenServiceTask(task) {
-			b.split.ServiceDemand += task.Job.Need.Share(machine.Total)
+			b.split.ServiceDemand += task.Job.TaskResources.Share(machine.Total)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 // batch tasks that fit on booting machines. The demand is divided between the types that the job
 // may use in proportion to their machines that are up.
 func (b *splitBuilder) addUnplaced(job *jobs.Job, tasks int) {
-	if !job.Service() {
+	if !job.IsService() {
 		tasks = b.placeOnBooting(job, tasks)
 	}
 	usable := 0
@@ -117,8 +117,8 @@
 	if usable == 0 {
 		return
 	}
-	load := float64(tasks) * job.Need.Share(machineCapacity(b.machineType)) * float64(b.upByType[b.machineType.Label]) / float64(usable)
-	if job.Service() {
+	load := float64(tasks) * job.TaskResources.Share(machineCapacity(b.machineType)) * float64(b.upByType[b.machineType.Label]) / float64(usable)
+	if job.IsService() {
 		b.split.ServiceDemand += load
 	} else {
 		b.split.QueuedBatchSeconds += load * job.Record.Spec.EstimateS
@@ -129,8 +129,8 @@
 // tasks left over.
 func (b *splitBuilder) placeOnBooting(job *jobs.Job, tasks int) int {
 	for i := range b.bootingBatchRoom {
-		for tasks > 0 && job.Need.Fits(b.bootingBatchRoom[i]) {
-			b.bootingBatchRoom[i] = b.bootingBatchRoom[i].Sub(job.Need)
+		for tasks > 0 && job.TaskResources.Fits(b.bootingBatchRoom[i]) {
+			b.bootingBatchRoom[i] = b.bootingBatchRoom[i].Sub(job.TaskResources)
 			tasks--
 		}
 	}
@@ -144,5 +144,5 @@
 
 // isOpenServiceTask reports whether a task belongs to a service job that is open.
 func isOpenServiceTask(task placement.ClaimedTask) bool {
-	return task.Job.Service() && task.Job.Phase == jobs.Open
+	return task.Job.IsService() && task.Job.Phase == jobs.Open
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -19,10 +19,10 @@
 // Keys of the key-value store. All except the key of the membership record are attached to
 // the lease of the controller that wrote them, and are deleted when the lease ends.
 const (
-	RecordKey         = jobs.Root + "member" // of the membership record
-	LeaderKey         = jobs.Root + "lead"   // of the leader's Controller
-	SessionPrefix     = jobs.Root + "node/"
-	UnreachablePrefix = jobs.Root + "deaf/"
+	RecordKey         = jobs.RootPrefix + "member" // of the membership record
+	LeaderKey         = jobs.RootPrefix + "lead"   // of the leader's Controller
+	SessionPrefix     = jobs.RootPrefix + "node/"
+	UnreachablePrefix = jobs.RootPrefix + "deaf/"
 )
 
 // SessionKey is the key of a controller's session, attached to its lease.
--- a/internal/observability/metrics.go
+++ b/internal/observability/metrics.go
@@ -69,9 +69,9 @@
 func (ob *Observer) collectJobs(gauge gaugeFunc) {
 	gauge(descOpenJobs, float64(len(ob.Table.Open)))
 	gauge(descWaitingJobs, float64(len(ob.Table.Waiting)))
-	var tasks [len(jobs.Job{}.Counts)]int // by state
+	var tasks [len(jobs.Job{}.TaskCounts)]int // by state
 	for _, job := range ob.Table.Open {
-		for state, count := range job.Counts {
+		for state, count := range job.TaskCounts {
 			tasks[state] += count
 		}
 	}
--- a/internal/observability/quotastatus.go
+++ b/internal/observability/quotastatus.go
@@ -20,7 +20,7 @@
 	var summaries []*quota.Summary
 	for _, ledger := range ob.Quota.Ledgers() {
 		team := ledger.Team().Name
-		summaries = append(summaries, ob.Quota.Summary(view, team, ob.Table.ResourcesByTeam[team].Amount()))
+		summaries = append(summaries, ob.Quota.Summary(view, team, ob.Table.ResourcesByTeam[team].QuotaAmount()))
 	}
 	return summaries
 }
--- a/internal/observability/status.go
+++ b/internal/observability/status.go
@@ -91,7 +91,7 @@
 func (ob *Observer) writeJobCounts(page *strings.Builder) {
 	pending := 0
 	for _, job := range ob.Table.Open {
-		pending += job.Counts[jobs.Pending]
+		pending += job.TaskCounts[jobs.Pending]
 	}
 	fmt.Fprintf(page, "jobs open %d waiting_for_others %d tasks_pending %d\n", len(ob.Table.Open), len(ob.Table.Waiting), pending)
 }
@@ -129,10 +129,10 @@
 		return fmt.Sprintf("waiting %s tasks %d because %s", jobID, ob.scheduler.Unplaced[jobID], ob.scheduler.UnplacedReasons[jobID])
 	})
 	writeRows(page, "awaits", ob.Table.Waiting, func(jobID string) string {
-		return fmt.Sprintf("awaits %s: %s", jobID, strings.Join(ob.Table.Unfinished(ob.Table.Waiting[jobID]), " "))
+		return fmt.Sprintf("awaits %s: %s", jobID, strings.Join(ob.Table.UnfinishedDependencies(ob.Table.Waiting[jobID]), " "))
 	})
-	writeRows(page, "cancelled with others", ob.Table.Unrecorded, func(jobID string) string {
-		return fmt.Sprintf("cancelled %s with %s", jobID, ob.Table.Unrecorded[jobID].CancelledWith)
+	writeRows(page, "cancelled with others", ob.Table.AwaitingFinalRecord, func(jobID string) string {
+		return fmt.Sprintf("cancelled %s with %s", jobID, ob.Table.AwaitingFinalRecord[jobID].CancelledByDependency)
 	})
 }
 
@@ -156,12 +156,12 @@
 		return
 	}
 	fmt.Fprintf(page, "job %s phase %s stored %s tasks %d pending %d claimed %d completed %d\n", jobID, job.Phase, job.Record.Phase, job.Record.Tasks,
-		job.Counts[jobs.Pending], job.Counts[jobs.Claimed], job.Counts[jobs.Completed])
+		job.TaskCounts[jobs.Pending], job.TaskCounts[jobs.Claimed], job.TaskCounts[jobs.Completed])
 	switch {
 	case job.Phase == jobs.Waiting:
-		fmt.Fprintf(page, "awaits %s\n", strings.Join(ob.Table.Unfinished(job), " "))
-	case job.Phase == jobs.Cancelled && job.CancelledWith != "":
-		fmt.Fprintf(page, "cancelled with %s\n", job.CancelledWith)
+		fmt.Fprintf(page, "awaits %s\n", strings.Join(ob.Table.UnfinishedDependencies(job), " "))
+	case job.Phase == jobs.Cancelled && job.CancelledByDependency != "":
+		fmt.Fprintf(page, "cancelled with %s\n", job.CancelledByDependency)
 	case ob.scheduler.Unplaced[jobID] > 0:
 		fmt.Fprintf(page, "waiting tasks %d because %s\n", ob.scheduler.Unplaced[jobID], ob.scheduler.UnplacedReasons[jobID])
 	}
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -95,5 +95,5 @@
 // given what the team uses at this point of the pass.
 func (in *Input) guaranteed(j *jobs.Job) bool {
 	team := in.Allowances[j.Record.Spec.Team]
-	return team != nil && team.WithinGuarantee(team.Used.Add(j.Need.Amount()))
+	return team != nil && team.WithinGuarantee(team.Used.Add(j.TaskResources.QuotaAmount()))
 }
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -15,8 +15,8 @@
 	case !jobs.AllowsMachineType(spec, m.Type), spec.Zone != nil && *spec.Zone != m.Zone:
 		return false
 	case m.Spot:
-		return spec.Spot && !j.Service()
-	case j.Service():
+		return spec.Spot && !j.IsService()
+	case j.IsService():
 		return m.Role == Service
 	}
 	return m.Role == Batch
@@ -82,7 +82,7 @@
 			continue
 		}
 		for _, m := range p.machines {
-			if m.Schedulable && !d.ExcludedMachines[m.Name] && d.Job.Need.Fits(m.Total) &&
+			if m.Schedulable && !d.ExcludedMachines[m.Name] && d.Job.TaskResources.Fits(m.Total) &&
 				(best == nil || m.Free.Share(m.Total) > best.Free.Share(best.Total)) {
 				best = m
 			}
@@ -140,7 +140,7 @@
 func (in *Input) candidates(d *Demand, owner string) []candidate {
 	candidates := in.Fleet.candidateBuffer[:0]
 	for _, p := range in.Fleet.pools {
-		if owner != anyOwner && p.Owner != owner || !p.eligible(d.Job) || !d.Job.Need.Fits(p.maxFree) {
+		if owner != anyOwner && p.Owner != owner || !p.eligible(d.Job) || !d.Job.TaskResources.Fits(p.maxFree) {
 			continue
 		}
 		var maxFree jobs.Resources
@@ -149,8 +149,8 @@
 				continue
 			}
 			maxFree = maxFree.Max(m.Free)
-			if d.Job.Need.Fits(m.Free) && !d.ExcludedMachines[m.Name] && m.freeTaskSlots() > 0 {
-				candidates = append(candidates, candidate{machine: m, imageWait: m.imageWait(d.Job), freeShare: m.Free.Sub(d.Job.Need).Share(m.Total)})
+			if d.Job.TaskResources.Fits(m.Free) && !d.ExcludedMachines[m.Name] && m.freeTaskSlots() > 0 {
+				candidates = append(candidates, candidate{machine: m, imageWait: m.imageWait(d.Job), freeShare: m.Free.Sub(d.Job.TaskResources).Share(m.Total)})
 			}
 		}
 		if in.trackMaxFree && p.maxFree != maxFree {
@@ -227,7 +227,7 @@
 // tasksByZone.
 func fillMachine(j *jobs.Job, m *Machine, tasksByZone map[string]int, picks []*Machine, maxPicks int) []*Machine {
 	free := m.Free
-	for filled := 0; len(picks) < maxPicks && filled < m.freeTaskSlots() && j.Need.Fits(free); filled++ {
+	for filled := 0; len(picks) < maxPicks && filled < m.freeTaskSlots() && j.TaskResources.Fits(free); filled++ {
 		if zoneFull(j, tasksByZone, m.Zone) {
 			break
 		}
@@ -235,7 +235,7 @@
 			tasksByZone[m.Zone]++
 		}
 		picks = append(picks, m)
-		free = free.Sub(j.Need)
+		free = free.Sub(j.TaskResources)
 	}
 	return picks
 }
--- a/internal/placement/fleet.go
+++ b/internal/placement/fleet.go
@@ -113,7 +113,7 @@
 // by the summaries of the pools alone.
 func (f *Fleet) mayFit(j *jobs.Job) bool {
 	for _, p := range f.pools {
-		if p.eligible(j) && j.Need.Fits(p.maxFree) {
+		if p.eligible(j) && j.TaskResources.Fits(p.maxFree) {
 			return true
 		}
 	}
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -54,9 +54,9 @@
 			continue
 		}
 		room := m.Free.Add(m.Freeing)
-		if d.Job.Need.Fits(room) {
+		if d.Job.TaskResources.Fits(room) {
 			in.Fleet.markChanged(m)
-			m.Freeing = m.Freeing.Sub(d.Job.Need)
+			m.Freeing = m.Freeing.Sub(d.Job.TaskResources)
 			return true
 		}
 		if d.RecentlyPreemptedFor {
@@ -111,12 +111,12 @@
 	for _, victim := range victims {
 		m.markPreempted(victim.ID)
 		m.preempting = true
-		m.Freeing = m.Freeing.Add(victim.Job.Need)
+		m.Freeing = m.Freeing.Add(victim.Job.TaskResources)
 		if m.Owner == in.Self {
 			out.Preemptions = append(out.Preemptions, Preemption{ClaimedTask: victim, PreemptorJobID: d.Job.ID})
 		}
 	}
-	m.Freeing = m.Freeing.Sub(d.Job.Need)
+	m.Freeing = m.Freeing.Sub(d.Job.TaskResources)
 }
 
 // markPreempted records that the pass stops a task of the machine.
@@ -149,7 +149,7 @@
 		return less(&preemptible[a], &preemptible[b])
 	})
 	for i, task := range preemptible {
-		if room = room.Add(task.Job.Need); d.Job.Need.Fits(room) {
+		if room = room.Add(task.Job.TaskResources); d.Job.TaskResources.Fits(room) {
 			return preemptible[:i+1]
 		}
 	}
@@ -167,7 +167,7 @@
 	if d.Job.Priority < task.Job.Priority {
 		return true
 	}
-	if task.Job.Service() {
+	if task.Job.IsService() {
 		// Keeping a service running matters more to users than starting a job on time.
 		return false
 	}
--- a/internal/placement/schedule.go
+++ b/internal/placement/schedule.go
@@ -38,7 +38,7 @@
 		out.recordUnplaced(d, len(d.Tasks), reasonReservedForGuarantee)
 		return
 	}
-	tasks := d.Tasks[:team.MaxTasks(d.Job.Need.Amount(), len(d.Tasks))]
+	tasks := d.Tasks[:team.MaxTasks(d.Job.TaskResources.QuotaAmount(), len(d.Tasks))]
 	if len(tasks) == 0 {
 		out.recordUnplaced(d, len(d.Tasks), ReasonTeamLimit)
 		return
@@ -74,15 +74,15 @@
 func (in *Input) chooseMachines(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
 	choice := in.chooseOwner(d, team, tasks)
 	if choice.controller == "" {
-		admitted := team.MaxTasksAt(in.Leader, d.Job.Need.Amount(), len(tasks))
+		admitted := team.MaxTasksAt(in.Leader, d.Job.TaskResources.QuotaAmount(), len(tasks))
 		choice.controller = in.Leader
 		choice.shareLimited = admitted < len(tasks)
 		choice.machines = in.fitAcrossOwners(d, tasks[:admitted])
 		if choice.shareLimited && len(choice.machines) == admitted {
-			choice.shareShortfall = d.Job.Need.Amount().Mul(float64(len(tasks))).Sub(team.Remaining[in.Leader])
+			choice.shareShortfall = d.Job.TaskResources.QuotaAmount().Mul(float64(len(tasks))).Sub(team.Remaining[in.Leader])
 		}
 	}
-	if d.Job.Gang() && (len(d.Job.Claims) > 0 || len(choice.machines) < d.Job.Record.Tasks-d.Job.Counts[jobs.Completed]) {
+	if d.Job.IsGang() && (len(d.Job.Claims) > 0 || len(choice.machines) < d.Job.Record.Tasks-d.Job.TaskCounts[jobs.Completed]) {
 		choice.machines = nil // gang scheduling: all tasks are placed at once or none
 	}
 	return choice
@@ -95,7 +95,7 @@
 	var best machineChoice
 	shortestWait := 0.0
 	for _, owner := range in.RankNodes(d.Job.ID) {
-		if team.MaxTasksAt(owner, d.Job.Need.Amount(), len(tasks)) < len(tasks) {
+		if team.MaxTasksAt(owner, d.Job.TaskResources.QuotaAmount(), len(tasks)) < len(tasks) {
 			continue
 		}
 		picks := in.fit(d, tasks, owner)
@@ -119,14 +119,14 @@
 func (in *Input) applyChoice(d *Demand, team *quota.Allowance, tasks []int, choice machineChoice, out *Output) {
 	for i, m := range choice.machines {
 		in.Fleet.markChanged(m)
-		m.Free = m.Free.Sub(d.Job.Need)
+		m.Free = m.Free.Sub(d.Job.TaskResources)
 		m.addImagePull(d.Job.Record.Spec)
 		m.placedTasks++
 		if choice.controller == in.Self && !d.WriteInFlight {
 			out.Claims = append(out.Claims, Claim{Job: d.Job, Task: tasks[i], Machine: m.Name, Incarnation: m.Incarnation})
 		}
 	}
-	team.Deduct(choice.controller, d.Job.Need.Amount().Mul(float64(len(choice.machines))))
+	team.Deduct(choice.controller, d.Job.TaskResources.QuotaAmount().Mul(float64(len(choice.machines))))
 }
 
 // makeRoomForUnplaced provides room for the tasks that were not placed: it reserves room
@@ -155,7 +155,7 @@
 func (in *Input) recordGuaranteeShortfall(d *Demand, tasks int, out *Output) {
 	name := d.Job.Record.Spec.Team
 	team := in.Allowances[name]
-	needed := d.Job.Need.Amount().Mul(float64(tasks))
+	needed := d.Job.TaskResources.QuotaAmount().Mul(float64(tasks))
 	unusedGuarantee := team.Guarantee.Sub(team.Used).Max(quota.Amount{})
 	out.GuaranteeShortfall = withAmount(out.GuaranteeShortfall, name, out.GuaranteeShortfall[name].Add(needed).Min(unusedGuarantee))
 }
--- a/internal/placement/starvation_test.go
+++ b/internal/placement/starvation_test.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		r.job.Chunks[0][r.task].State = jobs.Completed
-		r.machine.Free = r.machine.Free.Add(r.job.Need)
+		r.machine.Free = r.machine.Free.Add(r.job.TaskResources)
 	}
 	s.running = running
 }
@@ -70,7 +70,7 @@
 	in.Allowances["x"].Guarantee = quota.Amount{GPUs: 1000}
 	in.Allowances["y"] = &quota.Allowance{Limit: quota.Amount{GPUs: 12}}
 	for _, r := range s.running {
-		in.Allowances[r.job.Team].Used = in.Allowances[r.job.Team].Used.Add(r.job.Need.Amount())
+		in.Allowances[r.job.Team].Used = in.Allowances[r.job.Team].Used.Add(r.job.TaskResources.QuotaAmount())
 	}
 	for _, j := range s.jobs {
 		d := newDemand(j)
@@ -97,11 +97,11 @@
 	for i, c := range out.Claims {
 		c.Job.Chunks[0][c.Task].State = jobs.Claimed
 		m := in.Fleet.Machine(c.Machine)
-		m.Free = m.Free.Sub(c.Job.Need)
+		m.Free = m.Free.Sub(c.Job.TaskResources)
 		s.running = append(s.running, runningTask{job: c.Job, task: c.Task, machine: m, endRound: round + 1 + i%3})
 		if _, started := s.startRound[c.Job.ID]; !started {
 			s.startRound[c.Job.ID] = round
-			s.startedJobs[fmt.Sprint(c.Job.Team, c.Job.Need.GPUs)]++
+			s.startedJobs[fmt.Sprint(c.Job.Team, c.Job.TaskResources.GPUs)]++
 		}
 	}
 }
--- a/internal/roles/choose.go
+++ b/internal/roles/choose.go
@@ -6,7 +6,7 @@
 // fewest service tasks, and of equal ones the first by name. It returns nil if there are no
 // machines.
 func ServiceMachineToMove(machines []*placement.Machine) *placement.Machine {
-	return fewestTasks(machines, func(task placement.ClaimedTask) bool { return task.Job.Service() })
+	return fewestTasks(machines, func(task placement.ClaimedTask) bool { return task.Job.IsService() })
 }
 
 // BatchMachineToMove returns the batch machine to move to the service role: the one with the fewest
--- a/internal/scheduler/chunks.go
+++ b/internal/scheduler/chunks.go
@@ -33,9 +33,9 @@
 // exceed limit bytes.
 func (c *chunkChange) addClaim(task int, claim jobs.TaskEvent, limit int) bool {
 	if c.jsonBytes == 0 {
-		c.jsonBytes = jobs.ChunkRecord{Tasks: c.job.ChunkCopy(c.chunk)}.Bytes()
+		c.jsonBytes = jobs.ChunkRecord{Tasks: c.job.ChunkCopy(c.chunk)}.MaxJSONBytes()
 	}
-	claimBytes := jobs.ClaimBytes(claim)
+	claimBytes := jobs.MaxClaimBytes(claim)
 	if c.jsonBytes+claimBytes > limit {
 		return false
 	}
@@ -71,7 +71,7 @@
 func (sc *Scheduler) putChunk(write *PendingWrite, change *chunkChange, key string, tasks []jobs.Task) {
 	job := change.job
 	newlyCompleted := countTasks(tasks, jobs.Completed) - countTasks(job.Chunks[change.chunk], jobs.Completed)
-	if job.Phase == jobs.Open && job.Counts[jobs.Completed]+newlyCompleted == job.Record.Tasks {
+	if job.Phase == jobs.Open && job.TaskCounts[jobs.Completed]+newlyCompleted == job.Record.Tasks {
 		write.put(jobs.JobKey(job.ID), completedRecord(job, sc.Now()))
 		write.delete(key)
 		return
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -87,11 +87,11 @@
 		write.put(key, jobs.ChunkRecord{Tasks: tasks})
 		sc.logClaims(write, change)
 	}
-	gangIncomplete := job.Gang() && claimed < len(group.claims)
+	gangIncomplete := job.IsGang() && claimed < len(group.claims)
 	if claimed == 0 || gangIncomplete || !sc.admitClaims(write, job.Record.Spec.Team, chosen.amount, chosen.onOtherShards) {
 		return nil
 	}
-	if job.SpansChunks() {
+	if job.ZoneConstraintSpansChunks() {
 		record := job.Record
 		record.ClaimSerial++
 		write.put(jobKey, record)
@@ -119,7 +119,7 @@
 // chooseClaims selects as many of a job's claims as fit into one write, and adds compares of the
 // records of their machines to the write.
 func (sc *Scheduler) chooseClaims(write *PendingWrite, group *jobClaims) chosenClaims {
-	job, need := group.job, group.job.Need.Amount()
+	job, need := group.job, group.job.TaskResources.QuotaAmount()
 	chosen := chosenClaims{chunks: map[string]*chunkChange{}, onOtherShards: map[string]quota.Amount{}}
 	maxValueBytes := int(sc.Limits.ValueKB * tuning.BytesPerKB)
 	for _, claim := range group.claims {
@@ -137,7 +137,7 @@
 		if _, ok := write.Compares[machineKey]; !ok && !sc.hasRoom(write, 0, 0, len(chosen.chunks)+claimExtraCompares) {
 			continue // the write can't compare another group of machine records
 		}
-		if !change.addClaim(claim.Task, jobs.TaskEvent{Kind: jobs.Claim, Machine: claim.Machine, Incarnation: claim.Incarnation}, maxValueBytes) {
+		if !change.addClaim(claim.Task, jobs.TaskEvent{Kind: jobs.EventTaskClaim, Machine: claim.Machine, Incarnation: claim.Incarnation}, maxValueBytes) {
 			continue // the record is full; this task can be claimed once others of the chunk have ended
 		}
 		sc.compareCurrent(write, machineKey)
--- a/internal/scheduler/finishedjobs.go
+++ b/internal/scheduler/finishedjobs.go
@@ -20,7 +20,7 @@
 // shard owners at the same time, so that no owner's write saw all tasks completed.
 func (sc *Scheduler) planCompletedJobs(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
 	for jobID, job := range sc.Table.Open {
-		if !budget.covers(1) || !job.AllDone() || sc.WritesInFlight[jobID] || !sc.ranksFirst(jobID) {
+		if !budget.covers(1) || !job.AllTasksCompleted() || sc.WritesInFlight[jobID] || !sc.ranksFirst(jobID) {
 			continue
 		}
 		writes = sc.planFinalRecord(writes, writeCompletedJob, jobID, completedRecord(job, sc.Now()), budget)
@@ -34,7 +34,7 @@
 // dependencies learn of the cancellation. They are not urgent, and are planned only while the
 // budget covers two operations, so that one is left for other writes.
 func (sc *Scheduler) planCancelledJobs(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
-	for jobID, job := range sc.Table.Unrecorded {
+	for jobID, job := range sc.Table.AwaitingFinalRecord {
 		if !budget.covers(2) || sc.WritesInFlight[jobID] || !sc.ranksFirst(jobID) {
 			continue
 		}
@@ -47,7 +47,7 @@
 // of their own. Otherwise intake records would accumulate and be read forever.
 func (sc *Scheduler) planIntakeRemovals(writes []*PendingWrite, budget *writeBudget) []*PendingWrite {
 	for key := range sc.Table.JobsByIntake {
-		if !budget.covers(1) || sc.WritesInFlight[key] || !sc.Table.IntakeFinished(key) || !sc.ranksFirst(key) {
+		if !budget.covers(1) || sc.WritesInFlight[key] || !sc.Table.AllIntakeJobsFinal(key) || !sc.ranksFirst(key) {
 			continue
 		}
 		write := sc.newWrite(writeIntakeRemoval)
@@ -76,7 +76,7 @@
 // completedRecord returns the final record of a job whose tasks are all completed, or its current
 // record if the job is not open.
 func completedRecord(job *jobs.Job, now time.Time) jobs.Record {
-	phase, err := job.Phase.Next(jobs.JobCompleted)
+	phase, err := job.Phase.Next(jobs.EventComplete)
 	if err != nil {
 		return job.Record
 	}
@@ -86,11 +86,11 @@
 // finalRecord returns the short record of a job that has ended, which is kept forever.
 func finalRecord(job *jobs.Job, phase jobs.Phase, now time.Time) jobs.Record {
 	return jobs.Record{
-		Phase:         phase,
-		AcceptedAtMs:  job.Record.AcceptedAtMs,
-		Tasks:         job.Record.Tasks,
-		ChunkSize:     job.Record.ChunkSize,
-		EndedAtMs:     now.UnixMilli(),
-		CancelledWith: job.CancelledWith,
+		Phase:                 phase,
+		AcceptedAtMs:          job.Record.AcceptedAtMs,
+		Tasks:                 job.Record.Tasks,
+		ChunkSize:             job.Record.ChunkSize,
+		EndedAtMs:             now.UnixMilli(),
+		CancelledByDependency: job.CancelledByDependency,
 	}
 }
--- a/internal/scheduler/misplaced.go
+++ b/internal/scheduler/misplaced.go
@@ -39,7 +39,7 @@
 
 // isOpenServiceTask reports whether a task belongs to a service job that is open.
 func isOpenServiceTask(task placement.ClaimedTask) bool {
-	return task.Job.Service() && task.Job.Phase == jobs.Open
+	return task.Job.IsService() && task.Job.Phase == jobs.Open
 }
 
 // hasStoppingServiceTask reports whether a task of an open service is being stopped on any machine.
@@ -57,7 +57,7 @@
 // hasUnplacedServiceTasks reports whether the last pass left service tasks unplaced.
 func (sc *Scheduler) hasUnplacedServiceTasks() bool {
 	for jobID := range sc.Unplaced {
-		if job := sc.Table.Jobs[jobID]; job != nil && job.Service() {
+		if job := sc.Table.Jobs[jobID]; job != nil && job.IsService() {
 			return true
 		}
 	}
--- a/internal/scheduler/placementinput.go
+++ b/internal/scheduler/placementinput.go
@@ -26,7 +26,7 @@
 	avoid := sc.machinesToAvoid()
 	dependencies := sc.DependenciesSupported()
 	for jobID, job := range sc.Table.Open {
-		if job.Counts[jobs.Pending] == 0 || job.Record.Phase == jobs.Waiting && !dependencies {
+		if job.TaskCounts[jobs.Pending] == 0 || job.Record.Phase == jobs.Waiting && !dependencies {
 			continue // a member of an older version would stop the tasks that start on its machines
 		}
 		if demand := sc.demandOf(job, avoid[jobID], now); len(demand.Tasks) > 0 {
@@ -52,7 +52,7 @@
 
 // demandOf returns the demand of an open job's pending tasks for the placement.
 func (sc *Scheduler) demandOf(job *jobs.Job, avoid map[string]bool, now time.Time) *placement.Demand {
-	nothingStarted := job.Counts[jobs.Pending] == job.Record.Tasks
+	nothingStarted := job.TaskCounts[jobs.Pending] == job.Record.Tasks
 	return &placement.Demand{
 		Job:              job,
 		ExcludedMachines: avoid,
@@ -89,5 +89,5 @@
 		return true
 	}
 	delay := min(tuning.RetryBase<<min(failures-1, tuning.MaxRetryDoublings), tuning.RetryCap)
-	return now.Sub(sc.Table.FailedAt[jobs.TaskID{Job: job.ID, Task: task}]) >= delay
+	return now.Sub(sc.Table.LastFailureAt[jobs.TaskID{Job: job.ID, Task: task}]) >= delay
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -37,7 +37,7 @@
 	for _, ledger := range sc.Quota.Ledgers() {
 		ledger.DropResolvedAdmissions(sc.Cache)
 		team := ledger.Team().Name
-		allowances[team] = ledger.Allowance(view, sc.Table.ResourcesByTeam[team].Amount(), scale)
+		allowances[team] = ledger.Allowance(view, sc.Table.ResourcesByTeam[team].QuotaAmount(), scale)
 	}
 	return allowances
 }
@@ -203,11 +203,11 @@
 func (sc *Scheduler) PendingAmounts(team string) iter.Seq[quota.Amount] {
 	return func(yield func(quota.Amount) bool) {
 		for _, job := range sc.Table.Open {
-			pending := job.Counts[jobs.Pending]
+			pending := job.TaskCounts[jobs.Pending]
 			if job.Team != team || pending == 0 {
 				continue
 			}
-			if !yield(job.Need.Amount().Mul(float64(pending))) {
+			if !yield(job.TaskResources.QuotaAmount().Mul(float64(pending))) {
 				return
 			}
 		}
--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -128,7 +128,7 @@
 				ranksFirst[id.Job] = first
 			}
 			if first {
-				changes.addEvent(sc.Table.Jobs[id.Job], id.Task, jobs.TaskEvent{Kind: jobs.Release})
+				changes.addEvent(sc.Table.Jobs[id.Job], id.Task, jobs.TaskEvent{Kind: jobs.EventTaskRelease})
 			}
 		}
 	}
@@ -154,14 +154,14 @@
 func (sc *Scheduler) releasePriority(change *chunkChange, changes chunkChanges, waited time.Duration) (releasePriority, bool) {
 	completed, restarts := 0, false
 	for _, event := range change.events {
-		if event.Kind == jobs.Complete {
+		if event.Kind == jobs.EventTaskComplete {
 			completed++
 		} else {
 			restarts = true
 		}
 	}
 	job := change.job
-	endsJob := job.Counts[jobs.Completed]+completed == job.Record.Tasks
+	endsJob := job.TaskCounts[jobs.Completed]+completed == job.Record.Tasks
 	keepCollecting := !endsJob && len(change.events) < len(job.Claims) && waited < tuning.ReleaseGather
 	if keepCollecting || sc.WritesInFlight[job.ID] || sc.Now().Before(sc.BackoffUntil[job.ID]) {
 		return releaseRoutine, false
@@ -169,7 +169,7 @@
 	switch {
 	case endsJob:
 		return releaseJobEnd, true
-	case job.Service() || restarts || waited > tuning.ReleaseOverdue || sc.releasesLastLocalClaims(job, changes):
+	case job.IsService() || restarts || waited > tuning.ReleaseOverdue || sc.releasesLastLocalClaims(job, changes):
 		return releaseRestart, true
 	}
 	return releaseRoutine, true
@@ -180,7 +180,7 @@
 // end then waits for these releases. Without this rule the job's end could be 12 s late, because a
 // controller took its last releases of the job for ones that only free capacity.
 func (sc *Scheduler) releasesLastLocalClaims(job *jobs.Job, due chunkChanges) bool {
-	if job.Counts[jobs.Pending] > 0 {
+	if job.TaskCounts[jobs.Pending] > 0 {
 		return false
 	}
 	for task, claim := range job.Claims {
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -39,8 +39,8 @@
 	Channel     Channel
 	AllowStarts bool // whether tasks may be started, which requires a readable key-value store
 	Now         time.Time
-	// OmitStartsInCall omits a start from the answer to a heartbeat while a direct call that contains it
-	// is in flight and has just been sent.
+	// OmitStartsInCall omits a start from the answer to a heartbeat while a direct call that contains
+	// it is in flight and has just been sent.
 	OmitStartsInCall bool
 	// ResendAfterCall is the shortest time between two direct calls that contain the same start.
 	ResendAfterCall time.Duration
--- a/internal/worker/reconcile.go
+++ b/internal/worker/reconcile.go
@@ -19,7 +19,7 @@
 
 // endEvents maps an update proven by a worker to the event that it causes for the claimed task.
 var endEvents = map[recovery.TaskUpdate]jobs.TaskEventKind{
-	recovery.UpdateDone: jobs.Complete, recovery.UpdateFailed: jobs.Fail, recovery.UpdateReleased: jobs.Release,
+	recovery.UpdateDone: jobs.EventTaskComplete, recovery.UpdateFailed: jobs.EventTaskFail, recovery.UpdateReleased: jobs.EventTaskRelease,
 }
 
 // ProvenEnds returns the claims on the machine whose attempts are proven to have ended, ordered by
--- a/internal/worker/reconcile_test.go
+++ b/internal/worker/reconcile_test.go
@@ -21,7 +21,7 @@
 	}
 	w.ApplyHeartbeat(newHeartbeat(1, 2, 5, exited(1, wire.ExitCauseDone)), 5, t0)
 	ends := w.ProvenEnds(claims, t0, lease)
-	if len(ends) != 1 || ends[0].Kind != jobs.Complete {
+	if len(ends) != 1 || ends[0].Kind != jobs.EventTaskComplete {
 		t.Fatalf("ends %v after our token was acknowledged, want one completion", ends)
 	}
 }
@@ -34,7 +34,7 @@
 		t.Fatalf("ends of a claim whose task is only not listed: %v", ends)
 	}
 	w.ApplyHeartbeat(newHeartbeat(2, 2, 5), 5, t0)
-	if ends := w.ProvenEnds(claims, t0, lease); len(ends) != 1 || ends[0].Kind != jobs.Release {
+	if ends := w.ProvenEnds(claims, t0, lease); len(ends) != 1 || ends[0].Kind != jobs.EventTaskRelease {
 		t.Fatalf("ends %v after a new incarnation with our token, want one release", ends)
 	}
 }
--- a/internal/worker/starts.go
+++ b/internal/worker/starts.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// RecordStartsAnswered records that a direct call with these starts and this fencing token was answered by
-// a message with the given incarnation and sequence number.
+// RecordStartsAnswered records that a direct call with these starts and this fencing token was
+// answered by a message with the given incarnation and sequence number.
 func (w *Worker) RecordStartsAnswered(starts []Attempt, token, incarnation, sequence uint64) {
 	w.nothingToReconcile = false
 	for _, attempt := range starts {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -124,8 +124,8 @@
 	return len(w.StopRequested) < before
 }
 
-// IsTaskLeaving reports whether a claimed task is about to leave the machine: it was asked to stop, or it
-// has exited.
+// IsTaskLeaving reports whether a claimed task is about to leave the machine: it was asked to stop,
+// or it has exited.
 func (w *Worker) IsTaskLeaving(id jobs.TaskID) bool {
 	status, listed := w.Tasks[id]
 	return w.StopRequested[id] || listed && status.State == wire.TaskExited
