--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -256,7 +256,7 @@
 func (c *Controller) receiveHeartbeat(heartbeat *wire.Heartbeat) (int, any) {
 	c.Lock()
 	defer c.Unlock()
-	return c.Workers.AnswerHeartbeat(heartbeat)
+	return c.Workers.ProcessHeartbeat(heartbeat)
 }
 
 // runPass runs one scheduling pass of a controller and commits its writes.
--- a/internal/controller/graceful_stop_test.go
+++ b/internal/controller/graceful_stop_test.go
@@ -25,7 +25,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	leaving.api.SubmissionSlots <- struct{}{} // a submission is in flight
-	if err := leaving.Drain(ctx); !errors.Is(err, ErrWritesInFlight) {
+	if err := leaving.Drain(ctx); !errors.Is(err, ErrOperationsInFlight) {
 		t.Fatalf("drain with a submission in flight: %v", err)
 	}
 	<-leaving.api.SubmissionSlots
--- a/internal/controller/index_test.go
+++ b/internal/controller/index_test.go
@@ -40,9 +40,9 @@
 		return
 	}
 	now := controller.Now()
-	indexed, indexedClaims, index := describeFleet(controller.MachineIndex.RefreshMachines(now)), controller.MachineIndex.ClaimedByNode(), controller.MachineIndex
+	indexed, indexedClaims, index := describeFleet(controller.MachineIndex.RefreshMachines(now)), controller.MachineIndex.ClaimTotals(), controller.MachineIndex
 	controller.MachineIndex.Reset()
-	rebuilt, rebuiltClaims := describeFleet(controller.MachineIndex.RefreshMachines(now)), controller.MachineIndex.ClaimedByNode()
+	rebuilt, rebuiltClaims := describeFleet(controller.MachineIndex.RefreshMachines(now)), controller.MachineIndex.ClaimTotals()
 	controller.MachineIndex = index // kept, so that missed updates accumulate until a later check
 	if !slices.Equal(indexed, rebuilt) {
 		for i := range rebuilt {
@@ -76,8 +76,8 @@
 	controller.MachineIndex.RefreshMachines(controller.Now())
 	job := controller.Table.Jobs["wk-200000"]
 	task := job.Task(0)
-	if len(job.Claims) != 60 || len(controller.MachineIndex.Changed) != 0 {
-		t.Fatalf("%d tasks are claimed, %d machines are to be reindexed", len(job.Claims), len(controller.MachineIndex.Changed))
+	if len(job.Claims) != 60 || len(controller.MachineIndex.ChangedMachines) != 0 {
+		t.Fatalf("%d tasks are claimed, %d machines are to be reindexed", len(job.Claims), len(controller.MachineIndex.ChangedMachines))
 	}
 	// A watch delivers a copy of the chunk in which one task differs, and then the same copy again.
 	tasks := job.ChunkCopy(0)
@@ -86,14 +86,14 @@
 	if err := controller.Table.ApplyChunk(jobs.ChunkKey("wk-200000", 0), value); err != nil {
 		t.Fatal(err)
 	}
-	if len(controller.MachineIndex.Changed) != 1 || !controller.MachineIndex.Changed[task.Machine] {
-		t.Errorf("%d machines are to be reindexed, only %s has changed", len(controller.MachineIndex.Changed), task.Machine)
+	if len(controller.MachineIndex.ChangedMachines) != 1 || !controller.MachineIndex.ChangedMachines[task.Machine] {
+		t.Errorf("%d machines are to be reindexed, only %s has changed", len(controller.MachineIndex.ChangedMachines), task.Machine)
 	}
 	if err := controller.Table.ApplyChunk(jobs.ChunkKey("wk-200000", 0), value); err != nil {
 		t.Fatal(err)
 	}
-	if len(controller.MachineIndex.Changed) != 1 {
-		t.Errorf("%d machines are to be reindexed after the same chunk was applied again", len(controller.MachineIndex.Changed))
+	if len(controller.MachineIndex.ChangedMachines) != 1 {
+		t.Errorf("%d machines are to be reindexed after the same chunk was applied again", len(controller.MachineIndex.ChangedMachines))
 	}
 	controller.Unlock()
 	checkMachineIndex(t, controller)
@@ -129,7 +129,7 @@
 		during := describeFleet(controller.MachineIndex.Fleet)
 		after := describeFleet(controller.MachineIndex.RefreshMachines(now))
 		placement.Schedule(controller.scheduler.PlacementInput(controller.MachineIndex.Fleet, now))
-		controller.MachineIndex.Rebuild = true // as after a machine has joined
+		controller.MachineIndex.NeedsRebuild = true // as after a machine has joined
 		rebuilt := describeFleet(controller.MachineIndex.RefreshMachines(now))
 		controller.Unlock()
 		if !slices.Equal(before, rebuilt) {
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -93,7 +93,7 @@
 	env.refreshAll()
 	controller.Lock()
 	defer controller.Unlock()
-	claimedByNode, shareSum := controller.MachineIndex.ClaimedByNode(), 0.0
+	claimedByNode, shareSum := controller.MachineIndex.ClaimTotals(), 0.0
 	record := controller.Quota.Ledger("x").Record()
 	for label, claims := range claimedByNode {
 		claimed += claims["x"].GPUs
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -11,8 +11,9 @@
 	"wheatspur/internal/tuning"
 )
 
-// ErrWritesInFlight is returned by Drain if writes were still in flight when its context ended.
-var ErrWritesInFlight = errors.New("writes still in flight")
+// ErrOperationsInFlight is returned by Drain if operations were still in flight when its context
+// ended.
+var ErrOperationsInFlight = errors.New("writes still in flight")
 
 // Drain shuts the controller down gracefully: it rejects new requests, waits for operations in
 // flight and revokes the session lease. The other controllers then take over its machines, and its
@@ -26,7 +27,7 @@
 		return fmt.Errorf("session not revoked and left to expire: %w", err)
 	}
 	if remaining > 0 {
-		return fmt.Errorf("%w: %d", ErrWritesInFlight, remaining)
+		return fmt.Errorf("%w: %d", ErrOperationsInFlight, remaining)
 	}
 	return nil
 }
--- a/internal/election/reachability.go
+++ b/internal/election/reachability.go
@@ -21,7 +21,7 @@
 		summary.MayBecomeReachable = el.probeAnswered(now)
 	default:
 		summary.HeardMachines, summary.SilentMachines = el.countHeard(now)
-		summary.SiblingReceivesHeartbeats = el.Peers.SiblingHearsWorkers()
+		summary.SiblingReceivesHeartbeats = el.Peers.SiblingReceivesHeartbeats()
 	}
 	return summary
 }
--- a/internal/fleet/claimtotals.go
+++ b/internal/fleet/claimtotals.go
@@ -8,10 +8,10 @@
 	teams map[string]quota.Amount
 }
 
-// ClaimedByNode returns the resources that are claimed, by owner of the machines and by team.
+// ClaimTotals returns the resources that are claimed, by owner of the machines and by team.
 // The lock is held, and the result is valid only while it is.
-func (mi *MachineIndex) ClaimedByNode() quota.ClaimedByController {
-	for machine := range mi.Changed {
+func (mi *MachineIndex) ClaimTotals() quota.ClaimedByController {
+	for machine := range mi.ChangedMachines {
 		mi.refreshClaimTotals(machine)
 	}
 	return mi.claimedTotals
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -30,17 +30,17 @@
 	response.Write(c, status, body)
 }
 
-// lockAndAnswer takes the lock and calls AnswerHeartbeat.
+// lockAndAnswer takes the lock and calls ProcessHeartbeat.
 func (wm *WorkerManager) lockAndAnswer(heartbeat *wire.Heartbeat) (status int, body any) {
 	wm.Lock()
 	defer wm.Unlock()
-	return wm.AnswerHeartbeat(heartbeat)
+	return wm.ProcessHeartbeat(heartbeat)
 }
 
-// AnswerHeartbeat applies a heartbeat, and returns the HTTP status and the body of the
+// ProcessHeartbeat applies a heartbeat, and returns the HTTP status and the body of the
 // response. Status 200 renews the worker's lease. Any other status refuses the heartbeat, and
 // no part of it is applied. The lock is held.
-func (wm *WorkerManager) AnswerHeartbeat(heartbeat *wire.Heartbeat) (int, any) {
+func (wm *WorkerManager) ProcessHeartbeat(heartbeat *wire.Heartbeat) (int, any) {
 	now := wm.Now()
 	storeAge := now.Sub(wm.Syncer.LastReadAt())
 	if status, body := wm.refuseHeartbeat(heartbeat, storeAge, now); status != 0 {
@@ -162,7 +162,7 @@
 			clear(w.FailedJobs)
 		case wire.ExitCauseError:
 			w.FailedJobs[job.ID] = true
-			wm.Failing[w.Machine] = w
+			wm.WorkersWithFailures[w.Machine] = w
 		case wire.ExitCauseNoRoom:
 			w.LastRefusalAt = now
 		}
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -25,9 +25,9 @@
 	Fleet                *placement.Fleet           // nil until the first refresh
 	ordered              []*indexedMachine          // in the order of Fleet.Machines
 	machines             map[string]*indexedMachine // by name
-	Rebuild              bool                       // Fleet does not match the stored machines
+	NeedsRebuild         bool                       // Fleet does not match the stored machines
 	changedRecords       map[string]bool            // machines whose stored records have changed
-	Changed              map[string]bool            // machines whose claims, worker or status from their owner has changed
+	ChangedMachines      map[string]bool            // machines whose claims, worker or status from their owner has changed
 	pendingScan          map[string]bool            // machines of this controller that the next pass scans
 	fullScanAt           time.Time                  // when a pass last scanned all workers
 	schedulableCheckedAt time.Time                  // when updateSchedulable was last applied to all machines
@@ -56,17 +56,17 @@
 // clear empties the index and keeps its links to the other components.
 func (mi *MachineIndex) clear() {
 	*mi = MachineIndex{
-		State:          mi.State,
-		workers:        mi.workers,
-		peers:          mi.peers,
-		machines:       map[string]*indexedMachine{},
-		changedRecords: map[string]bool{},
-		Changed:        map[string]bool{},
-		pendingScan:    map[string]bool{},
-		Terminated:     map[string]bool{},
-		unpublished:    map[string]bool{},
-		claims:         map[string]machineClaims{},
-		claimedTotals:  quota.ClaimedByController{},
+		State:           mi.State,
+		workers:         mi.workers,
+		peers:           mi.peers,
+		machines:        map[string]*indexedMachine{},
+		changedRecords:  map[string]bool{},
+		ChangedMachines: map[string]bool{},
+		pendingScan:     map[string]bool{},
+		Terminated:      map[string]bool{},
+		unpublished:     map[string]bool{},
+		claims:          map[string]machineClaims{},
+		claimedTotals:   quota.ClaimedByController{},
 	}
 }
 
@@ -88,7 +88,7 @@
 // MarkChanged records that the claims on a machine, or what is known about its worker, have
 // changed. The lock is held.
 func (mi *MachineIndex) MarkChanged(machine string) {
-	mi.Changed[machine], mi.pendingScan[machine], mi.unpublished[machine] = true, true, true
+	mi.ChangedMachines[machine], mi.pendingScan[machine], mi.unpublished[machine] = true, true, true
 }
 
 // fullScanDue reports whether a full scan of the machines is due, and if so sets last to now.
@@ -125,7 +125,7 @@
 // an earlier pass. The lock is held, and the result is valid only while it is.
 func (mi *MachineIndex) RefreshMachines(now time.Time) *placement.Fleet {
 	mi.ApplyRecordChanges()
-	if mi.Fleet == nil || mi.Rebuild {
+	if mi.Fleet == nil || mi.NeedsRebuild {
 		mi.rebuild()
 	}
 	machines := mi.applyChangedMachines()
@@ -170,7 +170,7 @@
 		record, stored := mi.Inventory.Machines[machine]
 		indexed := mi.machines[machine]
 		if stored != (indexed != nil) || stored && !sameMachine(indexed.Machine, mi.emptyMachine(machine, record)) {
-			mi.Rebuild = true
+			mi.NeedsRebuild = true
 		}
 		if stored && record.Phase == inventory.Terminated {
 			mi.Terminated[machine] = true
@@ -221,7 +221,7 @@
 	for _, m := range mi.Fleet.Machines {
 		mi.ordered = append(mi.ordered, mi.machines[m.Name])
 	}
-	mi.Rebuild = false
+	mi.NeedsRebuild = false
 }
 
 // sameMachine reports whether two machines have the same properties, ignoring the tasks on
@@ -235,14 +235,14 @@
 // in the index. The lock is held.
 func (mi *MachineIndex) applyChangedMachines() []*indexedMachine {
 	var applied []*indexedMachine
-	for machine := range mi.Changed {
+	for machine := range mi.ChangedMachines {
 		mi.refreshClaimTotals(machine)
 		if m := mi.machines[machine]; m != nil {
 			mi.applyMachine(m)
 			applied = append(applied, m)
 		}
 	}
-	clear(mi.Changed)
+	clear(mi.ChangedMachines)
 	return applied
 }
 
@@ -305,7 +305,7 @@
 		return err
 	}
 	mi.MachineTypeList = record.Types
-	mi.Rebuild = true
+	mi.NeedsRebuild = true
 	clear(mi.MachineTypes)
 	for _, machineType := range record.Types {
 		mi.MachineTypes[machineType.Label] = machineType
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -205,9 +205,9 @@
 	return false
 }
 
-// SiblingHearsWorkers reports whether any sibling receives messages from one of its machines.
+// SiblingReceivesHeartbeats reports whether any sibling receives messages from one of its machines.
 // The lock is held.
-func (px *PeerExchange) SiblingHearsWorkers() bool {
+func (px *PeerExchange) SiblingReceivesHeartbeats() bool {
 	for _, sibling := range px.Siblings {
 		if !px.IsFresh(sibling) {
 			continue
--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -19,25 +19,25 @@
 	machineIndex *MachineIndex
 	recovery     *RecoveryTracker
 
-	ByMachine       map[string]*worker.Worker // by machine: those that this controller owns and has heard, or that the cloud lists as running
-	Failing         map[string]*worker.Worker // workers whose tasks failed recently, by machine
-	imageSizes      map[string]float64        // in GB by image, as specified by the last job that started with it
-	inheritedImages map[string][]string       // images by machine, as its previous owner knew them
-	Client          WorkerClient              // set at construction; does not need the lock
-	CallSlots       chan struct{}             // holds one value for each direct call in flight; filled with the lock held only
-	OpenConnections func() int                // number of open connections of users and workers; set before the servers run, does not need the lock
+	ByMachine           map[string]*worker.Worker // by machine: those that this controller owns and has heard, or that the cloud lists as running
+	WorkersWithFailures map[string]*worker.Worker // workers whose tasks failed recently, by machine
+	imageSizes          map[string]float64        // in GB by image, as specified by the last job that started with it
+	inheritedImages     map[string][]string       // images by machine, as its previous owner knew them
+	Client              WorkerClient              // set at construction; does not need the lock
+	CallSlots           chan struct{}             // holds one value for each direct call in flight; filled with the lock held only
+	OpenConnections     func() int                // number of open connections of users and workers; set before the servers run, does not need the lock
 }
 
 func newWorkerManager(state *cluster.State, client WorkerClient) *WorkerManager {
 	return &WorkerManager{
-		State:           state,
-		ByMachine:       map[string]*worker.Worker{},
-		Failing:         map[string]*worker.Worker{},
-		imageSizes:      map[string]float64{},
-		inheritedImages: map[string][]string{},
-		Client:          client,
-		CallSlots:       make(chan struct{}, tuning.WorkerCallsMax),
-		OpenConnections: func() int { return 0 },
+		State:               state,
+		ByMachine:           map[string]*worker.Worker{},
+		WorkersWithFailures: map[string]*worker.Worker{},
+		imageSizes:          map[string]float64{},
+		inheritedImages:     map[string][]string{},
+		Client:              client,
+		CallSlots:           make(chan struct{}, tuning.WorkerCallsMax),
+		OpenConnections:     func() int { return 0 },
 	}
 }
 
@@ -128,10 +128,10 @@
 	}
 }
 
-// CommandWorkers sends workers the commands that are due. It drops workers whose machines are
+// SendDueCommands sends workers the commands that are due. It drops workers whose machines are
 // neither owned by this controller nor stored, and that have been silent for
 // tuning.ForgetLeases leases. The lock is held.
-func (wm *WorkerManager) CommandWorkers(workers map[string]*worker.Worker, now time.Time) {
+func (wm *WorkerManager) SendDueCommands(workers map[string]*worker.Worker, now time.Time) {
 	for machine, w := range workers {
 		if wm.ShardOwner(machine) == wm.Self.Label {
 			wm.fencePendingStarts(w)
--- a/internal/scheduler/placementinput.go
+++ b/internal/scheduler/placementinput.go
@@ -39,7 +39,7 @@
 // machinesToAvoid returns, by job, the machines on which its tasks failed recently.
 func (sc *Scheduler) machinesToAvoid() map[string]map[string]bool {
 	avoid := map[string]map[string]bool{}
-	for machine, w := range sc.Workers.Failing {
+	for machine, w := range sc.Workers.WorkersWithFailures {
 		for jobID := range w.FailedJobs {
 			if avoid[jobID] == nil {
 				avoid[jobID] = map[string]bool{}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -24,7 +24,7 @@
 		Leader:       sc.Membership.Leader.Label,
 		Members:      sc.MemberLabels,
 		FencingToken: sc.Membership.FencingToken,
-		Claimed:      sc.MachineIndex.ClaimedByNode(),
+		Claimed:      sc.MachineIndex.ClaimTotals(),
 		Revision:     sc.Cache.Revision(),
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -116,7 +116,7 @@
 	writes = sc.planFinishedJobs(writes, &budget)
 	sc.updateQueuedWrites(len(due) + countJobs(output.Claims) - len(writes))
 	sc.Peers.UpdateBudgetShare()
-	sc.Workers.CommandWorkers(workers, now)
+	sc.Workers.SendDueCommands(workers, now)
 	sc.MachineIndex.RemoveQuiescent()
 	return writes
 }
@@ -130,9 +130,9 @@
 			sc.MachineIndex.MarkChanged(machine)
 		}
 	}
-	for machine, w := range sc.Workers.Failing {
+	for machine, w := range sc.Workers.WorkersWithFailures {
 		if len(w.FailedJobs) == 0 || sc.Workers.ByMachine[machine] != w {
-			delete(sc.Workers.Failing, machine)
+			delete(sc.Workers.WorkersWithFailures, machine)
 		}
 	}
 	for jobID, at := range sc.preemptedFor {
