--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -79,7 +79,7 @@
 // derivePhase returns a job's phase as it follows from its own record and the phases of its
 // dependencies and, for a cancelled job, the dependency whose cancellation cancelled it. A
 // dependency that is unknown, or whose record can't be read, counts as not done.
-func (t *Table) derivePhase(j *Job) (phase Phase, cancelledWith string) {
+func (t *Table) derivePhase(j *Job) (phase Phase, cancelledByDependency string) {
 	if j.Record.Phase != Waiting {
 		return j.Record.Phase, j.Record.CancelledByDependency
 	}
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -51,7 +51,7 @@
 
 // The computed size of a submission decides whether it is accepted and how many submissions share
 // an intake record.
-func TestIntakeBytes(t *testing.T) {
+func TestMaxIntakeBytes(t *testing.T) {
 	if got, want := MaxIntakeBytes(goldenSpec()), 426; got != want {
 		t.Errorf("%d bytes, want %d", got, want)
 	}
--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestNextUnreachable(t *testing.T) {
+func TestCountsAsUnreachable(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		Reachability
--- a/internal/quota/admission_test.go
+++ b/internal/quota/admission_test.go
@@ -6,7 +6,7 @@
 // read its claim, its next write changes the record, which the first write compares,
 // so the first write looks like one that can no longer be applied. Its claim must
 // still count, or the leader admits two claims within a share of one.
-func TestUncertainAdmissionCountsUntilItsClaimIsRead(t *testing.T) {
+func TestUncertainAmountCountsUntilItsClaimIsRead(t *testing.T) {
 	m := newSharedModel(t, 4, "a", "b", "c") // the leader a has a share of two, b and c of one
 	lost := m.mustAdmit(t, "a", 0)
 	handOver := m.mustAdmit(t, "a", 1) // on a machine of b
