--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -205,11 +205,11 @@
 	return &Submission{
 		Spec: spec,
 		Record: jobs.Record{
-			Phase:        phase,
-			AcceptedAtMs: api.Now().UnixMilli(),
-			Tasks:        spec.Tasks,
-			ChunkSize:    jobs.MaxTasksPerChunk(api.Limits.ValueKB),
-			Spec:         spec,
+			Phase:         phase,
+			AcceptedAtMs:  api.Now().UnixMilli(),
+			Tasks:         spec.Tasks,
+			TasksPerChunk: jobs.MaxTasksPerChunk(api.Limits.ValueKB),
+			Spec:          spec,
 		},
 		Deadline: time.Now().Add(tuning.DurableWriteTimeout), // real time, as contexts use, not api.Now
 		Done:     make(chan error, 1),
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -238,7 +238,7 @@
 			for _, dependency := range dependsOn {
 				spec.DependsOn = append(spec.DependsOn, jobID(p, dependency))
 			}
-			record := jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 64, Spec: &spec}
+			record := jobs.Record{Phase: jobs.Open, Tasks: 1, TasksPerChunk: 64, Spec: &spec}
 			if step > 0 {
 				record.Phase = jobs.Waiting
 			}
@@ -251,7 +251,7 @@
 	}
 	before := env.store.Revision
 	for p := range pipelines {
-		env.store.Put(jobs.JobKey(jobID(p, 0)), wire.MustMarshal(jobs.Record{Phase: jobs.Done, Tasks: 1, ChunkSize: 64, EndedAtMs: 1}))
+		env.store.Put(jobs.JobKey(jobID(p, 0)), wire.MustMarshal(jobs.Record{Phase: jobs.Done, Tasks: 1, TasksPerChunk: 64, EndedAtMs: 1}))
 	}
 	env.refreshAll()
 	env.runPass(controller)
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -131,7 +131,7 @@
 func TestTheProductionVersionDecodesRecordsOfThisVersion(t *testing.T) {
 	spec := dependentJob(arrayJob("wk-2", 3), "wk-1")
 	var record oldJobRecord
-	if err := wire.Unmarshal(wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, AcceptedAtMs: 5, Tasks: 3, ChunkSize: 64, Spec: &spec, EndedAtMs: 9, CancelledByDependency: "wk-1"}), &record); err != nil {
+	if err := wire.Unmarshal(wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, AcceptedAtMs: 5, Tasks: 3, TasksPerChunk: 64, Spec: &spec, EndedAtMs: 9, CancelledByDependency: "wk-1"}), &record); err != nil {
 		t.Fatal(err)
 	}
 	// For any other phase the production version answers "queued" and never places the job.
--- a/internal/controller/http_fixture_test.go
+++ b/internal/controller/http_fixture_test.go
@@ -195,7 +195,7 @@
 	for i := range count {
 		spec := arrayJob(fmt.Sprintf("wk-%d", 1000+i), 1)
 		spec.DependsOn = []string{dependsOn}
-		env.store.Put(jobs.JobKey(spec.ID), wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, Tasks: 1, ChunkSize: 70, Spec: &spec}))
+		env.store.Put(jobs.JobKey(spec.ID), wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, Tasks: 1, TasksPerChunk: 70, Spec: &spec}))
 	}
 	env.refreshAll()
 }
--- a/internal/controller/intake_test.go
+++ b/internal/controller/intake_test.go
@@ -125,7 +125,7 @@
 	var group []*api.Submission
 	for i := range 3 {
 		spec := arrayJob(fmt.Sprintf("wk-%d", i), 1)
-		group = append(group, &api.Submission{Spec: &spec, Record: jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 4, Spec: &spec},
+		group = append(group, &api.Submission{Spec: &spec, Record: jobs.Record{Phase: jobs.Open, Tasks: 1, TasksPerChunk: 4, Spec: &spec},
 			Deadline: time.Now().Add(time.Minute), Done: make(chan error, 1)})
 	}
 	key := jobs.JobKey("wk-1")
@@ -150,7 +150,7 @@
 	controller := env.newUnsyncedController(settings("z", []string{"z"}))
 	newSubmission := func(jobID string) *api.Submission {
 		spec := arrayJob(jobID, 1)
-		return &api.Submission{Spec: &spec, Record: jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 70, Spec: &spec}, Deadline: time.Now().Add(time.Minute)}
+		return &api.Submission{Spec: &spec, Record: jobs.Record{Phase: jobs.Open, Tasks: 1, TasksPerChunk: 70, Spec: &spec}, Deadline: time.Now().Add(time.Minute)}
 	}
 	expired := newSubmission("wk-late")
 	expired.Deadline = time.Now()
--- a/internal/controller/store_outage_test.go
+++ b/internal/controller/store_outage_test.go
@@ -281,7 +281,7 @@
 	controller := env.controllers["a"]
 	const jobCount = 600
 	for i := range jobCount {
-		value := wire.MustMarshal(jobs.Record{Phase: jobs.Open, Tasks: 1, ChunkSize: 70, Spec: ptr(arrayJob(fmt.Sprintf("wk-%d", i), 1))})
+		value := wire.MustMarshal(jobs.Record{Phase: jobs.Open, Tasks: 1, TasksPerChunk: 70, Spec: ptr(arrayJob(fmt.Sprintf("wk-%d", i), 1))})
 		if _, err := env.store.CompareAndSwap(context.Background(), 0, nil, []wire.Operation{{Put: jobs.JobKey(fmt.Sprintf("wk-%d", i)), Value: value}}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -31,7 +31,7 @@
 	if edit != nil {
 		edit(spec)
 	}
-	r := Record{Phase: Open, AcceptedAtMs: 1000, Tasks: 1, ChunkSize: 4, Spec: spec}
+	r := Record{Phase: Open, AcceptedAtMs: 1000, Tasks: 1, TasksPerChunk: 4, Spec: spec}
 	if len(dependsOn) > 0 {
 		r.Phase = Waiting
 	}
@@ -39,7 +39,7 @@
 }
 
 func (d *dag) putDone(jobID string, endedAtMs int64) {
-	d.put(jobID, Record{Phase: Done, AcceptedAtMs: 1000, Tasks: 1, ChunkSize: 4, EndedAtMs: endedAtMs})
+	d.put(jobID, Record{Phase: Done, AcceptedAtMs: 1000, Tasks: 1, TasksPerChunk: 4, EndedAtMs: endedAtMs})
 }
 
 // putCancelled applies the record of a job that its user has cancelled.
@@ -73,7 +73,7 @@
 		func(d *dag) { d.putDone("wk-3", 9000) },
 		func(d *dag) { d.put("wk-4", newJobRecord("wk-4", nil, "wk-2", "wk-3")) },
 		func(d *dag) { d.put("wk-5", newJobRecord("wk-5", nil, "wk-4")) },
-		func(d *dag) { d.put("wk-6", Record{Phase: Cancelled, Tasks: 1, ChunkSize: 4}) },
+		func(d *dag) { d.put("wk-6", Record{Phase: Cancelled, Tasks: 1, TasksPerChunk: 4}) },
 		func(d *dag) { d.put("wk-7", newJobRecord("wk-7", nil, "wk-3", "wk-6")) },
 		func(d *dag) { d.put("wk-8", newJobRecord("wk-8", nil, "wk-7", "wk-5")) },
 		func(d *dag) { d.put("wk-9", newJobRecord("wk-9", nil, "wk-3", "wk-1")) },
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -23,7 +23,7 @@
 // Stored records must stay readable to every later version, and to the version that runs alongside
 // this one.
 func TestGoldenRecords(t *testing.T) {
-	record := Record{Phase: Waiting, AcceptedAtMs: 1_700_000_000_001, Tasks: 17, ChunkSize: 64, ClaimSerial: 71,
+	record := Record{Phase: Waiting, AcceptedAtMs: 1_700_000_000_001, Tasks: 17, TasksPerChunk: 64, ClaimSerial: 71,
 		Spec: goldenSpec(), EndedAtMs: 1_700_000_000_002, CancelledByDependency: "wk-000397"}
 	task := Task{State: Claimed, Attempt: 72, Machine: "host-1", Incarnation: 73, Failures: 74}
 	golden.Check(t, []golden.Sample{
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -44,15 +44,15 @@
 
 // Task returns a task by its number in the job.
 func (j *Job) Task(number int) Task {
-	if tasks, ok := j.Chunks[number/j.Record.ChunkSize]; ok {
-		return tasks[number%j.Record.ChunkSize]
+	if tasks, ok := j.Chunks[number/j.Record.TasksPerChunk]; ok {
+		return tasks[number%j.Record.TasksPerChunk]
 	}
 	return Task{}
 }
 
 // ChunkLen returns the number of tasks in a chunk; the last chunk may be shorter than the others.
 func (j *Job) ChunkLen(chunk int) int {
-	return min(j.Record.ChunkSize, j.Record.Tasks-chunk*j.Record.ChunkSize)
+	return min(j.Record.TasksPerChunk, j.Record.Tasks-chunk*j.Record.TasksPerChunk)
 }
 
 // ChunkCopy returns a copy of the tasks of a chunk, for a write that changes some of them.
@@ -68,7 +68,7 @@
 // version takes all earlier claims into account.
 func (j *Job) ZoneConstraintSpansChunks() bool {
 	spec := j.Record.Spec
-	return spec != nil && (spec.SameZone || spec.SpreadZones) && j.Record.Tasks > j.Record.ChunkSize
+	return spec != nil && (spec.SameZone || spec.SpreadZones) && j.Record.Tasks > j.Record.TasksPerChunk
 }
 
 // AllTasksCompleted reports whether all tasks are stored as completed.
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -12,7 +12,7 @@
 	Phase                 Phase         `cbor:"p"`
 	AcceptedAtMs          int64         `cbor:"at"` // time of acceptance, Unix milliseconds
 	Tasks                 int           `cbor:"n"`
-	ChunkSize             int           `cbor:"cs"`          // tasks per chunk, fixed at acceptance
+	TasksPerChunk         int           `cbor:"cs"`          // tasks per chunk, fixed at acceptance
 	ClaimSerial           uint64        `cbor:"s,omitempty"` // incremented by every claim of a job with ZoneConstraintSpansChunks, so that concurrent claims conflict
 	Spec                  *wire.JobSpec `cbor:"w,omitempty"`
 	EndedAtMs             int64         `cbor:"e,omitempty"` // time at which the job ended, Unix milliseconds; of a final record only
@@ -41,8 +41,8 @@
 	Jobs map[string]Record `cbor:"j"`
 }
 
-// ChunkRecord is the stored form of a chunk: ChunkSize tasks of a job with consecutive numbers. The
-// tasks of a chunk without a record are pending and have never been claimed.
+// ChunkRecord is the stored form of a chunk: TasksPerChunk tasks of a job with consecutive numbers.
+// The tasks of a chunk without a record are pending and have never been claimed.
 type ChunkRecord struct {
 	Tasks []Task `cbor:"t"`
 }
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -156,7 +156,7 @@
 // the tasks that differ: a write changes few tasks of a chunk, and otherwise OnMachineChange would
 // be called for the machine of every other one too.
 func (t *Table) replaceChunk(j *Job, chunk int, tasks []Task) {
-	old, first := j.Chunks[chunk], chunk*j.Record.ChunkSize
+	old, first := j.Chunks[chunk], chunk*j.Record.TasksPerChunk
 	unchanged := func(i int) bool { return i < len(old) && i < len(tasks) && old[i] == tasks[i] }
 	for i, task := range old {
 		if !unchanged(i) {
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	table := NewTable(func() time.Time { return time.Unix(0, 0) })
 	spec := &wire.JobSpec{ID: "wk-1", Team: "x", Kind: wire.KindArray, Tasks: tasks, GPUs: 2}
-	applyJob(t, table, "wk-1", Record{Phase: Open, Tasks: tasks, ChunkSize: 4, Spec: spec})
+	applyJob(t, table, "wk-1", Record{Phase: Open, Tasks: tasks, TasksPerChunk: 4, Spec: spec})
 	return table
 }
 
@@ -60,7 +60,7 @@
 func TestClaimsAreReleasedWhenTheJobEndsInTheSameWrite(t *testing.T) {
 	table := newTestTable(t, 1)
 	applyChunk(t, table, 0, Task{State: Claimed, Attempt: 1, Machine: "h"})
-	applyJob(t, table, "wk-1", Record{Phase: Done, Tasks: 1, ChunkSize: 4})
+	applyJob(t, table, "wk-1", Record{Phase: Done, Tasks: 1, TasksPerChunk: 4})
 	applyChunk(t, table, 0)
 	if table.ResourcesByTeam["x"].GPUs != 0 || len(table.ClaimsByMachine) != 0 || len(table.Open) != 0 {
 		t.Fatalf("teams use %v, claims by machine %v", table.ResourcesByTeam, table.ClaimsByMachine)
@@ -74,7 +74,7 @@
 // before or after both. Every controller must end up with the same jobs.
 func TestIntakeRecordsApplyTheSameInAnyOrder(t *testing.T) {
 	job := func(tasks int, phase Phase) Record {
-		return Record{Phase: phase, Tasks: tasks, ChunkSize: 4, Spec: &wire.JobSpec{Team: "x"}}
+		return Record{Phase: phase, Tasks: tasks, TasksPerChunk: 4, Spec: &wire.JobSpec{Team: "x"}}
 	}
 	steps := []func(*Table) error{
 		func(table *Table) error {
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -8,15 +8,15 @@
 
 // TaskState is the stored state of a task. Its transitions, all made by Task.Next:
 //
-//	from     event     to         when
-//	Pending  Claim     Claimed    a controller has chosen a machine; stored before any start command
-//	Claimed  Complete  Completed  the attempt ended with a result
-//	Claimed  Release   Pending    the attempt ended or never ran, and the task is not at fault
-//	Claimed  Fail      Pending    the attempt ended with an error
+//	from     event              to         when
+//	Pending  EventTaskClaim     Claimed    a controller has chosen a machine; stored before any start command
+//	Claimed  EventTaskComplete  Completed  the attempt ended with a result
+//	Claimed  EventTaskRelease   Pending    the attempt ended or never ran, and the task is not at fault
+//	Claimed  EventTaskFail      Pending    the attempt ended with an error
 //
 // Every claim is a new attempt. A claim counts against the machine's resources and the team's quota
-// until it is released. All events but Claim therefore need proof that the attempt has ended:
-// otherwise two attempts of a task could run at once. Completed is final.
+// until it is released. All events but EventTaskClaim therefore need proof that the attempt has
+// ended: otherwise two attempts of a task could run at once. Completed is final.
 type TaskState uint8
 
 // States of a task. The values are stored.
@@ -36,8 +36,8 @@
 // TaskEvent changes a task's state.
 type TaskEvent struct {
 	Kind        TaskEventKind
-	Machine     string // the claimed machine; of a Claim only
-	Incarnation uint64 // incarnation of that machine's worker; of a Claim only
+	Machine     string // the claimed machine; of EventTaskClaim only
+	Incarnation uint64 // incarnation of that machine's worker; of EventTaskClaim only
 }
 
 // TaskEventKind is the kind of an event of a task.
--- a/internal/placement/builders_test.go
+++ b/internal/placement/builders_test.go
@@ -13,7 +13,7 @@
 	if edit != nil {
 		edit(spec)
 	}
-	j := &jobs.Job{ID: id, Record: jobs.Record{Phase: jobs.Open, Tasks: tasks, ChunkSize: 64, Spec: spec}, Phase: jobs.Open,
+	j := &jobs.Job{ID: id, Record: jobs.Record{Phase: jobs.Open, Tasks: tasks, TasksPerChunk: 64, Spec: spec}, Phase: jobs.Open,
 		Priority: jobs.PriorityRank(priority), TaskResources: jobs.ResourcesPerTask(spec), Team: spec.Team, Chunks: map[int][]jobs.Task{}, Claims: map[int]jobs.Task{}}
 	if spec.DeadlineS != nil {
 		j.DeadlineMs = int64(*spec.DeadlineS * 1000)
--- a/internal/scheduler/chunks.go
+++ b/internal/scheduler/chunks.go
@@ -27,7 +27,7 @@
 }
 
 // chunkOf returns the index of the chunk that holds a task of the job.
-func chunkOf(job *jobs.Job, task int) int { return task / job.Record.ChunkSize }
+func chunkOf(job *jobs.Job, task int) int { return task / job.Record.TasksPerChunk }
 
 // addClaim adds the claim of a task. It returns false, and adds nothing, if the record would
 // exceed limit bytes.
@@ -49,7 +49,7 @@
 func (c *chunkChange) apply() ([]jobs.Task, bool) {
 	tasks := c.job.ChunkCopy(c.chunk)
 	for task, event := range c.events {
-		i := task - c.chunk*c.job.Record.ChunkSize
+		i := task - c.chunk*c.job.Record.TasksPerChunk
 		next, err := tasks[i].Next(event)
 		if err != nil {
 			return nil, false
@@ -61,7 +61,7 @@
 
 // maxChunkBytes returns an upper bound of the size of any chunk record of the job as JSON.
 func (sc *Scheduler) maxChunkBytes(job *jobs.Job) int {
-	return min(job.Record.ChunkSize, job.Record.Tasks)*chunkBytesPerTask + chunkBaseBytes
+	return min(job.Record.TasksPerChunk, job.Record.Tasks)*chunkBytesPerTask + chunkBaseBytes
 }
 
 // putChunk adds the operations that store a chunk's tasks after its change. The write that
--- a/internal/scheduler/finishedjobs.go
+++ b/internal/scheduler/finishedjobs.go
@@ -89,7 +89,7 @@
 		Phase:                 phase,
 		AcceptedAtMs:          job.Record.AcceptedAtMs,
 		Tasks:                 job.Record.Tasks,
-		ChunkSize:             job.Record.ChunkSize,
+		TasksPerChunk:         job.Record.TasksPerChunk,
 		EndedAtMs:             now.UnixMilli(),
 		CancelledByDependency: job.CancelledByDependency,
 	}
--- a/internal/scheduler/placementinput.go
+++ b/internal/scheduler/placementinput.go
@@ -69,11 +69,11 @@
 // pendingTasks returns up to limit pending tasks of a job that may be started now.
 func (sc *Scheduler) pendingTasks(job *jobs.Job, limit int, now time.Time) []int {
 	var pending []int
-	chunkSize := job.Record.ChunkSize
-	for chunk := 0; chunk*chunkSize < job.Record.Tasks && len(pending) < limit; chunk++ {
+	tasksPerChunk := job.Record.TasksPerChunk
+	for chunk := 0; chunk*tasksPerChunk < job.Record.Tasks && len(pending) < limit; chunk++ {
 		tasks := job.Chunks[chunk] // nil: the chunk was never written, so all tasks are pending
 		for i := 0; i < job.ChunkLen(chunk) && len(pending) < limit; i++ {
-			task := chunk*chunkSize + i
+			task := chunk*tasksPerChunk + i
 			if tasks == nil || tasks[i].State == jobs.Pending && sc.retryDue(job, task, tasks[i].Failures, now) {
 				pending = append(pending, task)
 			}
--- a/internal/worker/helpers_test.go
+++ b/internal/worker/helpers_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	table := jobs.NewTable(func() time.Time { return t0 })
 	spec := wire.JobSpec{ID: testTask.Job, Team: "x", Kind: wire.KindArray, Tasks: 1, CPUs: 1}
-	record := jobs.Record{Phase: phase, Tasks: 1, ChunkSize: 8, Spec: &spec}
+	record := jobs.Record{Phase: phase, Tasks: 1, TasksPerChunk: 8, Spec: &spec}
 	if err := table.ApplyJob(testTask.Job, wire.MustMarshal(record)); err != nil {
 		t.Fatal(err)
 	}
