--- a/internal/placement/builders_test.go
+++ b/internal/placement/builders_test.go
@@ -65,7 +65,7 @@
 // newInput returns the input of a scheduling pass by controller self. The leader is L, and every
 // job ranks the controllers a, b, L.
 func newInput(self string, machines []*Machine, openJobs ...*jobs.Job) Input {
-	in := Input{Self: self, Leader: "L", RankNodes: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
+	in := Input{Self: self, Leader: "L", RankMembers: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
 		Allowances: map[string]*quota.Allowance{"x": {}}, MaxJobs: 100}
 	in.Fleet.SaveStates()
 	for _, j := range openJobs {
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -58,7 +58,7 @@
 		return in.fit(d, tasks, anyOwner) // zone constraints apply across owners
 	}
 	var picksByOwner [][]*Machine
-	for _, owner := range in.RankNodes(d.Job.ID) {
+	for _, owner := range in.RankMembers(d.Job.ID) {
 		if picks := in.fit(d, tasks, owner); len(picks) > 0 {
 			picksByOwner = append(picksByOwner, picks)
 		}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -31,7 +31,7 @@
 // Input is the input of a scheduling pass.
 type Input struct {
 	Self, Leader string                      // labels of this controller and of the leader
-	RankNodes    func(jobID string) []string // labels of the controllers in the job's hashed order
+	RankMembers  func(jobID string) []string // labels of the controllers in the job's hashed order
 	Fleet        *Fleet
 	Demands      []*Demand
 	Allowances   map[string]*quota.Allowance // by name; the pass deducts what it places
--- a/internal/placement/schedule.go
+++ b/internal/placement/schedule.go
@@ -94,7 +94,7 @@
 func (in *Input) chooseOwner(d *Demand, team *quota.Allowance, tasks []int) machineChoice {
 	var best machineChoice
 	shortestWait := 0.0
-	for _, owner := range in.RankNodes(d.Job.ID) {
+	for _, owner := range in.RankMembers(d.Job.ID) {
 		if team.MaxTasksAt(owner, d.Job.TaskResources.QuotaAmount(), len(tasks)) < len(tasks) {
 			continue
 		}
--- a/internal/scheduler/placementinput.go
+++ b/internal/scheduler/placementinput.go
@@ -16,7 +16,7 @@
 	input := placement.Input{
 		Self:         sc.Self.Label,
 		Leader:       sc.Membership.Leader.Label,
-		RankNodes:    sc.Membership.RankMembers,
+		RankMembers:  sc.Membership.RankMembers,
 		Fleet:        fleet,
 		Allowances:   sc.Allowances(),
 		Now:          now,
