--- a/internal/autoscale/headroom.go
+++ b/internal/autoscale/headroom.go
@@ -19,7 +19,7 @@
 func typicalJob(load Load) *jobs.Job {
 	spec := *load.Spec
 	spec.Zone = nil
-	return &jobs.Job{Record: jobs.Record{Phase: jobs.Open, Spec: &spec}, TaskResources: load.Need}
+	return &jobs.Job{Record: jobs.Record{Phase: jobs.Open, Spec: &spec}, TaskResources: load.TaskResources}
 }
 
 // provisionHeadroom plans capacity for future tasks, and for tasks whose booting machines
--- a/internal/autoscale/headroom_test.go
+++ b/internal/autoscale/headroom_test.go
@@ -45,7 +45,7 @@
 		in := newInput(machines...)
 		in.Batch = newLoad(wire.KindArray, 0)
 		if onDemandWork {
-			in.OnDemandBatch = Load{MinTasks: 5, Need: jobs.ResourcesPerTask(small), Spec: small}
+			in.OnDemandBatch = Load{MinTasks: 5, TaskResources: jobs.ResourcesPerTask(small), Spec: small}
 			in.Operator.BatchHeadroom = 0.25
 		}
 		return Plan(in)
--- a/internal/autoscale/helpers_test.go
+++ b/internal/autoscale/helpers_test.go
@@ -39,7 +39,7 @@
 // newLoad returns a load of tasks of the kind, as newDemand makes them.
 func newLoad(kind string, tasks float64) Load {
 	job := newDemand(kind, 1).Job
-	return Load{Tasks: tasks, Need: job.TaskResources, Spec: job.Record.Spec}
+	return Load{Tasks: tasks, TaskResources: job.TaskResources, Spec: job.Record.Spec}
 }
 
 // newInput returns an input with both roles active and no headroom.
--- a/internal/autoscale/types.go
+++ b/internal/autoscale/types.go
@@ -62,11 +62,11 @@
 
 // Load describes the tasks of a role, from which its headroom is derived.
 type Load struct {
-	Tasks        float64        // tasks on machines or waiting for one; for batch, a mean over time of those on machines
-	MinTasks     int            // least number of tasks that the headroom has room for
-	AwaitingBoot float64        // tasks that wait for machines to boot
-	Need         jobs.Resources // resources of a typical task
-	Spec         *wire.JobSpec  // a typical job; nil if none is known
+	Tasks         float64        // tasks on machines or waiting for one; for batch, a mean over time of those on machines
+	MinTasks      int            // least number of tasks that the headroom has room for
+	AwaitingBoot  float64        // tasks that wait for machines to boot
+	TaskResources jobs.Resources // resources of a typical task
+	Spec          *wire.JobSpec  // a typical job; nil if none is known
 }
 
 // Input is the input of the capacity plan.
--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -48,7 +48,7 @@
 			// These tasks will run, so the headroom is computed for them too.
 			b.input.Service.Tasks += float64(count)
 			b.input.Service.AwaitingBoot += float64(count)
-			b.input.Service.Need, b.input.Service.Spec = job.TaskResources, job.Record.Spec
+			b.input.Service.TaskResources, b.input.Service.Spec = job.TaskResources, job.Record.Spec
 		}
 		b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: job, Count: count, Waiting: b.now.Sub(scheduler.UnplacedSince[jobID])})
 	}
--- a/internal/leader/headroom.go
+++ b/internal/leader/headroom.go
@@ -22,7 +22,7 @@
 		}
 		if task.Job.IsService() {
 			b.input.Service.Tasks++
-			b.input.Service.Need, b.input.Service.Spec = task.Job.TaskResources, spec
+			b.input.Service.TaskResources, b.input.Service.Spec = task.Job.TaskResources, spec
 			continue
 		}
 		load := b.batchClasses[spec.Class]
@@ -102,7 +102,7 @@
 		}
 	}
 	if typical != nil {
-		state.onDemandLoad = autoscale.Load{Need: typical.TaskResources, Spec: typical.Record.Spec, MinTasks: minHeadroomTasks(tasks / float64(arrays))}
+		state.onDemandLoad = autoscale.Load{TaskResources: typical.TaskResources, Spec: typical.Record.Spec, MinTasks: minHeadroomTasks(tasks / float64(arrays))}
 		state.onDemandSeenAt = now
 	} else if now.Sub(state.onDemandSeenAt) > tuning.BatchHeadroomHold {
 		state.onDemandLoad = autoscale.Load{}
@@ -142,6 +142,6 @@
 	if largest == nil || largest.share == 0 {
 		return 0
 	}
-	ls.batchLoad.Need, ls.batchLoad.Spec = largest.typical.TaskResources, largest.typical.Record.Spec
+	ls.batchLoad.TaskResources, ls.batchLoad.Spec = largest.typical.TaskResources, largest.typical.Record.Spec
 	return total * largest.tasks / largest.share
 }
