--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -208,7 +208,7 @@
 	controller.Lock()
 	term := controller.leaderLoop.CurrentTerm()
 	controller.leaderLoop.PlanInput(term, controller.MachineIndex.RefreshMachines(env.clock.now()), env.clock.now())
-	term.LastHeard["h1"] = env.clock.now().Add(-time.Minute)
+	term.LastHeardAt["h1"] = env.clock.now().Add(-time.Minute)
 	plan := autoscale.Plan(controller.leaderLoop.PlanInput(term, controller.MachineIndex.RefreshMachines(env.clock.now()), env.clock.now()))
 	_, terminations := controller.leaderLoop.PlanDrains(plan.ScaleIn)
 	controller.Unlock()
--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -80,7 +80,7 @@
 		age, ok := sinceHeard[machine.Name]
 		if ok && age < ld.SilenceTimeout() {
 			heard[machine.Owner]++
-		} else if at, wasUp := ld.Term.LastHeard[machine.Name]; wasUp && now.Sub(at) > ld.SilenceTimeout() {
+		} else if at, wasUp := ld.Term.LastHeardAt[machine.Name]; wasUp && now.Sub(at) > ld.SilenceTimeout() {
 			silent[machine.Owner]++
 			if machine.Role == placement.Service {
 				atRisk = append(atRisk, machine)
--- a/internal/leader/planinput.go
+++ b/internal/leader/planinput.go
@@ -115,7 +115,7 @@
 	}
 	listed, isListed := b.state.listed[machine.Name]
 	running := len(machine.Tasks) > 0 || isListed && listed.State == wire.MachineRunning
-	if _, ok := b.state.LastHeard[machine.Name]; !ok && running {
+	if _, ok := b.state.LastHeardAt[machine.Name]; !ok && running {
 		// The machine is up, but this leader does not know when it was last heard. Its silence is
 		// measured from now.
 		b.state.updateLastHeard(machine.Name, b.now)
@@ -125,7 +125,7 @@
 // describeMachine returns the plan's view of a machine, and records since when it is idle or
 // quarantined.
 func (b *planBuilder) describeMachine(machine *placement.Machine, phase inventory.Phase) autoscale.Machine {
-	_, wasUp := b.state.LastHeard[machine.Name]
+	_, wasUp := b.state.LastHeardAt[machine.Name]
 	silentFor := b.silentFor(machine.Name)
 	missingAfter := time.Duration(tuning.MissingHeartbeats * float64(b.loop.Settings.HeartbeatInterval()))
 	described := autoscale.Machine{
@@ -150,7 +150,7 @@
 
 // silentFor returns how long ago a machine was last heard by any controller.
 func (b *planBuilder) silentFor(machine string) time.Duration {
-	return b.now.Sub(b.state.LastHeard[machine])
+	return b.now.Sub(b.state.LastHeardAt[machine])
 }
 
 // age returns the age of a machine according to the cloud's last list, or 0 if the machine is not
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -35,7 +35,7 @@
 	idleSince         map[string]time.Time // since when a machine has had no claims
 	surplusSince      map[string]time.Time // see autoscale.Input
 	quarantinedSince  map[string]time.Time // since when a machine has sent heartbeats but taken no tasks
-	LastHeard         map[string]time.Time // when a machine was last heard by any controller
+	LastHeardAt       map[string]time.Time // when a machine was last heard by any controller
 	LostWhileDraining []string             // machines that were lost while draining with claims on them
 
 	meanBatchTasks     float64        // moving average of the batch load, in tasks of the typical class
@@ -87,7 +87,7 @@
 		idleSince:        map[string]time.Time{},
 		surplusSince:     map[string]time.Time{},
 		quarantinedSince: map[string]time.Time{},
-		LastHeard:        map[string]time.Time{},
+		LastHeardAt:      map[string]time.Time{},
 	}
 }
 
@@ -96,7 +96,7 @@
 func (ls *TermState) inheritFrom(old *TermState) {
 	ls.listed, ls.ListedAt, ls.MissingLists = old.listed, old.ListedAt, old.MissingLists
 	ls.ScalingOut, ls.noCapacityAt = old.ScalingOut, old.noCapacityAt
-	ls.idleSince, ls.LastHeard, ls.FirstListed = old.idleSince, old.LastHeard, old.FirstListed
+	ls.idleSince, ls.LastHeardAt, ls.FirstListed = old.idleSince, old.LastHeardAt, old.FirstListed
 	ls.quarantinedSince, ls.terminatedAt = old.quarantinedSince, old.terminatedAt
 	ls.surplusSince, ls.roleActiveAt = old.surplusSince, old.roleActiveAt
 	ls.meanArraySize, ls.lastArrayAt = old.meanArraySize, old.lastArrayAt
@@ -107,15 +107,15 @@
 
 // updateLastHeard records that a machine was heard at a time, unless a later time is known.
 func (ls *TermState) updateLastHeard(machine string, at time.Time) {
-	if at.After(ls.LastHeard[machine]) {
-		ls.LastHeard[machine] = at
+	if at.After(ls.LastHeardAt[machine]) {
+		ls.LastHeardAt[machine] = at
 	}
 }
 
 // RecordLastHeard records when a machine that has become silent was last heard. The caller holds
 // the lock.
 func (ld *Loop) RecordLastHeard(machine string, heardAt time.Time) {
-	if ld.Term.LastHeard != nil { // nil if this controller has never been the leader
+	if ld.Term.LastHeardAt != nil { // nil if this controller has never been the leader
 		ld.Term.updateLastHeard(machine, heardAt)
 	}
 }
@@ -125,7 +125,7 @@
 func (ls *TermState) forgetMachine(machine string) {
 	delete(ls.listed, machine)
 	delete(ls.MissingLists, machine)
-	delete(ls.LastHeard, machine)
+	delete(ls.LastHeardAt, machine)
 	delete(ls.FirstListed, machine)
 	delete(ls.idleSince, machine)
 	delete(ls.quarantinedSince, machine)
