--- a/internal/election/reachability.go
+++ b/internal/election/reachability.go
@@ -18,7 +18,7 @@
 	case !el.IsMember():
 		// A controller that is not a member owns no machines that could reach it.
 	case summary.Unreachable:
-		summary.MayBecomeReachable = el.probeAnswered(now)
+		summary.MayBecomeReachable = el.mayBecomeReachable(now)
 	default:
 		summary.HeardMachines, summary.SilentMachines = el.countHeard(now)
 		summary.SiblingReceivesHeartbeats = el.Peers.SiblingReceivesHeartbeats()
@@ -26,10 +26,10 @@
 	return summary
 }
 
-// probeAnswered reports whether this controller may own machines again: a worker has answered
-// a probe, or there is none to probe. It is false for the first MinUnreachableTime, so that an
-// unstable network does not move machines back and forth. The lock is held.
-func (el *Election) probeAnswered(now time.Time) bool {
+// mayBecomeReachable reports whether this controller may own machines again: a worker has
+// answered a probe, or there is none to probe. It is false for the first MinUnreachableTime, so
+// that an unstable network does not move machines back and forth. The lock is held.
+func (el *Election) mayBecomeReachable(now time.Time) bool {
 	if now.Sub(el.unreachableSince) <= tuning.MinUnreachableTime {
 		return false
 	}
