--- a/internal/controller/graceful_stop_test.go
+++ b/internal/controller/graceful_stop_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// The error of Progress names the stalled loop and how long it has been stalled.
-func TestProgressNamesStalledLoop(t *testing.T) {
+// The error of CheckProgress names the stalled loop and how long it has been stalled.
+func TestCheckProgressNamesStalledLoop(t *testing.T) {
 	env := newTestEnv(t, "a")
 	controller := env.controllers["a"]
 	if err := controller.CheckProgress(); err != nil {
--- a/internal/controller/http_fixture_test.go
+++ b/internal/controller/http_fixture_test.go
@@ -120,7 +120,7 @@
 func (env *httpEnv) finishTasksInOrder(machineName string, tasks ...string) {
 	env.t.Helper()
 	env.finishTasks(machineName, tasks...)
-	env.clock.add(2 * time.Second) // releases are collected for tuning.ReleaseGather before they are stored
+	env.clock.add(2 * time.Second) // releases are collected for tuning.ReleaseBatchDelay before they are stored
 	env.runPassesInOrder()
 }
 
