--- a/internal/controller/http_fixture_test.go
+++ b/internal/controller/http_fixture_test.go
@@ -120,7 +120,7 @@
 func (env *httpEnv) finishTasksInOrder(machineName string, tasks ...string) {
 	env.t.Helper()
 	env.finishTasks(machineName, tasks...)
-	env.clock.add(2 * time.Second) // releases are collected for tuning.ReleaseGather before they are stored
+	env.clock.add(2 * time.Second) // releases are collected for tuning.ReleaseBatchDelay before they are stored
 	env.runPassesInOrder()
 }
 
@@ -195,7 +195,7 @@
 	for i := range count {
 		spec := arrayJob(fmt.Sprintf("wk-%d", 1000+i), 1)
 		spec.DependsOn = []string{dependsOn}
-		env.store.Put(jobs.JobKey(spec.ID), wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, Tasks: 1, ChunkSize: 70, Spec: &spec}))
+		env.store.Put(jobs.JobKey(spec.ID), wire.MustMarshal(jobs.Record{Phase: jobs.Waiting, Tasks: 1, TasksPerChunk: 70, Spec: &spec}))
 	}
 	env.refreshAll()
 }
--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -48,7 +48,7 @@
 			// These tasks will run, so the headroom is computed for them too.
 			b.input.Service.Tasks += float64(count)
 			b.input.Service.AwaitingBoot += float64(count)
-			b.input.Service.Need, b.input.Service.Spec = job.TaskResources, job.Record.Spec
+			b.input.Service.TaskResources, b.input.Service.Spec = job.TaskResources, job.Record.Spec
 		}
 		b.input.Demands = append(b.input.Demands, autoscale.Demand{Job: job, Count: count, Waiting: b.now.Sub(scheduler.UnplacedSince[jobID])})
 	}
@@ -80,7 +80,7 @@
 		age, ok := sinceHeard[machine.Name]
 		if ok && age < ld.SilenceTimeout() {
 			heard[machine.Owner]++
-		} else if at, wasUp := ld.Term.LastHeard[machine.Name]; wasUp && now.Sub(at) > ld.SilenceTimeout() {
+		} else if at, wasUp := ld.Term.LastHeardAt[machine.Name]; wasUp && now.Sub(at) > ld.SilenceTimeout() {
 			silent[machine.Owner]++
 			if machine.Role == placement.Service {
 				atRisk = append(atRisk, machine)
--- a/internal/placement/builders_test.go
+++ b/internal/placement/builders_test.go
@@ -13,7 +13,7 @@
 	if edit != nil {
 		edit(spec)
 	}
-	j := &jobs.Job{ID: id, Record: jobs.Record{Phase: jobs.Open, Tasks: tasks, ChunkSize: 64, Spec: spec}, Phase: jobs.Open,
+	j := &jobs.Job{ID: id, Record: jobs.Record{Phase: jobs.Open, Tasks: tasks, TasksPerChunk: 64, Spec: spec}, Phase: jobs.Open,
 		Priority: jobs.PriorityRank(priority), TaskResources: jobs.ResourcesPerTask(spec), Team: spec.Team, Chunks: map[int][]jobs.Task{}, Claims: map[int]jobs.Task{}}
 	if spec.DeadlineS != nil {
 		j.DeadlineMs = int64(*spec.DeadlineS * 1000)
@@ -65,7 +65,7 @@
 // newInput returns the input of a scheduling pass by controller self. The leader is L, and every
 // job ranks the controllers a, b, L.
 func newInput(self string, machines []*Machine, openJobs ...*jobs.Job) Input {
-	in := Input{Self: self, Leader: "L", RankNodes: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
+	in := Input{Self: self, Leader: "L", RankMembers: func(string) []string { return []string{"a", "b", "L"} }, Fleet: NewFleet(machines),
 		Allowances: map[string]*quota.Allowance{"x": {}}, MaxJobs: 100}
 	in.Fleet.SaveStates()
 	for _, j := range openJobs {
