--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,9 +1,8 @@
-// Package api serves users: submissions, polls and cancellations, and their
-// forwarding to a sibling that reads the store. It decides what a request is
-// answered, stores new jobs and cancellations, and owns the queue of
-// submissions and its group commit. The routes are package controller's, what
-// a job is and which job is valid package jobs', the form of messages package
-// wire's.
+// Package api implements the user API: submissions, polls and cancellations of jobs. It decides the
+// response to each request, stores new jobs and cancellations, owns the submission queue and its
+// group commit, and forwards requests to a sibling that can read the store when this controller
+// can't. A sibling is another controller. Package controller defines the routes, package jobs the
+// jobs and their validation, and package wire the message formats.
 package api
 
 import (
@@ -21,31 +20,30 @@
 
 // Paths of the user API.
 const (
-	// SubmissionPath takes new jobs.
+	// SubmissionPath is the path for new jobs.
 	SubmissionPath = "/work"
-	// JobPathPrefix and a job's id make the path of the job.
+	// JobPathPrefix followed by a job's ID is the path of the job.
 	JobPathPrefix = "/work/"
-	// CancelSuffix after the path of a job makes that of its cancellation.
+	// CancelSuffix appended to the path of a job is the path of its cancellation.
 	CancelSuffix = "/cancel"
 )
 
-// UserAPI answers users: submissions, polls and cancellations.
+// UserAPI serves submissions, polls and cancellations of users.
 type UserAPI struct {
 	*cluster.State
 	peers *fleet.PeerExchange
 
-	// SubmissionSlots bounds the submissions under way: each that was admitted holds
-	// a place until it is answered.
+	// SubmissionSlots limits the concurrent submissions: each admitted submission holds a slot until
+	// its response is sent.
 	SubmissionSlots chan struct{}
-	// Intake holds the submissions that wait for their durable write, for RunIntake.
-	// It can be full while slots are free: a submission stays in it after its user was
-	// told to come back.
+	// Intake queues the submissions that wait for RunIntake to store them. It can be full while
+	// slots are free, because a submission stays queued after its request has timed out and its
+	// user was told to retry.
 	Intake        chan *Submission
-	intakeCounter atomic.Uint64 // numbers the intake records of this process
+	intakeCounter atomic.Uint64 // number of intake keys that this process has created
 }
 
-// New returns a user API on a controller's state. Its submissions are stored
-// while RunIntake runs.
+// New returns a user API for a controller's state. Submissions are only stored while RunIntake runs.
 func New(state *cluster.State, peers *fleet.PeerExchange) *UserAPI {
 	return &UserAPI{
 		State:           state,
@@ -55,14 +53,14 @@
 	}
 }
 
-// RefuseForNow refuses at once what can't be taken now, and says when to come
-// back.
+// RefuseForNow responds immediately that the request can't be served now and may be retried after
+// the time in the Retry-After header.
 func (api *UserAPI) RefuseForNow(request *fasthttp.RequestCtx, status int, reason string) {
 	api.newHTTPResponse(jobResponse{}, retryLater(status, reason)).write(request)
 }
 
-// ServeJobs serves a user's request here, or forwards it to a sibling that
-// reads the store while this controller does not.
+// ServeJobs serves a user's request, or forwards it to a sibling that can read the store when this
+// controller can't.
 func (api *UserAPI) ServeJobs(request *fasthttp.RequestCtx, path string) {
 	api.respond(request, path).write(request)
 }
@@ -84,7 +82,7 @@
 	return api.newHTTPResponse(response, err)
 }
 
-// serve serves a request here. The method was checked with the route.
+// serve serves a request on this controller. The router has already checked the method.
 func (api *UserAPI) serve(path string, body []byte) (jobResponse, *apiError) {
 	if path == SubmissionPath {
 		return api.submitJob(body)
@@ -96,8 +94,8 @@
 	return api.getJob(jobID)
 }
 
-// LookupJob returns a job's status if it is known; final tells that it can't
-// change any more and needs no barrier.
+// LookupJob returns a job's status from the cache. known reports whether the job is in the cache;
+// final reports whether the status can't change any more, so that no read barrier is needed.
 func (api *UserAPI) LookupJob(jobID string) (status wire.JobStatus, known, final bool) {
 	api.Lock()
 	defer api.Unlock()
@@ -108,14 +106,14 @@
 	return job.Status(), true, job.Phase.Final()
 }
 
-// readJob is a linearizable read of a job's status: as of now or later, behind a
-// read barrier.
+// readJob is a linearizable read of a job's status: a read barrier ensures that the status is not
+// older than the call.
 func (api *UserAPI) readJob(jobID string) (status wire.JobStatus, known bool, err error) {
 	if status, known, final := api.LookupJob(jobID); final {
 		return status, known, nil
 	}
 	if !api.HasStore() {
-		return status, false, store.ErrRejected // answered at once: a read would not come back
+		return status, false, store.ErrRejected // fail immediately: a read would only time out
 	}
 	if err := api.Syncer.ReadBarrier(tuning.BarrierWait); err != nil {
 		return status, false, err
@@ -133,7 +131,7 @@
 	return api.Cache.Consistent()
 }
 
-// getJob answers a poll.
+// getJob serves a poll.
 func (api *UserAPI) getJob(jobID string) (jobResponse, *apiError) {
 	if !wire.ValidJobID(jobID) {
 		return jobResponse{}, noSuchJob()
