--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -24,7 +24,7 @@
 	SubmissionPath = "/work"
 	// JobPathPrefix followed by a job's ID is the path of the job.
 	JobPathPrefix = "/work/"
-	// CancelSuffix appended to the path of a job is the path of its cancellation.
+	// CancelSuffix follows the path of a job in the path that cancels it.
 	CancelSuffix = "/cancel"
 )
 
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -182,7 +182,7 @@
 	submission := api.newSubmission(spec, phase)
 	select {
 	case api.Intake <- submission:
-	default: // the queue still holds submissions whose users have been told to retry
+	default: // full: it still holds submissions whose requests have timed out
 		return jobResponse{}, tooManySubmissions()
 	}
 	err := api.awaitStored(ctx, submission)
