--- a/internal/fake/command_log.go
+++ b/internal/fake/command_log.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// CommandCounts is the content of a CommandLog.
-type CommandCounts struct {
+// CommandSummary is the content of a CommandLog.
+type CommandSummary struct {
 	Starts   int      // number of attempts that got a start command
 	Repeated []string // attempts for which more than one start command was received
 	Kills    []string // attempts that were running when a kill command was received
@@ -48,10 +48,10 @@
 }
 
 // Snapshot returns the content of the log.
-func (l *CommandLog) Snapshot() CommandCounts {
+func (l *CommandLog) Snapshot() CommandSummary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := CommandCounts{Starts: len(l.starts), Kills: slices.Clone(l.kills), Tasks: slices.Clone(l.startedTasks)}
+	out := CommandSummary{Starts: len(l.starts), Kills: slices.Clone(l.kills), Tasks: slices.Clone(l.startedTasks)}
 	for key, count := range l.starts {
 		if count > 1 {
 			out.Repeated = append(out.Repeated, key)
--- a/internal/fake/link.go
+++ b/internal/fake/link.go
@@ -16,7 +16,7 @@
 // Faults configures the faults that a link injects. Lost and Late are shares of the requests,
 // from 0 to 1.
 type Faults struct {
-	Refuse bool          // requests are not carried out and get status 503, or no response on a Machine's link
+	Reject bool          // requests are not carried out and get status 503, or no response on a Machine's link
 	Cut    bool          // requests are not carried out and get no response
 	Lost   float64       // share of requests that are carried out but get no response
 	Late   float64       // share of requests that get no response and are carried out later
@@ -45,7 +45,7 @@
 	defer l.mu.Unlock()
 	sample := l.random.Float64()
 	return requestFault{
-		refuse: l.faults.Refuse,
+		refuse: l.faults.Reject,
 		cut:    l.faults.Cut,
 		lost:   sample < l.faults.Lost,
 		late:   sample >= l.faults.Lost && sample < l.faults.Lost+l.faults.Late,
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -32,14 +32,14 @@
 }
 
 // Store is a fake key-value store that keeps everything in memory. It ignores lease TTLs: a
-// lease ends only with RevokeLease or Expire.
+// lease ends only with RevokeLease or ExpireLease.
 type Store struct {
 	Mu          sync.Mutex // guards all below
 	Revision    uint64
 	Keys        map[string]Entry
 	Events      []wire.WatchEvent // in the order of their versions
 	Leases      map[uint64]bool   // leases that have not ended
-	Watches     int               // number of calls to Watch
+	WatchCalls  int               // number of calls to Watch
 	Unavailable bool              // lists, watches and transactions are rejected
 	LoseAnswers int               // how many more transactions are applied but return ErrOutcomeUnknown
 	OverLimit   int               // number of transactions rejected for exceeding the limits
@@ -218,12 +218,12 @@
 	if err := s.RenewLease(ctx, leaseID); err != nil {
 		return err
 	}
-	s.Expire(leaseID)
+	s.ExpireLease(leaseID)
 	return nil
 }
 
-// Expire ends a lease and deletes its keys.
-func (s *Store) Expire(leaseID uint64) {
+// ExpireLease ends a lease and deletes its keys.
+func (s *Store) ExpireLease(leaseID uint64) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	delete(s.Leases, leaseID)
@@ -239,7 +239,7 @@
 func (s *Store) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	s.Watches++
+	s.WatchCalls++
 	if s.Unavailable {
 		return wire.WatchResponse{Revision: s.Revision}, store.ErrRejected
 	}
--- a/internal/fake/store_server.go
+++ b/internal/fake/store_server.go
@@ -111,7 +111,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.timers[leaseID] = &leaseTimer{timer: time.AfterFunc(ttl, func() { s.store.Expire(leaseID) }), ttl: ttl}
+	s.timers[leaseID] = &leaseTimer{timer: time.AfterFunc(ttl, func() { s.store.ExpireLease(leaseID) }), ttl: ttl}
 	respond(ctx, wire.LeaseResponse{ID: leaseID}, nil)
 }
 
--- a/internal/fake/usage_checker.go
+++ b/internal/fake/usage_checker.go
@@ -177,8 +177,8 @@
 	u.violations = append(u.violations, fmt.Sprintf(format, args...))
 }
 
-// AllAtLimitSince reports whether every team has reached its limit, in claims, after a time.
-func (u *UsageChecker) AllAtLimitSince(since time.Time) bool {
+// AllReachedLimitAfter reports whether every team has reached its limit, in claims, after a time.
+func (u *UsageChecker) AllReachedLimitAfter(since time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for team := range u.limits {
@@ -191,11 +191,11 @@
 
 // Usage is what a checker has recorded.
 type Usage struct {
-	Admitted   int                // number of claims that were stored
-	Started    int                // number of tasks that began to run
-	Claimed    map[string]float64 // GPUs claimed now, by team
-	Highest    map[string]float64 // most GPUs ever claimed at once, by team
-	Violations []string           // exceeded limits, tasks that ran on two machines at once, and invalid chunks
+	StoredClaims int                // number of claims that were stored
+	Started      int                // number of tasks that began to run
+	Claimed      map[string]float64 // GPUs claimed now, by team
+	Highest      map[string]float64 // most GPUs ever claimed at once, by team
+	Violations   []string           // exceeded limits, tasks that ran on two machines at once, and invalid chunks
 	// Share is the mean share of its limit that each team had claimed over time.
 	Share map[string]float64
 	// Reuse is a histogram of the delays from the release of a GPU until it is claimed
@@ -208,13 +208,13 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := Usage{
-		Admitted:   u.admittedTasks,
-		Started:    u.startedTasks,
-		Claimed:    map[string]float64{},
-		Highest:    map[string]float64{},
-		Violations: slices.Clone(u.violations),
-		Share:      map[string]float64{},
-		Reuse:      u.reuseDelay.Export(),
+		StoredClaims: u.admittedTasks,
+		Started:      u.startedTasks,
+		Claimed:      map[string]float64{},
+		Highest:      map[string]float64{},
+		Violations:   slices.Clone(u.violations),
+		Share:        map[string]float64{},
+		Reuse:        u.reuseDelay.Export(),
 	}
 	seconds := u.lastClaimChange.Sub(u.startedAt).Seconds()
 	for team, limit := range u.limits {
