--- a/internal/fake/link.go
+++ b/internal/fake/link.go
@@ -13,21 +13,21 @@
 	faults Faults
 }
 
-// Faults configures the faults that a link injects. Lost and Late are shares of the requests,
-// from 0 to 1.
+// Faults configures the faults that a link injects. LostShare and LateShare are shares of the
+// requests, from 0 to 1.
 type Faults struct {
-	Refuse bool          // requests are not carried out and get status 503, or no response on a Machine's link
-	Cut    bool          // requests are not carried out and get no response
-	Lost   float64       // share of requests that are carried out but get no response
-	Late   float64       // share of requests that get no response and are carried out later
-	Delay  time.Duration // added to every request
+	Refuse    bool          // requests are not carried out and get status 503, or no response on a Machine's link
+	Cut       bool          // requests are not carried out and get no response
+	LostShare float64       // share of requests that are carried out but get no response
+	LateShare float64       // share of requests that get no response and are carried out later
+	Delay     time.Duration // added to every request
 }
 
 // NewLink returns a link without faults; the seed decides which requests fail.
 func NewLink(seed uint64) *Link { return &Link{random: rand.New(rand.NewPCG(seed, 0))} }
 
-// Set replaces the faults.
-func (l *Link) Set(f Faults) {
+// SetFaults replaces the faults.
+func (l *Link) SetFaults(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
@@ -47,8 +47,8 @@
 	return requestFault{
 		refuse: l.faults.Refuse,
 		cut:    l.faults.Cut,
-		lost:   sample < l.faults.Lost,
-		late:   sample >= l.faults.Lost && sample < l.faults.Lost+l.faults.Late,
+		lost:   sample < l.faults.LostShare,
+		late:   sample >= l.faults.LostShare && sample < l.faults.LostShare+l.faults.LateShare,
 		delay:  l.faults.Delay,
 	}
 }
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -151,7 +151,7 @@
 	defer m.mu.Unlock()
 	var response wire.HeartbeatResponse
 	if wire.Unmarshal(body, &response) == nil && m.worker.Incarnation == incarnation && m.worker.RenewLease(sent, response) {
-		m.worker.CarryOut(time.Now(), response.Commands)
+		m.worker.Execute(time.Now(), response.Commands)
 	}
 }
 
--- a/internal/fake/store_server.go
+++ b/internal/fake/store_server.go
@@ -43,7 +43,7 @@
 // NewStoreServer returns a server for a store, and sets the number of events that the store
 // keeps to the protocol's.
 func NewStoreServer(s *Store) *StoreServer {
-	s.KeepEvents = retainedEvents
+	s.RetainedEvents = retainedEvents
 	return &StoreServer{store: s, timers: map[uint64]*leaseTimer{}}
 }
 
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -37,18 +37,18 @@
 
 // Options configures a cluster.
 type Options struct {
-	Controllers int
-	Machines    int
-	Teams       []config.Team
-	Types       []wire.MachineType // all machines have the first type
-	Properties  string             // content of the operator properties file
-	Seed        uint64             // seed of the random link faults
-	Lease       time.Duration      // lease of the workers
-	Log         io.Writer          // receives the logs of the controllers; nil discards them
-	Commands    *fake.CommandLog   // records the commands to workers; nil records none
-	// Begins and Ended are called when a task starts and ends; see fake.Worker.
-	Begins func(w *fake.Worker, t *fake.Task) time.Duration
-	Ended  func(w *fake.Worker, t *fake.Task)
+	Controllers  int
+	Machines     int
+	Teams        []config.Team
+	MachineTypes []wire.MachineType // all machines have the first type
+	Properties   string             // content of the operator properties file
+	Seed         uint64             // seed of the random link faults
+	WorkerLease  time.Duration      // lease of the workers
+	Log          io.Writer          // receives the logs of the controllers; nil discards them
+	Commands     *fake.CommandLog   // records the commands to workers; nil records none
+	// OnTaskStart and OnTaskEnd are called when a task starts and ends; see fake.Worker.
+	OnTaskStart func(w *fake.Worker, t *fake.Task) time.Duration
+	OnTaskEnd   func(w *fake.Worker, t *fake.Task)
 }
 
 // Cluster is a set of controller processes with the fakes that they talk to.
@@ -73,8 +73,8 @@
 // nil, it is called with the operations of every transaction that the store has applied.
 func Start(dir string, o Options, applied func([]wire.Operation)) (*Cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Cluster{Store: fake.NewStore(), Cloud: fake.NewCloud(o.Types, false), options: o, dir: dir, cancel: cancel}
-	c.Store.Applied = applied
+	c := &Cluster{Store: fake.NewStore(), Cloud: fake.NewCloud(o.MachineTypes, false), options: o, dir: dir, cancel: cancel}
+	c.Store.OnApply = applied
 	if err := c.start(ctx); err != nil {
 		c.Close()
 		return nil, err
@@ -118,24 +118,24 @@
 	w := &fake.Worker{
 		Machine:     fmt.Sprintf("host-%06d", i),
 		Address:     l.Addr().String(),
-		Type:        c.options.Types[0].Label,
+		MachineType: c.options.MachineTypes[0].Label,
 		Zone:        zone,
 		Spot:        true,
-		OnTaskStart: c.options.Begins,
-		OnTaskEnd:   c.options.Ended,
-		Commands:    c.options.Commands,
+		OnTaskStart: c.options.OnTaskStart,
+		OnTaskEnd:   c.options.OnTaskEnd,
+		CommandLog:  c.options.Commands,
 	}
 	c.Cloud.Machines = append(c.Cloud.Machines, wire.Machine{
 		Name:        w.Machine,
 		Address:     w.Address,
-		MachineType: w.Type,
+		MachineType: w.MachineType,
 		Zone:        w.Zone,
 		Spot:        w.Spot,
 		State:       wire.MachineRunning,
 		AgeS:        machineAgeS,
 	})
 	seed := c.options.Seed + uint64(seedsPerMachine*(i+1))
-	machine := fake.NewMachine(w, &c.workersMu, c.heartbeatEndpoints(), seed, heartbeatInterval, c.options.Lease)
+	machine := fake.NewMachine(w, &c.workersMu, c.heartbeatEndpoints(), seed, heartbeatInterval, c.options.WorkerLease)
 	c.Machines = append(c.Machines, machine)
 	c.group.Go(func() error { return machine.Serve(l) })
 	c.group.Go(func() error { return machine.Run(ctx) })
--- a/internal/testcluster/controller.go
+++ b/internal/testcluster/controller.go
@@ -181,7 +181,7 @@
 	s.Endpoints.State, s.Endpoints.Cloud = storeAddress, cloudAddress
 	params := &s.Params
 	params.Count, params.Zones, params.TimeBoundMs, params.Teams = c.options.Controllers, []string{zone}, timeBoundMs, c.options.Teams
-	lease := c.options.Lease.Seconds()
+	lease := c.options.WorkerLease.Seconds()
 	params.Workers.ReportS, params.Workers.LeaseS, params.Workers.CancelS = heartbeatInterval.Seconds(), lease, cancelLeases*lease
 	params.State.Limits = config.Limits{RPS: storeCallsPerSecond, WriteRPS: writesPerSecond, ValueKB: valueLimitKB, TxnOps: operationsLimit}
 	params.Cloud.RPS, params.Cloud.ListLagS = cloudCallsPerSecond, cloudListLagS
