--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -11,7 +11,7 @@
 
 // MachineTypesKey is the key of the machine types. They are stored so that every controller
 // knows them even while the cloud API is unavailable.
-const MachineTypesKey = jobs.Root + "types"
+const MachineTypesKey = jobs.RootPrefix + "types"
 
 // ApplyJob applies the record of a job. If the job is cancelled, its version counts towards
 // LastCancellation; so does that of a record that can't be decoded, which may be a
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	cs.Sessions[label] = session.Node
+	cs.Sessions[label] = session.Controller
 	cs.StoredSessions[label] = *session
 	return nil
 }
@@ -58,7 +58,7 @@
 	if value == nil {
 		return nil
 	}
-	node, err := membership.DecodeNode(value)
+	node, err := membership.DecodeController(value)
 	cs.Leader = node
 	return err
 }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -96,9 +96,9 @@
 	return &State{
 		Environment: env,
 		membershipState: membershipState{
-			Self:           membership.Node{Label: env.Settings.Label},
+			Self:           membership.Controller{Label: env.Settings.Label},
 			Session:        membership.NoLease,
-			Sessions:       map[string]membership.Node{},
+			Sessions:       map[string]membership.Controller{},
 			StoredSessions: map[string]membership.Session{},
 			Unreachable:    map[string]bool{},
 			shardOwners:    map[string]string{},
@@ -116,7 +116,7 @@
 // changed value while the lock is held. It must be called before any loop runs.
 func (cs *State) OpenCache(onUpdate store.UpdateFunc) {
 	cs.Cache = store.NewCache(onUpdate)
-	cs.Syncer = store.NewSyncer(cs.Store, jobs.Root, cs, cs.Cache, cs.onStoreChange, cs.Settings.Operator.PollQueue, cs.Now, cs.Log)
+	cs.Syncer = store.NewSyncer(cs.Store, jobs.RootPrefix, cs, cs.Cache, cs.onStoreChange, cs.Settings.Operator.PollQueue, cs.Now, cs.Log)
 }
 
 // QuotaTeams returns the limits and guarantees of the teams in the settings.
@@ -162,9 +162,9 @@
 	return time.Duration(tuning.UnschedulableHeartbeats * float64(cs.Settings.HeartbeatInterval()))
 }
 
-// MaxGroupBytes returns the maximum size of a group of machine records, in bytes of JSON. The
+// MaxRecordGroupBytes returns the maximum size of a group of machine records, in bytes of JSON. The
 // lock is not needed.
-func (cs *State) MaxGroupBytes() int {
+func (cs *State) MaxRecordGroupBytes() int {
 	return int(cs.Limits.ValueKB * tuning.BytesPerKB * tuning.GroupFillShare)
 }
 
@@ -173,7 +173,7 @@
 func (cs *State) MachineGroupKey(machine string) string {
 	cs.Lock()
 	defer cs.Unlock()
-	return cs.Inventory.KeyOf(machine)
+	return cs.Inventory.RecordKey(machine)
 }
 
 // Wake signals a loop without blocking. A signal that is still pending is enough, so the new
--- a/internal/fleet/claimtotals.go
+++ b/internal/fleet/claimtotals.go
@@ -8,10 +8,10 @@
 	teams map[string]quota.Amount
 }
 
-// ClaimedByNode returns the resources that are claimed, by owner of the machines and by team.
+// ClaimTotals returns the resources that are claimed, by owner of the machines and by team.
 // The lock is held, and the result is valid only while it is.
-func (mi *MachineIndex) ClaimedByNode() quota.ClaimedByController {
-	for machine := range mi.Changed {
+func (mi *MachineIndex) ClaimTotals() quota.ClaimedByController {
+	for machine := range mi.ChangedMachines {
 		mi.refreshClaimTotals(machine)
 	}
 	return mi.claimedTotals
@@ -23,7 +23,7 @@
 	if claimed := mi.Table.ClaimsByMachine[machine]; len(claimed) > 0 {
 		claims := machineClaims{owner: mi.ShardOwner(machine), teams: map[string]quota.Amount{}}
 		for _, job := range claimed {
-			claims.teams[job.Team] = claims.teams[job.Team].Add(job.Need.Amount())
+			claims.teams[job.Team] = claims.teams[job.Team].Add(job.TaskResources.QuotaAmount())
 		}
 		mi.addClaims(machine, claims)
 	}
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -30,17 +30,17 @@
 	response.Write(c, status, body)
 }
 
-// lockAndAnswer takes the lock and calls AnswerHeartbeat.
+// lockAndAnswer takes the lock and calls ProcessHeartbeat.
 func (wm *WorkerManager) lockAndAnswer(heartbeat *wire.Heartbeat) (status int, body any) {
 	wm.Lock()
 	defer wm.Unlock()
-	return wm.AnswerHeartbeat(heartbeat)
+	return wm.ProcessHeartbeat(heartbeat)
 }
 
-// AnswerHeartbeat applies a heartbeat, and returns the HTTP status and the body of the
+// ProcessHeartbeat applies a heartbeat, and returns the HTTP status and the body of the
 // response. Status 200 renews the worker's lease. Any other status refuses the heartbeat, and
 // no part of it is applied. The lock is held.
-func (wm *WorkerManager) AnswerHeartbeat(heartbeat *wire.Heartbeat) (int, any) {
+func (wm *WorkerManager) ProcessHeartbeat(heartbeat *wire.Heartbeat) (int, any) {
 	now := wm.Now()
 	storeAge := now.Sub(wm.Syncer.LastReadAt())
 	if status, body := wm.refuseHeartbeat(heartbeat, storeAge, now); status != 0 {
@@ -97,11 +97,11 @@
 // never nil. The lock is held.
 func (wm *WorkerManager) responseCommands(w *worker.Worker, storeAge time.Duration, now time.Time) []wire.Command {
 	commands, _ := w.Commands(wm.Table.ClaimsByMachine[w.Machine], worker.CommandOptions{
-		Channel:     worker.HeartbeatAnswer,
-		AllowStarts: storeAge < tuning.StoreStaleAfter && wm.mayStartOn(w.Machine),
-		Now:         now,
-		AwaitCall:   !wm.recovery.Progress.IsRecovered(),
-		AdmitStart:  wm.recovery.admitStart,
+		Channel:          worker.HeartbeatAnswer,
+		AllowStarts:      storeAge < tuning.StoreStaleAfter && wm.mayStartOn(w.Machine),
+		Now:              now,
+		OmitStartsInCall: !wm.recovery.Progress.IsRecovered(),
+		AdmitStart:       wm.recovery.admitStart,
 	})
 	if commands == nil {
 		commands = []wire.Command{} // encoded as an empty list, not as null
@@ -113,7 +113,7 @@
 // lock is held.
 func (wm *WorkerManager) recordResponse(w *worker.Worker, heartbeat *wire.Heartbeat, commands []wire.Command, now time.Time) {
 	wasUnresponsive := w.Unresponsive
-	w.HeartbeatAnswered(heartbeat, commands, now)
+	w.RecordHeartbeatAnswered(heartbeat, commands, now)
 	if w.Unresponsive != wasUnresponsive {
 		wm.Log.Info(logging.EventResponsivenessChanged, logging.KeyMachine, w.Machine, logging.KeyUnresponsive, w.Unresponsive)
 	}
@@ -162,9 +162,9 @@
 			clear(w.FailedJobs)
 		case wire.ExitCauseError:
 			w.FailedJobs[job.ID] = true
-			wm.Failing[w.Machine] = w
+			wm.WorkersWithFailures[w.Machine] = w
 		case wire.ExitCauseNoRoom:
-			w.LastRefusal = now
+			w.LastRefusalAt = now
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	}
 	remaining := time.Duration(float64(w.TerminationAt.Sub(now)) * tuning.TerminationNoticeFactor)
 	for id, job := range wm.Table.ClaimsByMachine[w.Machine] {
-		if spec := job.Record.Spec; spec != nil && (job.Service() || spec.EstimateS > remaining.Seconds()) {
+		if spec := job.Record.Spec; spec != nil && (job.IsService() || spec.EstimateS > remaining.Seconds()) {
 			wm.StopTask(w, id)
 		}
 	}
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -25,9 +25,9 @@
 	PlacementFleet       *placement.Fleet           // nil until the first refresh
 	ordered              []*indexedMachine          // in the order of PlacementFleet.Machines
 	machines             map[string]*indexedMachine // by name
-	Rebuild              bool                       // PlacementFleet does not match the stored machines
+	NeedsRebuild         bool                       // PlacementFleet does not match the stored machines
 	changedRecords       map[string]bool            // machines whose stored records have changed
-	Changed              map[string]bool            // machines whose claims, worker or status from their owner has changed
+	ChangedMachines      map[string]bool            // machines whose claims, worker or status from their owner has changed
 	pendingScan          map[string]bool            // machines of this controller that the next pass scans
 	fullScanAt           time.Time                  // when a pass last scanned all workers
 	schedulableCheckedAt time.Time                  // when updateSchedulable was last applied to all machines
@@ -61,7 +61,7 @@
 		peers:              mi.peers,
 		machines:           map[string]*indexedMachine{},
 		changedRecords:     map[string]bool{},
-		Changed:            map[string]bool{},
+		ChangedMachines:    map[string]bool{},
 		pendingScan:        map[string]bool{},
 		TerminatedMachines: map[string]bool{},
 		unpublished:        map[string]bool{},
@@ -88,7 +88,7 @@
 // MarkChanged records that the claims on a machine, or what is known about its worker, have
 // changed. The lock is held.
 func (mi *MachineIndex) MarkChanged(machine string) {
-	mi.Changed[machine], mi.pendingScan[machine], mi.unpublished[machine] = true, true, true
+	mi.ChangedMachines[machine], mi.pendingScan[machine], mi.unpublished[machine] = true, true, true
 }
 
 // fullScanDue reports whether a full scan of the machines is due, and if so sets last to now.
@@ -125,7 +125,7 @@
 // an earlier pass. The lock is held, and the result is valid only while it is.
 func (mi *MachineIndex) RefreshMachines(now time.Time) *placement.Fleet {
 	mi.ApplyRecordChanges()
-	if mi.PlacementFleet == nil || mi.Rebuild {
+	if mi.PlacementFleet == nil || mi.NeedsRebuild {
 		mi.rebuild()
 	}
 	machines := mi.applyChangedMachines()
@@ -159,7 +159,7 @@
 // worker that answers calls but can't send heartbeats ends when its lease expires. The lock is
 // held.
 func (mi *MachineIndex) isSchedulable(w *worker.Worker, now time.Time, silenceTimeout time.Duration) bool {
-	return w != nil && w.State == worker.TokenAcknowledged && now.Sub(w.LastHeard) < silenceTimeout && now.Sub(w.LeaseRenewedAt()) < silenceTimeout &&
+	return w != nil && w.State == worker.TokenAcknowledged && now.Sub(w.LastHeardAt) < silenceTimeout && now.Sub(w.LeaseRenewedAt()) < silenceTimeout &&
 		w.TerminationAt.IsZero() && !mi.workers.isQuarantined(w, now)
 }
 
@@ -170,7 +170,7 @@
 		record, stored := mi.Inventory.Machines[machine]
 		indexed := mi.machines[machine]
 		if stored != (indexed != nil) || stored && !sameMachine(indexed.Machine, mi.emptyMachine(machine, record)) {
-			mi.Rebuild = true
+			mi.NeedsRebuild = true
 		}
 		if stored && record.Phase == inventory.Terminated {
 			mi.TerminatedMachines[machine] = true
@@ -221,7 +221,7 @@
 	for _, m := range mi.PlacementFleet.Machines {
 		mi.ordered = append(mi.ordered, mi.machines[m.Name])
 	}
-	mi.Rebuild = false
+	mi.NeedsRebuild = false
 }
 
 // sameMachine reports whether two machines have the same properties, ignoring the tasks on
@@ -235,14 +235,14 @@
 // in the index. The lock is held.
 func (mi *MachineIndex) applyChangedMachines() []*indexedMachine {
 	var applied []*indexedMachine
-	for machine := range mi.Changed {
+	for machine := range mi.ChangedMachines {
 		mi.refreshClaimTotals(machine)
 		if m := mi.machines[machine]; m != nil {
 			mi.applyMachine(m)
 			applied = append(applied, m)
 		}
 	}
-	clear(mi.Changed)
+	clear(mi.ChangedMachines)
 	return applied
 }
 
@@ -252,7 +252,7 @@
 	m.active = mi.Inventory.Machines[m.Name].Phase == inventory.Active
 	mi.applyOwnerView(m)
 	mi.applyClaims(m)
-	m.Snapshot()
+	m.SaveState()
 }
 
 // applyOwnerView updates a machine from what its owner knows about its worker. The lock is
@@ -282,14 +282,14 @@
 	m.Tasks = m.Tasks[:0]
 	w := mi.workers.ByMachine[m.Name] // also set if another controller owns the machine, unlike m.worker
 	for id, job := range mi.Table.ClaimsByMachine[m.Name] {
-		stopping := job.Phase != jobs.Open || w != nil && w.IsLeaving(id)
+		stopping := job.Phase != jobs.Open || w != nil && w.IsTaskLeaving(id)
 		task := placement.ClaimedTask{ID: id, Job: job, Stopping: stopping}
 		if m.worker != nil {
 			task.RunningSince = m.worker.RunningSince[id]
 		}
 		m.Tasks = append(m.Tasks, task)
 		if stopping {
-			m.Freeing = m.Freeing.Add(job.Need)
+			m.Freeing = m.Freeing.Add(job.TaskResources)
 		}
 	}
 }
@@ -305,7 +305,7 @@
 		return err
 	}
 	mi.MachineTypeList = record.Types
-	mi.Rebuild = true
+	mi.NeedsRebuild = true
 	clear(mi.MachineTypes)
 	for _, machineType := range record.Types {
 		mi.MachineTypes[machineType.Label] = machineType
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -65,7 +65,7 @@
 // statusOf returns the status of a member. It returns nil if there is no fresh status of this
 // incarnation, or if the member is this controller. The lock is held, and the result is valid
 // only while it is.
-func (px *PeerExchange) statusOf(node membership.Node) *peer.Status {
+func (px *PeerExchange) statusOf(node membership.Controller) *peer.Status {
 	sibling := px.Siblings[node.Label]
 	if sibling == nil || !px.IsFresh(sibling) || sibling.Status.Incarnation != node.Incarnation {
 		return nil
@@ -205,9 +205,9 @@
 	return false
 }
 
-// SiblingHearsWorkers reports whether any sibling receives messages from one of its machines.
+// SiblingReceivesHeartbeats reports whether any sibling receives messages from one of its machines.
 // The lock is held.
-func (px *PeerExchange) SiblingHearsWorkers() bool {
+func (px *PeerExchange) SiblingReceivesHeartbeats() bool {
 	for _, sibling := range px.Siblings {
 		if !px.IsFresh(sibling) {
 			continue
@@ -227,8 +227,8 @@
 func (px *PeerExchange) TimeSinceHeard(now time.Time) map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	for machine, w := range px.workers.ByMachine {
-		if !w.LastHeard.IsZero() {
-			ages[machine] = now.Sub(w.LastHeard)
+		if !w.LastHeardAt.IsZero() {
+			ages[machine] = now.Sub(w.LastHeardAt)
 		}
 	}
 	for _, sibling := range px.Siblings {
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -76,7 +76,7 @@
 	before, since := rt.Progress.Phase, rt.Progress.Since
 	if rt.Progress.Apply(event, now) {
 		rt.Log.Info(logging.EventRecoveryPhaseChanged, logging.KeyPhase, string(rt.Progress.Phase), logging.KeyPrevious, string(before), logging.KeyDuration, now.Sub(since).Round(time.Millisecond),
-			logging.KeyMachines, len(rt.Inventory.Machines), logging.KeyMissing, rt.Progress.Machines[recovery.Missing], logging.KeyStartsLeft, rt.Progress.PendingStarts.Total())
+			logging.KeyMachines, len(rt.Inventory.Machines), logging.KeyMissing, rt.Progress.Machines[recovery.MachineMissing], logging.KeyStartsLeft, rt.Progress.PendingStarts.Total())
 	}
 }
 
@@ -91,7 +91,7 @@
 			continue
 		}
 		w := rt.workers.ByMachine[machine]
-		heard := w != nil && !w.LastHeard.IsZero()
+		heard := w != nil && !w.LastHeardAt.IsZero()
 		count[recovery.MachineStateOf(heard, heard && w.State == worker.TokenAcknowledged, waited, timeout)]++
 		if heard {
 			rt.countDueStarts(w, machine, &backlog)
@@ -113,7 +113,7 @@
 
 // startClass returns the class that is used to pace the starts of a job's tasks.
 func startClass(job *jobs.Job) recovery.StartClass {
-	if job.Service() {
+	if job.IsService() {
 		return recovery.ServiceStart
 	}
 	return recovery.ArrayStart
@@ -141,10 +141,10 @@
 	if !rt.Settings.Operator.RecoveryHold {
 		return false
 	}
-	if rt.Membership == nil || rt.Progress.MachinesUnknown() {
+	if rt.Membership == nil || rt.Progress.MachinesUnaccounted() {
 		return true
 	}
-	for _, node := range rt.Membership.Nodes {
+	for _, node := range rt.Membership.Members {
 		if status := rt.peers.statusOf(node); status != nil && status.Recovering {
 			return true
 		}
--- a/internal/observability/metrics.go
+++ b/internal/observability/metrics.go
@@ -58,7 +58,7 @@
 	}
 	gauge(descFencingToken, float64(ob.Membership.FencingToken))
 	membersByFormat := map[uint64]int{}
-	for _, member := range ob.Membership.Nodes {
+	for _, member := range ob.Membership.Members {
 		membersByFormat[ob.StoredSessions[member.Label].Format]++
 	}
 	for format, count := range membersByFormat {
@@ -70,9 +70,9 @@
 func (ob *Observer) collectJobs(gauge gaugeFunc) {
 	gauge(descOpenJobs, float64(len(ob.Table.Open)))
 	gauge(descWaitingJobs, float64(len(ob.Table.Waiting)))
-	var tasksByState [len(jobs.Job{}.Counts)]int
+	var tasksByState [len(jobs.Job{}.TaskCounts)]int
 	for _, job := range ob.Table.Open {
-		for state, count := range job.Counts {
+		for state, count := range job.TaskCounts {
 			tasksByState[state] += count
 		}
 	}
--- a/internal/scheduler/placementinput.go
+++ b/internal/scheduler/placementinput.go
@@ -16,7 +16,7 @@
 	input := placement.Input{
 		Self:         sc.Self.Label,
 		Leader:       sc.Membership.Leader.Label,
-		RankNodes:    sc.Membership.RankNodes,
+		RankNodes:    sc.Membership.RankMembers,
 		Fleet:        fleet,
 		Allowances:   sc.Allowances(),
 		Now:          now,
@@ -26,7 +26,7 @@
 	avoid := sc.machinesToAvoid()
 	dependencies := sc.DependenciesSupported()
 	for jobID, job := range sc.Table.Open {
-		if job.Counts[jobs.Pending] == 0 || job.Record.Phase == jobs.Waiting && !dependencies {
+		if job.TaskCounts[jobs.Pending] == 0 || job.Record.Phase == jobs.Waiting && !dependencies {
 			continue // a member of an older version would stop the tasks that start on its machines
 		}
 		if demand := sc.demandOf(job, avoid[jobID], now); len(demand.Tasks) > 0 {
@@ -39,7 +39,7 @@
 // machinesToAvoid returns, by job, the machines on which its tasks failed recently.
 func (sc *Scheduler) machinesToAvoid() map[string]map[string]bool {
 	avoid := map[string]map[string]bool{}
-	for machine, w := range sc.Workers.Failing {
+	for machine, w := range sc.Workers.WorkersWithFailures {
 		for jobID := range w.FailedJobs {
 			if avoid[jobID] == nil {
 				avoid[jobID] = map[string]bool{}
@@ -52,7 +52,7 @@
 
 // demandOf returns the demand of an open job's pending tasks for the placement.
 func (sc *Scheduler) demandOf(job *jobs.Job, avoid map[string]bool, now time.Time) *placement.Demand {
-	nothingStarted := job.Counts[jobs.Pending] == job.Record.Tasks
+	nothingStarted := job.TaskCounts[jobs.Pending] == job.Record.Tasks
 	return &placement.Demand{
 		Job:              job,
 		ExcludedMachines: avoid,
@@ -89,5 +89,5 @@
 		return true
 	}
 	delay := min(tuning.RetryBase<<min(failures-1, tuning.MaxRetryDoublings), tuning.RetryCap)
-	return now.Sub(sc.Table.FailedAt[jobs.TaskID{Job: job.ID, Task: task}]) >= delay
+	return now.Sub(sc.Table.LastFailureAt[jobs.TaskID{Job: job.ID, Task: task}]) >= delay
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -24,7 +24,7 @@
 		Leader:       sc.Membership.Leader.Label,
 		Members:      sc.MemberLabels,
 		FencingToken: sc.Membership.FencingToken,
-		Claimed:      sc.MachineIndex.ClaimedByNode(),
+		Claimed:      sc.MachineIndex.ClaimTotals(),
 		Revision:     sc.Cache.Revision(),
 	}
 }
@@ -37,7 +37,7 @@
 	for _, ledger := range sc.Quota.Ledgers() {
 		ledger.DropResolvedAdmissions(sc.Cache)
 		team := ledger.Team().Name
-		allowances[team] = ledger.Allowance(view, sc.Table.ResourcesByTeam[team].Amount(), scale)
+		allowances[team] = ledger.Allowance(view, sc.Table.ResourcesByTeam[team].QuotaAmount(), scale)
 	}
 	return allowances
 }
@@ -107,8 +107,8 @@
 	key := jobs.TeamKey(team)
 	sc.compareCurrent(write, key)
 	write.Admission = admission
-	if admission.Next != nil {
-		write.put(key, *admission.Next)
+	if admission.NextRecord != nil {
+		write.put(key, *admission.NextRecord)
 	}
 	return true
 }
@@ -131,11 +131,11 @@
 func outcomeOf(err error) quota.Outcome {
 	switch {
 	case err == nil:
-		return quota.Stored
+		return quota.OutcomeStored
 	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrRejected), errors.Is(err, store.ErrMalformed):
-		return quota.Failed
+		return quota.OutcomeNotStored
 	}
-	return quota.Unknown
+	return quota.OutcomeUnknown
 }
 
 // planRebalances returns the leader's writes that divide the teams' limits among the members. The
@@ -203,11 +203,11 @@
 func (sc *Scheduler) PendingAmounts(team string) iter.Seq[quota.Amount] {
 	return func(yield func(quota.Amount) bool) {
 		for _, job := range sc.Table.Open {
-			pending := job.Counts[jobs.Pending]
+			pending := job.TaskCounts[jobs.Pending]
 			if job.Team != team || pending == 0 {
 				continue
 			}
-			if !yield(job.Need.Amount().Mul(float64(pending))) {
+			if !yield(job.TaskResources.QuotaAmount().Mul(float64(pending))) {
 				return
 			}
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -87,7 +87,7 @@
 // PlanPass runs a pass. It returns the writes to commit, and sends the due commands to workers.
 // The caller holds the lock.
 func (sc *Scheduler) PlanPass() []*PendingWrite {
-	if !sc.IsMember() || !sc.StoreReadRecently() || sc.Draining() {
+	if !sc.IsMember() || !sc.StoreReadRecently() || sc.IsStopping() {
 		return nil
 	}
 	now := sc.Now()
@@ -116,7 +116,7 @@
 	writes = sc.planFinishedJobs(writes, &budget)
 	sc.updateQueuedWrites(len(due) + countJobs(output.Claims) - len(writes))
 	sc.Peers.UpdateStoreBudgetShare()
-	sc.Workers.CommandWorkers(workers, now)
+	sc.Workers.SendDueCommands(workers, now)
 	sc.MachineIndex.RemoveQuiescent()
 	return writes
 }
@@ -126,13 +126,13 @@
 // backoffs of jobs.
 func (sc *Scheduler) pruneFinished(workers map[string]*worker.Worker, now time.Time) {
 	for machine, w := range workers {
-		if len(w.Stopping) > 0 && w.PruneStopping(sc.Table.ClaimsByMachine[machine]) {
+		if len(w.StopRequested) > 0 && w.PruneStopRequests(sc.Table.ClaimsByMachine[machine]) {
 			sc.MachineIndex.MarkChanged(machine)
 		}
 	}
-	for machine, w := range sc.Workers.Failing {
+	for machine, w := range sc.Workers.WorkersWithFailures {
 		if len(w.FailedJobs) == 0 || sc.Workers.ByMachine[machine] != w {
-			delete(sc.Workers.Failing, machine)
+			delete(sc.Workers.WorkersWithFailures, machine)
 		}
 	}
 	for jobID, at := range sc.preemptedFor {
